--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 
 run: build
-	exec target/release/linnetdoor --config deploy/operator.example.json
+	exec target/release/storage-gateway --config deploy/operator.example.json
--- a/gateway/src/front/resp.rs
+++ b/crates/gateway/src/client_protocol/resp.rs
@@ -1,10 +1,10 @@
 //! RESP2 from clients: `IO.IN` and `IO.OUT`, and the few commands that client libraries send.
 
-use super::{Front, Step};
+use super::{ClientProtocol, CommandStep};
 use crate::config::VALUE_MOST;
-use crate::core::{Answer, Found, Job, Op};
-use linnetdoor_sched::Micros;
-use linnetdoor_settings::{micros, ClassInfo, Settings};
+use crate::dispatcher::{Operation, Response, ResponseBody, StorageRequest};
+use deployment_settings::{micros, ClassSettings, DeploymentSettings};
+use io_scheduler::Micros;
 use std::rc::Rc;
 
 /// Words in one command.
@@ -16,17 +16,17 @@
 /// Longest wait that a client may state, where its class has no deadline.
 const WAIT_MOST_MS: f64 = 600_000.0;
 /// Longest id of a request.
-const LABEL_MOST: usize = 64;
+const MAX_REQUEST_ID_LENGTH: usize = 64;
 /// A connection that asks nothing for so long is closed; clients open more when they need them.
 const IDLE_MOST: Micros = 2_500_000;
 
 /// The state of one connection: none, but what is shared by all.
-pub struct Resp {
-    names: Rc<Names>,
+pub struct RespProtocol {
+    names: Rc<RequestNames>,
 }
 
 /// The names that requests may use.
-pub struct Names {
+pub struct RequestNames {
     classes: Vec<Class>,
     plans: Vec<String>,
     units_most: f64,
@@ -40,15 +40,15 @@
     wait_most_ms: f64,
 }
 
-impl Names {
-    pub fn new(settings: &Settings) -> Rc<Names> {
-        let class = |(at, c): (usize, &ClassInfo)| Class {
+impl RequestNames {
+    pub fn new(settings: &DeploymentSettings) -> Rc<RequestNames> {
+        let class = |(at, c): (usize, &ClassSettings)| Class {
             name: c.name.clone(),
             writes: settings.domain.writes.get(at).copied(),
             // The deadline is the longest that a client of the class waits.
             wait_most_ms: if c.deadline_ms > 0.0 { c.deadline_ms } else { WAIT_MOST_MS },
         };
-        Rc::new(Names {
+        Rc::new(RequestNames {
             classes: settings.classes.iter().enumerate().map(class).collect(),
             plans: settings.plans.iter().map(|p| p.name.clone()).collect(),
             // What lies beyond the settings' own figures would weigh on its volume for the rest of the day.
@@ -104,20 +104,20 @@
     (text.len() == 16).then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-impl Resp {
-    pub fn new(names: Rc<Names>) -> Resp {
-        Resp { names }
+impl RespProtocol {
+    pub fn new(names: Rc<RequestNames>) -> RespProtocol {
+        RespProtocol { names }
     }
 
-    fn request(&self, op: Op, words: &[&[u8]]) -> Result<Job, String> {
+    fn request(&self, operation: Operation, words: &[&[u8]]) -> Result<StorageRequest, String> {
         let text = |at: usize| words.get(at).and_then(|w| std::str::from_utf8(w).ok()).ok_or("not UTF-8");
-        let (piece, label, terms) = (text(1)?, text(2)?, text(3)?);
-        let mut job = Job {
-            op,
+        let (piece, client_request_id, terms) = (text(1)?, text(2)?, text(3)?);
+        let mut request = StorageRequest {
+            operation,
             object: hex(piece).ok_or("the piece of data is not 16 hex digits")?,
             name: None,
             volume: 0,
-            label: label.into(),
+            client_request_id: client_request_id.into(),
             class: 0,
             plan: 0,
             units: 1.0,
@@ -128,7 +128,10 @@
             body: words.get(4).map(|b| b.to_vec()).unwrap_or_default(),
             terms: Default::default(),
         };
-        if label.is_empty() || label.len() > LABEL_MOST || !label.bytes().all(|b| b.is_ascii_graphic()) {
+        if client_request_id.is_empty()
+            || client_request_id.len() > MAX_REQUEST_ID_LENGTH
+            || !client_request_id.bytes().all(|b| b.is_ascii_graphic())
+        {
             return Err("the id is missing or no word".into());
         }
         let (mut class, mut plan, mut wait_ms, mut volume, mut placed) = (None, None, None, None, false);
@@ -150,93 +153,97 @@
                 "d" => {
                     wait_ms = Some(figure()?);
                     let value_at = at + 2;
-                    job.terms = (terms[..value_at].into(), terms[value_at + value.len()..].into());
+                    request.terms = (terms[..value_at].into(), terms[value_at + value.len()..].into());
                 }
                 "volume" => volume = Some(hex(value).ok_or_else(wrong)?),
-                "units" => job.units = figure()?.min(self.names.units_most),
+                "units" => request.units = figure()?.min(self.names.units_most),
                 "shard" => {
                     placed = true;
-                    job.shard = match value {
+                    request.shard = match value {
                         "-1" => None,
                         _ => Some(value.parse().map_err(|_| wrong())?),
                     };
                 }
-                "hosts" => job.hosts = figure()?.clamp(1.0, self.names.hosts_most),
-                "r" => job.retry = value == "1",
+                "hosts" => request.hosts = figure()?.clamp(1.0, self.names.hosts_most),
+                "r" => request.retry = value == "1",
                 _ => {}
             }
             at += term.len() + 1;
         }
-        job.class = class.ok_or("c names no class of the settings")?;
-        job.plan = plan.ok_or("t names no plan of the settings")?;
-        job.volume = volume.ok_or("volume is missing")?;
+        request.class = class.ok_or("c names no class of the settings")?;
+        request.plan = plan.ok_or("t names no plan of the settings")?;
+        request.volume = volume.ok_or("volume is missing")?;
         if !placed {
             return Err("shard is missing".into());
         }
-        let class = &self.names.classes[job.class];
+        let class = &self.names.classes[request.class];
         // Whether a request may run again follows from its class: a write under a read's name would.
-        if class.writes.is_some_and(|writes| writes != (op == Op::Write)) {
+        if class.writes.is_some_and(|writes| writes != (operation == Operation::Write)) {
             return Err(format!("requests of class {} are not asked for this way", class.name));
         }
-        job.wait = micros(wait_ms.ok_or("d is missing")?.min(class.wait_most_ms));
-        Ok(job)
+        request.wait = micros(wait_ms.ok_or("d is missing")?.min(class.wait_most_ms));
+        Ok(request)
     }
 }
 
-impl Front for Resp {
-    fn next(&mut self, input: &[u8], at: &mut usize, _slot: u64, ready: bool) -> Step {
+impl ClientProtocol for RespProtocol {
+    fn parse_command(&mut self, input: &[u8], at: &mut usize, _slot: u64, ready: bool) -> CommandStep {
         let words = match command(input, at) {
-            Ok(None) => return Step::More,
+            Ok(None) => return CommandStep::Incomplete,
             Ok(Some(words)) => words,
-            Err(why) => return Step::Hang(format!("-ERR Protocol error: {why}\r\n").into_bytes()),
+            Err(why) => return CommandStep::Close(format!("-ERR Protocol error: {why}\r\n").into_bytes()),
         };
-        let Some(name) = words.first() else { return Step::Reply(Vec::new()) };
-        let op = match name.to_ascii_uppercase().as_slice() {
-            b"IO.IN" if words.len() == 4 => Op::Read,
-            b"IO.OUT" if words.len() == 5 => Op::Write,
-            b"IO.IN" | b"IO.OUT" => return Step::Reply(b"-ERR wrong number of arguments\r\n".to_vec()),
-            b"PING" if ready => return Step::Reply(b"+PONG\r\n".to_vec()),
-            b"PING" => return Step::Reply(b"-ERR not ready\r\n".to_vec()),
-            b"CLIENT" | b"SELECT" => return Step::Reply(b"+OK\r\n".to_vec()),
-            _ => return Step::Reply(b"-ERR unknown command\r\n".to_vec()),
+        let Some(name) = words.first() else { return CommandStep::Reply(Vec::new()) };
+        let operation = match name.to_ascii_uppercase().as_slice() {
+            b"IO.IN" if words.len() == 4 => Operation::Read,
+            b"IO.OUT" if words.len() == 5 => Operation::Write,
+            b"IO.IN" | b"IO.OUT" => {
+                return CommandStep::Reply(b"-ERR wrong number of arguments\r\n".to_vec())
+            }
+            b"PING" if ready => return CommandStep::Reply(b"+PONG\r\n".to_vec()),
+            b"PING" => return CommandStep::Reply(b"-ERR not ready\r\n".to_vec()),
+            b"CLIENT" | b"SELECT" => return CommandStep::Reply(b"+OK\r\n".to_vec()),
+            _ => return CommandStep::Reply(b"-ERR unknown command\r\n".to_vec()),
         };
-        match self.request(op, &words) {
-            Ok(job) => Step::Ask(vec![job]),
-            Err(why) => Step::Reply(format!("-ERR {}\r\n", why.replace(['\r', '\n'], " ")).into_bytes()),
+        match self.request(operation, &words) {
+            Ok(request) => CommandStep::Submit(vec![request]),
+            Err(why) => {
+                CommandStep::Reply(format!("-ERR {}\r\n", why.replace(['\r', '\n'], " ")).into_bytes())
+            }
         }
     }
 
-    fn answer(&mut self, slot: u64, answer: Answer, out: &mut Vec<(u64, Vec<u8>)>) {
+    fn encode_response(&mut self, slot: u64, answer: Response, out: &mut Vec<(u64, Vec<u8>)>) {
         let words = match answer {
-            Answer::Served(Found::Value(value)) => {
+            Response::Served(ResponseBody::Value(value)) => {
                 let mut words = format!("${}\r\n", value.len()).into_bytes();
                 words.extend_from_slice(&value);
                 words.extend_from_slice(b"\r\n");
                 words
             }
             // A file server's words for a write that it took: there is no value to pass on.
-            Answer::Served(Found::Size(_) | Found::Names(_)) => b"$0\r\n\r\n".to_vec(),
-            Answer::Served(Found::Missing) => b"-ERR not found\r\n".to_vec(),
-            Answer::Refused(wait) if wait > 0 => {
+            Response::Served(ResponseBody::Size(_) | ResponseBody::Names(_)) => b"$0\r\n\r\n".to_vec(),
+            Response::Served(ResponseBody::NotFound) => b"-ERR not found\r\n".to_vec(),
+            Response::Rejected(wait) if wait > 0 => {
                 format!("-BUSY {}\r\n", (wait as f64 / 1000.0).ceil()).into_bytes()
             }
-            Answer::Refused(_) => b"-BUSY\r\n".to_vec(),
-            Answer::Invalid(why) => format!("-ERR {why}\r\n").into_bytes(),
-            Answer::Failed => b"-ERR failed\r\n".to_vec(),
-            Answer::TimedOut => b"-ERR timed out\r\n".to_vec(),
+            Response::Rejected(_) => b"-BUSY\r\n".to_vec(),
+            Response::Invalid(why) => format!("-ERR {why}\r\n").into_bytes(),
+            Response::Failed => b"-ERR failed\r\n".to_vec(),
+            Response::TimedOut => b"-ERR timed out\r\n".to_vec(),
         };
         out.push((slot, words));
     }
 
-    fn full_house(&self) -> Vec<u8> {
+    fn overloaded_reply(&self) -> Vec<u8> {
         b"-BUSY 250\r\n".to_vec()
     }
 
-    fn late(&self) -> Vec<u8> {
+    fn timeout_reply(&self) -> Vec<u8> {
         b"-ERR the command was not whole in time\r\n".to_vec()
     }
 
-    fn idle_most(&self) -> Micros {
+    fn idle_timeout(&self) -> Micros {
         IDLE_MOST
     }
 }
--- a/gateway/src/front/sftp.rs
+++ b/crates/gateway/src/client_protocol/sftp.rs
@@ -4,12 +4,12 @@
 //! write at CLOSE, so a client that drops before that has sent no node anything. A listing asks every
 //! shard and is answered once.
 
-use super::{Front, Step};
-use crate::config::SftpFront;
-use crate::core::{Answer, Found, Job, Op};
-use crate::sftp::{kind, open, packet, status, Code, Fields, Malformed, Packet, VERSION};
-use linnetdoor_sched::Micros;
-use linnetdoor_settings::{micros, Settings};
+use super::{ClientProtocol, CommandStep};
+use crate::config::SftpSettings;
+use crate::dispatcher::{Operation, Response, ResponseBody, StorageRequest};
+use crate::sftp_packet::{kind, open, packet, status, Code, Fields, Malformed, Packet, VERSION};
+use deployment_settings::{micros, DeploymentSettings};
+use io_scheduler::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -26,15 +26,15 @@
 const NAME_MOST: usize = 255;
 
 /// What all clients of this front share.
-pub struct Shared {
-    config: SftpFront,
+pub struct SftpShared {
+    config: SftpSettings,
     classes: Vec<(String, f64)>,
     plans: Vec<String>,
     shards: u64,
     hosts: f64,
     unit_mean: f64,
     unit_top: f64,
-    labels: Cell<u64>,
+    client_request_ids: Cell<u64>,
     /// Bytes that all handles of all clients hold together: uploads, and objects being read.
     held: Cell<usize>,
     held_most: usize,
@@ -42,9 +42,14 @@
     sizes: RefCell<BTreeMap<(u64, u64), u64>>,
 }
 
-impl Shared {
-    pub fn new(config: SftpFront, settings: &Settings, held_most: usize, first_label: u64) -> Rc<Shared> {
-        Rc::new(Shared {
+impl SftpShared {
+    pub fn new(
+        config: SftpSettings,
+        settings: &DeploymentSettings,
+        held_most: usize,
+        first_request_id: u64,
+    ) -> Rc<SftpShared> {
+        Rc::new(SftpShared {
             config,
             classes: settings.classes.iter().map(|c| (c.name.clone(), c.deadline_ms)).collect(),
             plans: settings.plans.iter().map(|p| p.name.clone()).collect(),
@@ -52,7 +57,7 @@
             hosts: f64::from(settings.group_size.max(1)),
             unit_mean: settings.domain.unit_mean.max(1.0),
             unit_top: settings.domain.units_top.max(1.0),
-            labels: Cell::new(first_label),
+            client_request_ids: Cell::new(first_request_id),
             held: Cell::new(0),
             held_most,
             sizes: RefCell::default(),
@@ -72,28 +77,28 @@
         sizes.insert((volume, object), size);
     }
 
-    fn job(&self, op: Op, at: &Target, shard: u64, body: Vec<u8>) -> Job {
+    fn request(&self, operation: Operation, at: &Target, shard: u64, body: Vec<u8>) -> StorageRequest {
         let known = self.sizes.borrow().get(&(at.volume, at.object)).copied();
-        let (class, units) = match op {
-            Op::Write => (self.config.write, self.units(Some(body.len() as u64))),
-            Op::List => (self.config.list, 1.0),
-            Op::Stat => (self.config.read, 1.0),
-            Op::Read if known.is_some_and(|s| s >= self.config.large_bytes) => {
+        let (class, units) = match operation {
+            Operation::Write => (self.config.write, self.units(Some(body.len() as u64))),
+            Operation::List => (self.config.list, 1.0),
+            Operation::Stat => (self.config.read, 1.0),
+            Operation::Read if known.is_some_and(|s| s >= self.config.large_bytes) => {
                 (self.config.large_read, self.units(known))
             }
-            Op::Read => (self.config.read, self.units(known)),
+            Operation::Read => (self.config.read, self.units(known)),
         };
-        let label = self.labels.get();
-        self.labels.set(label.wrapping_add(1));
+        let client_request_id = self.client_request_ids.get();
+        self.client_request_ids.set(client_request_id.wrapping_add(1));
         let (class_name, deadline) = &self.classes[class];
         let before = format!("c={class_name},t={},d=", self.plans[at.plan]);
         let after = format!(",volume={:016x},units={units},shard={shard},hosts={}", at.volume, self.hosts);
-        Job {
-            op,
+        StorageRequest {
+            operation,
             object: at.object,
             name: at.name.clone(),
             volume: at.volume,
-            label: format!("{label:016x}").into(),
+            client_request_id: format!("{client_request_id:016x}").into(),
             class,
             plan: at.plan,
             units,
@@ -135,7 +140,7 @@
     name: Option<Box<str>>,
 }
 
-enum Place {
+enum PathTarget {
     Root,
     Volume(Target),
     Object(Target),
@@ -165,8 +170,8 @@
 }
 
 /// One client's session.
-pub struct Sftp {
-    shared: Rc<Shared>,
+pub struct SftpProtocol {
+    shared: Rc<SftpShared>,
     greeted: bool,
     handles: BTreeMap<u32, Handle>,
     next_handle: u32,
@@ -174,9 +179,9 @@
 }
 
 /// What a command comes to before it is tied to its slot.
-enum Outcome {
+enum CommandOutcome {
     Now(Vec<u8>),
-    Ask(Vec<Job>, Awaited),
+    Ask(Vec<StorageRequest>, Awaited),
 }
 
 /// A command that is answered with a status.
@@ -188,24 +193,30 @@
     }
 }
 
-impl Sftp {
-    pub fn new(shared: Rc<Shared>) -> Sftp {
-        Sftp { shared, greeted: false, handles: BTreeMap::new(), next_handle: 0, awaited: BTreeMap::new() }
+impl SftpProtocol {
+    pub fn new(shared: Rc<SftpShared>) -> SftpProtocol {
+        SftpProtocol {
+            shared,
+            greeted: false,
+            handles: BTreeMap::new(),
+            next_handle: 0,
+            awaited: BTreeMap::new(),
+        }
     }
 
-    fn place(&self, path: &[u8]) -> Result<Place, Refusal> {
+    fn place(&self, path: &[u8]) -> Result<PathTarget, Refusal> {
         const NONE: Refusal = Refusal(Code::NoSuchFile, "no such file");
         let path = canonical(path).ok_or(NONE)?;
         let mut parts = path.split('/').filter(|p| !p.is_empty());
-        let Some(volume) = parts.next() else { return Ok(Place::Root) };
+        let Some(volume) = parts.next() else { return Ok(PathTarget::Root) };
         let volume = self.shared.config.volumes.iter().find(|v| v.name == volume).ok_or(NONE)?;
         let mut target = Target { volume: volume.id, plan: volume.plan, object: 0, name: None };
         match (parts.next(), parts.next()) {
-            (None, _) => Ok(Place::Volume(target)),
+            (None, _) => Ok(PathTarget::Volume(target)),
             (Some(name), None) if name.len() <= NAME_MOST => {
                 target.object = object_of(name);
                 target.name = Some(name.into());
-                Ok(Place::Object(target))
+                Ok(PathTarget::Object(target))
             }
             _ => Err(NONE),
         }
@@ -239,20 +250,21 @@
         Ok(u32::from_be_bytes(bytes))
     }
 
-    fn command(&mut self, what: u8, id: u32, f: &mut Fields<'_>) -> Result<Outcome, Refusal> {
+    fn command(&mut self, what: u8, id: u32, f: &mut Fields<'_>) -> Result<CommandOutcome, Refusal> {
         const NO_HANDLE: Refusal = Refusal(Code::Failure, "no such handle");
-        let now = |words: Vec<u8>| Ok(Outcome::Now(words));
+        let now = |words: Vec<u8>| Ok(CommandOutcome::Now(words));
         let given = |n: u32| Packet::with_id(kind::HANDLE, id).string(n.to_be_bytes()).done();
         let attrs = |size| Packet::with_id(kind::ATTRS, id).attrs(size).done();
         match what {
             kind::OPEN => {
                 let (path, flags) = (f.string()?, f.u32()?);
-                let Place::Object(at) = self.place(path)? else {
+                let PathTarget::Object(at) = self.place(path)? else {
                     return Err(Refusal(Code::Failure, "is a folder"));
                 };
                 if flags == open::READ {
-                    let job = self.shared.job(Op::Read, &at, self.shared.shard(&at), Vec::new());
-                    return Ok(Outcome::Ask(vec![job], Awaited::Open(at)));
+                    let request =
+                        self.shared.request(Operation::Read, &at, self.shared.shard(&at), Vec::new());
+                    return Ok(CommandOutcome::Ask(vec![request], Awaited::Open(at)));
                 }
                 // An object is written whole: what would keep part of an old one is not to be had.
                 let whole = [open::WRITE | open::CREAT | open::TRUNC, open::WRITE | open::CREAT];
@@ -264,9 +276,9 @@
             }
             kind::OPENDIR => {
                 let (at, names) = match self.place(f.string()?)? {
-                    Place::Object(_) => return Err(Refusal(Code::Failure, "not a folder")),
-                    Place::Volume(at) => (Some(at), None),
-                    Place::Root => {
+                    PathTarget::Object(_) => return Err(Refusal(Code::Failure, "not a folder")),
+                    PathTarget::Volume(at) => (Some(at), None),
+                    PathTarget::Root => {
                         let volumes = &self.shared.config.volumes;
                         (None, Some(volumes.iter().map(|v| (v.name.clone().into_bytes(), None)).collect()))
                     }
@@ -306,14 +318,15 @@
                 self.hold(handle.held(), 0)?;
                 let Handle::Upload { at, data } = handle else { return now(status(id, Code::Ok, "")) };
                 let size = data.len() as u64;
-                let job = self.shared.job(Op::Write, &at, self.shared.shard(&at), data);
-                Ok(Outcome::Ask(vec![job], Awaited::Stored(at, size)))
+                let request = self.shared.request(Operation::Write, &at, self.shared.shard(&at), data);
+                Ok(CommandOutcome::Ask(vec![request], Awaited::Stored(at, size)))
             }
             kind::STAT | kind::LSTAT => match self.place(f.string()?)? {
-                Place::Root | Place::Volume(_) => now(attrs(None)),
-                Place::Object(at) => {
-                    let job = self.shared.job(Op::Stat, &at, self.shared.shard(&at), Vec::new());
-                    Ok(Outcome::Ask(vec![job], Awaited::Stat(at)))
+                PathTarget::Root | PathTarget::Volume(_) => now(attrs(None)),
+                PathTarget::Object(at) => {
+                    let request =
+                        self.shared.request(Operation::Stat, &at, self.shared.shard(&at), Vec::new());
+                    Ok(CommandOutcome::Ask(vec![request], Awaited::Stat(at)))
                 }
             },
             kind::FSTAT => match self.handles.get(&Self::handle(f)?).ok_or(NO_HANDLE)? {
@@ -330,37 +343,40 @@
         }
     }
 
-    fn read_folder(&mut self, id: u32, number: u32) -> Result<Outcome, Refusal> {
+    fn read_folder(&mut self, id: u32, number: u32) -> Result<CommandOutcome, Refusal> {
         let Some(Handle::Folder { at, names, asked }) = self.handles.get_mut(&number) else {
             return Err(Refusal(Code::Failure, "no such handle"));
         };
         match (at, names) {
-            (_, Some(names)) => Ok(Outcome::Now(some_names(id, names))),
+            (_, Some(names)) => Ok(CommandOutcome::Now(some_names(id, names))),
             (Some(_), None) if *asked => Err(Refusal(Code::Failure, "the listing is under way")),
             (Some(at), None) => {
                 *asked = true;
                 let shared = &self.shared;
-                let jobs: Vec<Job> =
-                    (0..shared.shards).map(|s| shared.job(Op::List, at, s, Vec::new())).collect();
-                let left = jobs.len();
-                Ok(Outcome::Ask(jobs, Awaited::Listing { handle: number, left, names: Vec::new() }))
+                let requests: Vec<StorageRequest> =
+                    (0..shared.shards).map(|s| shared.request(Operation::List, at, s, Vec::new())).collect();
+                let left = requests.len();
+                Ok(CommandOutcome::Ask(
+                    requests,
+                    Awaited::Listing { handle: number, left, names: Vec::new() },
+                ))
             }
             (None, None) => Err(Refusal(Code::Eof, "")),
         }
     }
 
     /// A served answer in this protocol's words.
-    fn served(&mut self, id: u32, awaited: Awaited, found: Found) -> Result<Vec<u8>, Refusal> {
+    fn served(&mut self, id: u32, awaited: Awaited, found: ResponseBody) -> Result<Vec<u8>, Refusal> {
         const NONE: Refusal = Refusal(Code::NoSuchFile, "no such file");
         let size = match &found {
-            Found::Value(value) => value.len() as u64,
-            Found::Size(size) => *size,
-            Found::Names(_) => 0,
-            Found::Missing => return Err(NONE),
+            ResponseBody::Value(value) => value.len() as u64,
+            ResponseBody::Size(size) => *size,
+            ResponseBody::Names(_) => 0,
+            ResponseBody::NotFound => return Err(NONE),
         };
         match awaited {
             Awaited::Open(at) => {
-                let Found::Value(value) = found else { return Err(Refusal(Code::Failure, "failed")) };
+                let ResponseBody::Value(value) = found else { return Err(Refusal(Code::Failure, "failed")) };
                 self.shared.note_size(at.volume, at.object, size);
                 let number = self.keep(Handle::Reading(value))?;
                 Ok(Packet::with_id(kind::HANDLE, id).string(number.to_be_bytes()).done())
@@ -419,49 +435,49 @@
     Some(format!("/{}", parts.join("/")))
 }
 
-impl Front for Sftp {
-    fn next(&mut self, input: &[u8], at: &mut usize, slot: u64, _ready: bool) -> Step {
+impl ClientProtocol for SftpProtocol {
+    fn parse_command(&mut self, input: &[u8], at: &mut usize, slot: u64, _ready: bool) -> CommandStep {
         let (what, mut fields) = match packet(input, at) {
             Ok(Some(packet)) => packet,
-            Ok(None) => return Step::More,
-            Err(Malformed) => return Step::Hang(Vec::new()),
+            Ok(None) => return CommandStep::Incomplete,
+            Err(Malformed) => return CommandStep::Close(Vec::new()),
         };
         if !self.greeted {
             self.greeted = what == kind::INIT && fields.u32().is_ok();
             return match self.greeted {
-                true => Step::Reply(Packet::new(kind::VERSION).u32(VERSION).done()),
-                false => Step::Hang(Vec::new()),
+                true => CommandStep::Reply(Packet::new(kind::VERSION).u32(VERSION).done()),
+                false => CommandStep::Close(Vec::new()),
             };
         }
-        let Ok(id) = fields.u32() else { return Step::Hang(Vec::new()) };
+        let Ok(id) = fields.u32() else { return CommandStep::Close(Vec::new()) };
         match self.command(what, id, &mut fields) {
-            Ok(Outcome::Now(words)) => Step::Reply(words),
-            Ok(Outcome::Ask(jobs, awaited)) => {
+            Ok(CommandOutcome::Now(words)) => CommandStep::Reply(words),
+            Ok(CommandOutcome::Ask(requests, awaited)) => {
                 self.awaited.insert(slot, (id, awaited));
-                Step::Ask(jobs)
+                CommandStep::Submit(requests)
             }
-            Err(Refusal(code, why)) => Step::Reply(status(id, code, why)),
+            Err(Refusal(code, why)) => CommandStep::Reply(status(id, code, why)),
         }
     }
 
-    fn answer(&mut self, slot: u64, answer: Answer, out: &mut Vec<(u64, Vec<u8>)>) {
+    fn encode_response(&mut self, slot: u64, answer: Response, out: &mut Vec<(u64, Vec<u8>)>) {
         let Some((id, mut awaited)) = self.awaited.remove(&slot) else { return };
         let found = match answer {
-            Answer::Served(found) => found,
-            Answer::Refused(wait) => {
+            Response::Served(found) => found,
+            Response::Rejected(wait) => {
                 let ms = (wait as f64 / 1000.0).ceil();
                 out.push((slot, status(id, Code::Failure, &format!("refused: try again in {ms} ms"))));
                 return self.listing_failed(awaited);
             }
-            Answer::Invalid(why) => {
+            Response::Invalid(why) => {
                 out.push((slot, status(id, Code::Failure, why)));
                 return self.listing_failed(awaited);
             }
-            Answer::Failed => {
+            Response::Failed => {
                 out.push((slot, status(id, Code::Failure, "failed")));
                 return self.listing_failed(awaited);
             }
-            Answer::TimedOut => {
+            Response::TimedOut => {
                 out.push((slot, status(id, Code::Failure, "timed out")));
                 return self.listing_failed(awaited);
             }
@@ -469,9 +485,9 @@
         if let Awaited::Listing { left, names, .. } = &mut awaited {
             *left -= 1;
             match &found {
-                Found::Names(more) => names.extend_from_slice(more),
-                Found::Value(index) => names.extend(index_names(index)),
-                Found::Size(_) | Found::Missing => {}
+                ResponseBody::Names(more) => names.extend_from_slice(more),
+                ResponseBody::Value(index) => names.extend(index_names(index)),
+                ResponseBody::Size(_) | ResponseBody::NotFound => {}
             }
             if *left > 0 {
                 self.awaited.insert(slot, (id, awaited));
@@ -479,7 +495,8 @@
             }
             out.push((
                 slot,
-                self.served(id, awaited, Found::Names(Vec::new())).unwrap_or_else(|r| status(id, r.0, r.1)),
+                self.served(id, awaited, ResponseBody::Names(Vec::new()))
+                    .unwrap_or_else(|r| status(id, r.0, r.1)),
             ));
             return;
         }
@@ -488,19 +505,19 @@
         out.push((slot, words));
     }
 
-    fn full_house(&self) -> Vec<u8> {
+    fn overloaded_reply(&self) -> Vec<u8> {
         Vec::new()
     }
 
-    fn late(&self) -> Vec<u8> {
+    fn timeout_reply(&self) -> Vec<u8> {
         Vec::new()
     }
 
-    fn idle_most(&self) -> Micros {
+    fn idle_timeout(&self) -> Micros {
         IDLE_MOST
     }
 
-    fn midway(&self) -> bool {
+    fn mid_command(&self) -> bool {
         self.handles.values().any(|h| matches!(h, Handle::Upload { .. }))
     }
 }
@@ -516,7 +533,7 @@
     index.split(|b| *b == b'\n').filter_map(line).collect()
 }
 
-impl Sftp {
+impl SftpProtocol {
     /// A listing that failed may be asked for again on the same handle.
     fn listing_failed(&mut self, awaited: Awaited) {
         if let Awaited::Listing { handle, .. } = awaited {
@@ -527,7 +544,7 @@
     }
 }
 
-impl Drop for Sftp {
+impl Drop for SftpProtocol {
     fn drop(&mut self) {
         let held: usize = self.handles.values().map(Handle::held).sum();
         self.shared.held.set(self.shared.held.get() - held);
--- a/gateway/src/config.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,8 +1,9 @@
 //! Configuration: the only place where the environment, ROUTER_CONFIG and the operator's file are read,
 //! checked and given defaults. Every error names the key at fault.
 
-use crate::discovery::Update;
-use linnetdoor_settings::Settings;
+use crate::discovery::EndpointListUpdate;
+use crate::memory_budget::MemoryBudget;
+use deployment_settings::DeploymentSettings;
 use log::LevelFilter;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -37,61 +38,20 @@
     pub name: String,
     pub listen: Option<SocketAddr>,
     pub discovery: Option<SocketAddr>,
-    pub known: Update,
+    pub known: EndpointListUpdate,
     pub seed: u64,
     /// File descriptors that the process may hold.
     pub descriptors: usize,
-    pub bounds: Bounds,
-    pub settings: Settings,
+    pub budget: MemoryBudget,
+    pub settings: DeploymentSettings,
     pub inventory: Option<PathBuf>,
-    pub sftp: Option<SftpFront>,
+    pub sftp: Option<SftpSettings>,
     pub log: LevelFilter,
 }
 
-/// What may be held at once, in step with the memory that the process may use. Together they take less than
-/// half of it: the rest is for connections, for the lists and for what the allocator keeps.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
-    /// Bytes of request bodies; beyond them requests are refused.
-    pub bodies: usize,
-    /// Bytes of answers not taken by clients; beyond them a client gets one answer at a time.
-    pub owed: usize,
-    /// Bytes of commands that are not whole yet; beyond them they are turned away.
-    pub input: usize,
-    /// Bytes of uploads and of objects that file clients read.
-    pub files: usize,
-    /// Bytes of large answers that are coming from nodes; beyond them one more is given up.
-    pub answers: usize,
-    /// Bytes of the largest value that is taken from a node. Nodes are said to hold 64 KiB, and give more.
-    pub value: usize,
-    /// Requests; beyond them requests are refused.
-    pub requests: usize,
-}
-
-impl Bounds {
-    /// Bytes that a request takes besides its body, with its place in every list.
-    const REQUEST: usize = 2 << 10;
-    /// A length beyond this is a spoilt one, however much memory there is.
-    const VALUE_MOST: usize = 1 << 20;
-
-    pub fn of(memory_mb: usize) -> Bounds {
-        let memory = memory_mb << 20;
-        let part = memory / 12;
-        Bounds {
-            bodies: part,
-            owed: part,
-            input: part,
-            files: part,
-            answers: part,
-            value: (memory / 32).min(Self::VALUE_MOST),
-            requests: part / Self::REQUEST,
-        }
-    }
-}
-
 /// The SFTP-style front of an operator's file.
 #[derive(Clone, Debug)]
-pub struct SftpFront {
+pub struct SftpSettings {
     pub listen: SocketAddr,
     /// Largest upload that is buffered.
     pub max_upload: usize,
@@ -125,8 +85,8 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: Update,
-    settings: Settings,
+    known: EndpointListUpdate,
+    settings: DeploymentSettings,
     #[serde(default)]
     log: Option<String>,
 }
@@ -142,7 +102,7 @@
     log: Option<String>,
     #[serde(default)]
     limits: Limits,
-    settings: Settings,
+    settings: DeploymentSettings,
     sftp: Option<OperatorSftp>,
 }
 
@@ -214,7 +174,7 @@
 }
 
 /// The checks that both kinds of configuration share.
-fn check(settings: &Settings, limits: &Limits, sftp: bool) -> Result<(), ConfigError> {
+fn check(settings: &DeploymentSettings, limits: &Limits, sftp: bool) -> Result<(), ConfigError> {
     if settings.classes.is_empty() {
         return Err(ConfigError::Missing { key: "settings.classes".into() });
     }
@@ -222,8 +182,8 @@
         return Err(ConfigError::Missing { key: "settings.plans".into() });
     }
     settings
-        .to_scheduler()
-        .map_err(|e| bad(&format!("settings.{}", e.key), format!("'{}' is unknown", e.word)))?;
+        .to_scheduler_settings()
+        .map_err(|e| bad(&format!("settings.{}", e.key), format!("'{}' is unknown", e.value)))?;
     for (at, class) in settings.classes.iter().enumerate() {
         if sftp && (class.deadline_ms.is_nan() || class.deadline_ms < class.aim_ms) {
             return Err(bad(&format!("settings.classes[{at}].deadline_ms"), "must be at least aim_ms"));
@@ -296,11 +256,11 @@
         known: told.known,
         seed: u64::from_str_radix(seed, 16).map_err(|_| bad("seed", format!("'{seed}' is not hex")))?,
         descriptors: told.limits.sockets,
-        bounds: Bounds::of(told.limits.memory_mb),
+        budget: MemoryBudget::of(told.limits.memory_mb),
         settings: told.settings,
         inventory: None,
         sftp: None,
-        log: log_level("LINNETDOOR_LOG", env("LINNETDOOR_LOG").or(told.log).as_deref())?,
+        log: log_level("STORAGE_GATEWAY_LOG", env("STORAGE_GATEWAY_LOG").or(told.log).as_deref())?,
     })
 }
 
@@ -320,13 +280,13 @@
     let folder = path.parent().unwrap_or(Path::new("."));
     Ok(Config {
         source: Source::Operator(path.to_owned()),
-        name: told.name.unwrap_or_else(|| "linnetdoor".into()),
+        name: told.name.unwrap_or_else(|| "storage-gateway".into()),
         listen: told.listen.map(|l| address("listen", &l)).transpose()?,
         discovery: told.discovery.map(|d| address("discovery", &d)).transpose()?,
-        known: Update::default(),
+        known: EndpointListUpdate::default(),
         seed: 0,
         descriptors: told.limits.sockets,
-        bounds: Bounds::of(told.limits.memory_mb),
+        budget: MemoryBudget::of(told.limits.memory_mb),
         settings: told.settings,
         inventory: told.inventory.map(|i| folder.join(i)),
         sftp,
@@ -334,7 +294,7 @@
     })
 }
 
-fn sftp_front(told: OperatorSftp, settings: &Settings) -> Result<SftpFront, ConfigError> {
+fn sftp_front(told: OperatorSftp, settings: &DeploymentSettings) -> Result<SftpSettings, ConfigError> {
     let class = |key: &str, name: &str, writes: bool| {
         let at = settings.classes.iter().position(|c| c.name == name);
         let at = at.ok_or_else(|| bad(key, format!("class '{name}' is not in settings.classes")))?;
@@ -372,7 +332,7 @@
     if unit_bytes == 0 {
         return Err(bad("sftp.unit_bytes", "must be above 0"));
     }
-    Ok(SftpFront {
+    Ok(SftpSettings {
         listen: address("sftp.listen", &told.listen)?,
         max_upload,
         unit_bytes,
--- a/gateway/src/console.rs
+++ b/crates/gateway/src/console.rs
@@ -1,14 +1,14 @@
 //! The operator's console: line commands and their words. The loop carries them out.
 
 use crate::config::SftpVolume;
-use crate::core::{NodeState, Tally};
-use linnetdoor_sched::Standing;
+use crate::dispatcher::{NodeState, VolumeCounters};
+use io_scheduler::EndpointStatus;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 /// A line typed at the console.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Command {
+pub enum ConsoleCommand {
     Status,
     Nodes,
     Volumes,
@@ -32,19 +32,19 @@
 ";
 
 /// Takes a line apart; the error is what to show.
-pub fn parse(line: &str) -> Result<Command, String> {
+pub fn parse(line: &str) -> Result<ConsoleCommand, String> {
     let words: Vec<&str> = line.split_whitespace().collect();
     Ok(match words.as_slice() {
-        [] => Command::Nothing,
-        ["status"] => Command::Status,
-        ["nodes"] => Command::Nodes,
-        ["volumes"] => Command::Volumes,
-        ["drain", name] => Command::Drain((*name).to_owned()),
-        ["undrain", name] => Command::Undrain((*name).to_owned()),
+        [] => ConsoleCommand::Nothing,
+        ["status"] => ConsoleCommand::Status,
+        ["nodes"] => ConsoleCommand::Nodes,
+        ["volumes"] => ConsoleCommand::Volumes,
+        ["drain", name] => ConsoleCommand::Drain((*name).to_owned()),
+        ["undrain", name] => ConsoleCommand::Undrain((*name).to_owned()),
         ["drain" | "undrain", ..] => return Err(format!("{} takes the name of one node", words[0])),
-        ["reload"] => Command::Reload,
-        ["help" | "?"] => Command::Help,
-        ["quit" | "exit"] => Command::Quit,
+        ["reload"] => ConsoleCommand::Reload,
+        ["help" | "?"] => ConsoleCommand::Help,
+        ["quit" | "exit"] => ConsoleCommand::Quit,
         [word, ..] => return Err(format!("'{word}' is no command here: try help")),
     })
 }
@@ -53,10 +53,10 @@
 pub fn nodes<'a>(nodes: impl Iterator<Item = &'a NodeState>) -> String {
     let mut text = format!("{:<24} {:>6} {:<9} {:>5} {:>12}\n", "node", "shard", "state", "out", "units");
     for n in nodes {
-        let state = match n.standing {
-            Standing::Serving => "serving",
-            Standing::Draining => "draining",
-            Standing::Gone => "gone",
+        let state = match n.status {
+            EndpointStatus::InService => "serving",
+            EndpointStatus::Draining => "draining",
+            EndpointStatus::Removed => "gone",
         };
         // Writing to a string cannot fail.
         let _ = writeln!(text, "{:<24} {:>6} {state:<9} {:>5} {:>12.1}", n.name, n.shard, n.out, n.units);
@@ -65,12 +65,12 @@
 }
 
 /// The table of volumes; one that paths name goes by that name.
-pub fn volumes(tallies: &BTreeMap<u64, Tally>, named: &[SftpVolume]) -> String {
+pub fn volumes(volume_counters: &BTreeMap<u64, VolumeCounters>, named: &[SftpVolume]) -> String {
     let mut text = format!(
         "{:<24} {:>9} {:>9} {:>9} {:>9} {:>12}\n",
         "volume", "taken", "served", "refused", "failed", "units"
     );
-    for (volume, t) in tallies {
+    for (volume, t) in volume_counters {
         let name = named.iter().find(|v| v.id == *volume).map(|v| v.name.clone());
         let name = name.unwrap_or_else(|| format!("{volume:016x}"));
         let _ = writeln!(
--- a/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! Discovery's list of nodes: the HTTP/1.1 watch, parsed as it comes.
 
-use crate::core::Line;
-use linnetdoor_sched::{ListKind, Standing};
-use linnetdoor_settings::micros;
+use crate::endpoint::EndpointRecord;
+use deployment_settings::micros;
+use io_scheduler::{EndpointListEvent, EndpointStatus};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -15,31 +15,31 @@
 
 /// The list, or changes to it, in discovery's form.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Update {
+pub struct EndpointListUpdate {
     #[serde(default)]
     pub index: u64,
     #[serde(default)]
     pub snapshot: bool,
     #[serde(default)]
-    pub endpoints: Vec<Endpoint>,
+    pub endpoints: Vec<EndpointEntry>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Endpoint {
+pub struct EndpointEntry {
     pub name: String,
     pub address: String,
     #[serde(default)]
     pub zone: String,
     #[serde(default)]
     pub group: u64,
-    pub status: Status,
+    pub status: EndpointEntryStatus,
     #[serde(default)]
     pub since_ms: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Status {
+pub enum EndpointEntryStatus {
     InService,
     Terminating,
     Terminated,
@@ -61,33 +61,33 @@
     List(String),
 }
 
-impl Update {
-    pub fn kind(&self) -> ListKind {
+impl EndpointListUpdate {
+    pub fn kind(&self) -> EndpointListEvent {
         if self.snapshot {
-            ListKind::Full
+            EndpointListEvent::Snapshot
         } else {
-            ListKind::Changes
+            EndpointListEvent::Delta
         }
     }
 
     /// The lines, each with its address; one whose address can't be read is left out.
-    pub fn lines(&self) -> impl Iterator<Item = (Line, SocketAddr)> + '_ {
+    pub fn lines(&self) -> impl Iterator<Item = (EndpointRecord, SocketAddr)> + '_ {
         self.endpoints.iter().filter_map(|e| {
             let Ok(address) = e.address.parse() else {
                 log::warn!("discovery: node {} has no usable address '{}'", e.name, e.address);
                 return None;
             };
-            let standing = match e.status {
-                Status::InService => Standing::Serving,
-                Status::Terminating | Status::Other => Standing::Draining,
-                Status::Terminated => Standing::Gone,
+            let status = match e.status {
+                EndpointEntryStatus::InService => EndpointStatus::InService,
+                EndpointEntryStatus::Terminating | EndpointEntryStatus::Other => EndpointStatus::Draining,
+                EndpointEntryStatus::Terminated => EndpointStatus::Removed,
             };
-            let line = Line {
+            let line = EndpointRecord {
                 name: e.name.clone(),
                 zone: e.zone.clone(),
                 shard: e.group,
-                standing,
-                started: (e.since_ms > 0.0).then(|| micros(e.since_ms)),
+                status,
+                started_at: (e.since_ms > 0.0).then(|| micros(e.since_ms)),
             };
             Some((line, address))
         })
@@ -112,7 +112,7 @@
 }
 
 impl Objects {
-    fn feed(&mut self, data: &[u8], out: &mut Vec<Update>) -> Result<(), WatchError> {
+    fn feed(&mut self, data: &[u8], out: &mut Vec<EndpointListUpdate>) -> Result<(), WatchError> {
         for byte in data {
             if self.depth == 0 && byte.is_ascii_whitespace() {
                 continue;
@@ -167,7 +167,7 @@
 
 impl WatchParser {
     /// Feeds bytes; complete updates go to `out`.
-    pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<Update>) -> Result<(), WatchError> {
+    pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<EndpointListUpdate>) -> Result<(), WatchError> {
         self.input.extend_from_slice(bytes);
         let mut at = 0;
         let result = self.take(&mut at, out);
@@ -181,11 +181,11 @@
     }
 
     /// Whether an object has begun and is not whole.
-    pub fn midway(&self) -> bool {
+    pub fn mid_object(&self) -> bool {
         self.objects.depth > 0
     }
 
-    fn take(&mut self, at: &mut usize, out: &mut Vec<Update>) -> Result<(), WatchError> {
+    fn take(&mut self, at: &mut usize, out: &mut Vec<EndpointListUpdate>) -> Result<(), WatchError> {
         loop {
             let rest = &self.input[*at..];
             match self.part {
--- a/gateway/src/net/clients.rs
+++ b/crates/gateway/src/event_loop/client_connections.rs
@@ -1,14 +1,14 @@
 //! Connections of clients.
 
-use super::links::out_of_descriptors;
+use super::node_connections::out_of_descriptors;
 use super::socket::Socket;
-use super::{Conn, Gateway, Speaks};
-use crate::core::{Answer, Ticket};
-use crate::deadlines::Due;
-use crate::front::resp::{Resp, COMMAND_MOST};
-use crate::front::sftp::Sftp;
-use crate::front::{Front, Step};
-use linnetdoor_sched::{Micros, RequestId};
+use super::{Connection, Gateway, ListenerProtocol};
+use crate::client_protocol::resp::{RespProtocol, COMMAND_MOST};
+use crate::client_protocol::sftp::SftpProtocol;
+use crate::client_protocol::{ClientProtocol, CommandStep};
+use crate::dispatcher::{ReplySlot, Response};
+use crate::timer_queue::Timer;
+use io_scheduler::{Micros, RequestId};
 use rustix::event::epoll::{self, EventData, EventFlags};
 use rustix::fd::AsFd;
 use std::collections::{BTreeMap, VecDeque};
@@ -38,9 +38,9 @@
 const ACCEPT_REST: Micros = 20_000;
 
 /// A client's connection.
-pub struct Client {
+pub struct ClientConnection {
     socket: Socket,
-    front: Box<dyn Front>,
+    protocol: Box<dyn ClientProtocol>,
     /// Answers in the order of the commands; one that is not there yet holds back those behind it.
     replies: VecDeque<(u64, Option<Vec<u8>>)>,
     next_slot: u64,
@@ -50,13 +50,13 @@
     /// All is written and the client knows that this was the end: bytes that are still read and dropped.
     leaving: Option<usize>,
     /// What it has brought so far.
-    rank: Rank,
+    rank: EvictionPriority,
     /// When it came, or brought its last whole command or took of its answers.
     used_at: Micros,
     /// When the command that is not whole yet began.
     begun_at: Option<Micros>,
     due: Option<Micros>,
-    idle: Option<Idle>,
+    idle: Option<EvictionCandidate>,
     /// Its parts of the bytes owed and of commands begun.
     owed: usize,
     begun: usize,
@@ -64,20 +64,20 @@
 
 /// What a connection has brought so far; the least is closed first to make room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Rank {
+pub(super) enum EvictionPriority {
     /// No whole command.
     Silent,
     /// Commands, but no request.
-    Calls,
+    Commands,
     Requests,
     /// Part of a command.
-    Midway,
+    MidCommand,
 }
 
 /// A connection that may be closed: what it has brought, when it was used, its token.
-pub(super) type Idle = (Rank, Micros, u64);
+pub(super) type EvictionCandidate = (EvictionPriority, Micros, u64);
 
-impl Client {
+impl ClientConnection {
     /// Bytes of answers that it has not taken yet.
     fn owes(&self) -> usize {
         self.socket.unsent() + self.replies.iter().map(|(_, r)| r.as_ref().map_or(0, Vec::len)).sum::<usize>()
@@ -90,7 +90,7 @@
 
     /// Between requests: nothing is owed and no command or upload has begun.
     fn idle(&self) -> bool {
-        self.settled() && !self.front.midway() && self.socket.input.is_empty()
+        self.settled() && !self.protocol.mid_command() && self.socket.input.is_empty()
     }
 
     /// When the connection is closed if nothing happens on it until then.
@@ -104,7 +104,8 @@
         if !self.replies.is_empty() {
             return None;
         }
-        let quiet = if self.rank > Rank::Silent { self.front.idle_most() } else { COMMAND_WITHIN };
+        let quiet =
+            if self.rank > EvictionPriority::Silent { self.protocol.idle_timeout() } else { COMMAND_WITHIN };
         let limit = self.used_at + quiet;
         Some(self.begun_at.map_or(limit, |at| limit.min(at + COMMAND_WITHIN)))
     }
@@ -136,7 +137,7 @@
 }
 
 impl Gateway {
-    pub(super) fn accept(&mut self, listener: &TcpListener, speaks: Speaks, now: Micros) {
+    pub(super) fn accept(&mut self, listener: &TcpListener, speaks: ListenerProtocol, now: Micros) {
         for accepted in 0..ACCEPTED_MOST {
             // Only of the first is it known that it waits: nobody is closed for one that does not come.
             if self.clients >= self.clients_most && accepted > 0 {
@@ -149,9 +150,9 @@
             }
             match listener.accept() {
                 Ok((stream, _)) => {
-                    let front: Box<dyn Front> = match (speaks, &self.sftp) {
-                        (Speaks::Sftp, Some(shared)) => Box::new(Sftp::new(shared.clone())),
-                        _ => Box::new(Resp::new(self.names.clone())),
+                    let protocol: Box<dyn ClientProtocol> = match (speaks, &self.sftp) {
+                        (ListenerProtocol::Sftp, Some(shared)) => Box::new(SftpProtocol::new(shared.clone())),
+                        _ => Box::new(RespProtocol::new(self.names.clone())),
                     };
                     let token = self.conns.reserve();
                     let socket = Socket::new(stream).and_then(|mut socket| {
@@ -163,15 +164,15 @@
                         continue;
                     };
                     self.clients += 1;
-                    let client = Client {
+                    let client = ClientConnection {
                         socket,
-                        front,
+                        protocol,
                         replies: VecDeque::new(),
                         next_slot: 0,
                         asked: BTreeMap::new(),
                         hanging: false,
                         leaving: None,
-                        rank: Rank::Silent,
+                        rank: EvictionPriority::Silent,
                         used_at: now,
                         begun_at: None,
                         due: None,
@@ -201,21 +202,22 @@
 
     /// Puts a connection back in its place, with its deadline and, where it may be closed to make room,
     /// among those.
-    fn shelve(&mut self, token: u64, mut client: Client) {
+    fn shelve(&mut self, token: u64, mut client: ClientConnection) {
         let limit = client.limit();
         if limit != client.due {
-            self.deadlines.shift(&mut client.due, limit, Due::Conn(token));
+            self.timers.reschedule(&mut client.due, limit, Timer::Connection(token));
         }
-        if client.settled() && !client.front.midway() {
-            let rank = if client.socket.input.is_empty() { client.rank } else { Rank::Midway };
+        if client.settled() && !client.protocol.mid_command() {
+            let rank =
+                if client.socket.input.is_empty() { client.rank } else { EvictionPriority::MidCommand };
             let idle = (rank, client.used_at, token);
             client.idle = Some(idle);
             self.idle.insert(idle);
         }
-        self.conns.put(token, Conn::Client(client));
+        self.conns.put(token, Connection::Client(client));
     }
 
-    fn unshelved(&mut self, client: &mut Client) {
+    fn unshelved(&mut self, client: &mut ClientConnection) {
         if let Some(idle) = client.idle.take() {
             self.idle.remove(&idle);
         }
@@ -224,8 +226,8 @@
     /// Closes a connection that is owed nothing: the one that has been silent for longest of those that
     /// never asked anything, else of those between requests.
     fn evict(&mut self, now: Micros) -> bool {
-        let old = |idle: &&Idle| now - idle.1 >= SETTLING;
-        let asked = self.idle.range((Rank::Calls, Micros::MIN, 0)..).next();
+        let old = |idle: &&EvictionCandidate| now - idle.1 >= SETTLING;
+        let asked = self.idle.range((EvictionPriority::Commands, Micros::MIN, 0)..).next();
         let first = self.idle.first();
         let Some((.., token)) = first.filter(old).or(asked).or(first).copied() else {
             return false;
@@ -239,7 +241,8 @@
     /// request: the longest idle of these are closed in time for others to connect.
     pub(super) fn spare_requesters(&mut self, now: Micros) {
         while self.requesters > self.requesters_most {
-            let resting = (Rank::Requests, Micros::MIN, 0)..(Rank::Midway, Micros::MIN, 0);
+            let resting =
+                (EvictionPriority::Requests, Micros::MIN, 0)..(EvictionPriority::MidCommand, Micros::MIN, 0);
             let Some((.., token)) = self.idle.range(resting).next().copied() else { return };
             log::debug!("closing a client connection that rests: too many have asked");
             self.close_client(token, now);
@@ -247,10 +250,10 @@
     }
 
     /// A connection has been silent for too long, or its client has not taken what it is owed.
-    pub(super) fn client_due(&mut self, token: u64, mut client: Client, now: Micros) {
+    pub(super) fn client_due(&mut self, token: u64, mut client: ClientConnection, now: Micros) {
         client.due = None;
         self.unshelved(&mut client);
-        let words = client.front.late();
+        let words = client.protocol.timeout_reply();
         if client.hanging || !client.settled() {
             return self.drop_client(token, client, now);
         }
@@ -263,14 +266,14 @@
 
     fn rest_accepting(&mut self, now: Micros) {
         self.accept_again(false);
-        self.deadlines.set(now + ACCEPT_REST, Due::Accept);
+        self.timers.set(now + ACCEPT_REST, Timer::ResumeAccepting);
     }
 
     /// Takes the listeners into the loop again, or out of it.
     pub(super) fn accept_again(&mut self, on: bool) {
         let wanted = if on { EventFlags::IN } else { EventFlags::empty() };
         for (token, conn) in self.conns.iter() {
-            if let Conn::Listener(listener, _) = conn {
+            if let Connection::Listener(listener, _) = conn {
                 if let Err(e) =
                     epoll::modify(&self.epoll, listener.as_fd(), EventData::new_u64(token), wanted)
                 {
@@ -280,7 +283,13 @@
         }
     }
 
-    pub(super) fn client_ready(&mut self, token: u64, mut client: Client, flags: EventFlags, now: Micros) {
+    pub(super) fn client_ready(
+        &mut self,
+        token: u64,
+        mut client: ClientConnection,
+        flags: EventFlags,
+        now: Micros,
+    ) {
         self.unshelved(&mut client);
         let over = if let Some(left) = &mut client.leaving {
             client.socket.discard(left)
@@ -300,34 +309,41 @@
     }
 
     /// Takes commands, writes what is due, and closes or keeps the connection.
-    fn client_go(&mut self, token: u64, mut client: Client, now: Micros) {
+    fn client_go(&mut self, token: u64, mut client: ClientConnection, now: Micros) {
         let mut at = 0;
-        let crowded = self.owed >= self.config.bounds.owed;
+        let crowded = self.owed >= self.config.budget.owed;
         while !(client.hanging || crowded && !client.replies.is_empty())
             && client.replies.len() < PIPELINE_MOST
             && client.socket.unsent() < UNSENT_MOST
         {
             let slot = client.next_slot;
-            match client.front.next(&client.socket.input, &mut at, slot, self.core.ready()) {
-                Step::More => break,
-                Step::Reply(words) => client.replies.push_back((slot, Some(words))),
-                Step::Hang(words) => {
+            match client.protocol.parse_command(
+                &client.socket.input,
+                &mut at,
+                slot,
+                self.dispatcher.has_endpoint(),
+            ) {
+                CommandStep::Incomplete => break,
+                CommandStep::Reply(words) => client.replies.push_back((slot, Some(words))),
+                CommandStep::Close(words) => {
                     client.hang(words);
                     break;
                 }
-                Step::Ask(jobs) => {
+                CommandStep::Submit(requests) => {
                     client.replies.push_back((slot, None));
-                    if client.rank < Rank::Requests {
-                        client.rank = Rank::Requests;
+                    if client.rank < EvictionPriority::Requests {
+                        client.rank = EvictionPriority::Requests;
                         self.requesters += 1;
                     }
-                    let ticket = Ticket { conn: token, slot };
-                    let ids = jobs.into_iter().map(|j| self.core.take(j, ticket, now, &mut self.deadlines));
+                    let reply_slot = ReplySlot { conn: token, slot };
+                    let ids = requests
+                        .into_iter()
+                        .map(|j| self.dispatcher.submit(j, reply_slot, now, &mut self.timers));
                     client.asked.insert(slot, ids.collect());
                 }
             }
             client.next_slot += 1;
-            client.rank = client.rank.max(Rank::Calls);
+            client.rank = client.rank.max(EvictionPriority::Commands);
             client.used_at = now;
             client.settle(Vec::new());
         }
@@ -343,13 +359,13 @@
         }
         self.begun = self.begun + client.socket.input.capacity() - client.begun;
         client.begun = client.socket.input.capacity();
-        if self.begun > self.config.bounds.input && client.begun_at.is_some() && !client.hanging {
-            client.hang(client.front.full_house());
+        if self.begun > self.config.budget.input && client.begun_at.is_some() && !client.hanging {
+            client.hang(client.protocol.overloaded_reply());
             client.socket.consume(client.socket.input.len());
         }
         let full = client.socket.input.len() >= INPUT_MOST;
-        let done =
-            client.hanging || self.retiring && client.socket.input.is_empty() && !client.front.midway();
+        let done = client.hanging
+            || self.draining && client.socket.input.is_empty() && !client.protocol.mid_command();
         let unsent = client.socket.unsent();
         let result = client.socket.flush();
         if client.socket.unsent() < unsent {
@@ -359,7 +375,7 @@
         client.owed = client.owes();
         // Answers come faster than bounds on commands can tell: who takes none of them is given up before
         // the process is.
-        let glut = self.owed > 2 * self.config.bounds.owed && client.socket.unsent() > UNSENT_MOST;
+        let glut = self.owed > 2 * self.config.budget.owed && client.socket.unsent() > UNSENT_MOST;
         if result.is_err() || glut {
             return self.drop_client(token, client, now);
         }
@@ -376,7 +392,7 @@
     /// Ends a connection that is owed nothing. Closing it over bytes that have just come would reset it, and
     /// the last answer might go with them: the client is told of the end first, and what still comes from
     /// it is read and dropped until it has closed too. Nothing of that is sent on: it asks again elsewhere.
-    fn part_from(&mut self, token: u64, mut client: Client, now: Micros) {
+    fn part_from(&mut self, token: u64, mut client: ClientConnection, now: Micros) {
         if client.leaving.is_none() {
             if client.socket.end_sending().is_err() {
                 return self.drop_client(token, client, now);
@@ -394,29 +410,29 @@
     }
 
     /// Counts a connection among those that have brought a request no more.
-    fn no_requester(&mut self, client: &mut Client) {
-        if client.rank == Rank::Requests {
-            client.rank = Rank::Calls;
+    fn no_requester(&mut self, client: &mut ClientConnection) {
+        if client.rank == EvictionPriority::Requests {
+            client.rank = EvictionPriority::Commands;
             self.requesters -= 1;
         }
     }
 
-    pub(super) fn answer(&mut self, ticket: Ticket, answer: Answer, now: Micros) {
-        let Some(Conn::Client(mut client)) = self.conns.take(ticket.conn) else { return };
+    pub(super) fn respond(&mut self, reply_slot: ReplySlot, response: Response, now: Micros) {
+        let Some(Connection::Client(mut client)) = self.conns.take(reply_slot.conn) else { return };
         self.unshelved(&mut client);
         let mut answers = Vec::new();
-        client.front.answer(ticket.slot, answer, &mut answers);
+        client.protocol.encode_response(reply_slot.slot, response, &mut answers);
         // Of a listing that has failed, the other parts need not go on.
         for id in client.settle(answers) {
-            self.core.left(id, now, &mut self.deadlines);
+            self.dispatcher.client_disconnected(id, now, &mut self.timers);
         }
         client.used_at = now;
-        self.client_go(ticket.conn, client, now);
+        self.client_go(reply_slot.conn, client, now);
     }
 
     /// Closes a connection whose descriptor is wanted at once, unless a command has come meanwhile.
     fn make_way(&mut self, token: u64, now: Micros) {
-        let Some(Conn::Client(mut client)) = self.conns.take(token) else { return };
+        let Some(Connection::Client(mut client)) = self.conns.take(token) else { return };
         self.unshelved(&mut client);
         let had = client.socket.input.len();
         match client.socket.fill(INPUT_MOST) {
@@ -428,14 +444,14 @@
     }
 
     fn close_client(&mut self, token: u64, now: Micros) {
-        if let Some(Conn::Client(mut client)) = self.conns.take(token) {
+        if let Some(Connection::Client(mut client)) = self.conns.take(token) {
             self.unshelved(&mut client);
             self.rest_over(token, client, now);
         }
     }
 
     /// Ends a connection that has rested, unless a command has come meanwhile.
-    fn rest_over(&mut self, token: u64, mut client: Client, now: Micros) {
+    fn rest_over(&mut self, token: u64, mut client: ClientConnection, now: Micros) {
         let had = client.socket.input.len();
         match client.socket.fill(INPUT_MOST) {
             Ok(false) if client.socket.input.len() > had => self.client_go(token, client, now),
@@ -444,15 +460,15 @@
         }
     }
 
-    fn drop_client(&mut self, token: u64, mut client: Client, now: Micros) {
+    fn drop_client(&mut self, token: u64, mut client: ClientConnection, now: Micros) {
         self.conns.free(token);
-        self.deadlines.shift(&mut client.due, None, Due::Conn(token));
+        self.timers.reschedule(&mut client.due, None, Timer::Connection(token));
         self.clients -= 1;
         self.no_requester(&mut client);
         self.owed -= client.owed;
         self.begun -= client.begun;
         for id in client.asked.into_values().flatten() {
-            self.core.left(id, now, &mut self.deadlines);
+            self.dispatcher.client_disconnected(id, now, &mut self.timers);
         }
     }
 
@@ -460,7 +476,7 @@
         let idle = self
             .conns
             .iter()
-            .filter(|(_, c)| matches!(c, Conn::Client(c) if c.idle() && now - c.used_at >= idle_for));
+            .filter(|(_, c)| matches!(c, Connection::Client(c) if c.idle() && now - c.used_at >= idle_for));
         for token in idle.map(|(token, _)| token).collect::<Vec<_>>() {
             self.close_client(token, now);
         }
@@ -468,6 +484,6 @@
 
     /// Whether nothing is owed to any client.
     pub(super) fn idle(&self) -> bool {
-        self.clients == 0 && self.core.open() == 0
+        self.clients == 0 && self.dispatcher.open_requests() == 0
     }
 }
--- a/gateway/src/net/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -1,8 +1,8 @@
 //! Lines typed at the terminal, brought to the loop by a thread that only reads them.
 
-use super::{Conn, Gateway};
-use crate::console::{self, Command};
-use linnetdoor_sched::{ListKind, Micros, Standing};
+use super::{Connection, Gateway};
+use crate::console::{self, ConsoleCommand};
+use io_scheduler::{EndpointListEvent, EndpointStatus, Micros};
 use rustix::event::epoll::{self, EventData, EventFlags};
 use rustix::fd::AsFd;
 use std::io::{self, Read, Write};
@@ -18,7 +18,7 @@
         ours.set_nonblocking(true)?;
         let token = self.conns.reserve();
         epoll::add(&self.epoll, ours.as_fd(), EventData::new_u64(token), EventFlags::IN)?;
-        self.conns.put(token, Conn::Console(ours));
+        self.conns.put(token, Connection::Console(ours));
         std::thread::Builder::new().name("console".into()).spawn(move || {
             // When the loop is gone there is nobody to read for.
             let _ = io::copy(&mut io::stdin().lock(), &mut theirs);
@@ -43,7 +43,7 @@
                 }
             }
         }
-        self.conns.put(token, Conn::Console(console));
+        self.conns.put(token, Connection::Console(console));
         while let Some(end) = self.typed.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = self.typed.drain(..=end).collect();
             let said = match console::parse(&String::from_utf8_lossy(&line)) {
@@ -59,36 +59,39 @@
         }
     }
 
-    fn command(&mut self, command: Command, now: Micros) -> String {
+    fn command(&mut self, command: ConsoleCommand, now: Micros) -> String {
         match command {
-            Command::Nothing => String::new(),
-            Command::Help => console::HELP.to_owned(),
-            Command::Nodes => console::nodes(self.core.nodes()),
-            Command::Volumes => {
+            ConsoleCommand::Nothing => String::new(),
+            ConsoleCommand::Help => console::HELP.to_owned(),
+            ConsoleCommand::Nodes => console::nodes(self.dispatcher.nodes()),
+            ConsoleCommand::Volumes => {
                 let named = self.config.sftp.as_ref().map_or(&[][..], |s| &s.volumes);
-                console::volumes(self.core.tallies(), named)
+                console::volumes(self.dispatcher.volume_counters(), named)
             }
-            Command::Status => {
-                let serving = self.core.nodes().filter(|n| n.standing == Standing::Serving).count();
+            ConsoleCommand::Status => {
+                let serving =
+                    self.dispatcher.nodes().filter(|n| n.status == EndpointStatus::InService).count();
                 format!(
                     "{}: {} nodes serving, {} client connections, {} node connections, {} requests open{}\n",
                     self.config.name,
                     serving,
                     self.clients,
                     self.links,
-                    self.core.open(),
-                    if self.told_to_end { ", ending" } else { "" }
+                    self.dispatcher.open_requests(),
+                    if self.shutdown_requested { ", ending" } else { "" }
                 )
             }
-            Command::Drain(name) => self.drain(name, true, now),
-            Command::Undrain(name) => self.drain(name, false, now),
-            Command::Reload if self.config.inventory.is_none() => "there is no inventory to read\n".into(),
-            Command::Reload => match self.reload(now) {
+            ConsoleCommand::Drain(name) => self.drain(name, true, now),
+            ConsoleCommand::Undrain(name) => self.drain(name, false, now),
+            ConsoleCommand::Reload if self.config.inventory.is_none() => {
+                "there is no inventory to read\n".into()
+            }
+            ConsoleCommand::Reload => match self.reload(now) {
                 Ok(count) => format!("{count} nodes listed\n"),
                 Err(e) => format!("kept as it was: {e}\n"),
             },
-            Command::Quit => {
-                self.told_to_end(now);
+            ConsoleCommand::Quit => {
+                self.request_shutdown(now);
                 "ending once idle\n".into()
             }
         }
@@ -103,7 +106,7 @@
         } else {
             self.drained.remove(&name);
         }
-        self.take_lines(ListKind::Changes, vec![line], now);
+        self.take_lines(EndpointListEvent::Delta, vec![line], now);
         format!("{name} {}\n", if on { "drains" } else { "serves as listed" })
     }
 }
--- a/gateway/src/net/watch.rs
+++ b/crates/gateway/src/event_loop/discovery_watch.rs
@@ -1,11 +1,11 @@
 //! The watch on discovery.
 
 use super::socket::Socket;
-use super::{Conn, Gateway};
-use crate::deadlines::Due;
-use crate::discovery::{watch_request, Update, WatchParser};
+use super::{Connection, Gateway};
+use crate::discovery::{watch_request, EndpointListUpdate, WatchParser};
 use crate::inventory::Protocol;
-use linnetdoor_sched::{ListKind, Micros};
+use crate::timer_queue::Timer;
+use io_scheduler::{EndpointListEvent, Micros};
 
 /// A watch that has not begun to answer by then is given up; discovery itself gives up after 2 s.
 const FIRST_ANSWER: Micros = 2_500_000;
@@ -16,7 +16,7 @@
 const READ_MOST: usize = 256 << 10;
 
 /// The connection of a watch.
-pub struct Watch {
+pub struct DiscoveryWatch {
     socket: Socket,
     parser: WatchParser,
     asked: bool,
@@ -34,28 +34,30 @@
             let token = self.conns.reserve();
             let watched = socket.watch(&self.epoll, token, true, true);
             let parser = WatchParser::default();
-            let watch = Watch { socket, parser, asked: false };
-            self.conns.put(token, Conn::Watch(watch));
+            let watch = DiscoveryWatch { socket, parser, asked: false };
+            self.conns.put(token, Connection::Watch(watch));
             self.watch = Some(token);
             watched
         });
         match connected {
-            Ok(()) => self.deadlines.shift(&mut self.watch_due, Some(now + FIRST_ANSWER), Due::Watch),
+            Ok(()) => {
+                self.timers.reschedule(&mut self.watch_due, Some(now + FIRST_ANSWER), Timer::DiscoveryWatch)
+            }
             Err(e) => self.watch_failed(&e.to_string(), now),
         }
     }
 
-    pub(super) fn watch_ready(&mut self, token: u64, mut watch: Watch, now: Micros) {
+    pub(super) fn watch_ready(&mut self, token: u64, mut watch: DiscoveryWatch, now: Micros) {
         let result = self.watch_step(token, &mut watch, now);
         if self.watch == Some(token) {
-            self.conns.put(token, Conn::Watch(watch));
+            self.conns.put(token, Connection::Watch(watch));
         }
         if let Err(why) = result {
             self.watch_failed(&why, now);
         }
     }
 
-    fn watch_step(&mut self, token: u64, watch: &mut Watch, now: Micros) -> Result<(), String> {
+    fn watch_step(&mut self, token: u64, watch: &mut DiscoveryWatch, now: Micros) -> Result<(), String> {
         let text = |e: std::io::Error| e.to_string();
         if !watch.asked {
             if !watch.socket.connected().map_err(text)? {
@@ -71,7 +73,7 @@
         let over = watch.socket.fill(READ_MOST).map_err(text)?;
         let bytes = std::mem::take(&mut watch.socket.input);
         let mut updates = Vec::new();
-        let midway = watch.parser.midway();
+        let mid_object = watch.parser.mid_object();
         let parsed = watch.parser.feed(&bytes, &mut updates);
         for update in &updates {
             if !std::mem::replace(&mut self.watch_told, true) {
@@ -86,17 +88,17 @@
             return Err("the watch ended".into());
         }
         // What has begun must become whole: the rest of it is no sign of life.
-        if !bytes.is_empty() && (!midway || !updates.is_empty()) {
-            self.deadlines.shift(&mut self.watch_due, Some(now + SILENCE), Due::Watch);
+        if !bytes.is_empty() && (!mid_object || !updates.is_empty()) {
+            self.timers.reschedule(&mut self.watch_due, Some(now + SILENCE), Timer::DiscoveryWatch);
         }
         watch.socket.watch(&self.epoll, token, true, false).map_err(text)
     }
 
     /// Takes in a list: addresses for the pools, the rest for the core.
-    pub(super) fn take_update(&mut self, update: &Update, kind: ListKind, now: Micros) {
+    pub(super) fn take_update(&mut self, update: &EndpointListUpdate, kind: EndpointListEvent, now: Micros) {
         let mut lines = Vec::with_capacity(update.endpoints.len());
         for (line, address) in update.lines() {
-            let node = self.core.node(&line.name);
+            let node = self.dispatcher.node_id(&line.name);
             self.set_address(node, address, Protocol::Resp2);
             lines.push(line);
         }
@@ -107,16 +109,16 @@
     pub(super) fn watch_failed(&mut self, why: &str, now: Micros) {
         log::info!("discovery: {why}, {} ms after the call", (now - self.watch_begun) / 1000);
         let told = std::mem::take(&mut self.watch_told);
-        self.end_watch(if told { ListKind::Lost } else { ListKind::Failed }, now);
+        self.end_watch(if told { EndpointListEvent::WatchLost } else { EndpointListEvent::PollFailed }, now);
     }
 
     /// Gives the watch up, if there is one.
-    pub(super) fn end_watch(&mut self, how: ListKind, now: Micros) {
+    pub(super) fn end_watch(&mut self, how: EndpointListEvent, now: Micros) {
         if let Some(token) = self.watch.take() {
             self.conns.free(token);
         }
         self.watch_told = false;
-        self.deadlines.shift(&mut self.watch_due, None, Due::Watch);
-        self.core.list(how, &[], now);
+        self.timers.reschedule(&mut self.watch_due, None, Timer::DiscoveryWatch);
+        self.dispatcher.update_endpoints(how, &[], now);
     }
 }
--- a/gateway/src/net/kept.rs
+++ b/crates/gateway/src/event_loop/idle_timeout.rs
@@ -3,7 +3,7 @@
 //! The settings state when a node closes such a connection at the latest; some forget them sooner and reset
 //! the next request, which may then have run. What comes after a longer silence than that goes on a new one.
 
-use linnetdoor_sched::Micros;
+use io_scheduler::Micros;
 
 /// Never believed to be less: a reset so soon has other causes.
 const LEAST: Micros = 20_000;
@@ -12,17 +12,17 @@
 
 /// See the module.
 #[derive(Clone, Copy, Debug)]
-pub struct Kept {
+pub struct IdleTimeoutEstimate {
     believed: Micros,
     most: Micros,
     /// The longest silence of late after which a request was answered.
     proven: Micros,
 }
 
-impl Kept {
+impl IdleTimeoutEstimate {
     /// Nothing is known but the longest time that the settings allow.
-    pub fn new(most: Micros) -> Kept {
-        Kept { believed: most, most, proven: 0 }
+    pub fn new(most: Micros) -> IdleTimeoutEstimate {
+        IdleTimeoutEstimate { believed: most, most, proven: 0 }
     }
 
     /// How long a connection is kept from here.
--- a/gateway/src/net/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -3,24 +3,26 @@
 //! Each turn gathers what is ready, hands it to the scheduler in one call, and carries out what came
 //! back. There is one thread and nothing blocks.
 
-mod clients;
+mod client_connections;
 mod console;
-pub mod kept;
-mod links;
+mod discovery_watch;
+pub mod idle_timeout;
+mod node_connections;
 pub mod slab;
 pub mod socket;
-mod watch;
 
+use crate::client_protocol::resp::RequestNames;
+use crate::client_protocol::sftp::SftpShared;
 use crate::config::{Config, ConfigError};
-use crate::core::{Core, Effect, Line};
-use crate::deadlines::{AttemptId, Deadlines, Due};
-use crate::front::resp::Names;
-use crate::front::sftp::Shared;
+use crate::dispatcher::{Command, Dispatcher};
+use crate::endpoint::EndpointRecord;
 use crate::inventory::{self, InventoryError};
 use crate::logger;
-use clients::{Client, Idle};
-use links::{Link, Pool};
-use linnetdoor_sched::{ListKind, Micros, NodeId, Standing};
+use crate::timer_queue::{AttemptId, Timer, TimerQueue};
+use client_connections::{ClientConnection, EvictionCandidate};
+use discovery_watch::DiscoveryWatch;
+use io_scheduler::{EndpointListEvent, EndpointStatus, Micros, NodeId};
+use node_connections::{ConnectionPool, NodeConnection};
 use rustix::event::epoll::{self, EventData, EventFlags};
 use rustix::fd::{AsFd, OwnedFd};
 use slab::Slab;
@@ -30,7 +32,6 @@
 use std::os::unix::net::UnixStream;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
-use watch::Watch;
 
 /// After SIGTERM everything goes on as before for this long: new connections may still come.
 const RETIRE_AFTER: Micros = 750_000;
@@ -53,7 +54,7 @@
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error("settings: {0}")]
-    Settings(#[from] linnetdoor_settings::Unknown),
+    Settings(#[from] deployment_settings::UnknownValue),
     #[error(transparent)]
     Inventory(#[from] InventoryError),
     #[error("cannot listen on {0}: {1}")]
@@ -87,24 +88,24 @@
 
 /// Which protocol a listener speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Speaks {
+enum ListenerProtocol {
     Resp,
     Sftp,
 }
 
 /// What a signal tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
-    End,
+enum SignalKind {
+    Shutdown,
     Reload,
 }
 
-enum Conn {
-    Listener(TcpListener, Speaks),
-    Client(Client),
-    Link(Link),
-    Watch(Watch),
-    Signal(UnixStream, Told),
+enum Connection {
+    Listener(TcpListener, ListenerProtocol),
+    Client(ClientConnection),
+    Node(NodeConnection),
+    Watch(DiscoveryWatch),
+    Signal(UnixStream, SignalKind),
     Console(UnixStream),
 }
 
@@ -113,13 +114,13 @@
     config: Config,
     clock: Clock,
     epoll: OwnedFd,
-    conns: Slab<Conn>,
-    core: Core,
-    deadlines: Deadlines,
-    names: Rc<Names>,
-    sftp: Option<Rc<Shared>>,
+    conns: Slab<Connection>,
+    dispatcher: Dispatcher,
+    timers: TimerQueue,
+    names: Rc<RequestNames>,
+    sftp: Option<Rc<SftpShared>>,
     /// The nodes as last listed, and those that the operator drains.
-    lines: BTreeMap<String, Line>,
+    lines: BTreeMap<String, EndpointRecord>,
     drained: BTreeSet<String>,
     typed: Vec<u8>,
     clients: usize,
@@ -129,7 +130,7 @@
     begun: usize,
     /// Connections that may be closed to make room: those that never asked anything first, then by the
     /// time of their last word.
-    idle: BTreeSet<Idle>,
+    idle: BTreeSet<EvictionCandidate>,
     clients_most: usize,
     /// Client connections that have brought a request, and how many of them may be kept.
     requesters: usize,
@@ -138,8 +139,8 @@
     links: usize,
     /// Bytes of large answers that are coming from nodes.
     large: usize,
-    pools: HashMap<NodeId, Pool>,
-    carriers: HashMap<AttemptId, u64>,
+    pools: HashMap<NodeId, ConnectionPool>,
+    attempt_connections: HashMap<AttemptId, u64>,
     watch: Option<u64>,
     watch_due: Option<Micros>,
     /// When the watch was asked for, and whether it has told something.
@@ -147,8 +148,8 @@
     watch_told: bool,
     index: u64,
     /// SIGTERM has come, and the time that it leaves for going on as before is over.
-    retiring: bool,
-    told_to_end: bool,
+    draining: bool,
+    shutdown_requested: bool,
     /// Since when nothing is owed to anybody, on the way to the end.
     idle_since: Option<Micros>,
 }
@@ -156,16 +157,16 @@
 impl Gateway {
     pub fn new(config: Config) -> Result<Gateway, GatewayError> {
         let clock = Clock::new();
-        let core = Core::new(&config.settings, config.bounds, config.seed, clock.now())?;
+        let dispatcher = Dispatcher::new(&config.settings, config.budget, config.seed, clock.now())?;
         let usable = config.descriptors - OTHER_DESCRIPTORS;
         let links_most = usable * 2 / 5;
         let mut gateway = Gateway {
             epoll: epoll::create(epoll::CreateFlags::CLOEXEC)?,
-            names: Names::new(&config.settings),
+            names: RequestNames::new(&config.settings),
             sftp: config
                 .sftp
                 .clone()
-                .map(|s| Shared::new(s, &config.settings, config.bounds.files, clock.now() as u64)),
+                .map(|s| SftpShared::new(s, &config.settings, config.budget.files, clock.now() as u64)),
             lines: BTreeMap::new(),
             drained: BTreeSet::new(),
             typed: Vec::new(),
@@ -177,8 +178,8 @@
             config,
             clock,
             conns: Slab::default(),
-            core,
-            deadlines: Deadlines::default(),
+            dispatcher,
+            timers: TimerQueue::default(),
             clients: 0,
             owed: 0,
             begun: 0,
@@ -186,46 +187,48 @@
             links: 0,
             large: 0,
             pools: HashMap::new(),
-            carriers: HashMap::new(),
+            attempt_connections: HashMap::new(),
             watch: None,
             watch_due: None,
             watch_begun: 0,
             watch_told: false,
-            retiring: false,
-            told_to_end: false,
+            draining: false,
+            shutdown_requested: false,
             idle_since: None,
         };
         let known = std::mem::take(&mut gateway.config.known);
-        gateway.take_update(&known, ListKind::Saved, gateway.clock.now());
+        gateway.take_update(&known, EndpointListEvent::Cached, gateway.clock.now());
         if let Some(address) = gateway.config.listen {
-            gateway.listen(address, Speaks::Resp)?;
+            gateway.listen(address, ListenerProtocol::Resp)?;
         }
         if gateway.config.inventory.is_some() {
             gateway.reload(gateway.clock.now())?;
         }
         if let Some(sftp) = &gateway.config.sftp {
-            gateway.listen(sftp.listen, Speaks::Sftp)?;
+            gateway.listen(sftp.listen, ListenerProtocol::Sftp)?;
         }
         gateway.watch_signals()?;
         Ok(gateway)
     }
 
-    fn listen(&mut self, address: SocketAddr, speaks: Speaks) -> Result<(), GatewayError> {
+    fn listen(&mut self, address: SocketAddr, speaks: ListenerProtocol) -> Result<(), GatewayError> {
         let listener = TcpListener::bind(address).map_err(|e| GatewayError::Listen(address, e))?;
         // Clients come by the hundreds at times; what a short queue drops tries again only a second later.
         rustix::net::listen(&listener, BACKLOG)?;
         listener.set_nonblocking(true)?;
-        let spoken = if speaks == Speaks::Resp { "RESP2" } else { "file commands" };
+        let spoken = if speaks == ListenerProtocol::Resp { "RESP2" } else { "file commands" };
         log::info!("listens for {spoken} on {}", listener.local_addr()?);
         let token = self.conns.reserve();
         epoll::add(&self.epoll, listener.as_fd(), EventData::new_u64(token), EventFlags::IN)?;
-        self.conns.put(token, Conn::Listener(listener, speaks));
+        self.conns.put(token, Connection::Listener(listener, speaks));
         Ok(())
     }
 
     fn watch_signals(&mut self) -> Result<(), GatewayError> {
         use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-        for (told, signals) in [(Told::End, &[SIGTERM, SIGINT][..]), (Told::Reload, &[SIGHUP])] {
+        for (told, signals) in
+            [(SignalKind::Shutdown, &[SIGTERM, SIGINT][..]), (SignalKind::Reload, &[SIGHUP])]
+        {
             let (ours, theirs) = UnixStream::pair()?;
             ours.set_nonblocking(true)?;
             for signal in signals {
@@ -233,7 +236,7 @@
             }
             let token = self.conns.reserve();
             epoll::add(&self.epoll, ours.as_fd(), EventData::new_u64(token), EventFlags::IN)?;
-            self.conns.put(token, Conn::Signal(ours, told));
+            self.conns.put(token, Connection::Signal(ours, told));
         }
         Ok(())
     }
@@ -241,12 +244,12 @@
     /// Serves until told to end.
     pub fn run(&mut self) -> Result<(), GatewayError> {
         let mut events: Vec<epoll::Event> = Vec::with_capacity(EVENTS);
-        let mut effects = Vec::new();
+        let mut commands = Vec::new();
         loop {
             let now = self.clock.now();
             let next =
-                [self.deadlines.next(), self.idle_since.map(|at| at + LINGER)].into_iter().flatten().min();
-            let wait = if self.core.busy() { 0 } else { next.map_or(-1, |at| (at - now).max(0)) };
+                [self.timers.next(), self.idle_since.map(|at| at + LINGER)].into_iter().flatten().min();
+            let wait = if self.dispatcher.has_work() { 0 } else { next.map_or(-1, |at| (at - now).max(0)) };
             let timeout = (wait >= 0).then(|| rustix::event::Timespec {
                 tv_sec: wait / 1_000_000,
                 tv_nsec: (wait % 1_000_000) * 1_000,
@@ -261,15 +264,15 @@
                 let (flags, data) = (event.flags, event.data);
                 self.ready(data.u64(), flags, now);
             }
-            while let Some(due) = self.deadlines.expired(now) {
+            while let Some(due) = self.timers.pop_expired(now) {
                 self.expire(due, now);
             }
-            self.core.turn(now, &mut self.deadlines, &mut effects);
-            for effect in effects.drain(..) {
-                self.carry_out(effect, now);
+            self.dispatcher.run_scheduler(now, &mut self.timers, &mut commands);
+            for command in commands.drain(..) {
+                self.carry_out(command, now);
             }
             self.spare_requesters(now);
-            if !(self.retiring && self.idle()) {
+            if !(self.draining && self.idle()) {
                 self.idle_since = None;
             } else if now - *self.idle_since.get_or_insert(now) >= LINGER && events.is_empty() {
                 log::info!("idle after SIGTERM: done");
@@ -281,20 +284,20 @@
     fn ready(&mut self, token: u64, flags: EventFlags, now: Micros) {
         match self.conns.take(token) {
             None => {}
-            Some(Conn::Listener(listener, speaks)) => {
+            Some(Connection::Listener(listener, speaks)) => {
                 self.accept(&listener, speaks, now);
-                self.conns.put(token, Conn::Listener(listener, speaks));
+                self.conns.put(token, Connection::Listener(listener, speaks));
             }
-            Some(Conn::Client(client)) => self.client_ready(token, client, flags, now),
-            Some(Conn::Link(link)) => self.link_ready(token, link, now),
-            Some(Conn::Watch(watch)) => self.watch_ready(token, watch, now),
-            Some(Conn::Console(console)) => self.console_ready(token, console, now),
-            Some(Conn::Signal(mut signal, told)) => {
+            Some(Connection::Client(client)) => self.client_ready(token, client, flags, now),
+            Some(Connection::Node(link)) => self.link_ready(token, link, now),
+            Some(Connection::Watch(watch)) => self.watch_ready(token, watch, now),
+            Some(Connection::Console(console)) => self.console_ready(token, console, now),
+            Some(Connection::Signal(mut signal, told)) => {
                 while io::Read::read(&mut signal, &mut [0; 64]).is_ok_and(|n| n > 0) {}
-                self.conns.put(token, Conn::Signal(signal, told));
+                self.conns.put(token, Connection::Signal(signal, told));
                 match told {
-                    Told::End => self.told_to_end(now),
-                    Told::Reload => self.read_config_again(now),
+                    SignalKind::Shutdown => self.request_shutdown(now),
+                    SignalKind::Reload => self.read_config_again(now),
                 }
             }
         }
@@ -321,7 +324,7 @@
             self.config.discovery = new.discovery;
             // Another service may count its versions anew: it is asked for the whole list.
             self.index = 0;
-            self.end_watch(ListKind::Lost, now);
+            self.end_watch(EndpointListEvent::WatchLost, now);
         }
     }
 
@@ -330,70 +333,74 @@
         let Some(path) = self.config.inventory.clone() else { return Ok(self.lines.len()) };
         let hosts = inventory::read(&path)?;
         for host in &hosts {
-            let node = self.core.node(&host.line.name);
+            let node = self.dispatcher.node_id(&host.line.name);
             self.set_address(node, host.address, host.protocol);
         }
         let count = hosts.len();
-        self.take_lines(ListKind::Full, hosts.into_iter().map(|h| h.line).collect(), now);
+        self.take_lines(EndpointListEvent::Snapshot, hosts.into_iter().map(|h| h.line).collect(), now);
         Ok(count)
     }
 
     /// Hands the core a list, with what the operator drains shown as draining.
-    fn take_lines(&mut self, kind: ListKind, mut lines: Vec<Line>, now: Micros) {
-        if kind != ListKind::Changes {
+    fn take_lines(&mut self, kind: EndpointListEvent, mut lines: Vec<EndpointRecord>, now: Micros) {
+        if kind != EndpointListEvent::Delta {
             self.lines.clear();
         }
         for line in &mut lines {
             self.lines.insert(line.name.clone(), line.clone());
-            if line.standing == Standing::Serving && self.drained.contains(&line.name) {
-                line.standing = Standing::Draining;
+            if line.status == EndpointStatus::InService && self.drained.contains(&line.name) {
+                line.status = EndpointStatus::Draining;
             }
         }
-        self.core.list(kind, &lines, now);
-        self.lines.retain(|_, line| line.standing != Standing::Gone);
+        self.dispatcher.update_endpoints(kind, &lines, now);
+        self.lines.retain(|_, line| line.status != EndpointStatus::Removed);
         self.forget_pools();
     }
 
-    fn told_to_end(&mut self, now: Micros) {
-        if !self.told_to_end {
+    fn request_shutdown(&mut self, now: Micros) {
+        if !self.shutdown_requested {
             log::info!("told to end: going on until idle");
-            self.told_to_end = true;
-            self.deadlines.set(now + RETIRE_AFTER, Due::Retire);
+            self.shutdown_requested = true;
+            self.timers.set(now + RETIRE_AFTER, Timer::Shutdown);
         }
     }
 
-    fn expire(&mut self, due: Due, now: Micros) {
+    fn expire(&mut self, due: Timer, now: Micros) {
         match due {
-            Due::Attempt(_) | Due::Wake | Due::Answer(_) => self.core.expire(due, now, &mut self.deadlines),
-            Due::Conn(token) => match self.conns.take(token) {
-                Some(Conn::Link(link)) => self.link_due(token, link, now),
-                Some(Conn::Client(client)) => self.client_due(token, client, now),
+            Timer::AttemptTimeout(_) | Timer::Scheduler | Timer::RequestOverdue(_) => {
+                self.dispatcher.handle_timer(due, now, &mut self.timers)
+            }
+            Timer::Connection(token) => match self.conns.take(token) {
+                Some(Connection::Node(link)) => self.link_due(token, link, now),
+                Some(Connection::Client(client)) => self.client_due(token, client, now),
                 Some(other) => self.conns.put(token, other),
                 None => {}
             },
-            Due::Watch => {
+            Timer::DiscoveryWatch => {
                 self.watch_due = None;
                 self.watch_failed("silent for too long", now);
             }
-            Due::Retire => {
+            Timer::Shutdown => {
                 // The first time all that are idle are closed, from then on those that came and ask nothing.
-                let idle_for = if self.retiring { LINGER } else { 0 };
-                self.retiring = true;
+                let idle_for = if self.draining { LINGER } else { 0 };
+                self.draining = true;
                 self.close_idle_clients(idle_for, now);
-                self.deadlines.set(now + LINGER, Due::Retire);
+                self.timers.set(now + LINGER, Timer::Shutdown);
             }
-            Due::Accept => self.accept_again(true),
+            Timer::ResumeAccepting => self.accept_again(true),
         }
     }
 
-    fn carry_out(&mut self, effect: Effect, now: Micros) {
-        match effect {
-            Effect::Start { attempt, node, until, job } => self.start(attempt, node, until, job, now),
-            Effect::Abandon(attempt) => self.abandon(attempt, now),
-            Effect::Answer { ticket, answer } => self.answer(ticket, answer, now),
+    fn carry_out(&mut self, command: Command, now: Micros) {
+        match command {
+            Command::StartAttempt { attempt, node, until, request } => {
+                self.start(attempt, node, until, request, now)
+            }
+            Command::AbandonAttempt(attempt) => self.abandon(attempt, now),
+            Command::Respond { reply_slot, response } => self.respond(reply_slot, response, now),
             // One that has begun meanwhile has its own time to answer.
-            Effect::Watch if self.watch.is_some() => {}
-            Effect::Watch => self.begin_watch(now),
+            Command::OpenWatch if self.watch.is_some() => {}
+            Command::OpenWatch => self.begin_watch(now),
         }
     }
 }
--- a/gateway/src/net/links.rs
+++ b/crates/gateway/src/event_loop/node_connections.rs
@@ -1,15 +1,15 @@
 //! Connections to nodes, pooled by node. A connection carries one request at a time, so closing one to
 //! give up its request can't harm another.
 
-use super::kept::Kept;
+use super::idle_timeout::IdleTimeoutEstimate;
 use super::socket::Socket;
-use super::{Conn, Gateway};
-use crate::core::{End, Job, Op};
-use crate::deadlines::{AttemptId, Due};
+use super::{Connection, Gateway};
+use crate::dispatcher::{AttemptResult, Operation, StorageRequest};
 use crate::inventory::Protocol;
-use crate::node::{resp, sftp, Garbled, Wire};
-use linnetdoor_sched::{Micros, NodeId, Outcome};
-use linnetdoor_settings::{micros, Settings};
+use crate::node_protocol::{resp, sftp, NodeProtocol, ProtocolError};
+use crate::timer_queue::{AttemptId, Timer};
+use deployment_settings::{micros, DeploymentSettings};
+use io_scheduler::{Micros, NodeId, Outcome};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,9 +28,9 @@
 const SHOWN_MOST: usize = 80;
 
 /// A request that waits for its connection, or is out on it.
-struct Carried {
+struct InFlight {
     attempt: AttemptId,
-    job: Arc<Job>,
+    request: Arc<StorageRequest>,
     until: Micros,
     /// Once more than this many bytes have left, the request may have run.
     runs_after: Option<u64>,
@@ -39,15 +39,15 @@
 }
 
 /// A connection to a node.
-pub struct Link {
+pub struct NodeConnection {
     socket: Socket,
     node: NodeId,
     /// Where it goes; the node may have moved since.
     to: (SocketAddr, Protocol),
-    wire: Box<dyn Wire>,
+    protocol: Box<dyn NodeProtocol>,
     /// Connected, though perhaps not greeted yet.
     up: bool,
-    carried: Option<Carried>,
+    carried: Option<InFlight>,
     due: Option<Micros>,
     /// Its part of the bytes of large answers.
     large: usize,
@@ -57,35 +57,35 @@
 }
 
 /// What is kept for one node.
-pub struct Pool {
+pub struct ConnectionPool {
     address: Option<(SocketAddr, Protocol)>,
-    kept: Kept,
+    kept: IdleTimeoutEstimate,
     /// Connections that carry nothing; the last used is used next.
     free: Vec<u64>,
     count: usize,
 }
 
-impl Pool {
-    fn new(settings: &Settings) -> Pool {
+impl ConnectionPool {
+    fn new(settings: &DeploymentSettings) -> ConnectionPool {
         let idle = settings.allowed.conn_idle_ms;
         let most = if idle > 0.0 { micros(idle * IDLE_PART) } else { IDLE_MOST };
-        Pool { address: None, kept: Kept::new(most), free: Vec::new(), count: 0 }
+        ConnectionPool { address: None, kept: IdleTimeoutEstimate::new(most), free: Vec::new(), count: 0 }
     }
 }
 
-impl Link {
+impl NodeConnection {
     /// Whether nothing has come that was not asked for, and the node has not ended the connection.
     fn quiet(&mut self) -> bool {
         let Ok(false) = self.socket.fill(READ_MOST) else { return false };
         self.socket.input.is_empty()
-            || matches!(self.wire.feed(&mut self.socket.input, &mut Vec::new()), Ok(None))
+            || matches!(self.protocol.decode(&mut self.socket.input, &mut Vec::new()), Ok(None))
     }
 }
 
 impl Gateway {
     /// Where a node listens from now on. Connections to where it was carry nothing new.
     pub(super) fn set_address(&mut self, node: NodeId, address: SocketAddr, protocol: Protocol) {
-        let pool = self.pools.entry(node).or_insert_with(|| Pool::new(&self.config.settings));
+        let pool = self.pools.entry(node).or_insert_with(|| ConnectionPool::new(&self.config.settings));
         let address = (address, protocol);
         if pool.address.replace(address).is_some_and(|old| old != address) {
             for token in std::mem::take(&mut pool.free) {
@@ -96,7 +96,8 @@
 
     /// Closes what is free to nodes that are gone and forgets them.
     pub(super) fn forget_pools(&mut self) {
-        let gone: Vec<NodeId> = self.pools.keys().filter(|n| !self.core.knows(**n)).copied().collect();
+        let gone: Vec<NodeId> =
+            self.pools.keys().filter(|n| !self.dispatcher.knows_node(**n)).copied().collect();
         for node in gone {
             let free = self.pools.get_mut(&node).map(|p| std::mem::take(&mut p.free));
             for token in free.unwrap_or_default() {
@@ -107,7 +108,7 @@
     }
 
     fn forget_pool(&mut self, node: NodeId) {
-        if self.pools.get(&node).is_some_and(|p| p.count == 0) && !self.core.knows(node) {
+        if self.pools.get(&node).is_some_and(|p| p.count == 0) && !self.dispatcher.knows_node(node) {
             self.pools.remove(&node);
         }
     }
@@ -118,27 +119,27 @@
         attempt: AttemptId,
         node: NodeId,
         until: Micros,
-        job: Arc<Job>,
+        request: Arc<StorageRequest>,
         now: Micros,
     ) {
         // Its client has left in this very turn.
-        if !self.core.awaits(attempt) {
+        if !self.dispatcher.is_awaiting(attempt) {
             return;
         }
-        let repeatable = job.op != Op::Write;
-        let carried = Carried { attempt, job, until, runs_after: None, told: false, started_at: now };
+        let repeatable = request.operation != Operation::Write;
+        let carried = InFlight { attempt, request, until, runs_after: None, told: false, started_at: now };
         let token = match self.free_link(node, repeatable, now).map_or_else(|| self.open_link(node, now), Ok)
         {
             Ok(token) => token,
             Err(e) => {
                 log::debug!("node {}: {e}", node.0);
-                return self.core.give_up(attempt, Outcome::NoConnection, now, &mut self.deadlines);
+                return self.dispatcher.abort_attempt(attempt, Outcome::ConnectFailed, now, &mut self.timers);
             }
         };
-        let Some(Conn::Link(mut link)) = self.conns.take(token) else {
-            return self.core.give_up(attempt, Outcome::NoConnection, now, &mut self.deadlines);
+        let Some(Connection::Node(mut link)) = self.conns.take(token) else {
+            return self.dispatcher.abort_attempt(attempt, Outcome::ConnectFailed, now, &mut self.timers);
         };
-        self.carriers.insert(attempt, token);
+        self.attempt_connections.insert(attempt, token);
         link.carried = Some(carried);
         self.link_go(token, link, now);
     }
@@ -149,18 +150,18 @@
             let pool = self.pools.get_mut(&node)?;
             let kept = pool.kept;
             let token = pool.free.pop()?;
-            let Some(Conn::Link(mut link)) = self.conns.take(token) else { continue };
+            let Some(Connection::Node(mut link)) = self.conns.take(token) else { continue };
             let idle = link.free_since.map_or(0, |since| now - since);
             let fresh = kept.trusts(idle, repeatable);
             if !fresh && kept.trusts(idle, true) {
                 // Good enough for others. Those before it have been free for longer.
                 pool.free.push(token);
-                self.conns.put(token, Conn::Link(link));
+                self.conns.put(token, Connection::Node(link));
                 return None;
             }
             if !link.up || fresh && link.quiet() {
                 link.idle = idle;
-                self.conns.put(token, Conn::Link(link));
+                self.conns.put(token, Connection::Node(link));
                 return Some(token);
             }
             self.drop_link(token, link);
@@ -198,15 +199,15 @@
         if let Some(pool) = self.pools.get_mut(&node) {
             pool.count += 1;
         }
-        let wire: Box<dyn Wire> = match protocol {
-            Protocol::Resp2 => Box::new(resp::Resp::new(self.config.bounds.value)),
-            Protocol::Sftp => Box::new(sftp::Sftp::new(self.config.bounds.value)),
+        let codec: Box<dyn NodeProtocol> = match protocol {
+            Protocol::Resp2 => Box::new(resp::RespProtocol::new(self.config.budget.value)),
+            Protocol::Sftp => Box::new(sftp::SftpProtocol::new(self.config.budget.value)),
         };
-        let mut link = Link {
+        let mut link = NodeConnection {
             socket,
             node,
             to: (address, protocol),
-            wire,
+            protocol: codec,
             up: false,
             carried: None,
             due: None,
@@ -215,8 +216,8 @@
             idle: 0,
         };
         let limit = now + micros(self.config.settings.allowed.connect_timeout_ms.max(1.0));
-        self.deadlines.shift(&mut link.due, Some(limit), Due::Conn(token));
-        self.conns.put(token, Conn::Link(link));
+        self.timers.reschedule(&mut link.due, Some(limit), Timer::Connection(token));
+        self.conns.put(token, Connection::Node(link));
         Ok(token)
     }
 
@@ -232,14 +233,14 @@
 
     /// Forgets a connection; what it carried must have been dealt with.
     fn close_link(&mut self, token: u64) {
-        if let Some(Conn::Link(link)) = self.conns.free(token) {
+        if let Some(Connection::Node(link)) = self.conns.free(token) {
             self.drop_link(token, link);
         }
     }
 
-    fn drop_link(&mut self, token: u64, mut link: Link) {
+    fn drop_link(&mut self, token: u64, mut link: NodeConnection) {
         self.conns.free(token);
-        self.deadlines.shift(&mut link.due, None, Due::Conn(token));
+        self.timers.reschedule(&mut link.due, None, Timer::Connection(token));
         self.links -= 1;
         self.large -= link.large;
         if let Some(pool) = self.pools.get_mut(&link.node) {
@@ -250,7 +251,7 @@
     }
 
     /// The connection is lost; what it carried ends by what had left.
-    fn lose_link(&mut self, token: u64, mut link: Link, how: Outcome, now: Micros) {
+    fn lose_link(&mut self, token: u64, mut link: NodeConnection, how: Outcome, now: Micros) {
         let carried = link.carried.take();
         let (node, idle) = (link.node, link.idle);
         self.drop_link(token, link);
@@ -259,16 +260,16 @@
             if let Some(pool) = pool {
                 pool.kept.was_reset(idle, now - carried.started_at);
             }
-            self.carriers.remove(&carried.attempt);
-            self.core.give_up(carried.attempt, how, now, &mut self.deadlines);
+            self.attempt_connections.remove(&carried.attempt);
+            self.dispatcher.abort_attempt(carried.attempt, how, now, &mut self.timers);
         }
     }
 
     /// Nobody waits for the attempt: its connection is closed, which tells the node. One that is not up
     /// yet has said nothing and is kept for the next.
     pub(super) fn abandon(&mut self, attempt: AttemptId, now: Micros) {
-        let Some(token) = self.carriers.remove(&attempt) else { return };
-        let Some(Conn::Link(mut link)) = self.conns.take(token) else { return };
+        let Some(token) = self.attempt_connections.remove(&attempt) else { return };
+        let Some(Connection::Node(mut link)) = self.conns.take(token) else { return };
         let unused = link.carried.take().is_some_and(|c| c.runs_after.is_none());
         if unused {
             self.link_go(token, link, now);
@@ -277,14 +278,14 @@
         }
     }
 
-    pub(super) fn link_ready(&mut self, token: u64, mut link: Link, now: Micros) {
+    pub(super) fn link_ready(&mut self, token: u64, mut link: NodeConnection, now: Micros) {
         if !link.up {
             match link.socket.connected() {
-                Ok(false) => return self.conns.put(token, Conn::Link(link)),
+                Ok(false) => return self.conns.put(token, Connection::Node(link)),
                 Err(_) => return self.lose_link(token, link, Outcome::Reset, now),
                 Ok(true) => {
                     link.up = true;
-                    link.wire.greet(link.socket.output());
+                    link.protocol.start_handshake(link.socket.output());
                 }
             }
         }
@@ -296,15 +297,19 @@
         let mut end = if link.socket.input.is_empty() {
             Ok(None)
         } else {
-            link.wire.feed(&mut link.socket.input, &mut said)
+            link.protocol.decode(&mut link.socket.input, &mut said)
         };
         // What is ordinary has its room in any case; large answers share theirs.
-        let large = link.wire.holds().saturating_sub(READ_MOST / 2);
+        let large = link.protocol.buffered_bytes().saturating_sub(READ_MOST / 2);
         self.large = self.large - link.large + large;
         link.large = large;
-        if self.large > self.config.bounds.answers {
-            log::warn!("node {}: no room for an answer of {} bytes", link.node.0, link.wire.holds());
-            end = Err(Garbled);
+        if self.large > self.config.budget.answers {
+            log::warn!(
+                "node {}: no room for an answer of {} bytes",
+                link.node.0,
+                link.protocol.buffered_bytes()
+            );
+            end = Err(ProtocolError);
         }
         link.socket.output().append(&mut said);
         match end {
@@ -316,7 +321,7 @@
             }
             Ok(Some(end)) => {
                 if let Some(carried) = link.carried.take() {
-                    self.carriers.remove(&carried.attempt);
+                    self.attempt_connections.remove(&carried.attempt);
                     self.note_written(&mut link, Some(&carried));
                     self.ended(carried.attempt, end, now);
                     if let Some(pool) = self.pools.get_mut(&link.node) {
@@ -337,41 +342,41 @@
         self.link_go(token, link, now);
     }
 
-    fn ended(&mut self, attempt: AttemptId, end: End, now: Micros) {
-        self.core.ended(attempt, end, now, &mut self.deadlines);
+    fn ended(&mut self, attempt: AttemptId, end: AttemptResult, now: Micros) {
+        self.dispatcher.complete_attempt(attempt, end, now, &mut self.timers);
     }
 
-    fn note_written(&mut self, link: &mut Link, done: Option<&Carried>) {
+    fn note_written(&mut self, link: &mut NodeConnection, done: Option<&InFlight>) {
         let sent = link.socket.sent;
         if let Some(c) = done {
-            self.core.written(c.attempt);
+            self.dispatcher.mark_written(c.attempt);
         } else if let Some(c) = link.carried.as_mut().filter(|c| !c.told) {
             if c.runs_after.is_some_and(|after| sent > after) {
                 c.told = true;
-                self.core.written(c.attempt);
+                self.dispatcher.mark_written(c.attempt);
             }
         }
     }
 
     /// Brings a connection on: writes what it carries once it can, frees it when it carries nothing.
-    fn link_go(&mut self, token: u64, mut link: Link, now: Micros) {
-        let fit = link.up && link.wire.ready();
+    fn link_go(&mut self, token: u64, mut link: NodeConnection, now: Micros) {
+        let fit = link.up && link.protocol.ready();
         let mut barred = None;
         if let Some(carried) = link.carried.as_mut().filter(|c| fit && c.runs_after.is_none()) {
-            if self.core.may_write(link.node, now) {
+            if self.dispatcher.may_write(link.node, now) {
                 let wait = (carried.until - now) / 1000;
                 let begun = link.socket.sent + link.socket.unsent() as u64;
-                let harmless = link.wire.start(&carried.job, wait, link.socket.output());
+                let harmless = link.protocol.encode_request(&carried.request, wait, link.socket.output());
                 carried.runs_after = Some(begun + harmless as u64);
-                self.deadlines.shift(&mut link.due, None, Due::Conn(token));
+                self.timers.reschedule(&mut link.due, None, Timer::Connection(token));
             } else {
                 barred = Some(carried.attempt);
             }
         }
         if let Some(attempt) = barred {
             link.carried = None;
-            self.carriers.remove(&attempt);
-            self.core.give_up(attempt, Outcome::NoConnection, now, &mut self.deadlines);
+            self.attempt_connections.remove(&attempt);
+            self.dispatcher.abort_attempt(attempt, Outcome::ConnectFailed, now, &mut self.timers);
         }
         let flushed = if link.up { link.socket.flush() } else { Ok(()) };
         self.note_written(&mut link, None);
@@ -381,7 +386,7 @@
         }
         if link.carried.is_none() {
             // The node has moved while this was out, where it was another may listen; or it is gone.
-            let known = self.core.knows(link.node);
+            let known = self.dispatcher.knows_node(link.node);
             let pool = self.pools.get_mut(&link.node).filter(|p| known && p.address == Some(link.to));
             let Some(pool) = pool else { return self.drop_link(token, link) };
             if !pool.free.contains(&token) {
@@ -390,14 +395,14 @@
             }
             if fit {
                 let limit = now + pool.kept.limit();
-                self.deadlines.shift(&mut link.due, Some(limit), Due::Conn(token));
+                self.timers.reschedule(&mut link.due, Some(limit), Timer::Connection(token));
             }
         }
-        self.conns.put(token, Conn::Link(link));
+        self.conns.put(token, Connection::Node(link));
     }
 
     /// A connection has not come up in time, or has stood idle for long enough.
-    pub(super) fn link_due(&mut self, token: u64, mut link: Link, now: Micros) {
+    pub(super) fn link_due(&mut self, token: u64, mut link: NodeConnection, now: Micros) {
         link.due = None;
         self.lose_link(token, link, Outcome::Reset, now);
     }
--- a/gateway/src/inventory.rs
+++ b/crates/gateway/src/inventory.rs
@@ -1,8 +1,8 @@
 //! Inventories of nodes as configuration tools keep them: CSV, or YAML with groups, hosts and vars.
 
-use crate::core::Line;
-use linnetdoor_sched::Standing;
-use linnetdoor_settings::micros;
+use crate::endpoint::EndpointRecord;
+use deployment_settings::micros;
+use io_scheduler::EndpointStatus;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,8 +21,8 @@
 
 /// One node of an inventory.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Host {
-    pub line: Line,
+pub struct InventoryNode {
+    pub line: EndpointRecord,
     pub address: SocketAddr,
     pub protocol: Protocol,
 }
@@ -64,18 +64,18 @@
         }
     }
 
-    fn host(&self, name: &str) -> Result<Host, (&'static str, String)> {
+    fn host(&self, name: &str) -> Result<InventoryNode, (&'static str, String)> {
         let missing = || "not set".to_owned();
         let address = self.address.as_ref().ok_or_else(|| ("address", missing()))?;
-        let standing = match self.status.as_deref().unwrap_or("in_service") {
-            "in_service" => Standing::Serving,
-            "terminating" => Standing::Draining,
-            "terminated" => Standing::Gone,
+        let status = match self.status.as_deref().unwrap_or("in_service") {
+            "in_service" => EndpointStatus::InService,
+            "terminating" => EndpointStatus::Draining,
+            "terminated" => EndpointStatus::Removed,
             other => {
                 return Err(("status", format!("'{other}' is none of in_service, terminating, terminated")))
             }
         };
-        Ok(Host {
+        Ok(InventoryNode {
             address: address
                 .parse()
                 .map_err(|_| ("address", format!("'{address}' is no address with a port")))?,
@@ -84,12 +84,12 @@
                 "sftp" => Protocol::Sftp,
                 other => return Err(("protocol", format!("'{other}' is neither resp2 nor sftp"))),
             },
-            line: Line {
+            line: EndpointRecord {
                 name: name.to_owned(),
                 zone: self.zone.clone().unwrap_or_default(),
                 shard: self.shard.ok_or_else(|| ("shard", missing()))?,
-                standing,
-                started: self.since_ms.filter(|ms| *ms > 0.0).map(micros),
+                status,
+                started_at: self.since_ms.filter(|ms| *ms > 0.0).map(micros),
             },
         })
     }
@@ -104,7 +104,7 @@
 }
 
 /// Reads an inventory; the ending of its name tells the form.
-pub fn read(path: &Path) -> Result<Vec<Host>, InventoryError> {
+pub fn read(path: &Path) -> Result<Vec<InventoryNode>, InventoryError> {
     let file = path.display().to_string();
     let wrong = |at: &str, why: String| InventoryError { file: file.clone(), at: at.to_owned(), why };
     let text = std::fs::read_to_string(path).map_err(|e| wrong("cannot be read", e.to_string()))?;
@@ -116,7 +116,7 @@
 }
 
 /// Two nodes of one name would share an id.
-fn once(hosts: &[Host], name: &str) -> Result<(), String> {
+fn once(hosts: &[InventoryNode], name: &str) -> Result<(), String> {
     if name.is_empty() {
         return Err("not set".into());
     }
@@ -134,7 +134,7 @@
 }
 
 /// An inventory in CSV, with a line of headings.
-pub fn from_csv(text: &str, file: &str) -> Result<Vec<Host>, InventoryError> {
+pub fn from_csv(text: &str, file: &str) -> Result<Vec<InventoryNode>, InventoryError> {
     let wrong = |at: String, why: String| InventoryError { file: file.to_owned(), at, why };
     let mut reader =
         csv::ReaderBuilder::new().trim(csv::Trim::All).comment(Some(b'#')).from_reader(text.as_bytes());
@@ -167,7 +167,7 @@
 }
 
 /// An inventory in YAML: groups with `hosts`, `vars` and `children`.
-pub fn from_yaml(text: &str, file: &str) -> Result<Vec<Host>, InventoryError> {
+pub fn from_yaml(text: &str, file: &str) -> Result<Vec<InventoryNode>, InventoryError> {
     let wrong = |at: String, why: String| InventoryError { file: file.to_owned(), at, why };
     let groups: BTreeMap<String, Option<Group>> = serde_saphyr::from_str(text).map_err(|e| {
         let line = e.location().map_or_else(|| "document".to_owned(), |l| format!("line {}", l.line()));
--- /dev/null
+++ b/crates/gateway/src/lib.rs
@@ -0,0 +1,16 @@
+//! A storage gateway that shares storage nodes fairly among volumes.
+#![forbid(unsafe_code)]
+
+pub mod client_protocol;
+pub mod config;
+pub mod console;
+pub mod discovery;
+pub mod dispatcher;
+pub mod endpoint;
+pub mod event_loop;
+pub mod inventory;
+pub mod logger;
+pub mod memory_budget;
+pub mod node_protocol;
+pub mod sftp_packet;
+pub mod timer_queue;
--- a/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,16 +1,16 @@
-//! The linnetdoor gateway.
+//! The storage-gateway gateway.
 #![forbid(unsafe_code)]
 
-use linnetdoor::config::{self, Config};
-use linnetdoor::net::{Gateway, GatewayError};
-use linnetdoor::{inventory, logger};
 use std::path::PathBuf;
 use std::process::ExitCode;
+use storage_gateway::config::{self, Config};
+use storage_gateway::event_loop::{Gateway, GatewayError};
+use storage_gateway::{inventory, logger};
 
 const USAGE: &str = "\
-usage: linnetdoor                          serve as ROUTER_CONFIG says
-       linnetdoor --config FILE            serve as an operator's file says, with a console
-       linnetdoor --config FILE --check    say whether the file and its inventory can be used
+usage: storage-gateway                          serve as ROUTER_CONFIG says
+       storage-gateway --config FILE            serve as an operator's file says, with a console
+       storage-gateway --config FILE --check    say whether the file and its inventory can be used
 ";
 
 enum Task {
@@ -39,7 +39,7 @@
     match run(task) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("linnetdoor: {e}");
+            eprintln!("storage-gateway: {e}");
             ExitCode::FAILURE
         }
     }
--- a/gateway/src/node/sftp.rs
+++ b/crates/gateway/src/node_protocol/sftp.rs
@@ -3,10 +3,10 @@
 //! Objects stand at `/VOLUME/OBJECT`, the volume as 16 hex digits. One request is a short run of
 //! commands; a write may have run as soon as a byte of its OPEN has left, as that makes the file.
 
-use super::{Garbled, Wire};
-use crate::core::{End, Found, Job, Op};
-use crate::sftp::{kind, open, packet, Code, Fields, Malformed, Packet, VERSION};
-use linnetdoor_sched::Outcome;
+use super::{NodeProtocol, ProtocolError};
+use crate::dispatcher::{AttemptResult, Operation, ResponseBody, StorageRequest};
+use crate::sftp_packet::{kind, open, packet, Code, Fields, Malformed, Packet, VERSION};
+use io_scheduler::Outcome;
 use std::collections::VecDeque;
 
 /// Bytes of one READ or WRITE.
@@ -18,7 +18,7 @@
 enum Stage {
     Greeting,
     Idle,
-    Opening { op: Op, body: Vec<u8> },
+    Opening { operation: Operation, body: Vec<u8> },
     Reading { handle: Vec<u8>, value: Vec<u8> },
     Writing { handle: Vec<u8>, left: VecDeque<Vec<u8>>, offset: u64 },
     Closing { size: u64 },
@@ -27,7 +27,7 @@
 }
 
 /// The state of one connection.
-pub struct Sftp {
+pub struct SftpProtocol {
     stage: Stage,
     /// The id of the last command; answers to others are leftovers.
     id: u32,
@@ -36,16 +36,16 @@
     value_most: usize,
 }
 
-impl From<Malformed> for Garbled {
+impl From<Malformed> for ProtocolError {
     fn from(_: Malformed) -> Self {
-        Garbled
+        ProtocolError
     }
 }
 
-impl Sftp {
+impl SftpProtocol {
     /// A connection from which objects up to a length are taken.
-    pub fn new(value_most: usize) -> Sftp {
-        Sftp { stage: Stage::Greeting, id: 0, let_go: None, value_most }
+    pub fn new(value_most: usize) -> SftpProtocol {
+        SftpProtocol { stage: Stage::Greeting, id: 0, let_go: None, value_most }
     }
 
     fn say(&mut self, kind: u8, out: &mut Vec<u8>, fill: impl FnOnce(Packet) -> Packet) {
@@ -83,26 +83,34 @@
         self.stage = Stage::Listing { handle, names };
     }
 
-    fn step(&mut self, what: u8, f: &mut Fields<'_>, out: &mut Vec<u8>) -> Result<Option<End>, Garbled> {
-        let served = |found| Ok(Some(End { found: Some(found), ..End::of(Outcome::Served) }));
-        let failed = || Ok(Some(End::of(Outcome::Error)));
+    fn step(
+        &mut self,
+        what: u8,
+        f: &mut Fields<'_>,
+        out: &mut Vec<u8>,
+    ) -> Result<Option<AttemptResult>, ProtocolError> {
+        let served =
+            |found| Ok(Some(AttemptResult { body: Some(found), ..AttemptResult::of(Outcome::Served) }));
+        let failed = || Ok(Some(AttemptResult::of(Outcome::Error)));
         let stage = std::mem::replace(&mut self.stage, Stage::Idle);
         let code = if what == kind::STATUS { Some(f.u32()?) } else { None };
         let is = |wanted: Code| code == Some(wanted as u32);
         match (stage, what) {
-            (Stage::Opening { op: Op::Write, body }, kind::HANDLE) => {
+            (Stage::Opening { operation: Operation::Write, body }, kind::HANDLE) => {
                 let chunks = body.chunks(CHUNK).map(<[u8]>::to_vec).collect();
                 self.write_on(f.string()?.to_vec(), chunks, 0, out);
             }
-            (Stage::Opening { op: Op::List, .. }, kind::HANDLE) => {
+            (Stage::Opening { operation: Operation::List, .. }, kind::HANDLE) => {
                 self.list_on(f.string()?.to_vec(), Vec::new(), out);
             }
             (Stage::Opening { .. }, kind::HANDLE) => self.read_on(f.string()?.to_vec(), Vec::new(), out),
-            (Stage::Opening { op: Op::List, .. }, _) if is(Code::NoSuchFile) => {
-                return served(Found::Names(Vec::new()));
+            (Stage::Opening { operation: Operation::List, .. }, _) if is(Code::NoSuchFile) => {
+                return served(ResponseBody::Names(Vec::new()));
             }
-            (Stage::Opening { op: Op::Read, .. } | Stage::Sizing, _) if is(Code::NoSuchFile) => {
-                return served(Found::Missing);
+            (Stage::Opening { operation: Operation::Read, .. } | Stage::Sizing, _)
+                if is(Code::NoSuchFile) =>
+            {
+                return served(ResponseBody::NotFound);
             }
             (Stage::Reading { handle, mut value }, kind::DATA) => {
                 let data = f.string()?;
@@ -116,13 +124,13 @@
             }
             (Stage::Reading { handle, value }, _) if is(Code::Eof) => {
                 self.let_go(&handle, out);
-                return served(Found::Value(value));
+                return served(ResponseBody::Value(value));
             }
             (Stage::Writing { handle, left, offset }, _) if is(Code::Ok) => {
                 self.write_on(handle, left, offset, out);
             }
-            (Stage::Closing { size }, _) if is(Code::Ok) => return served(Found::Size(size)),
-            (Stage::Sizing, kind::ATTRS) => return served(Found::Size(f.attrs()?.unwrap_or(0))),
+            (Stage::Closing { size }, _) if is(Code::Ok) => return served(ResponseBody::Size(size)),
+            (Stage::Sizing, kind::ATTRS) => return served(ResponseBody::Size(f.attrs()?.unwrap_or(0))),
             (Stage::Listing { handle, mut names }, kind::NAME) => {
                 for _ in 0..f.u32()? {
                     let name = f.string()?.to_vec();
@@ -140,7 +148,7 @@
             }
             (Stage::Listing { handle, names }, _) if is(Code::Eof) => {
                 self.let_go(&handle, out);
-                return served(Found::Names(names));
+                return served(ResponseBody::Names(names));
             }
             (stage, kind::STATUS) => {
                 if let Stage::Reading { handle, .. }
@@ -151,21 +159,21 @@
                 }
                 return failed();
             }
-            _ => return Err(Garbled),
+            _ => return Err(ProtocolError),
         }
         Ok(None)
     }
 }
 
-impl Wire for Sftp {
-    fn holds(&self) -> usize {
+impl NodeProtocol for SftpProtocol {
+    fn buffered_bytes(&self) -> usize {
         match &self.stage {
             Stage::Reading { value, .. } => value.len(),
             _ => 0,
         }
     }
 
-    fn greet(&mut self, out: &mut Vec<u8>) {
+    fn start_handshake(&mut self, out: &mut Vec<u8>) {
         out.extend(Packet::new(kind::INIT).u32(VERSION).done());
     }
 
@@ -173,40 +181,44 @@
         !matches!(self.stage, Stage::Greeting)
     }
 
-    fn start(&mut self, job: &Job, _wait_ms: i64, out: &mut Vec<u8>) -> usize {
+    fn encode_request(&mut self, request: &StorageRequest, _wait_ms: i64, out: &mut Vec<u8>) -> usize {
         let begun = out.len();
-        let folder = format!("/{:016x}", job.volume);
-        let path = match &job.name {
+        let folder = format!("/{:016x}", request.volume);
+        let path = match &request.name {
             Some(name) => format!("{folder}/{name}"),
-            None => format!("{folder}/{:016x}", job.object),
+            None => format!("{folder}/{:016x}", request.object),
         };
-        match job.op {
-            Op::Read => self.say(kind::OPEN, out, |p| p.string(path).u32(open::READ).u32(0)),
-            Op::Write => {
+        match request.operation {
+            Operation::Read => self.say(kind::OPEN, out, |p| p.string(path).u32(open::READ).u32(0)),
+            Operation::Write => {
                 let flags = open::WRITE | open::CREAT | open::TRUNC;
                 self.say(kind::OPEN, out, |p| p.string(path).u32(flags).u32(0));
             }
-            Op::Stat => self.say(kind::STAT, out, |p| p.string(path)),
-            Op::List => self.say(kind::OPENDIR, out, |p| p.string(folder)),
+            Operation::Stat => self.say(kind::STAT, out, |p| p.string(path)),
+            Operation::List => self.say(kind::OPENDIR, out, |p| p.string(folder)),
         }
-        self.stage = match job.op {
-            Op::Stat => Stage::Sizing,
-            op => Stage::Opening { op, body: job.body.clone() },
+        self.stage = match request.operation {
+            Operation::Stat => Stage::Sizing,
+            operation => Stage::Opening { operation, body: request.body.clone() },
         };
-        if job.op == Op::Write {
+        if request.operation == Operation::Write {
             0
         } else {
             out.len() - begun - 1
         }
     }
 
-    fn feed(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<Option<End>, Garbled> {
+    fn decode(
+        &mut self,
+        input: &mut Vec<u8>,
+        out: &mut Vec<u8>,
+    ) -> Result<Option<AttemptResult>, ProtocolError> {
         let mut at = 0;
         let mut end = None;
         while let (None, Some((what, mut fields))) = (&end, packet(input, &mut at)?) {
             if matches!(self.stage, Stage::Greeting) {
                 if what != kind::VERSION || fields.u32()? < VERSION {
-                    return Err(Garbled);
+                    return Err(ProtocolError);
                 }
                 self.stage = Stage::Idle;
                 continue;
@@ -217,7 +229,7 @@
                 continue;
             }
             if matches!(self.stage, Stage::Idle) {
-                return Err(Garbled);
+                return Err(ProtocolError);
             }
             if id != self.id {
                 continue;
--- a/gateway/src/deadlines.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -1,6 +1,6 @@
 //! One sorted structure for every deadline of the program; the loop sweeps it each turn.
 
-use linnetdoor_sched::{Micros, RequestId};
+use io_scheduler::{Micros, RequestId};
 use std::collections::BTreeSet;
 
 /// One attempt of a request.
@@ -12,45 +12,45 @@
 
 /// What is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// An attempt is given up. Sorts before `Wake`: the scheduler hears of it in the same turn.
-    Attempt(AttemptId),
+pub enum Timer {
+    /// An attempt is given up. Sorts before `Scheduler`: the scheduler hears of it in the same turn.
+    AttemptTimeout(AttemptId),
     /// The scheduler wants to be called.
-    Wake,
+    Scheduler,
     /// A request has still no final answer.
-    Answer(RequestId),
+    RequestOverdue(RequestId),
     /// A connection has not come up, or has stood idle; the number is the loop's token.
-    Conn(u64),
+    Connection(u64),
     /// The watch on discovery has been silent for too long.
-    Watch,
+    DiscoveryWatch,
     /// The time after SIGTERM in which everything goes on as before is over.
-    Retire,
+    Shutdown,
     /// Connections may be accepted again after descriptors ran out.
-    Accept,
+    ResumeAccepting,
 }
 
 /// Deadlines in order of time.
 #[derive(Debug, Default)]
-pub struct Deadlines {
-    sorted: BTreeSet<(Micros, Due)>,
+pub struct TimerQueue {
+    sorted: BTreeSet<(Micros, Timer)>,
 }
 
-impl Deadlines {
-    pub fn set(&mut self, at: Micros, due: Due) {
-        self.sorted.insert((at, due));
+impl TimerQueue {
+    pub fn set(&mut self, at: Micros, timer: Timer) {
+        self.sorted.insert((at, timer));
     }
 
-    pub fn clear(&mut self, at: Micros, due: Due) {
-        self.sorted.remove(&(at, due));
+    pub fn cancel(&mut self, at: Micros, timer: Timer) {
+        self.sorted.remove(&(at, timer));
     }
 
     /// Moves a deadline; `from` is where it stands, if it does.
-    pub fn shift(&mut self, from: &mut Option<Micros>, to: Option<Micros>, due: Due) {
+    pub fn reschedule(&mut self, from: &mut Option<Micros>, to: Option<Micros>, timer: Timer) {
         if let Some(at) = from.take() {
-            self.clear(at, due);
+            self.cancel(at, timer);
         }
         if let Some(at) = to {
-            self.set(at, due);
+            self.set(at, timer);
         }
         *from = to;
     }
@@ -60,9 +60,9 @@
     }
 
     /// Takes out one deadline that has passed.
-    pub fn expired(&mut self, now: Micros) -> Option<Due> {
-        let (at, due) = self.sorted.first().copied().filter(|(at, _)| *at <= now)?;
-        self.sorted.remove(&(at, due));
-        Some(due)
+    pub fn pop_expired(&mut self, now: Micros) -> Option<Timer> {
+        let (at, timer) = self.sorted.first().copied().filter(|(at, _)| *at <= now)?;
+        self.sorted.remove(&(at, timer));
+        Some(timer)
     }
 }
--- a/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -16,7 +16,6 @@
 //! Clients named `s…` speak SFTP, others RESP2. `discovery`, `console` and `gateway` are parties too.
 //! Nothing sleeps: threads read the sockets and hand over whole messages. What was said is the snapshot.
 
-use linnetdoor::sftp::{kind, packet, Fields, Packet};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -26,6 +25,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime};
+use storage_gateway::sftp_packet::{kind, packet, Fields, Packet};
 
 const PATIENCE: Duration = Duration::from_secs(8);
 
@@ -498,7 +498,8 @@
     }
 
     fn folder(&self) -> PathBuf {
-        let folder = std::env::temp_dir().join(format!("linnetdoor-{}-{}", std::process::id(), self.name));
+        let folder =
+            std::env::temp_dir().join(format!("storage-gateway-{}-{}", std::process::id(), self.name));
         std::fs::create_dir_all(&folder).expect("a folder");
         folder
     }
@@ -522,7 +523,7 @@
         // With fewer descriptors than its configuration says, accepting and connecting must fail.
         let mut command = Command::new("/bin/sh");
         let limit = descriptors.map_or_else(String::new, |n| format!("ulimit -n {n}; "));
-        command.arg("-c").arg(limit + "exec \"$0\" \"$@\"").arg(env!("CARGO_BIN_EXE_linnetdoor"));
+        command.arg("-c").arg(limit + "exec \"$0\" \"$@\"").arg(env!("CARGO_BIN_EXE_storage-gateway"));
         let config = folder.join("config.json");
         let text = if operator {
             self.write_inventory();
--- a/gateway/tests/crossings.rs
+++ b/crates/gateway/tests/crossings.rs
@@ -145,7 +145,7 @@
     let mut resting = s.gateway.client();
     resting.say(command("PING"));
     assert_eq!(resting.value(), "+PONG");
-    s.gateway.told_to_end();
+    s.gateway.shutdown_requested();
     assert_eq!(resting.end(), End::Closed);
     resting.say_late(read("a2"));
     let mut third = s.gateway.asked(read("a3"));
--- a/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -1,33 +1,33 @@
 //! Parsers take what comes in any pieces, and anything at all without a panic.
 
-use linnetdoor::config;
-use linnetdoor::core::{End, Found, Job, Op};
-use linnetdoor::discovery::{Update, WatchParser};
-use linnetdoor::front::resp::{Names, Resp};
-use linnetdoor::front::{Front, Step};
-use linnetdoor::inventory;
-use linnetdoor::node::{self, Garbled, Wire};
-use linnetdoor::sftp::{kind, open, Packet};
-use linnetdoor_sched::{Outcome, Standing};
-use linnetdoor_settings::Settings;
+use deployment_settings::DeploymentSettings;
+use io_scheduler::{EndpointStatus, Outcome};
 use std::path::Path;
+use storage_gateway::client_protocol::resp::{RequestNames, RespProtocol};
+use storage_gateway::client_protocol::{ClientProtocol, CommandStep};
+use storage_gateway::config;
+use storage_gateway::discovery::{EndpointListUpdate, WatchParser};
+use storage_gateway::dispatcher::{AttemptResult, Operation, ResponseBody, StorageRequest};
+use storage_gateway::inventory;
+use storage_gateway::node_protocol::{self, NodeProtocol, ProtocolError};
+use storage_gateway::sftp_packet::{kind, open, Packet};
 
 /// Largest value taken.
 const VALUE: usize = 64 << 10;
 
-fn settings() -> Settings {
+fn settings() -> DeploymentSettings {
     let mut text = include_str!("common/settings.json").as_bytes().to_vec();
     simd_json::serde::from_slice(&mut text).expect("the scenarios use it")
 }
 
-fn job(op: Op) -> Job {
+fn request(operation: Operation) -> StorageRequest {
     let terms = ("c=read,d=".into(), ",t=gold".into());
-    Job {
-        op,
+    StorageRequest {
+        operation,
         object: 0xab,
         name: None,
         volume: 1,
-        label: "x".into(),
+        client_request_id: "x".into(),
         class: 0,
         plan: 0,
         units: 1.0,
@@ -41,11 +41,11 @@
 }
 
 /// Feeds an answer byte by byte; the end must come with the last byte and not before.
-fn piecemeal(wire: &mut dyn Wire, answer: &[u8]) -> Result<End, Garbled> {
+fn piecemeal(protocol: &mut dyn NodeProtocol, answer: &[u8]) -> Result<AttemptResult, ProtocolError> {
     let (mut input, mut out) = (Vec::new(), Vec::new());
     for (at, byte) in answer.iter().enumerate() {
         input.push(*byte);
-        if let Some(end) = wire.feed(&mut input, &mut out)? {
+        if let Some(end) = protocol.decode(&mut input, &mut out)? {
             assert_eq!((at + 1, input.len()), (answer.len(), 0));
             return Ok(end);
         }
@@ -56,32 +56,33 @@
 #[test]
 fn a_resp_node_s_answers() {
     let ask = |answer: &str| {
-        let mut wire = node::resp::Resp::new(VALUE);
+        let mut protocol = node_protocol::resp::RespProtocol::new(VALUE);
         let mut out = Vec::new();
-        let harmless = wire.start(&job(Op::Read), 480, &mut out);
+        let harmless = protocol.encode_request(&request(Operation::Read), 480, &mut out);
         assert_eq!(harmless + 1, out.len(), "it has not run before its last byte has left");
         let command =
             "*4\r\n$5\r\nIO.IN\r\n$16\r\n00000000000000ab\r\n$1\r\nx\r\n$19\r\nc=read,d=480,t=gold\r\n";
         assert_eq!(String::from_utf8_lossy(&out), command);
-        piecemeal(&mut wire, answer.as_bytes()).map(|e| (e.outcome, e.found, e.used, e.elsewhere))
+        piecemeal(&mut protocol, answer.as_bytes())
+            .map(|e| (e.outcome, e.body, e.utilization, e.remote_units))
     };
-    let value = |v: &str| Some(Found::Value(v.as_bytes().to_vec()));
+    let value = |v: &str| Some(ResponseBody::Value(v.as_bytes().to_vec()));
     let served = Outcome::Served;
     let figures = "*3\r\n$2\r\nv\r\r\n$14\r\nused=37,cost=4\r\n$7\r\nqueue=2\r\n";
     assert_eq!(ask(figures), Ok((served, value("v\r"), Some(0.37), 4.0)));
     assert_eq!(ask("*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n"), Ok((served, value(""), None, 0.0)));
-    assert_eq!(ask("-BUSY\r\n"), Ok((Outcome::Full, None, None, 0.0)));
+    assert_eq!(ask("-BUSY\r\n"), Ok((Outcome::Overloaded, None, None, 0.0)));
     assert_eq!(ask("-ERR failed cost=2 queue=1\r\n"), Ok((Outcome::Error, None, None, 2.0)));
     // Figures and reports that can't be read leave the value good; absurd ones are not believed.
     let good = Ok((served, value("v"), None, 0.0));
     for odd in ["$9\r\nused=1e99\r\n:1\r\n", "*1\r\n$1\r\nx\r\n-what\r\n", "$9\r\ncost=none\r\n$0\r\n\r\n"] {
         assert_eq!(ask(&format!("*3\r\n$1\r\nv\r\n{odd}")), good, "{odd:?}");
     }
-    let mut wire = node::resp::Resp::new(VALUE);
-    wire.start(&job(Op::Read), 1, &mut Vec::new());
-    let end = piecemeal(&mut wire, b"*3\r\n$1\r\nv\r\n$2\r\n\xff\xfe\r\n$1\r\n\x80\r\n")
+    let mut protocol = node_protocol::resp::RespProtocol::new(VALUE);
+    protocol.encode_request(&request(Operation::Read), 1, &mut Vec::new());
+    let end = piecemeal(&mut protocol, b"*3\r\n$1\r\nv\r\n$2\r\n\xff\xfe\r\n$1\r\n\x80\r\n")
         .expect("the value is good");
-    assert_eq!(end.found, value("v"));
+    assert_eq!(end.body, value("v"));
     let spoilt = [
         "?",
         "*1\r\n$-1\r\n",
@@ -96,67 +97,73 @@
         "*3\r\n$1\r\nab\r\n",
     ];
     for odd in spoilt {
-        assert_eq!(ask(odd).err(), Some(Garbled), "{odd:?}");
+        assert_eq!(ask(odd).err(), Some(ProtocolError), "{odd:?}");
     }
     // A value may be larger than what clients may send, as far as the memory given allows.
     let text = "v".repeat(400 << 10);
     let answer = format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes();
     for (most, good) in [(1 << 20, true), (300 << 10, false)] {
-        let mut wire = node::resp::Resp::new(most);
-        wire.start(&job(Op::Read), 1, &mut Vec::new());
+        let mut protocol = node_protocol::resp::RespProtocol::new(most);
+        protocol.encode_request(&request(Operation::Read), 1, &mut Vec::new());
         let (mut input, mut end) = (Vec::new(), Ok(None));
         for piece in answer.chunks(16 << 10) {
             input.extend_from_slice(piece);
-            end = wire.feed(&mut input, &mut Vec::new());
+            end = protocol.decode(&mut input, &mut Vec::new());
             if end.is_err() {
                 break;
             }
-            assert_eq!(wire.holds(), if matches!(end, Ok(None)) { text.len() } else { 0 });
+            assert_eq!(protocol.buffered_bytes(), if matches!(end, Ok(None)) { text.len() } else { 0 });
         }
-        assert_eq!(end.map(|e| e.and_then(|e| e.found) == value(&text)).ok(), good.then_some(true), "{most}");
+        assert_eq!(end.map(|e| e.and_then(|e| e.body) == value(&text)).ok(), good.then_some(true), "{most}");
     }
     // What nobody waits for, even half of it, must not be taken for the next request's answer.
     for unasked in [&b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"[..], b"*"] {
-        assert!(node::resp::Resp::new(VALUE).feed(&mut unasked.to_vec(), &mut Vec::new()).is_err());
+        assert!(node_protocol::resp::RespProtocol::new(VALUE)
+            .decode(&mut unasked.to_vec(), &mut Vec::new())
+            .is_err());
     }
 }
 
 #[test]
 fn a_file_server_that_never_ends_or_answers_another_command_is_not_believed() {
-    let mut wire = node::sftp::Sftp::new(VALUE);
+    let mut protocol = node_protocol::sftp::SftpProtocol::new(VALUE);
     let mut out = Vec::new();
-    wire.greet(&mut out);
-    assert!(!wire.ready());
+    protocol.start_handshake(&mut out);
+    assert!(!protocol.ready());
     let mut input = Packet::new(kind::VERSION).u32(3).done();
-    assert!(matches!(wire.feed(&mut input, &mut out), Ok(None)));
-    assert!(wire.ready());
-    assert_eq!(wire.start(&job(Op::Write), 1, &mut out), 0, "any byte of a write's OPEN may take effect");
+    assert!(matches!(protocol.decode(&mut input, &mut out), Ok(None)));
+    assert!(protocol.ready());
+    assert_eq!(
+        protocol.encode_request(&request(Operation::Write), 1, &mut out),
+        0,
+        "any byte of a write's OPEN may take effect"
+    );
     let flags = (open::WRITE | open::CREAT | open::TRUNC).to_be_bytes();
     assert!(out.windows(4).any(|w| w == flags));
     // The id of no command, then data without end.
     let mut input = Packet::with_id(kind::HANDLE, 77).string("h").done();
-    assert!(matches!(wire.feed(&mut input, &mut out), Ok(None)));
-    wire.start(&job(Op::Read), 1, &mut out);
-    let end = piecemeal(&mut wire, &Packet::with_id(kind::STATUS, 2).u32(2).string("").string("").done());
-    assert_eq!(end.expect("an end").found, Some(Found::Missing));
-    wire.start(&job(Op::Read), 1, &mut out);
+    assert!(matches!(protocol.decode(&mut input, &mut out), Ok(None)));
+    protocol.encode_request(&request(Operation::Read), 1, &mut out);
+    let end = piecemeal(&mut protocol, &Packet::with_id(kind::STATUS, 2).u32(2).string("").string("").done());
+    assert_eq!(end.expect("an end").body, Some(ResponseBody::NotFound));
+    protocol.encode_request(&request(Operation::Read), 1, &mut out);
     let mut input = Packet::with_id(kind::HANDLE, 3).string("h").done();
-    assert!(matches!(wire.feed(&mut input, &mut out), Ok(None)));
+    assert!(matches!(protocol.decode(&mut input, &mut out), Ok(None)));
     for id in 4..7 {
         let mut input = Packet::with_id(kind::DATA, id).string(vec![0; 30 << 10]).done();
-        let end = wire.feed(&mut input, &mut out).expect("well formed");
+        let end = protocol.decode(&mut input, &mut out).expect("well formed");
         assert_eq!(end.map(|e| e.outcome), (id == 6).then_some(Outcome::Error), "packet {id}");
     }
     // The answer to the CLOSE that nobody waits for is passed over, once; a second copy is not.
     let closed = Packet::with_id(kind::STATUS, 7).u32(0).string("").string("").done();
-    assert!(matches!(wire.feed(&mut closed.clone(), &mut out), Ok(None)));
-    assert!(wire.feed(&mut closed.clone(), &mut out).is_err());
+    assert!(matches!(protocol.decode(&mut closed.clone(), &mut out), Ok(None)));
+    assert!(protocol.decode(&mut closed.clone(), &mut out).is_err());
 }
 
 #[test]
 fn a_watch_in_pieces() {
     let text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n8\r\n{\"index\"\r\n5\r\n:43}\n\r\n1\r\n\n\r\n0\r\n\r\n";
-    let (mut parser, mut found) = (WatchParser::default(), Vec::<Update>::new());
+    let (mut parser, mut found) = (WatchParser::default(), Vec::<EndpointListUpdate>::new());
     for byte in text.as_bytes() {
         parser.feed(&[*byte], &mut found).expect("well formed");
     }
@@ -189,14 +196,14 @@
     ];
     for (at, answer) in answers.iter().enumerate() {
         for pieces in [1, answer.len()] {
-            let (mut parser, mut found) = (WatchParser::default(), Vec::<Update>::new());
+            let (mut parser, mut found) = (WatchParser::default(), Vec::<EndpointListUpdate>::new());
             for piece in answer.as_bytes().chunks(pieces) {
                 parser.feed(piece, &mut found).expect("well formed");
             }
             assert_eq!(found.iter().map(|u| u.index).collect::<Vec<_>>(), [7, 8, 9], "{answer}");
             assert_eq!(found[0].lines().map(|(line, _)| line.name).collect::<Vec<_>>(), ["a }\" {"]);
             // Only a stated length says that this was all.
-            assert_eq!((parser.over(), parser.midway()), (at == 1, false));
+            assert_eq!((parser.over(), parser.mid_object()), (at == 1, false));
         }
     }
 }
@@ -206,9 +213,9 @@
     let head = "HTTP/1.1 200 OK\r\n\r\n";
     let endless = [("{\"endpoints\":[", "{\"name\":\"n\"},", 100_000), ("{\"a\":", "[", 20)];
     for (begin, more, times) in endless {
-        let (mut parser, mut found) = (WatchParser::default(), Vec::<Update>::new());
+        let (mut parser, mut found) = (WatchParser::default(), Vec::<EndpointListUpdate>::new());
         parser.feed(format!("{head}{begin}").as_bytes(), &mut found).expect("it may go on well");
-        assert!(parser.midway());
+        assert!(parser.mid_object());
         let result = (0..times).try_for_each(|_| parser.feed(more.as_bytes(), &mut found));
         assert!(result.is_err() && found.is_empty(), "{begin}");
     }
@@ -221,13 +228,13 @@
     answer += text;
     let mut found = Vec::new();
     WatchParser::default().feed(answer.as_bytes(), &mut found).expect("well formed");
-    let standings: Vec<_> = found[0].lines().map(|(line, _)| line.standing).collect();
-    assert_eq!(standings, [Standing::Draining]);
+    let standings: Vec<_> = found[0].lines().map(|(line, _)| line.status).collect();
+    assert_eq!(standings, [EndpointStatus::Draining]);
 }
 
 #[test]
 fn noise_is_never_a_panic() {
-    let names = Names::new(&settings());
+    let names = RequestNames::new(&settings());
     let alphabet: Vec<&[u8]> = vec![
         b"*",
         b"$",
@@ -255,15 +262,19 @@
             noise.extend_from_slice(alphabet[(state >> 33) as usize % alphabet.len()]);
         }
         let mut at = 0;
-        let step = Resp::new(names.clone()).next(&noise, &mut at, 0, true);
-        assert!(at <= noise.len() && (at > 0 || matches!(step, Step::More | Step::Hang(_))));
+        let step = RespProtocol::new(names.clone()).parse_command(&noise, &mut at, 0, true);
+        assert!(
+            at <= noise.len() && (at > 0 || matches!(step, CommandStep::Incomplete | CommandStep::Close(_)))
+        );
         let mut out = Vec::new();
-        let mut wires: [Box<dyn Wire>; 2] =
-            [Box::new(node::resp::Resp::new(VALUE)), Box::new(node::sftp::Sftp::new(VALUE))];
-        for wire in &mut wires {
-            wire.start(&job(Op::Read), 1, &mut out);
+        let mut wires: [Box<dyn NodeProtocol>; 2] = [
+            Box::new(node_protocol::resp::RespProtocol::new(VALUE)),
+            Box::new(node_protocol::sftp::SftpProtocol::new(VALUE)),
+        ];
+        for protocol in &mut wires {
+            protocol.encode_request(&request(Operation::Read), 1, &mut out);
             let mut input = noise.clone();
-            if let Ok(Some(end)) = wire.feed(&mut input, &mut out) {
+            if let Ok(Some(end)) = protocol.decode(&mut input, &mut out) {
                 assert!(input.len() < noise.len(), "{end:?} came of nothing");
             }
         }
@@ -275,7 +286,7 @@
 
 #[test]
 fn the_examples_are_good_and_both_inventories_say_the_same() {
-    let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy");
+    let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let config = config::from_file(&deploy.join("operator.example.json")).expect("a good example");
     let yaml = inventory::read(&config.inventory.expect("it names one")).expect("a good inventory");
     let csv = inventory::read(&deploy.join("inventory.example.csv")).expect("a good inventory");
@@ -291,7 +302,7 @@
             r#"{{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{limits},"settings":{good}}}"#
         );
         config::router(&mut text.into_bytes(), Path::new("f"), |_| None, config::Precedence::Environment)
-            .map(|c| c.bounds)
+            .map(|c| c.budget)
             .map_err(|e| e.to_string())
     };
     let small = bounds(r#"{"memory_mb":32,"sockets":256}"#).expect("it can work with so little");
--- a/gateway/tests/peers/mod.rs
+++ b/crates/gateway/tests/peers/mod.rs
@@ -289,7 +289,7 @@
         discovery: &Discovery,
         change: impl Fn(String) -> String,
     ) -> Gateway {
-        let folder = std::env::temp_dir().join(format!("linnetdoor-{}-{name}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("storage-gateway-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let known: Vec<String> = nodes.iter().map(|n| n.entry("in_service")).collect();
         let settings = include_str!("../common/settings.json");
@@ -303,7 +303,7 @@
         let config = change(config);
         let path = folder.join("config.json");
         std::fs::write(&path, &config).expect("a file");
-        let mut child = Command::new(env!("CARGO_BIN_EXE_linnetdoor"))
+        let mut child = Command::new(env!("CARGO_BIN_EXE_storage-gateway"))
             .env("ROUTER_CONFIG", &path)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -360,7 +360,7 @@
     }
 
     /// SIGTERM, taken in.
-    pub fn told_to_end(&mut self) {
+    pub fn shutdown_requested(&mut self) {
         self.signal(Signal::TERM);
         self.says("told to end");
     }
@@ -370,7 +370,7 @@
         let mut resting = self.client();
         resting.say(command("PING"));
         resting.value();
-        self.told_to_end();
+        self.shutdown_requested();
         assert_eq!(resting.end(), End::Closed);
     }
 
--- a/gateway/tests/scenarios.rs
+++ b/crates/gateway/tests/scenarios.rs
@@ -27,7 +27,7 @@
     no_node_to_serve,
     sftp_refused_and_timed_out,
     a_watch_that_breaks_is_renewed,
-    told_to_end,
+    shutdown_requested,
     a_new_configuration,
     more_than_was_asked,
     spoilt_answers,
--- a/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -19,7 +19,7 @@
     /// A volume, the flow that reservation, weight and limit belong to.
     VolumeId,
     /// The piece of data that a request reads or writes.
-    Key,
+    ObjectKey,
     /// The part of the data that a node holds; a node's successor holds the same.
     Shard,
     /// A zone of nodes.
@@ -28,23 +28,23 @@
 
 /// Whether a request that may have run can run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats do no harm.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the nodes of a group for a time after the first send.
     Keyed {
         /// The nodes that drop repeats.
-        group: Group,
+        scope: DeduplicationScope,
         /// For how long they do.
         window: Micros,
     },
     /// A repeat would take effect twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Nodes that remember each other's keyed requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// Every node.
     All,
     /// The nodes of one zone.
@@ -55,22 +55,22 @@
 
 /// A class of request.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct RequestClass {
     /// An answer within this time earns its full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// Worth of one request of mean size.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Part of the worth left after the aim.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// May it run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Requests of one key run in the order taken.
-    pub in_order: bool,
+    pub ordered: bool,
 }
 
 /// A plan; rates are units a second of one volume over all hosts and nodes.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct VolumePlan {
     /// Reserved rate; 0 where there is none.
     pub reservation: f64,
     /// Share of what is left beyond the reservations.
@@ -78,91 +78,98 @@
     /// Rate that must not be passed; 0 where there is none.
     pub limit: f64,
     /// Units that the limit's store holds.
-    pub limit_burst: f64,
+    pub burst_capacity: f64,
     /// Units by which that store may fall below zero.
-    pub limit_slack: f64,
+    pub overdraft: f64,
     /// Multiplies the worth.
-    pub price: f64,
+    pub tenant_weight: f64,
     /// Rate that such a volume is sized for.
-    pub usual: f64,
+    pub provisioned_rate: f64,
 }
 
 /// Attempts beyond each request's first in any span: `free` and `ratio` times the requests taken.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Length of the window.
-    pub span: Micros,
+    pub window: Micros,
     /// Always allowed.
-    pub free: f64,
+    pub allowance: f64,
     /// Allowed for each request taken.
     pub ratio: f64,
 }
 
+/// How the capacity of a node grows after its process has started.
+#[derive(Clone, Debug)]
+pub struct SlowStart {
+    /// Part of its full capacity, above 0 and up to 1, that a node has at its start.
+    pub initial_capacity: f64,
+    /// Time after which it has its full capacity at the latest.
+    pub duration: Micros,
+    /// Span over which the work sent to such a node is counted.
+    pub window: Micros,
+    /// Work that a node stands within a window, as a multiple of its capacity at the time.
+    pub burst_factor: f64,
+    /// Units within a window that a node stands at its start, from all hosts together.
+    pub units: f64,
+}
+
 /// What the deployment states at start-up.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Classes of request, by index.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Plans, by index.
-    pub plans: Vec<Plan>,
+    pub plans: Vec<VolumePlan>,
     /// Hosts that work beside each other, this one included.
     pub hosts: u32,
     /// Attempts allowed for one request.
     pub max_attempts: u32,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedging_allowed: bool,
     /// Attempts may be cancelled.
-    pub may_cancel: bool,
+    pub cancellation_allowed: bool,
     /// Nodes may be probed.
-    pub probes: bool,
+    pub health_checks_allowed: bool,
     /// Hosts that ask the same service for the list of nodes, this one included; 0 where it comes by itself.
-    pub list_askers: u32,
+    pub discovery_clients: u32,
     /// Without a watch, a host must ask for the list at least this often; 0 where it need not.
-    pub must_ask_in: Micros,
+    pub max_poll_interval: Micros,
     /// Nothing new may go to a draining or gone node later than this after the news.
     pub drain_grace: Micros,
-    /// A node starts at this part of its capacity or more.
-    pub cold_from: f64,
-    /// And is warm after this time at the latest.
-    pub cold_for: Micros,
-    /// The span over which a cold node's work is counted.
-    pub cold_span: Micros,
-    /// What a cold node bears, as a multiple of its capacity at the time.
-    pub cold_multiple: f64,
-    /// Units within that span that a node just started bears from all hosts together.
-    pub cold_units: f64,
+    /// How much a node that has just started takes.
+    pub slow_start: SlowStart,
     /// A key rests this long after an attempt that may still be running.
-    pub order_settle: Micros,
+    pub quiesce_period: Micros,
     /// The budget of further attempts, where there is one.
-    pub budget: Option<Budget>,
+    pub retry_budget: Option<RetryBudget>,
     /// Mean units of a request.
     pub mean_units: f64,
     /// Largest units of a request.
     pub max_units: f64,
     /// Period of the service meter; 0 where answers carry none.
-    pub meter_period: Micros,
+    pub usage_report_period: Micros,
     /// Answers tell what the node served for the volume through other hosts.
-    pub tells_elsewhere: bool,
+    pub reports_remote_units: bool,
     /// Part of the worth that units within the share earn.
-    pub share_worth: f64,
+    pub within_share_value: f64,
     /// Part of the worth that units beyond the share earn.
-    pub spare_worth: f64,
+    pub surplus_value: f64,
 }
 
 /// State of a node in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointStatus {
     /// Its process runs.
-    Serving,
+    InService,
     /// It finishes its work and takes nothing new.
     Draining,
     /// It was removed.
-    Gone,
+    Removed,
 }
 
 /// One line of the list of nodes.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct Endpoint {
     /// The node.
     pub node: NodeId,
     /// Its zone.
@@ -170,24 +177,24 @@
     /// What it holds.
     pub shard: Shard,
     /// Its state.
-    pub standing: Standing,
+    pub status: EndpointStatus,
     /// When it last started, if that is told.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// What a list event carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointListEvent {
     /// The host's own list from before it started; may be old.
-    Saved,
+    Cached,
     /// The complete list.
-    Full,
+    Snapshot,
     /// Changed lines only.
-    Changes,
+    Delta,
     /// A call failed.
-    Failed,
+    PollFailed,
     /// The watch broke, fell silent, or has to be opened elsewhere.
-    Lost,
+    WatchLost,
 }
 
 /// A client request.
@@ -202,7 +209,7 @@
     /// Its class, an index into the settings.
     pub class: usize,
     /// The piece of data, if it has one.
-    pub key: Option<Key>,
+    pub key: Option<ObjectKey>,
     /// Where the data is; `None` for a new object, which any node may take.
     pub shard: Option<Shard>,
     /// Its size.
@@ -210,9 +217,9 @@
     /// Hosts through which the volume's requests come.
     pub hosts: f64,
     /// When the client gives up.
-    pub due: Micros,
+    pub deadline: Micros,
     /// It is marked as a client's repeat.
-    pub retry: bool,
+    pub is_retry: bool,
 }
 
 /// How an attempt ended.
@@ -223,22 +230,22 @@
     /// The node answered with an error; it may have run.
     Error,
     /// The node had no room; it never ran.
-    Full,
+    Overloaded,
     /// No answer in time; it may have run or may still run.
     TimedOut,
     /// No connection; it never ran.
-    NoConnection,
+    ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
     /// Cancelled; it may have run.
     Cancelled,
     /// It was not sent at all.
-    NotSent,
+    NotDispatched,
 }
 
 /// How much a host remembers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct StateSizes {
     /// Nodes listed, or gone with answers still out.
     pub nodes: usize,
     /// Volumes that have asked something of late.
@@ -249,7 +256,7 @@
 
 /// The end of one attempt.
 #[derive(Clone, Debug)]
-pub struct Attempt {
+pub struct CompletedAttempt {
     /// The request.
     pub request: RequestId,
     /// Number of the attempt, from 0.
@@ -259,38 +266,38 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The request has its final answer.
-    pub closed: bool,
+    pub request_closed: bool,
     /// Time since the send.
-    pub took: Micros,
+    pub elapsed: Micros,
     /// Units the node served for the volume through other hosts since its last answer, if told.
-    pub elsewhere: f64,
+    pub remote_units: f64,
     /// Part of the usual rate served for the volume everywhere in a past period, if told.
-    pub used: Option<f64>,
+    pub utilization: Option<f64>,
 }
 
 /// What happens to a host.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The list of nodes, or changes to it.
-    List(ListKind, Vec<Listed>),
+    EndpointList(EndpointListEvent, Vec<Endpoint>),
     /// A request was taken.
-    Arrived(Request),
-    /// The time asked for with [`Action::Wake`] has come.
-    Woke,
+    RequestReceived(Request),
+    /// The time asked for with [`Action::SetTimer`] has come.
+    TimerFired,
     /// The answer of an attempt has begun; it is the client's from here on.
-    Begun(RequestId),
+    ResponseStarted(RequestId),
     /// The client has left or the request was closed.
-    Left(RequestId),
+    ClientDisconnected(RequestId),
     /// An attempt ended.
-    Ended(Attempt),
+    AttemptCompleted(CompletedAttempt),
     /// A probe was answered, or not.
-    Probed {
+    HealthCheckCompleted {
         /// The node.
         node: NodeId,
         /// It answered.
-        ok: bool,
+        healthy: bool,
         /// Time since the probe was sent.
-        took: Micros,
+        elapsed: Micros,
         /// Requests waiting or in hand at the node, if it reports either.
         load: Option<f64>,
     },
@@ -300,20 +307,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
-    Send {
+    Dispatch {
         /// The request.
         request: RequestId,
         /// Where to.
         node: NodeId,
         /// When the attempt is given up.
-        until: Micros,
+        deadline: Micros,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// For how long the client should stay away; 0 for no advice.
-        wait: Micros,
+        retry_after: Micros,
     },
     /// Final answer: failed; nothing is promised.
     Fail(RequestId),
@@ -325,9 +332,9 @@
         attempt: u32,
     },
     /// Watch the list of nodes from now on.
-    Watch,
+    OpenWatch,
     /// Ask a node for its load.
-    Probe(NodeId),
-    /// Hand in [`Event::Woke`] at this time or after.
-    Wake(Micros),
+    HealthCheck(NodeId),
+    /// Hand in [`Event::TimerFired`] at this time or after.
+    SetTimer(Micros),
 }
--- a/src/choice.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,10 +1,11 @@
-//! The decision module: every choice of linnetdoor is made here. Its interface is `src/api.rs`.
+//! The decision module: every choice of the gateway is made here. Its interface is `src/api.rs`.
 //!
 //! The ordinary path is dmClock as the README sums it up: per node and volume, tags R, L and P
 //! advance by plan rates and by service at all nodes; due R tags leave first, then the least P tag
 //! whose L is due, under a fixed cap of requests out at one node. The rest guards the seven rules.
 
 use crate::api::*;
+use crate::hash::unit_hash;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Requests that one host has out at one node: enough to keep its slots busy, few enough that what
@@ -99,7 +100,7 @@
 struct Entry {
     id: RequestId,
     at: f64,
-    worth: f64,
+    priority_weight: f64,
     rho: f64,
     delta: f64,
     tags: Tags,
@@ -152,7 +153,7 @@
 }
 
 struct Node {
-    line: Listed,
+    line: Endpoint,
     out: usize,
     out_units: f64,
     seen: Seen,
@@ -198,9 +199,9 @@
     /// Shards for which something is queued: only these are looked at, however large the fleet.
     waiting: BTreeSet<Shard>,
     /// Aims of requests that ended unserved, by what a client's repeat of them has in common.
-    unserved: BTreeMap<(VolumeId, Key, usize), Micros>,
-    lines: BTreeMap<Key, Line>,
-    resting: BTreeSet<(Micros, Key)>,
+    unserved: BTreeMap<(VolumeId, ObjectKey, usize), Micros>,
+    lines: BTreeMap<ObjectKey, Line>,
+    resting: BTreeSet<(Micros, ObjectKey)>,
     taken_log: VecDeque<Micros>,
     extra_log: VecDeque<Micros>,
     watch_at: Option<Micros>,
@@ -212,7 +213,7 @@
     /// A host that begins at `now`, with what the deployment states and a seed for its random numbers.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let first = now + spread(seed.wrapping_mul(GOLDEN), WATCH_WITHIN, &settings);
-        let watch_at = Some(first).filter(|_| settings.list_askers > 0);
+        let watch_at = Some(first).filter(|_| settings.discovery_clients > 0);
         Scheduler {
             set: settings,
             begun: now,
@@ -236,20 +237,20 @@
     }
 
     /// How much is remembered of nodes, volumes and shards.
-    pub fn known(&self) -> Known {
-        Known { nodes: self.nodes.len(), volumes: self.volumes.len(), shards: self.places.len() }
+    pub fn state_sizes(&self) -> StateSizes {
+        StateSizes { nodes: self.nodes.len(), volumes: self.volumes.len(), shards: self.places.len() }
     }
 
     /// Takes in all events of one moment, then chooses.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         for event in events {
             match event {
-                Event::List(kind, lines) => self.on_list(*kind, lines, now),
-                Event::Arrived(req) => self.on_arrival(req, now),
-                Event::Begun(id) => self.on_left(*id, now, None),
-                Event::Left(id) => self.on_left(*id, now, Some(actions)),
-                Event::Ended(attempt) => self.on_ended(attempt, now, actions),
-                Event::Woke | Event::Probed { .. } => {}
+                Event::EndpointList(kind, lines) => self.on_list(*kind, lines, now),
+                Event::RequestReceived(req) => self.on_arrival(req, now),
+                Event::ResponseStarted(id) => self.on_left(*id, now, None),
+                Event::ClientDisconnected(id) => self.on_left(*id, now, Some(actions)),
+                Event::AttemptCompleted(attempt) => self.on_ended(attempt, now, actions),
+                Event::TimerFired | Event::HealthCheckCompleted { .. } => {}
             }
         }
         self.armed = self.armed.filter(|at| *at > now);
@@ -265,7 +266,7 @@
             }
         }
         if self.watch_at.is_some_and(|at| at <= now) {
-            actions.push(Action::Watch);
+            actions.push(Action::OpenWatch);
             self.watch_at = Some(now + WATCH_WITHIN);
         }
         self.sweep(now);
@@ -283,7 +284,7 @@
         self.volumes.retain(|id, v| {
             // A volume that begins anew may spend a whole store: one that is not full stays.
             let plan = &plans[v.plan];
-            let owes = plan.limit > 0.0 && v.store_at(plan, now) < plan.limit_burst / v.hosts;
+            let owes = plan.limit > 0.0 && v.store_at(plan, now) < plan.burst_capacity / v.hosts;
             owes || asked.contains(id) || now - v.filled_at < VOLUME_KEPT
         });
         for place in self.places.values_mut() {
@@ -299,25 +300,25 @@
 
     // ---- following the list ----
 
-    fn on_list(&mut self, kind: ListKind, lines: &[Listed], now: Micros) {
-        if self.set.list_askers > 0 {
-            let (chance, hosts) = (self.seed ^ now as u64, Micros::from(self.set.list_askers));
+    fn on_list(&mut self, kind: EndpointListEvent, lines: &[Endpoint], now: Micros) {
+        if self.set.discovery_clients > 0 {
+            let (chance, hosts) = (self.seed ^ now as u64, Micros::from(self.set.discovery_clients));
             let again = now + (WATCH_AGAIN.0 * hosts).min(WATCH_AGAIN.1);
             self.watch_at = match kind {
-                ListKind::Failed => Some(again + spread(chance, WATCH_WITHIN, &self.set)),
-                ListKind::Lost => Some(again + spread(chance, WATCH_ANEW, &self.set)),
-                ListKind::Saved => self.watch_at,
-                ListKind::Full | ListKind::Changes => None,
+                EndpointListEvent::PollFailed => Some(again + spread(chance, WATCH_WITHIN, &self.set)),
+                EndpointListEvent::WatchLost => Some(again + spread(chance, WATCH_ANEW, &self.set)),
+                EndpointListEvent::Cached => self.watch_at,
+                EndpointListEvent::Snapshot | EndpointListEvent::Delta => None,
             };
         }
-        if matches!(kind, ListKind::Failed | ListKind::Lost) {
+        if matches!(kind, EndpointListEvent::PollFailed | EndpointListEvent::WatchLost) {
             return;
         }
-        if kind != ListKind::Changes {
+        if kind != EndpointListEvent::Delta {
             let named: BTreeSet<NodeId> = lines.iter().map(|l| l.node).collect();
             for (id, node) in &mut self.nodes {
                 if !named.contains(id) {
-                    node.line.standing = Standing::Gone;
+                    node.line.status = EndpointStatus::Removed;
                 }
             }
         }
@@ -325,21 +326,21 @@
             let new = || Node { line: line.clone(), out: 0, out_units: 0.0, seen: Seen::new() };
             let known = self.nodes.entry(line.node).or_insert_with(new);
             // A process that started again is cold and has forgotten what was wrong with it.
-            if line.started.is_some() && line.started != known.line.started {
+            if line.started_at.is_some() && line.started_at != known.line.started_at {
                 known.seen = Seen::new();
             }
             known.line = line.clone();
             self.places.entry(line.shard).or_default();
         }
         // With ever new ids, what is gone would pile up; answers still out are waited for.
-        self.nodes.retain(|_, n| n.line.standing != Standing::Gone || n.out > 0);
+        self.nodes.retain(|_, n| n.line.status != EndpointStatus::Removed || n.out > 0);
         for place in self.places.values_mut() {
             place.node = None;
         }
         for (id, node) in self.nodes.iter().filter(|(_, n)| n.serves()) {
             let place = self.places.entry(node.line.shard).or_default();
             // Of two that hold the same, the one that started last succeeds the other.
-            let newer = |other| (self.nodes[&other].line.started, other) < (node.line.started, *id);
+            let newer = |other| (self.nodes[&other].line.started_at, other) < (node.line.started_at, *id);
             if place.node.is_none_or(newer) {
                 place.node = Some(*id);
             }
@@ -370,16 +371,16 @@
         volume.hosts = req.hosts.max(1.0);
         let place = req.shard.and_then(|s| self.places.get(&s));
         volume.shards.extend(req.shard.filter(|_| place.is_some_and(|p| p.node.is_some())));
-        if let Some(budget) = &self.set.budget {
-            prune(&mut self.taken_log, |at| now - at > budget.span);
+        if let Some(budget) = &self.set.retry_budget {
+            prune(&mut self.taken_log, |at| now - at > budget.window);
             self.taken_log.push_back(now);
         }
         // A client's repeat counts from its first try: taken for new, it would take slots for nothing.
         let first = req.key.and_then(|k| self.unserved.remove(&(req.volume, k, req.class)));
         // A client short of time leaves before the aim: what it can't wait for takes no slot.
         let held = Held {
-            aim_at: first.unwrap_or(now + class.aim).min(req.due),
-            call_at: now + (req.due - now).max(0) / 2,
+            aim_at: first.unwrap_or(now + class.latency_objective).min(req.deadline),
+            call_at: now + (req.deadline - now).max(0) / 2,
             open: true,
             sent: 0,
             out: Vec::new(),
@@ -387,7 +388,7 @@
             queued: None,
             req: req.clone(),
         };
-        let ordered = class.in_order;
+        let ordered = class.ordered;
         self.dues.insert((held.call_at, req.id));
         self.held.insert(req.id, held);
         match req.key.filter(|_| ordered) {
@@ -405,7 +406,7 @@
     /// A request is over (closed and nothing out): it is forgotten, and the next of its key may go.
     fn settle(&mut self, id: RequestId, now: Micros) {
         let Some(held) = self.held.get(&id).filter(|h| !h.open && h.out.is_empty()) else { return };
-        let key = held.req.key.filter(|_| self.set.classes[held.req.class].in_order);
+        let key = held.req.key.filter(|_| self.set.classes[held.req.class].ordered);
         self.held.remove(&id);
         let Some(key) = key else { return };
         let Some(line) = self.lines.get_mut(&key) else { return };
@@ -472,10 +473,10 @@
         let rho = news.min(plan.reservation * (t - flow.tagged_at)).max(units);
         flow.counted += delta;
         flow.tagged_at = t;
-        let worth = self.set.classes[held.req.class].worth;
-        let entry = Entry { id, at: t, worth, rho, delta, tags: flow.base };
+        let worth = self.set.classes[held.req.class].priority_weight;
+        let entry = Entry { id, at: t, priority_weight: worth, rho, delta, tags: flow.base };
         // The volume's turn goes to its request of most worth a unit; among equals, turn of arrival.
-        let at = if again { 0 } else { flow.queue.partition_point(|e| e.worth >= worth) };
+        let at = if again { 0 } else { flow.queue.partition_point(|e| e.priority_weight >= worth) };
         flow.queue.insert(at, entry);
         flow.retag(at, plan, volume.hosts, &self.set, place.shift);
     }
@@ -486,7 +487,7 @@
         let Some(held) = self.held.get_mut(&id) else { return };
         let Some(place) = held.queued.take().and_then(|s| self.places.get_mut(&s)) else { return };
         place.held_units -= held.req.units;
-        place.late.remove(&(held.req.due, id));
+        place.late.remove(&(held.req.deadline, id));
         let volume = &self.volumes[&held.req.volume];
         let plan = &self.set.plans[volume.plan];
         let Some(flow) = place.flows.get_mut(&held.req.volume) else { return };
@@ -515,7 +516,7 @@
             held.queued = Some(shard);
             let place = self.places.get_mut(&shard).expect("looked up above");
             place.held_units += held.req.units;
-            place.late.insert((held.req.due, id));
+            place.late.insert((held.req.deadline, id));
         }
     }
 
@@ -537,10 +538,10 @@
             if reserved && node.roomy(1.0, now) && due.is_none_or(|d| head.tags.r < d.0) {
                 due = Some((head.tags.r, head.id));
             }
-            let worth = if surges { self.set.spare_worth } else { self.set.share_worth };
+            let worth = if surges { self.set.surplus_value } else { self.set.within_share_value };
             // The burst lets L run ahead; both are split evenly over the volume's hosts.
             let free = node.roomy(worth, now)
-                && (plan.limit <= 0.0 || head.tags.l <= t + plan.limit_burst / plan.limit);
+                && (plan.limit <= 0.0 || head.tags.l <= t + plan.burst_capacity / plan.limit);
             if free && fair.is_none_or(|f| head.tags.p < f.0) {
                 fair = Some((head.tags.p, head.id));
             }
@@ -582,7 +583,7 @@
         let volume = self.volumes.get_mut(&held.req.volume).expect("volume of a held request");
         let plan = &self.set.plans[volume.plan];
         place.held_units -= held.req.units;
-        if !place.late.remove(&(held.req.due, id)) {
+        if !place.late.remove(&(held.req.deadline, id)) {
             let flow = place.flows.get_mut(&held.req.volume).expect("flow of a queued request");
             let head = flow.queue.pop_front().expect("the head leaves");
             flow.base = head.tags;
@@ -597,8 +598,8 @@
             volume.store = volume.store_at(plan, now) - held.req.units;
             volume.filled_at = now;
         }
-        if let Some(budget) = self.set.budget.as_ref().filter(|_| held.sent > 0) {
-            prune(&mut self.extra_log, |at| now - at > budget.span);
+        if let Some(budget) = self.set.retry_budget.as_ref().filter(|_| held.sent > 0) {
+            prune(&mut self.extra_log, |at| now - at > budget.window);
             self.extra_log.push_back(now);
         }
         held.out.push((held.sent, to, now));
@@ -606,16 +607,16 @@
         let node = self.nodes.get_mut(&to).expect("place names a known node");
         node.out += 1;
         node.out_units += held.req.units;
-        prune(&mut node.seen.cold_log, |(at, _)| now - at > self.set.cold_span);
+        prune(&mut node.seen.cold_log, |(at, _)| now - at > self.set.slow_start.window);
         if node.is_cold(&self.set, now) {
             node.seen.cold_log.push_back((now, held.req.units));
         }
         let size = size(held.req.units, &self.set);
         let long = now + (PATIENCE * size * node.seen.latency.unwrap_or(0.0)) as Micros;
-        let lost = node.seen.loses(self.set.classes[held.req.class].aim);
+        let lost = node.seen.loses(self.set.classes[held.req.class].latency_objective);
         let lost = lost.map(|w| now + (w * size.max(1.0)) as Micros);
-        let until = lost.unwrap_or(held.aim_at.max(long)).min(held.req.due);
-        actions.push(Action::Send { request: id, node: to, until });
+        let until = lost.unwrap_or(held.aim_at.max(long)).min(held.req.deadline);
+        actions.push(Action::Dispatch { request: id, node: to, deadline: until });
     }
 
     // ---- what the rules allow ----
@@ -623,7 +624,7 @@
     fn may_send(&self, id: RequestId, to: NodeId, claim: Claim, now: Micros) -> bool {
         let Some(held) = self.held.get(&id) else { return false };
         let Some(node) = self.nodes.get(&to) else { return false };
-        if !held.open || !node.serves() || held.req.due <= now {
+        if !held.open || !node.serves() || held.req.deadline <= now {
             return false;
         }
         let volume = &self.volumes[&held.req.volume];
@@ -639,15 +640,15 @@
 
     fn may_run_again(&self, held: &Held, to: NodeId, now: Micros) -> bool {
         let Some((first, at)) = held.ran else { return true };
-        match self.set.classes[held.req.class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { group, window } => {
+        match self.set.classes[held.req.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed { scope, window } => {
                 let (Some(a), Some(b)) = (self.nodes.get(&first), self.nodes.get(&to)) else { return false };
-                let same = match group {
-                    Group::All => true,
-                    Group::Zone => a.line.zone == b.line.zone,
-                    Group::Shard => a.line.shard == b.line.shard,
+                let same = match scope {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => a.line.zone == b.line.zone,
+                    DeduplicationScope::Shard => a.line.shard == b.line.shard,
                 };
                 same && now - at < window
             }
@@ -655,30 +656,33 @@
     }
 
     fn within_budget(&self, now: Micros) -> bool {
-        let Some(budget) = &self.set.budget else { return true };
-        let taken = self.taken_log.iter().filter(|at| now - **at < budget.span).count() as f64;
-        let made = self.extra_log.iter().filter(|at| now - **at <= budget.span).count() as f64;
-        made + 1.0 <= budget.free + budget.ratio * taken
+        let Some(budget) = &self.set.retry_budget else { return true };
+        let taken = self.taken_log.iter().filter(|at| now - **at < budget.window).count() as f64;
+        let made = self.extra_log.iter().filter(|at| now - **at <= budget.window).count() as f64;
+        made + 1.0 <= budget.allowance + budget.ratio * taken
     }
 
     /// Guards a cold node from all hosts together: each keeps to its part of what the node bears for certain
     /// at its age. With many hosts that may be less than one request, which then leaves by a lot that the
     /// host draws anew for each span.
     fn cold_bears(&self, held: &Held, node: &Node, claim: Claim, now: Micros) -> bool {
-        let Some(started) = node.line.started.filter(|_| node.is_cold(&self.set, now)) else { return true };
-        let age = ((now - started - self.set.cold_span) as f64 / self.set.cold_for as f64).max(0.0);
-        let share = self.set.cold_from + (1.0 - self.set.cold_from) * age;
-        let all = self.set.cold_units * share / self.set.cold_from.max(1e-9);
+        let set = &self.set.slow_start;
+        let Some(started) = node.line.started_at.filter(|_| node.is_cold(&self.set, now)) else {
+            return true;
+        };
+        let age = ((now - started - set.window) as f64 / set.duration as f64).max(0.0);
+        let share = set.initial_capacity + (1.0 - set.initial_capacity) * age;
+        let all = set.units * share / set.initial_capacity.max(1e-9);
         // What nodes can do warm is what their volumes are sized for, or more; a cold one bears a multiple of
         // its part of that.
-        let sized = self.sized(node.line.shard) * self.set.cold_span as f64 / 1e6;
-        let by_size = (COLD_SIZED * sized * self.set.cold_multiple * share).min(all);
+        let sized = self.sized(node.line.shard) * set.window as f64 / 1e6;
+        let by_size = (COLD_SIZED * sized * set.burst_factor * share).min(all);
         let hosts = f64::from(self.set.hosts.max(1));
         let own = by_size + (all / hosts - by_size) / hosts.sqrt();
         let own = if claim == Claim::Spare { COLD_SPARE * own } else { own };
-        let log = node.seen.cold_log.iter().filter(|(at, _)| now - at <= self.set.cold_span);
+        let log = node.seen.cold_log.iter().filter(|(at, _)| now - at <= set.window);
         let sent: f64 = log.map(|(_, units)| units).sum();
-        let turn = (now / self.set.cold_span.max(1)) as u64 ^ node.line.node.0.wrapping_mul(GOLDEN);
+        let turn = (now / set.window.max(1)) as u64 ^ node.line.node.0.wrapping_mul(GOLDEN);
         let lot = held.req.units * unit_hash(self.seed ^ turn.wrapping_mul(GOLDEN));
         own + lot - sent >= held.req.units && (sent <= 0.0 || all - sent >= held.req.units)
     }
@@ -686,7 +690,8 @@
     /// Units a second that the volumes at a shard are sized for there through this host.
     fn sized(&self, shard: Shard) -> f64 {
         let volumes = self.places[&shard].flows.keys().filter_map(|v| self.volumes.get(v));
-        volumes.map(|v| self.set.plans[v.plan].usual / v.hosts / v.shards.len().max(1) as f64).sum()
+        let rate = |v: &Volume| self.set.plans[v.plan].provisioned_rate / v.hosts;
+        volumes.map(|v| rate(v) / v.shards.len().max(1) as f64).sum()
     }
 
     // ---- node choice for new objects ----
@@ -696,7 +701,7 @@
     fn place_for_new(&self, id: RequestId, now: Micros) -> Option<Shard> {
         let held = &self.held[&id];
         let serving = || self.nodes.values().filter(|n| n.serves()).filter_map(|n| n.seen.latency);
-        let usual = serving().sum::<f64>() / serving().count().max(1) as f64;
+        let mean = serving().sum::<f64>() / serving().count().max(1) as f64;
         let mut best: Option<((bool, f64), Shard)> = None;
         for (shard, place) in &self.places {
             let Some(node) = place.node.and_then(|n| self.nodes.get(&n)) else { continue };
@@ -705,7 +710,7 @@
             }
             let poor = node.seen.shut() || node.seen.errors > ERROR_SHARE || node.is_cold(&self.set, now);
             let ahead = node.out_units + place.held_units + held.req.units;
-            let cost = (poor, node.seen.latency.unwrap_or(usual).max(1.0) * ahead / node.seen.room);
+            let cost = (poor, node.seen.latency.unwrap_or(mean).max(1.0) * ahead / node.seen.room);
             if best.is_none_or(|b| cost < b.0) {
                 best = Some((cost, *shard));
             }
@@ -722,7 +727,7 @@
         2 * shut > all
     }
 
-    fn on_ended(&mut self, a: &Attempt, now: Micros, actions: &mut Vec<Action>) {
+    fn on_ended(&mut self, a: &CompletedAttempt, now: Micros, actions: &mut Vec<Action>) {
         let Some(held) = self.held.get_mut(&a.request) else { return };
         let Some(at) = held.out.iter().position(|o| o.0 == a.number) else { return };
         let (_, to, sent_at) = held.out.remove(at);
@@ -733,7 +738,7 @@
             node.out = node.out.saturating_sub(1);
             node.out_units -= units;
             node.seen.learn(a, size(units, &self.set), now);
-            node.seen.make_room(a, self.set.classes[held.req.class].aim, sent_at, now);
+            node.seen.make_room(a, self.set.classes[held.req.class].latency_objective, sent_at, now);
         }
         volume.learn(a, if served { units } else { 0.0 }, &self.set, now);
         if !served {
@@ -742,14 +747,15 @@
                 flow.counted -= units;
             }
         }
-        let may_have_run = !matches!(a.outcome, Outcome::Full | Outcome::NoConnection | Outcome::NotSent);
+        let may_have_run =
+            !matches!(a.outcome, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotDispatched);
         held.ran = held.ran.or(may_have_run.then_some((to, sent_at)));
         if matches!(a.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
             if let Some(line) = held.req.key.and_then(|k| self.lines.get_mut(&k)) {
-                line.rest_until = line.rest_until.max(now + self.set.order_settle);
+                line.rest_until = line.rest_until.max(now + self.set.quiesce_period);
             }
         }
-        if a.closed || served {
+        if a.request_closed || served {
             self.close(a.request, served, now);
         } else if self.held[&a.request].open && self.held[&a.request].out.is_empty() {
             self.go_on(a.request, to, a.outcome, now, actions);
@@ -761,7 +767,8 @@
     /// Another attempt if it is allowed and can still earn, else the final answer.
     fn go_on(&mut self, id: RequestId, to: NodeId, how: Outcome, now: Micros, actions: &mut Vec<Action>) {
         let held = &self.held[&id];
-        let hopeless = how == Outcome::NotSent || held.sent >= self.set.max_attempts || held.req.due <= now;
+        let hopeless =
+            how == Outcome::NotDispatched || held.sent >= self.set.max_attempts || held.req.deadline <= now;
         let next = self.nodes.get(&to).and_then(|n| self.places.get(&n.line.shard)).and_then(|p| p.node);
         let barred = held.ran.is_some() && !next.is_some_and(|n| self.may_run_again(held, n, now));
         if hopeless || barred {
@@ -778,9 +785,9 @@
     fn answer_due(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some((at, id)) = self.dues.first().copied().filter(|(due, _)| *due <= now) {
             let held = self.held.get_mut(&id).expect("what is due is held");
-            if held.call_at < held.req.due && (!held.out.is_empty() || held.ran.is_some()) {
+            if held.call_at < held.req.deadline && (!held.out.is_empty() || held.ran.is_some()) {
                 self.dues.remove(&(at, id));
-                held.call_at = held.req.due;
+                held.call_at = held.req.deadline;
                 self.dues.insert((held.call_at, id));
             } else {
                 self.answer(id, now, actions);
@@ -792,12 +799,12 @@
     fn answer(&mut self, id: RequestId, now: Micros, actions: &mut Vec<Action>) {
         let Some(held) = self.held.get(&id).filter(|h| h.open) else { return };
         let never_ran = held.ran.is_none() && held.out.is_empty();
-        let harmless = match self.set.classes[held.req.class].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
-            Effect::Keyed { .. } | Effect::Unsafe => never_ran,
+        let harmless = match self.set.classes[held.req.class].idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => never_ran,
         };
-        let wait = self.come_back(held, now);
-        actions.push(if harmless { Action::Refuse { request: id, wait } } else { Action::Fail(id) });
+        let retry_after = self.come_back(held, now);
+        actions.push(if harmless { Action::Reject { request: id, retry_after } } else { Action::Fail(id) });
         self.close(id, false, now);
     }
 
@@ -826,7 +833,9 @@
     }
 
     fn on_left(&mut self, id: RequestId, now: Micros, actions: Option<&mut Vec<Action>>) {
-        if let (Some(held), Some(actions), true) = (self.held.get(&id), actions, self.set.may_cancel) {
+        if let (Some(held), Some(actions), true) =
+            (self.held.get(&id), actions, self.set.cancellation_allowed)
+        {
             actions.extend(held.out.iter().map(|o| Action::Cancel { request: id, attempt: o.0 }));
         }
         self.close(id, false, now);
@@ -851,15 +860,15 @@
         let Some(at) = [soon, due, rest, self.watch_at].into_iter().flatten().min() else { return };
         if self.armed.is_none_or(|armed| at < armed) {
             self.armed = Some(at);
-            actions.push(Action::Wake(at));
+            actions.push(Action::SetTimer(at));
         }
     }
 }
 
 /// This host's part of the time over which hosts that have the same reason spread their list calls.
 fn spread(chance: u64, most: Micros, set: &Settings) -> Micros {
-    let others = Micros::from(set.list_askers.saturating_sub(1));
-    let most = if set.must_ask_in > 0 { most.min(set.must_ask_in / 2) } else { most };
+    let others = Micros::from(set.discovery_clients.saturating_sub(1));
+    let most = if set.max_poll_interval > 0 { most.min(set.max_poll_interval / 2) } else { most };
     (unit_hash(chance) * (WATCH_SPREAD * others).min(most) as f64) as Micros
 }
 
@@ -869,13 +878,6 @@
     }
 }
 
-/// Spreads a number over [0, 1) (splitmix64).
-fn unit_hash(n: u64) -> f64 {
-    let z = (n ^ (n >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-    let z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-    ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
-}
-
 /// How long a request of this size takes, against one of mean size.
 fn size(units: f64, set: &Settings) -> f64 {
     1.0 - SIZE_PART + SIZE_PART * units / set.mean_units.max(1e-9)
@@ -889,10 +891,10 @@
 
 impl Flow {
     /// Sets the tags of the entries from `from` on, each from the one before it.
-    fn retag(&mut self, from: usize, plan: &Plan, hosts: f64, set: &Settings, shift: f64) {
+    fn retag(&mut self, from: usize, plan: &VolumePlan, hosts: f64, set: &Settings, shift: f64) {
         let mut last = if from == 0 { self.base } else { self.queue[from - 1].tags };
         let weight = plan.weight.max(1e-9);
-        let own = if set.meter_period > 0 || set.tells_elsewhere { 1.0 } else { hosts };
+        let own = if set.usage_report_period > 0 || set.reports_remote_units { 1.0 } else { hosts };
         for e in self.queue.iter_mut().skip(from) {
             if plan.reservation > 0.0 {
                 last.r = (last.r + e.rho / plan.reservation).max(e.at);
@@ -900,7 +902,7 @@
             if plan.limit > 0.0 {
                 last.l = (last.l + e.delta / (plan.limit / hosts)).max(e.at);
             }
-            last.u = (last.u + e.delta / (plan.usual / own).max(1e-9)).max(e.at);
+            last.u = (last.u + e.delta / (plan.provisioned_rate / own).max(1e-9)).max(e.at);
             last.p = (last.p + e.delta / weight).max(e.at - IDLE_CREDIT * set.max_units / weight + shift);
             e.tags = last;
         }
@@ -908,19 +910,19 @@
 }
 
 impl Volume {
-    fn store_at(&self, plan: &Plan, now: Micros) -> f64 {
+    fn store_at(&self, plan: &VolumePlan, now: Micros) -> f64 {
         let filled = self.store + plan.limit / self.hosts * (now - self.filled_at) as f64 / 1e6;
-        filled.min(plan.limit_burst / self.hosts)
+        filled.min(plan.burst_capacity / self.hosts)
     }
 
     /// Counts service: here, told by the node for other hosts, and what the meter shows beyond both.
-    fn learn(&mut self, a: &Attempt, units: f64, set: &Settings, now: Micros) {
-        self.own += units + a.elsewhere;
-        self.served += units + a.elsewhere;
-        let Some(used) = a.used else { return };
+    fn learn(&mut self, a: &CompletedAttempt, units: f64, set: &Settings, now: Micros) {
+        self.own += units + a.remote_units;
+        self.served += units + a.remote_units;
+        let Some(utilization) = a.utilization else { return };
         let gap = self.metered_at.map_or(Micros::MAX, |at| now - at);
-        if gap <= 2 * set.meter_period {
-            self.surplus += used * set.plans[self.plan].usual * gap as f64 / 1e6 - self.own;
+        if gap <= 2 * set.usage_report_period {
+            self.surplus += utilization * set.plans[self.plan].provisioned_rate * gap as f64 / 1e6 - self.own;
             self.served += self.surplus.max(0.0);
             self.surplus = self.surplus.min(0.0);
         } else {
@@ -933,7 +935,7 @@
 
 impl Node {
     fn serves(&self) -> bool {
-        self.line.standing == Standing::Serving
+        self.line.status == EndpointStatus::InService
     }
 
     /// Departure: while a node is cut, what no reservation covers finds only its worth's part of the
@@ -945,7 +947,7 @@
     }
 
     fn is_cold(&self, set: &Settings, now: Micros) -> bool {
-        self.line.started.is_some_and(|s| now - s < set.cold_for)
+        self.line.started_at.is_some_and(|s| now - s < set.slow_start.duration)
     }
 }
 
@@ -967,17 +969,18 @@
     }
 
     /// Departure: where answers get lost while the others come quickly, the time to wait for one.
-    fn loses(&self, aim: Micros) -> Option<f64> {
+    fn loses(&self, latency_objective: Micros) -> Option<f64> {
         let wait = self.latency? + SPREAD * self.deviation;
-        (self.missing > LOSSY && !self.shut() && wait < LOSSY_QUICK * aim as f64).then_some(wait)
+        (self.missing > LOSSY && !self.shut() && wait < LOSSY_QUICK * latency_objective as f64)
+            .then_some(wait)
     }
 
     /// Departure: while answers of a node are slow, fewer than the fixed cap are out there.
-    fn make_room(&mut self, a: &Attempt, aim: Micros, sent_at: Micros, now: Micros) {
+    fn make_room(&mut self, a: &CompletedAttempt, latency_objective: Micros, sent_at: Micros, now: Micros) {
         if !matches!(a.outcome, Outcome::Served | Outcome::TimedOut | Outcome::Error) {
             return;
         }
-        if a.took as f64 > SLOW_ANSWER * aim as f64 || a.outcome == Outcome::TimedOut {
+        if a.elapsed as f64 > SLOW_ANSWER * latency_objective as f64 || a.outcome == Outcome::TimedOut {
             if sent_at >= self.cut_at {
                 self.room = (self.room * CUT).max(LEAST_ROOM);
                 self.cut_at = now;
@@ -985,10 +988,10 @@
         } else {
             self.room = (self.room + GROW / self.room.max(1.0)).min(NODE_CAP as f64);
         }
-        (self.rest, self.rested) = (a.took.min(aim) as f64, now);
+        (self.rest, self.rested) = (a.elapsed.min(latency_objective) as f64, now);
     }
 
-    fn learn(&mut self, a: &Attempt, size: f64, now: Micros) {
+    fn learn(&mut self, a: &CompletedAttempt, size: f64, now: Micros) {
         match a.outcome {
             Outcome::Served => {
                 // A trial that is answered ends the wait for the next one.
@@ -999,19 +1002,19 @@
                 self.answers = self.answers.saturating_add(1);
                 self.answered_at = now;
                 self.errors *= 1.0 - LATENCY_GAIN;
-                let took = a.took as f64 / size;
+                let took = a.elapsed as f64 / size;
                 self.missing *= 1.0 - MISSING_GAIN;
                 let off = self.latency.map_or(took / 2.0, |l| (took - l).abs());
                 self.deviation += LATENCY_GAIN * (off - self.deviation);
                 self.latency = Some(self.latency.map_or(took, |l| l + LATENCY_GAIN * (took - l)));
             }
             Outcome::Error => self.errors += LATENCY_GAIN * (1.0 - self.errors),
-            Outcome::Full => self.wait_until = self.wait_until.max(now + FULL_PAUSE),
-            Outcome::TimedOut | Outcome::NoConnection | Outcome::Reset => {
+            Outcome::Overloaded => self.wait_until = self.wait_until.max(now + FULL_PAUSE),
+            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
                 self.misses += 1;
                 self.missing += MISSING_GAIN * (1.0 - self.missing);
             }
-            Outcome::Cancelled | Outcome::NotSent => {}
+            Outcome::Cancelled | Outcome::NotDispatched => {}
         }
     }
 }
