--- a/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,57 +1,65 @@
 //! A small bench for module tests: settings to change, events to feed, actions to look at.
 #![allow(dead_code)]
 
-use linnetdoor_sched::*;
+use io_scheduler::*;
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect) -> Class {
-    Class { aim: 500 * MS, worth: 1.0, late_worth: 0.1, effect, in_order: false }
+pub fn class(idempotency: Idempotency) -> RequestClass {
+    RequestClass {
+        latency_objective: 500 * MS,
+        priority_weight: 1.0,
+        late_value: 0.1,
+        idempotency,
+        ordered: false,
+    }
 }
 
-pub fn plan(reservation: f64, weight: f64, limit: f64) -> Plan {
-    Plan {
+pub fn plan(reservation: f64, weight: f64, limit: f64) -> VolumePlan {
+    VolumePlan {
         reservation,
         weight,
         limit,
-        limit_burst: limit,
-        limit_slack: limit * 0.1,
-        price: 1.0,
-        usual: reservation.max(1.0),
+        burst_capacity: limit,
+        overdraft: limit * 0.1,
+        tenant_weight: 1.0,
+        provisioned_rate: reservation.max(1.0),
     }
 }
 
 pub fn settings() -> Settings {
     Settings {
-        classes: vec![class(Effect::Safe)],
+        classes: vec![class(Idempotency::Idempotent)],
         plans: vec![plan(0.0, 1.0, 0.0)],
         hosts: 1,
         max_attempts: 3,
-        second_copies: false,
-        may_cancel: true,
-        probes: false,
-        list_askers: 0,
-        must_ask_in: 10 * S,
+        hedging_allowed: false,
+        cancellation_allowed: true,
+        health_checks_allowed: false,
+        discovery_clients: 0,
+        max_poll_interval: 10 * S,
         drain_grace: 250 * MS,
-        cold_from: 0.2,
-        cold_for: 10 * S,
-        cold_span: S,
-        cold_multiple: 3.0,
-        cold_units: 20.0,
-        order_settle: 0,
-        budget: None,
+        slow_start: SlowStart {
+            initial_capacity: 0.2,
+            duration: 10 * S,
+            window: S,
+            burst_factor: 3.0,
+            units: 20.0,
+        },
+        quiesce_period: 0,
+        retry_budget: None,
         mean_units: 2.0,
         max_units: 6.0,
-        meter_period: 0,
-        tells_elsewhere: false,
-        share_worth: 0.35,
-        spare_worth: 0.1,
+        usage_report_period: 0,
+        reports_remote_units: false,
+        within_share_value: 0.35,
+        surplus_value: 0.1,
     }
 }
 
-pub fn line(node: u64, standing: Standing, started: Option<Micros>) -> Listed {
-    Listed { node: NodeId(node), zone: Zone(node % 2), shard: Shard(node), standing, started }
+pub fn line(node: u64, status: EndpointStatus, started_at: Option<Micros>) -> Endpoint {
+    Endpoint { node: NodeId(node), zone: Zone(node % 2), shard: Shard(node), status, started_at }
 }
 
 pub struct Host {
@@ -68,8 +76,8 @@
 
     pub fn seeded(settings: Settings, nodes: u64, seed: u64) -> Self {
         let mut host = Host { scheduler: Scheduler::new(settings, seed, 0), now: 0, next: 0 };
-        let lines = (0..nodes).map(|n| line(n, Standing::Serving, None)).collect();
-        host.feed(vec![Event::List(ListKind::Full, lines)]);
+        let lines = (0..nodes).map(|n| line(n, EndpointStatus::InService, None)).collect();
+        host.feed(vec![Event::EndpointList(EndpointListEvent::Snapshot, lines)]);
         host
     }
 
@@ -98,8 +106,8 @@
             shard: shard.map(Shard),
             units: 1.0,
             hosts: 1.0,
-            due: self.now + 2 * S,
-            retry: false,
+            deadline: self.now + 2 * S,
+            is_retry: false,
         }
     }
 
@@ -110,33 +118,33 @@
             let r = Request { id: RequestId(1_000_000 + n), volume: VolumeId(1_000_000), ..r };
             self.next -= 1;
             let id = r.id.0;
-            self.feed(vec![Event::Arrived(r)]);
+            self.feed(vec![Event::RequestReceived(r)]);
             self.feed(vec![ended(id, 0, node, Outcome::Served, 0)]);
         }
     }
 
     pub fn wake(&mut self, now: Micros) -> Vec<Action> {
-        self.at(now, vec![Event::Woke])
+        self.at(now, vec![Event::TimerFired])
     }
 }
 
 pub fn ended(request: u64, number: u32, node: u64, outcome: Outcome, took: Micros) -> Event {
-    Event::Ended(Attempt {
+    Event::AttemptCompleted(CompletedAttempt {
         request: RequestId(request),
         number,
         node: NodeId(node),
         outcome,
-        closed: outcome == Outcome::Served,
-        took,
-        elsewhere: 0.0,
-        used: None,
+        request_closed: outcome == Outcome::Served,
+        elapsed: took,
+        remote_units: 0.0,
+        utilization: None,
     })
 }
 
 /// Requests and nodes of the sends, in order.
 pub fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
     let send = |a: &Action| match a {
-        Action::Send { request, node, .. } => Some((request.0, node.0)),
+        Action::Dispatch { request, node, .. } => Some((request.0, node.0)),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
@@ -144,7 +152,7 @@
 
 pub fn refused(actions: &[Action]) -> Vec<u64> {
     let refuse = |a: &Action| match a {
-        Action::Refuse { request, .. } => Some(request.0),
+        Action::Reject { request, .. } => Some(request.0),
         _ => None,
     };
     actions.iter().filter_map(refuse).collect()
--- a/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use linnetdoor_sched::*;
+use io_scheduler::*;
 
 #[test]
 fn a_host_has_one_out_at_a_node_it_knows_nothing_of_and_quick_answers_make_room() {
@@ -13,7 +13,7 @@
         if warm {
             host.warm(0);
         }
-        let rs: Vec<Event> = (0..8).map(|_| Event::Arrived(host.request(Some(0)))).collect();
+        let rs: Vec<Event> = (0..8).map(|_| Event::RequestReceived(host.request(Some(0)))).collect();
         assert_eq!(sends(&host.feed(rs)).len(), out, "{hosts} hosts, warm {warm}");
     }
 }
@@ -26,21 +26,21 @@
     let mut host = Host::new(set, 1);
     for n in 0..10 {
         let r = host.request(Some(0));
-        assert_eq!(sends(&host.feed(vec![Event::Arrived(r)])), [(n, 0)]);
+        assert_eq!(sends(&host.feed(vec![Event::RequestReceived(r)])), [(n, 0)]);
         host.at(host.now + 100 * MS, vec![ended(n, 0, 0, Outcome::Served, 100 * MS)]);
     }
     for (left, sent) in [(60 * MS, 0), (400 * MS, 1)] {
         let mut r = host.request(Some(0));
-        r.due = host.now + left;
+        r.deadline = host.now + left;
         let id = r.id.0;
-        assert_eq!(sends(&host.feed(vec![Event::Arrived(r)])).len(), sent, "{left} left");
+        assert_eq!(sends(&host.feed(vec![Event::RequestReceived(r)])).len(), sent, "{left} left");
         // What is unsent after half of its time is refused then, with the time to come back: held to its
         // end it would most likely be refused all the same, and its client would have waited for it.
         let half = host.now + left / 2;
         assert_eq!(refused(&host.wake(half - MS)), [] as [u64; 0]);
         let actions = host.wake(half);
         let waits = actions.iter().filter_map(|a| match a {
-            Action::Refuse { request, wait } => Some((request.0, *wait > 0)),
+            Action::Reject { request, retry_after } => Some((request.0, *retry_after > 0)),
             _ => None,
         });
         assert_eq!(waits.collect::<Vec<_>>(), if sent == 0 { vec![(id, true)] } else { vec![] });
@@ -56,17 +56,17 @@
         let mut host = Host::new(set, 1);
         for n in 0..4 {
             let r = host.request(Some(0));
-            assert_eq!(sends(&host.feed(vec![Event::Arrived(r)])), [(n, 0)]);
+            assert_eq!(sends(&host.feed(vec![Event::RequestReceived(r)])), [(n, 0)]);
             host.at(host.now + 200 * MS, vec![ended(n, 0, 0, Outcome::Served, 200 * MS)]);
             host.now += 2 * S;
         }
         let r = host.request(Some(0));
-        host.feed(vec![Event::Arrived(r)]);
+        host.feed(vec![Event::RequestReceived(r)]);
         host.at(host.now + 200 * MS, vec![ended(4, 0, 0, Outcome::Served, 200 * MS)]);
         host.now += 700 * MS;
         let r = host.request(Some(0));
-        let r = Request { plan: 1, volume: VolumeId(1), due: host.now + 20 * S, ..r };
-        let sent = sends(&host.feed(vec![Event::Arrived(r)]));
+        let r = Request { plan: 1, volume: VolumeId(1), deadline: host.now + 20 * S, ..r };
+        let sent = sends(&host.feed(vec![Event::RequestReceived(r)]));
         assert_eq!(!sent.is_empty(), within, "reservation {reservation}");
     }
 }
@@ -78,14 +78,14 @@
     for burst in [0, 10] {
         let mut set = settings();
         set.plans[0] = plan(0.0, 1.0, 0.0);
-        set.plans[0].usual = 5.0;
-        set.meter_period = S;
+        set.plans[0].provisioned_rate = 5.0;
+        set.usage_report_period = S;
         let mut host = Host::new(set, 1);
         let mut serve = |units: f64, took: Micros| {
             let r = host.request(Some(0));
             let id = r.id.0;
-            let r = Request { volume: VolumeId(1), units, due: host.now + 20 * S, ..r };
-            let mut seen = sends(&host.feed(vec![Event::Arrived(r)]));
+            let r = Request { volume: VolumeId(1), units, deadline: host.now + 20 * S, ..r };
+            let mut seen = sends(&host.feed(vec![Event::RequestReceived(r)]));
             let begun = host.now;
             for _ in 0..80 {
                 if seen.is_empty() {
@@ -113,16 +113,16 @@
 
 impl Discovery {
     /// When a call ends, and how.
-    fn call(&mut self, now: Micros) -> (Micros, ListKind) {
+    fn call(&mut self, now: Micros) -> (Micros, EndpointListEvent) {
         if self.down.contains(&now) {
-            return (now + 2 * S, ListKind::Failed);
+            return (now + 2 * S, EndpointListEvent::PollFailed);
         }
         let begun = now.max(self.free_at);
         self.free_at = begun + self.pace;
         if begun - now > 2 * S {
-            (now + 2 * S, ListKind::Failed)
+            (now + 2 * S, EndpointListEvent::PollFailed)
         } else {
-            (begun + self.pace, ListKind::Changes)
+            (begun + self.pace, EndpointListEvent::Delta)
         }
     }
 }
@@ -134,26 +134,26 @@
 }
 
 /// A fleet beside a discovery of which all watches end at a time.
-fn ask(hosts: u32, mut discovery: Discovery, lost: Option<Micros>, span: Micros) -> Asked {
+fn ask(hosts: u32, mut discovery: Discovery, lost: Option<Micros>, window: Micros) -> Asked {
     let mut set = settings();
-    (set.hosts, set.list_askers) = (hosts, hosts);
-    let host = |seed| (Scheduler::new(set.clone(), seed, 0), None::<(Micros, ListKind)>);
+    (set.hosts, set.discovery_clients) = (hosts, hosts);
+    let host = |seed| (Scheduler::new(set.clone(), seed, 0), None::<(Micros, EndpointListEvent)>);
     let mut fleet: Vec<_> = (1..=u64::from(hosts)).map(host).collect();
     let mut asked = Asked { calls: vec![], told: vec![None; fleet.len()] };
-    for now in (0..span).step_by(10 * MS as usize) {
+    for now in (0..window).step_by(10 * MS as usize) {
         for (n, (scheduler, pending)) in fleet.iter_mut().enumerate() {
-            let mut events = vec![Event::Woke];
+            let mut events = vec![Event::TimerFired];
             if let Some((_, kind)) = pending.take_if(|(at, _)| *at <= now) {
-                events.push(Event::List(kind, vec![]));
-                asked.told[n] = (kind != ListKind::Failed).then_some(now).or(asked.told[n]);
+                events.push(Event::EndpointList(kind, vec![]));
+                asked.told[n] = (kind != EndpointListEvent::PollFailed).then_some(now).or(asked.told[n]);
             }
             if lost == Some(now) {
-                events.push(Event::List(ListKind::Lost, vec![]));
+                events.push(Event::EndpointList(EndpointListEvent::WatchLost, vec![]));
                 (*pending, asked.told[n]) = (None, None);
             }
             let mut actions = Vec::new();
             scheduler.handle(now, &events, &mut actions);
-            if actions.contains(&Action::Watch) {
+            if actions.contains(&Action::OpenWatch) {
                 assert!(pending.is_none(), "one call at a time");
                 asked.calls.push(now);
                 *pending = Some(discovery.call(now));
@@ -217,7 +217,7 @@
 struct ColdNode {
     /// When requests were sent, all of two units.
     sent: Vec<Micros>,
-    cold_units: f64,
+    slow_start_units: f64,
 }
 
 const COLD_AT: Micros = 100 * S;
@@ -230,16 +230,19 @@
     const HOSTS_A_VOLUME: u64 = 3;
     let mut set = settings();
     set.hosts = hosts;
-    (set.cold_from, set.cold_multiple) = (0.2, 3.0);
-    set.cold_units = WARM * set.cold_from * set.cold_multiple;
+    (set.slow_start.initial_capacity, set.slow_start.burst_factor) = (0.2, 3.0);
+    set.slow_start.units = WARM * set.slow_start.initial_capacity * set.slow_start.burst_factor;
     let sized = WARM * part / VOLUMES as f64;
-    set.plans = vec![Plan { usual: sized, ..plan(sized * 0.6, 1.0, 0.0) }];
+    set.plans = vec![VolumePlan { provisioned_rate: sized, ..plan(sized * 0.6, 1.0, 0.0) }];
     let mut fleet: Vec<Host> =
         (0..hosts).map(|n| Host::seeded(set.clone(), 0, seed * 1_000 + u64::from(n))).collect();
     let (mut sent, mut out) = (Vec::new(), Vec::new());
     for host in &mut fleet {
         host.now = COLD_AT;
-        host.feed(vec![Event::List(ListKind::Full, vec![line(0, Standing::Serving, Some(COLD_AT))])]);
+        host.feed(vec![Event::EndpointList(
+            EndpointListEvent::Snapshot,
+            vec![line(0, EndpointStatus::InService, Some(COLD_AT))],
+        )]);
     }
     // A request of two units in each step of a volume's pace, through its hosts in turn.
     let pace = (2.0 * 1e6 / (sized * times)) as Micros;
@@ -253,8 +256,8 @@
             let r = fleet[n].request(Some(0));
             let id = RequestId(r.id.0 * VOLUMES + v);
             let (volume, hosts) = (VolumeId(v), HOSTS_A_VOLUME as f64);
-            let r = Request { id, volume, hosts, units: 2.0, due: now + 2 * S, ..r };
-            let actions = fleet[n].at(now, vec![Event::Arrived(r)]);
+            let r = Request { id, volume, hosts, units: 2.0, deadline: now + 2 * S, ..r };
+            let actions = fleet[n].at(now, vec![Event::RequestReceived(r)]);
             out.extend(sends(&actions).iter().map(|(id, _)| (now + took, n, *id)));
             sent.extend(sends(&actions).iter().map(|_| now));
         }
@@ -262,12 +265,12 @@
             let ends: Vec<u64> = out.iter().filter(|o| o.0 <= now && o.1 == n).map(|o| o.2).collect();
             out.retain(|o| o.0 > now || o.1 != n);
             let events = ends.iter().map(|id| ended(*id, 0, 0, Outcome::Served, took));
-            let actions = host.at(now, events.chain([Event::Woke]).collect());
+            let actions = host.at(now, events.chain([Event::TimerFired]).collect());
             out.extend(sends(&actions).iter().map(|(id, _)| (now + took, n, *id)));
             sent.extend(sends(&actions).iter().map(|_| now));
         }
     }
-    ColdNode { sent, cold_units: set.cold_units }
+    ColdNode { sent, slow_start_units: set.slow_start.units }
 }
 
 impl ColdNode {
@@ -279,7 +282,7 @@
     fn beyond(&self) -> f64 {
         let beyond = |now: Micros| {
             let came = self.sent.iter().filter(|at| (now - S..=now).contains(*at)).count() as f64;
-            let bears = self.cold_units / 2.0 * ColdNode::share(now) / 0.2;
+            let bears = self.slow_start_units / 2.0 * ColdNode::share(now) / 0.2;
             came - (bears + 2.0 * bears.sqrt() + 2.0)
         };
         self.sent.iter().map(|at| beyond(*at)).fold(f64::MIN, f64::max)
@@ -321,20 +324,29 @@
     // One host bears all of 20 units within a second, but for what is dealt out by size. A volume that surges
     // gets half of the host's part; another volume's requests find the other half.
     let mut set = settings();
-    set.plans =
-        vec![Plan { usual: 1.0, ..plan(0.0, 1.0, 0.0) }, Plan { usual: 100.0, ..plan(100.0, 1.0, 0.0) }];
+    set.plans = vec![
+        VolumePlan { provisioned_rate: 1.0, ..plan(0.0, 1.0, 0.0) },
+        VolumePlan { provisioned_rate: 100.0, ..plan(100.0, 1.0, 0.0) },
+    ];
     let mut host = Host::seeded(set, 0, 1);
     host.now = 100 * S;
-    host.feed(vec![Event::List(ListKind::Full, vec![line(0, Standing::Serving, Some(100 * S))])]);
+    host.feed(vec![Event::EndpointList(
+        EndpointListEvent::Snapshot,
+        vec![line(0, EndpointStatus::InService, Some(100 * S))],
+    )]);
     let mut serve = |plan: usize, volume: u64| {
         let mut left = 0;
         for _ in 0..60 {
             let r = Request { plan, volume: VolumeId(volume), ..host.request(Some(0)) };
             let id = r.id.0;
-            let sent = !sends(&host.feed(vec![Event::Arrived(r)])).is_empty();
+            let sent = !sends(&host.feed(vec![Event::RequestReceived(r)])).is_empty();
             left += u32::from(sent);
             host.now += MS;
-            let end = if sent { ended(id, 0, 0, Outcome::Served, MS) } else { Event::Left(RequestId(id)) };
+            let end = if sent {
+                ended(id, 0, 0, Outcome::Served, MS)
+            } else {
+                Event::ClientDisconnected(RequestId(id))
+            };
             host.feed(vec![end]);
         }
         left
--- a/tests/nodes.rs
+++ b/crates/scheduler/tests/nodes.rs
@@ -2,22 +2,22 @@
 
 mod common;
 use common::*;
-use linnetdoor_sched::*;
+use io_scheduler::*;
 
 #[test]
 fn new_objects_go_where_they_are_answered_soonest() {
     let mut set = settings();
-    set.classes[0].aim = 10 * S;
+    set.classes[0].latency_objective = 10 * S;
     let mut host = Host::new(set, 3);
     for (node, took) in [(0, 400 * MS), (1, 20 * MS), (2, 200 * MS)] {
         let r = host.request(Some(node));
         let id = r.id.0;
-        host.feed(vec![Event::Arrived(r)]);
+        host.feed(vec![Event::RequestReceived(r)]);
         host.feed(vec![ended(id, 0, node, Outcome::Served, took)]);
     }
     host.now += S;
     let r = host.request(None);
-    assert_eq!(sends(&host.feed(vec![Event::Arrived(r)])), [(3, 1)]);
+    assert_eq!(sends(&host.feed(vec![Event::RequestReceived(r)])), [(3, 1)]);
 }
 
 #[test]
@@ -27,30 +27,33 @@
     for _ in 0..4 {
         let r = host.request(Some(0));
         let id = r.id.0;
-        host.feed(vec![Event::Arrived(r)]);
-        host.feed(vec![ended(id, 0, 0, Outcome::Error, MS), Event::Left(RequestId(id))]);
+        host.feed(vec![Event::RequestReceived(r)]);
+        host.feed(vec![ended(id, 0, 0, Outcome::Error, MS), Event::ClientDisconnected(RequestId(id))]);
     }
     for node in [0, 1] {
         let r = host.request(Some(node));
         let id = r.id.0;
-        host.feed(vec![Event::Arrived(r)]);
+        host.feed(vec![Event::RequestReceived(r)]);
         host.feed(vec![ended(id, 0, node, Outcome::Served, if node == 0 { MS } else { 50 * MS })]);
     }
     host.now += S;
     let r = host.request(None);
     let id = r.id.0;
-    assert_eq!(sends(&host.feed(vec![Event::Arrived(r)])), [(id, 1)]);
+    assert_eq!(sends(&host.feed(vec![Event::RequestReceived(r)])), [(id, 1)]);
 }
 
 #[test]
 fn a_new_object_that_never_ran_may_go_to_another_node_and_one_that_may_have_run_stays() {
-    for (how, moves) in [(Outcome::NoConnection, true), (Outcome::Error, false)] {
+    for (how, moves) in [(Outcome::ConnectFailed, true), (Outcome::Error, false)] {
         let mut set = settings();
-        set.classes[0].effect = Effect::Keyed { group: Group::Shard, window: 5 * S };
+        set.classes[0].idempotency = Idempotency::Keyed { scope: DeduplicationScope::Shard, window: 5 * S };
         let mut host = Host::new(set, 2);
         let r = host.request(None);
-        let first = sends(&host.feed(vec![Event::Arrived(r)]))[0].1;
-        host.feed(vec![Event::List(ListKind::Changes, vec![line(first, Standing::Draining, None)])]);
+        let first = sends(&host.feed(vec![Event::RequestReceived(r)]))[0].1;
+        host.feed(vec![Event::EndpointList(
+            EndpointListEvent::Delta,
+            vec![line(first, EndpointStatus::Draining, None)],
+        )]);
         let mut seen = host.at(MS, vec![ended(0, 0, first, how, MS)]);
         seen.extend(host.wake(S));
         assert_eq!(sends(&seen).iter().any(|s| s.1 != first), moves, "{how:?}");
@@ -61,10 +64,10 @@
 #[test]
 fn two_attempts_of_a_request_are_never_out_at_once() {
     let mut set = settings();
-    set.second_copies = true;
+    set.hedging_allowed = true;
     let mut host = Host::new(set, 1);
     let r = host.request(Some(0));
-    let mut count = sends(&host.feed(vec![Event::Arrived(r)])).len();
+    let mut count = sends(&host.feed(vec![Event::RequestReceived(r)])).len();
     for ms in 1..1_999 {
         count += sends(&host.wake(ms * MS)).len();
     }
@@ -77,20 +80,20 @@
     set.plans = vec![plan(0.0, 0.0, 0.0)];
     set.mean_units = 0.0;
     set.max_units = 0.0;
-    set.cold_from = 0.0;
-    set.cold_for = 0;
-    set.cold_units = 0.0;
+    set.slow_start.initial_capacity = 0.0;
+    set.slow_start.duration = 0;
+    set.slow_start.units = 0.0;
     set.hosts = 0;
     let mut host = Host::new(set, 1);
     for _ in 0..20 {
         let r = host.request(Some(0));
         let r = Request { units: 0.0, hosts: 0.0, ..r };
         let id = r.id.0;
-        let sent = sends(&host.at(host.now + MS, vec![Event::Arrived(r)]));
+        let sent = sends(&host.at(host.now + MS, vec![Event::RequestReceived(r)]));
         assert_eq!(sent, [(id, 0)]);
         let mut end = ended(id, 0, 0, Outcome::Served, 0);
-        if let Event::Ended(a) = &mut end {
-            a.used = Some(0.0);
+        if let Event::AttemptCompleted(a) = &mut end {
+            a.utilization = Some(0.0);
         }
         host.feed(vec![end]);
     }
@@ -104,7 +107,7 @@
     let mut serve = |node: u64, took: Micros| {
         let r = host.request(Some(node));
         let id = r.id.0;
-        host.feed(vec![Event::Arrived(r)]);
+        host.feed(vec![Event::RequestReceived(r)]);
         host.feed(vec![ended(id, 0, node, Outcome::Served, took)]);
         host.now += 5 * S;
         id
@@ -118,7 +121,7 @@
     }
     let id = serve(1, 124 * MS) + 1;
     let r = host.request(None);
-    assert_eq!(sends(&host.feed(vec![Event::Arrived(r)])), [(id, 1)]);
+    assert_eq!(sends(&host.feed(vec![Event::RequestReceived(r)])), [(id, 1)]);
 }
 
 #[test]
@@ -128,13 +131,16 @@
     for _ in 0..3 {
         let r = host.request(Some(0));
         let id = r.id.0;
-        host.feed(vec![Event::Arrived(r)]);
-        host.feed(vec![ended(id, 0, 0, Outcome::NoConnection, MS), Event::Left(RequestId(id))]);
+        host.feed(vec![Event::RequestReceived(r)]);
+        host.feed(vec![
+            ended(id, 0, 0, Outcome::ConnectFailed, MS),
+            Event::ClientDisconnected(RequestId(id)),
+        ]);
     }
     host.now += S;
     let (a, b) = (host.request(Some(0)), host.request(Some(0)));
     let (trial, next) = (a.id.0, b.id.0);
-    assert_eq!(sends(&host.feed(vec![Event::Arrived(a), Event::Arrived(b)])), [(trial, 0)]);
+    assert_eq!(sends(&host.feed(vec![Event::RequestReceived(a), Event::RequestReceived(b)])), [(trial, 0)]);
     let seen = host.at(host.now + MS, vec![ended(trial, 0, 0, Outcome::Served, MS)]);
     assert_eq!(sends(&seen), [(next, 0)]);
 }
--- a/tests/size.rs
+++ b/crates/scheduler/tests/size.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn the_module_keeps_to_its_length_and_width() {
-    let text = include_str!("../src/choice.rs");
+    let text = include_str!("../src/scheduler.rs");
     let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
     assert!(lines <= 950, "{lines} lines that are not blank");
     for (at, line) in text.lines().enumerate() {
--- a/tests/tags.rs
+++ b/crates/scheduler/tests/tags.rs
@@ -2,14 +2,18 @@
 
 mod common;
 use common::*;
-use linnetdoor_sched::*;
+use io_scheduler::*;
 
 /// Keeps the node full with one volume's requests so that what follows is queued; returns their ids.
 fn block(host: &mut Host, count: u64) -> Vec<u64> {
     let mut events = vec![];
     for _ in 0..count {
         let r = host.request(Some(0));
-        events.push(Event::Arrived(Request { volume: VolumeId(99), due: host.now + 60 * S, ..r }));
+        events.push(Event::RequestReceived(Request {
+            volume: VolumeId(99),
+            deadline: host.now + 60 * S,
+            ..r
+        }));
     }
     sends(&host.feed(events)).iter().map(|s| s.0).collect()
 }
@@ -31,7 +35,7 @@
 #[test]
 fn weights_share_a_node_in_proportion() {
     let mut set = settings();
-    set.classes[0].aim = 30 * S;
+    set.classes[0].latency_objective = 30 * S;
     set.plans = vec![plan(0.0, 1.0, 0.0), plan(0.0, 3.0, 0.0)];
     let mut host = Host::new(set, 1);
     host.warm(0);
@@ -42,7 +46,12 @@
         let v = (n % 2) as usize;
         let r = host.request(Some(0));
         ids[v].push(r.id.0);
-        events.push(Event::Arrived(Request { volume: VolumeId(v as u64), plan: v, due: 60 * S, ..r }));
+        events.push(Event::RequestReceived(Request {
+            volume: VolumeId(v as u64),
+            plan: v,
+            deadline: 60 * S,
+            ..r
+        }));
     }
     host.feed(events);
     let left = order(&mut host, out, &[0; 12], MS);
@@ -53,7 +62,7 @@
 #[test]
 fn a_due_reservation_leaves_before_any_weight() {
     let mut set = settings();
-    set.classes[0].aim = 30 * S;
+    set.classes[0].latency_objective = 30 * S;
     set.plans = vec![plan(10.0, 1.0, 0.0), plan(0.0, 1.0, 0.0)];
     let mut host = Host::new(set, 1);
     host.warm(0);
@@ -61,7 +70,12 @@
         let mut events = vec![];
         for _ in 0..5 {
             let r = host.request(Some(0));
-            events.push(Event::Arrived(Request { volume: VolumeId(99), plan: 1, due: 60 * S, ..r }));
+            events.push(Event::RequestReceived(Request {
+                volume: VolumeId(99),
+                plan: 1,
+                deadline: 60 * S,
+                ..r
+            }));
         }
         sends(&host.feed(events)).iter().map(|s| s.0).collect::<Vec<_>>()
     };
@@ -69,7 +83,7 @@
     for n in 0..6u64 {
         let (v, plan) = if n < 3 { (1, 0) } else { (2, 1) };
         let r = host.request(Some(0));
-        events.push(Event::Arrived(Request { volume: VolumeId(v), plan, due: 60 * S, ..r }));
+        events.push(Event::RequestReceived(Request { volume: VolumeId(v), plan, deadline: 60 * S, ..r }));
     }
     host.feed(events);
     // R tags of the reserved volume (ids 5 to 7): 0.0, 0.1 and 0.2 s. A slot frees every 60 ms.
@@ -82,8 +96,8 @@
 #[test]
 fn service_told_from_elsewhere_pushes_a_volume_back() {
     let mut set = settings();
-    set.classes[0].aim = 30 * S;
-    set.tells_elsewhere = true;
+    set.classes[0].latency_objective = 30 * S;
+    set.reports_remote_units = true;
     let mut host = Host::new(set, 1);
     host.warm(0);
     let out = block(&mut host, 5);
@@ -91,12 +105,12 @@
     let first = host.request(Some(0));
     let second = host.request(Some(0));
     host.feed(vec![
-        Event::Arrived(Request { volume: VolumeId(1), due: 60 * S, ..first }),
-        Event::Arrived(Request { volume: VolumeId(2), due: 60 * S, ..second }),
+        Event::RequestReceived(Request { volume: VolumeId(1), deadline: 60 * S, ..first }),
+        Event::RequestReceived(Request { volume: VolumeId(2), deadline: 60 * S, ..second }),
     ]);
     let mut told = ended(5, 0, 0, Outcome::Served, MS);
-    if let Event::Ended(a) = &mut told {
-        a.elsewhere = 8.0;
+    if let Event::AttemptCompleted(a) = &mut told {
+        a.remote_units = 8.0;
     }
     host.at(MS, vec![ended(out[0], 0, 0, Outcome::Served, MS), ended(out[1], 0, 0, Outcome::Served, MS)]);
     host.at(2 * MS, vec![told, ended(6, 0, 0, Outcome::Served, MS)]);
@@ -108,7 +122,11 @@
         let v = (n % 2) as usize;
         let r = host.request(Some(0));
         ids[v].push(r.id.0);
-        events.push(Event::Arrived(Request { volume: VolumeId(1 + v as u64), due: 60 * S, ..r }));
+        events.push(Event::RequestReceived(Request {
+            volume: VolumeId(1 + v as u64),
+            deadline: 60 * S,
+            ..r
+        }));
     }
     host.feed(events);
     let mut out = out[2..].to_vec();
@@ -121,22 +139,22 @@
 fn a_node_without_answers_for_long_is_tried_again() {
     // Guards against a node that looked slow for ever: nothing sent, nothing learned.
     let mut set = settings();
-    set.classes[0].aim = 100 * MS;
+    set.classes[0].latency_objective = 100 * MS;
     let mut host = Host::new(set, 1);
     let r = host.request(Some(0));
-    host.feed(vec![Event::Arrived(r)]);
+    host.feed(vec![Event::RequestReceived(r)]);
     host.at(S, vec![ended(0, 0, 0, Outcome::Served, S)]);
     let r = host.request(Some(0));
-    assert!(sends(&host.at(S + MS, vec![Event::Arrived(r)])).is_empty(), "a second is past its aim");
+    assert!(sends(&host.at(S + MS, vec![Event::RequestReceived(r)])).is_empty(), "a second is past its aim");
     host.now = 3 * S;
     let r = host.request(Some(0));
-    assert_eq!(sends(&host.feed(vec![Event::Arrived(r)])).first(), Some(&(2, 0)));
+    assert_eq!(sends(&host.feed(vec![Event::RequestReceived(r)])).first(), Some(&(2, 0)));
 }
 
 #[test]
 fn when_most_nodes_look_sick_none_is_held_back() {
     let mut set = settings();
-    set.classes[0].aim = 10 * S;
+    set.classes[0].latency_objective = 10 * S;
     for sick in [1, 3] {
         let mut host = Host::new(set.clone(), 4);
         host.warm(0);
@@ -144,16 +162,19 @@
             for _ in 0..3 {
                 let r = host.request(Some(node));
                 let id = r.id.0;
-                let seen = host.feed(vec![Event::Arrived(Request { due: 60 * S, ..r })]);
+                let seen = host.feed(vec![Event::RequestReceived(Request { deadline: 60 * S, ..r })]);
                 assert_eq!(sends(&seen), [(id, node)]);
-                host.feed(vec![ended(id, 0, node, Outcome::NoConnection, MS), Event::Left(RequestId(id))]);
+                host.feed(vec![
+                    ended(id, 0, node, Outcome::ConnectFailed, MS),
+                    Event::ClientDisconnected(RequestId(id)),
+                ]);
             }
         }
         host.now = 20 * S;
         let rs: Vec<Event> = (0..3)
             .map(|_| {
                 let r = host.request(Some(0));
-                Event::Arrived(Request { due: 60 * S, ..r })
+                Event::RequestReceived(Request { deadline: 60 * S, ..r })
             })
             .collect();
         let count = sends(&host.feed(rs)).len();
@@ -191,7 +212,7 @@
     block(&mut host, 5);
     let ask = |host: &mut Host, key: u64| {
         let r = host.request(Some(0));
-        Event::Arrived(Request { key: Some(Key(key)), due: host.now + 300 * MS, ..r })
+        Event::RequestReceived(Request { key: Some(ObjectKey(key)), deadline: host.now + 300 * MS, ..r })
     };
     let first = ask(&mut host, 1);
     host.feed(vec![first]);
--- a/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,36 +4,35 @@
 //! configuration: one type serves both, and its conversion to the decision module's settings is here.
 #![forbid(unsafe_code)]
 
-use linnetdoor_sched as hf;
 use serde::Deserialize;
 use std::fmt;
 
 /// Milliseconds of the wire to microseconds; beyond any clock's range the cast stops at its end.
-pub fn micros(ms: f64) -> hf::Micros {
-    (ms * 1000.0).round() as hf::Micros
+pub fn micros(ms: f64) -> io_scheduler::Micros {
+    (ms * 1000.0).round() as io_scheduler::Micros
 }
 
 /// The settings; absent numbers are 0 and absent flags false, as everywhere on the wire.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
-pub struct Settings {
-    pub allowed: Allowed,
-    pub classes: Vec<ClassInfo>,
+pub struct DeploymentSettings {
+    pub allowed: AllowedFeatures,
+    pub classes: Vec<ClassSettings>,
     pub discovery: String,
     /// Lists are pushed to an agent, and the program asks that one; not a setting, but where it runs tells.
     #[serde(skip)]
     pub has_agent: bool,
-    pub domain: Domain,
+    pub domain: DomainSettings,
     pub group_size: u32,
-    pub plans: Vec<PlanInfo>,
-    pub report: Report,
-    pub rules: Rules,
+    pub plans: Vec<PlanSettings>,
+    pub report: ReportSettings,
+    pub rules: RuleSettings,
     pub zones: Vec<String>,
 }
 
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
-pub struct Allowed {
+pub struct AllowedFeatures {
     pub max_attempts: u32,
     pub conn_idle_ms: f64,
     pub connect_timeout_ms: f64,
@@ -44,7 +43,7 @@
 
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
-pub struct ClassInfo {
+pub struct ClassSettings {
     pub aim_ms: f64,
     pub by_arrival: bool,
     pub deadline_ms: f64,
@@ -58,7 +57,7 @@
 
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
-pub struct Domain {
+pub struct DomainSettings {
     pub cold_bears: f64,
     pub counts_others: bool,
     pub fair_worth: f64,
@@ -73,7 +72,7 @@
 
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
-pub struct PlanInfo {
+pub struct PlanSettings {
     pub cap_depth: f64,
     pub limit_slack: f64,
     pub name: String,
@@ -86,13 +85,13 @@
 
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
-pub struct Report {
+pub struct ReportSettings {
     pub names: Vec<String>,
 }
 
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
-pub struct Rules {
+pub struct RuleSettings {
     pub cold_from: f64,
     pub cold_ms: f64,
     pub extra_free: Option<f64>,
@@ -107,84 +106,86 @@
 
 /// A word that the settings use and this program does not know.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unknown {
+pub struct UnknownValue {
     pub key: &'static str,
-    pub word: String,
+    pub value: String,
 }
 
-impl fmt::Display for Unknown {
+impl fmt::Display for UnknownValue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "field {}: '{}' is unknown", self.key, self.word)
+        write!(f, "field {}: '{}' is unknown", self.key, self.value)
     }
 }
 
-impl std::error::Error for Unknown {}
+impl std::error::Error for UnknownValue {}
 
-impl Settings {
+impl DeploymentSettings {
     /// What the decision module is told of these settings.
-    pub fn to_scheduler(&self) -> Result<hf::Settings, Unknown> {
+    pub fn to_scheduler_settings(&self) -> Result<io_scheduler::Settings, UnknownValue> {
         let mut classes = Vec::new();
         for c in &self.classes {
-            let group = match c.group.as_str() {
-                "zone" => hf::Group::Zone,
-                "cell" => hf::Group::Shard,
-                "all" | "" => hf::Group::All,
-                other => return Err(Unknown { key: "classes.group", word: other.to_owned() }),
+            let scope = match c.group.as_str() {
+                "zone" => io_scheduler::DeduplicationScope::Zone,
+                "cell" => io_scheduler::DeduplicationScope::Shard,
+                "all" | "" => io_scheduler::DeduplicationScope::All,
+                other => return Err(UnknownValue { key: "classes.group", value: other.to_owned() }),
             };
-            classes.push(hf::Class {
-                aim: micros(c.aim_ms),
-                worth: c.points,
-                late_worth: c.late_value,
-                effect: match c.effect.as_str() {
-                    "pure" => hf::Effect::Safe,
-                    "token" => hf::Effect::Keyed { group, window: micros(c.key_ttl_ms) },
-                    "side_effect" => hf::Effect::Unsafe,
-                    other => return Err(Unknown { key: "classes.effect", word: other.to_owned() }),
+            classes.push(io_scheduler::RequestClass {
+                latency_objective: micros(c.aim_ms),
+                priority_weight: c.points,
+                late_value: c.late_value,
+                idempotency: match c.effect.as_str() {
+                    "pure" => io_scheduler::Idempotency::Idempotent,
+                    "token" => io_scheduler::Idempotency::Keyed { scope, window: micros(c.key_ttl_ms) },
+                    "side_effect" => io_scheduler::Idempotency::NonIdempotent,
+                    other => return Err(UnknownValue { key: "classes.effect", value: other.to_owned() }),
                 },
-                in_order: c.by_arrival,
+                ordered: c.by_arrival,
             });
         }
-        let plans = self.plans.iter().map(|p| hf::Plan {
+        let plans = self.plans.iter().map(|p| io_scheduler::VolumePlan {
             reservation: p.reservation,
             weight: p.parts,
             limit: p.never_over,
-            limit_burst: p.cap_depth,
-            limit_slack: p.limit_slack,
-            price: p.pays,
-            usual: p.usual_rate,
+            burst_capacity: p.cap_depth,
+            overdraft: p.limit_slack,
+            tenant_weight: p.pays,
+            provisioned_rate: p.usual_rate,
         });
         let (rules, domain) = (&self.rules, &self.domain);
-        Ok(hf::Settings {
+        Ok(io_scheduler::Settings {
             classes,
             plans: plans.collect(),
             hosts: self.group_size,
             max_attempts: self.allowed.max_attempts,
-            second_copies: self.allowed.second_copies,
-            may_cancel: self.allowed.may_cancel,
-            probes: self.allowed.probes,
-            list_askers: match self.discovery.as_str() {
+            hedging_allowed: self.allowed.second_copies,
+            cancellation_allowed: self.allowed.may_cancel,
+            health_checks_allowed: self.allowed.probes,
+            discovery_clients: match self.discovery.as_str() {
                 "subscribe" => self.group_size.max(1),
                 _ => u32::from(self.has_agent),
             },
-            must_ask_in: micros(rules.must_ask_in_ms),
+            max_poll_interval: micros(rules.must_ask_in_ms),
             drain_grace: micros(rules.stop_sending_within_ms),
-            cold_from: rules.cold_from,
-            cold_for: micros(rules.cold_ms),
-            cold_span: micros(rules.fall_ms),
-            cold_multiple: rules.tip_multiple,
-            cold_units: domain.cold_bears,
-            order_settle: micros(rules.order_settle_ms),
-            budget: rules.resend_span_ms.map(|span| hf::Budget {
-                span: micros(span),
-                free: rules.extra_free.unwrap_or_default(),
+            slow_start: io_scheduler::SlowStart {
+                initial_capacity: rules.cold_from,
+                duration: micros(rules.cold_ms),
+                window: micros(rules.fall_ms),
+                burst_factor: rules.tip_multiple,
+                units: domain.cold_bears,
+            },
+            quiesce_period: micros(rules.order_settle_ms),
+            retry_budget: rules.resend_span_ms.map(|span| io_scheduler::RetryBudget {
+                window: micros(span),
+                allowance: rules.extra_free.unwrap_or_default(),
                 ratio: rules.further_ratio.unwrap_or_default(),
             }),
             mean_units: domain.unit_mean,
             max_units: domain.units_top,
-            meter_period: micros(domain.meter_ms),
-            tells_elsewhere: domain.counts_others,
-            share_worth: domain.fair_worth,
-            spare_worth: domain.spare_worth,
+            usage_report_period: micros(domain.meter_ms),
+            reports_remote_units: domain.counts_others,
+            within_share_value: domain.fair_worth,
+            surplus_value: domain.spare_worth,
         })
     }
 }
--- a/adapter/src/host.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,8 +1,7 @@
 //! Translates between the wire's names and the interface's ids; one scheduler for each instance.
 
 use crate::wire::{Act, Batch, Condition, Incoming, ListKind, Msg, OutcomeMsg, Reply, ReplyPart, Row};
-use linnetdoor_sched as hf;
-use linnetdoor_settings::{micros, Settings};
+use deployment_settings::{micros, DeploymentSettings};
 use std::collections::{BTreeMap, HashMap};
 
 /// Every instance that this process hosts. They share nothing.
@@ -12,17 +11,17 @@
 }
 
 struct Host {
-    scheduler: hf::Scheduler,
+    scheduler: io_scheduler::Scheduler,
     classes: Vec<String>,
     plans: Vec<String>,
     zones: Vec<String>,
     /// Which value of a load report tells the requests waiting or in hand.
     load: Option<usize>,
-    nodes: HashMap<String, hf::NodeId>,
+    nodes: HashMap<String, io_scheduler::NodeId>,
     node_names: Vec<String>,
-    requests: HashMap<String, hf::RequestId>,
+    requests: HashMap<String, io_scheduler::RequestId>,
     /// Names of the requests that may still be spoken of.
-    names: HashMap<hf::RequestId, Named>,
+    names: HashMap<io_scheduler::RequestId, Named>,
     taken: u64,
 }
 
@@ -32,7 +31,7 @@
     open: bool,
 }
 
-fn millis(us: hf::Micros) -> f64 {
+fn millis(us: io_scheduler::Micros) -> f64 {
     us as f64 / 1000.0
 }
 
@@ -77,11 +76,11 @@
 }
 
 impl Host {
-    fn new(seed: u64, info: &Settings, now: hf::Micros) -> Result<Self, String> {
+    fn new(seed: u64, info: &DeploymentSettings, now: io_scheduler::Micros) -> Result<Self, String> {
         let fields = ["queue", "pending", "busy_reqs"];
         Ok(Host {
-            scheduler: hf::Scheduler::new(
-                info.to_scheduler().map_err(|e| format!("ENLIST: {e}"))?,
+            scheduler: io_scheduler::Scheduler::new(
+                info.to_scheduler_settings().map_err(|e| format!("ENLIST: {e}"))?,
                 seed,
                 now,
             ),
@@ -97,79 +96,81 @@
         })
     }
 
-    fn node(&mut self, name: &str) -> hf::NodeId {
+    fn node(&mut self, name: &str) -> io_scheduler::NodeId {
         if let Some(id) = self.nodes.get(name) {
             return *id;
         }
-        let id = hf::NodeId(self.node_names.len() as u64);
+        let id = io_scheduler::NodeId(self.node_names.len() as u64);
         self.node_names.push(name.to_owned());
         self.nodes.insert(name.to_owned(), id);
         id
     }
 
-    fn event(&mut self, msg: Msg) -> Result<Option<hf::Event>, String> {
+    fn event(&mut self, msg: Msg) -> Result<Option<io_scheduler::Event>, String> {
         Ok(match msg {
             Msg::Targets { kind, rows_in } => {
                 let kind = match kind {
-                    ListKind::Saved => hf::ListKind::Saved,
-                    ListKind::Full => hf::ListKind::Full,
-                    ListKind::Incremental => hf::ListKind::Changes,
-                    ListKind::Failed => hf::ListKind::Failed,
+                    ListKind::Saved => io_scheduler::EndpointListEvent::Cached,
+                    ListKind::Full => io_scheduler::EndpointListEvent::Snapshot,
+                    ListKind::Incremental => io_scheduler::EndpointListEvent::Delta,
+                    ListKind::Failed => io_scheduler::EndpointListEvent::PollFailed,
                 };
                 let lines = rows_in.iter().map(|r| self.listed(r)).collect();
-                Some(hf::Event::List(kind, lines))
+                Some(io_scheduler::Event::EndpointList(kind, lines))
+            }
+            Msg::Incoming(r) => Some(io_scheduler::Event::RequestReceived(self.request(r)?)),
+            Msg::Elapsed {} => Some(io_scheduler::Event::TimerFired),
+            Msg::UnderWay { id } => self.closed(&id).map(io_scheduler::Event::ResponseStarted),
+            Msg::Vanished { id } => self.closed(&id).map(io_scheduler::Event::ClientDisconnected),
+            Msg::PingResult { time_taken_ms, status, server, telemetry } => {
+                Some(io_scheduler::Event::HealthCheckCompleted {
+                    node: self.node(&server),
+                    healthy: status == 200,
+                    elapsed: micros(time_taken_ms),
+                    load: self.load.and_then(|at| telemetry?.get(at).copied()),
+                })
             }
-            Msg::Incoming(r) => Some(hf::Event::Arrived(self.request(r)?)),
-            Msg::Elapsed {} => Some(hf::Event::Woke),
-            Msg::UnderWay { id } => self.closed(&id).map(hf::Event::Begun),
-            Msg::Vanished { id } => self.closed(&id).map(hf::Event::Left),
-            Msg::PingResult { time_taken_ms, status, server, telemetry } => Some(hf::Event::Probed {
-                node: self.node(&server),
-                ok: status == 200,
-                took: micros(time_taken_ms),
-                load: self.load.and_then(|at| telemetry?.get(at).copied()),
-            }),
             Msg::Outcome(o) => self.ended(&o)?,
             Msg::FromPeer {} | Msg::Enlist { .. } | Msg::PowerOff {} => None,
         })
     }
 
-    fn listed(&mut self, row: &Row) -> hf::Listed {
+    fn listed(&mut self, row: &Row) -> io_scheduler::Endpoint {
         let zone = self.zones.iter().position(|z| *z == row.az).unwrap_or_else(|| {
             self.zones.push(row.az.clone());
             self.zones.len() - 1
         });
-        hf::Listed {
+        io_scheduler::Endpoint {
             node: self.node(&row.server),
-            zone: hf::Zone(zone as u64),
-            shard: hf::Shard(row.unit_group),
-            standing: match row.condition {
-                Condition::Serving => hf::Standing::Serving,
-                Condition::Draining => hf::Standing::Draining,
-                Condition::Deleted => hf::Standing::Gone,
+            zone: io_scheduler::Zone(zone as u64),
+            shard: io_scheduler::Shard(row.unit_group),
+            status: match row.condition {
+                Condition::Serving => io_scheduler::EndpointStatus::InService,
+                Condition::Draining => io_scheduler::EndpointStatus::Draining,
+                Condition::Deleted => io_scheduler::EndpointStatus::Removed,
             },
-            started: row.online_since_ms.filter(|ms| *ms > 0.0).map(micros),
+            started_at: row.online_since_ms.filter(|ms| *ms > 0.0).map(micros),
         }
     }
 
-    fn request(&mut self, r: Incoming) -> Result<hf::Request, String> {
+    fn request(&mut self, r: Incoming) -> Result<io_scheduler::Request, String> {
         let index = |names: &[String], name: &str, field: &str| {
             let at = names.iter().position(|n| n == name);
             at.ok_or_else(|| format!("INCOMING {}: field {field}: '{name}' is not in the settings", r.id))
         };
-        let id = hf::RequestId(self.taken);
+        let id = io_scheduler::RequestId(self.taken);
         self.taken += 1;
-        let request = hf::Request {
+        let request = io_scheduler::Request {
             id,
-            volume: hf::VolumeId(r.share_id),
+            volume: io_scheduler::VolumeId(r.share_id),
             plan: index(&self.plans, &r.qos_class, "qos_class")?,
             class: index(&self.classes, &r.lane, "lane")?,
-            key: r.region.map(hf::Key),
-            shard: (r.shard >= 0.0).then_some(hf::Shard(r.shard as u64)),
+            key: r.region.map(io_scheduler::ObjectKey),
+            shard: (r.shard >= 0.0).then_some(io_scheduler::Shard(r.shard as u64)),
             units: r.cost_units,
             hosts: r.set_size.unwrap_or_default(),
-            due: micros(r.due_ms),
-            retry: r.resent,
+            deadline: micros(r.due_ms),
+            is_retry: r.resent,
         };
         self.requests.insert(r.id.clone(), id);
         self.names.insert(id, Named { name: r.id, out: 0, open: true });
@@ -177,22 +178,22 @@
     }
 
     /// The request that the wire says is closed, if it is still known.
-    fn closed(&mut self, name: &str) -> Option<hf::RequestId> {
+    fn closed(&mut self, name: &str) -> Option<io_scheduler::RequestId> {
         let id = *self.requests.get(name)?;
         self.names.get_mut(&id)?.open = false;
         Some(id)
     }
 
-    fn ended(&mut self, o: &OutcomeMsg) -> Result<Option<hf::Event>, String> {
+    fn ended(&mut self, o: &OutcomeMsg) -> Result<Option<io_scheduler::Event>, String> {
         let outcome = match o.status {
-            200 => hf::Outcome::Served,
-            502 => hf::Outcome::Error,
-            429 => hf::Outcome::Full,
-            408 => hf::Outcome::TimedOut,
-            521 => hf::Outcome::NoConnection,
-            520 => hf::Outcome::Reset,
-            444 => hf::Outcome::Cancelled,
-            409 => hf::Outcome::NotSent,
+            200 => io_scheduler::Outcome::Served,
+            502 => io_scheduler::Outcome::Error,
+            429 => io_scheduler::Outcome::Overloaded,
+            408 => io_scheduler::Outcome::TimedOut,
+            521 => io_scheduler::Outcome::ConnectFailed,
+            520 => io_scheduler::Outcome::Reset,
+            444 => io_scheduler::Outcome::Cancelled,
+            409 => io_scheduler::Outcome::NotDispatched,
             other => return Err(format!("OUTCOME {}: field status: {other} is not an outcome", o.id)),
         };
         let node = self.node(&o.server);
@@ -201,41 +202,47 @@
             named.out = named.out.saturating_sub(1);
             named.open &= !o.complete;
         }
-        Ok(Some(hf::Event::Ended(hf::Attempt {
+        Ok(Some(io_scheduler::Event::AttemptCompleted(io_scheduler::CompletedAttempt {
             request: id,
             number: o.go,
             node,
             outcome,
-            closed: o.complete,
-            took: micros(o.time_taken_ms),
-            elsewhere: o.delta,
-            used: (o.used >= 1.0).then(|| (o.used - 1.0) / 100.0),
+            request_closed: o.complete,
+            elapsed: micros(o.time_taken_ms),
+            remote_units: o.delta,
+            utilization: (o.used >= 1.0).then(|| (o.used - 1.0) / 100.0),
         })))
     }
 
-    fn action(&mut self, action: hf::Action, now: hf::Micros) -> Option<Act> {
-        let name = |id: &hf::RequestId| self.names.get(id).map(|n| n.name.clone());
+    fn action(&mut self, action: io_scheduler::Action, now: io_scheduler::Micros) -> Option<Act> {
+        let name = |id: &io_scheduler::RequestId| self.names.get(id).map(|n| n.name.clone());
         Some(match action {
-            hf::Action::Send { request, node, until } => {
+            io_scheduler::Action::Dispatch { request, node, deadline } => {
                 let named = self.names.get_mut(&request)?;
                 named.out += 1;
                 let server = self.node_names[node.0 as usize].clone();
-                Act::Forward { id: named.name.clone(), server, try_until_ms: millis(until) }
+                Act::Forward { id: named.name.clone(), server, try_until_ms: millis(deadline) }
             }
-            hf::Action::Refuse { request, wait } => {
+            io_scheduler::Action::Reject { request, retry_after } => {
                 let named = self.names.get_mut(&request)?;
                 named.open = false;
-                Act::Shed { id: named.name.clone(), retry_after_ms: millis(wait) }
+                Act::Shed { id: named.name.clone(), retry_after_ms: millis(retry_after) }
             }
-            hf::Action::Fail(request) => {
+            io_scheduler::Action::Fail(request) => {
                 let named = self.names.get_mut(&request)?;
                 named.open = false;
                 Act::Abort { id: named.name.clone() }
             }
-            hf::Action::Cancel { request, attempt } => Act::DropAttempt { id: name(&request)?, go: attempt },
-            hf::Action::Watch => Act::Observe { on: true },
-            hf::Action::Probe(node) => Act::SoundOut { server: self.node_names[node.0 as usize].clone() },
-            hf::Action::Wake(at) => Act::Defer { id: "wake".to_owned(), wait_ms: millis((at - now).max(0)) },
+            io_scheduler::Action::Cancel { request, attempt } => {
+                Act::DropAttempt { id: name(&request)?, go: attempt }
+            }
+            io_scheduler::Action::OpenWatch => Act::Observe { on: true },
+            io_scheduler::Action::HealthCheck(node) => {
+                Act::SoundOut { server: self.node_names[node.0 as usize].clone() }
+            }
+            io_scheduler::Action::SetTimer(at) => {
+                Act::Defer { id: "wake".to_owned(), wait_ms: millis((at - now).max(0)) }
+            }
         })
     }
 }
--- a/adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,21 +4,21 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-mod host;
+mod instance;
 mod wire;
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("linnetdoor-wirehost: {message}");
+            eprintln!("simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
 }
 
 fn run() -> Result<(), String> {
-    let mut hosts = host::Hosts::default();
+    let mut hosts = instance::Hosts::default();
     let mut output = io::stdout().lock();
     for (index, line) in io::stdin().lock().split(b'\n').enumerate() {
         let number = index + 1;
--- a/adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's messages, as they stand in a line.
 
-use linnetdoor_settings::Settings;
+use deployment_settings::DeploymentSettings;
 use serde::{Deserialize, Serialize};
 
 /// One line of events.
@@ -23,7 +23,7 @@
 #[derive(Deserialize)]
 pub enum Msg {
     #[serde(rename = "ENLIST")]
-    Enlist { rng_seed: u64, info: Box<Settings> },
+    Enlist { rng_seed: u64, info: Box<DeploymentSettings> },
     #[serde(rename = "TARGETS")]
     Targets {
         kind: ListKind,
--- a/adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(lines: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_linnetdoor-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -152,7 +152,7 @@
 
 #[test]
 fn bad_lines_are_named_with_their_field() {
-    assert!(complaint("{not json").contains("linnetdoor-wirehost"));
+    assert!(complaint("{not json").contains("simulator-adapter"));
     assert!(complaint(&batch(1, 2.0, &[(0, vec![json!({"NEWS": {}})])])).contains("NEWS"));
     let missing = json!({"INCOMING": {"ref": "c:a"}});
     assert!(complaint(&batch(1, 2.0, &[(0, vec![missing])])).contains("INCOMING"));
