--- a/crates/gateway/src/node_protocol/mod.rs
+++ b/crates/gateway/src/node_protocol/mod.rs
@@ -1,30 +1,43 @@
-//! The nodes' side: a request is put in a node's words, and what comes back is taken apart.
+//! The protocols towards storage nodes: requests are encoded, replies decoded.
+//!
+//! An implementation holds the protocol state of one connection and does no I/O: it appends to an output
+//! buffer and consumes an input buffer, both owned by the event loop.
 
 pub mod resp;
 pub mod sftp;
 
 use crate::dispatcher::{AttemptResult, StorageRequest};
 
-/// What a node sent can't be understood.
-#[derive(Debug, PartialEq, Eq)]
+/// The node sent bytes that its protocol does not allow at this point. The connection cannot be used further.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the node violated its protocol")]
 pub struct ProtocolError;
 
 /// A node's protocol on one connection, which carries one request at a time.
 pub trait NodeProtocol {
-    /// What is said before the first request.
+    /// Appends what is sent before the first request. Called once, when the connection is established.
     fn start_handshake(&mut self, out: &mut Vec<u8>);
 
-    /// Whether requests may be started: the greeting is done.
+    /// Whether requests may be started: the handshake is complete.
     fn ready(&self) -> bool;
 
-    /// Starts a request. Once more than the returned number of bytes of `out` is written, it may have run.
+    /// Appends the first bytes of `request` to `out`, with `wait_ms` milliseconds as the node's time limit
+    /// where the protocol states one. Called only while [`ready`](Self::ready) and with no request in flight.
+    ///
+    /// Returns how many of the appended bytes may be written without effect: once more than that are
+    /// written, the node may have run the request.
     fn encode_request(&mut self, request: &StorageRequest, wait_ms: i64, out: &mut Vec<u8>) -> usize;
 
-    /// Bytes that the answer under way takes, as far as that is known.
+    /// Bytes that the reply in progress takes, as far as known: its announced length or what arrived so far.
     fn buffered_bytes(&self) -> usize;
 
-    /// Takes in what came; the end of the request, if this is it. More may be said through `out`. What
-    /// belongs to no request is an error: a connection that says more than it was asked is of no use.
+    /// Consumes received bytes from the front of `input`. Returns the result of the request in flight once
+    /// its reply is complete, and `None` until then. Further commands of the same request go to `out`.
+    ///
+    /// # Errors
+    ///
+    /// [`ProtocolError`] if the bytes are not a reply of this protocol, exceed its bounds, or arrive while no
+    /// request is in flight: they must not be taken for the reply to the next request.
     fn decode(
         &mut self,
         input: &mut Vec<u8>,
--- /dev/null
+++ b/crates/gateway/src/node_protocol/sftp/stage.rs
@@ -0,0 +1,236 @@
+//! The stages of a request to a file server, and what each reply leads to.
+
+use super::{ProtocolError, SftpProtocol};
+use crate::dispatcher::{AttemptResult, Operation, ResponseBody, StorageRequest};
+use crate::sftp_packet::{kind, Code, Fields};
+use io_scheduler::Outcome;
+use std::collections::VecDeque;
+
+/// Bytes of one READ or WRITE.
+const CHUNK_BYTES: usize = 32 << 10;
+/// Most names in the listing of one shard.
+const MAX_LISTED_NAMES: usize = 20_000;
+
+/// The reply that a connection waits for.
+pub(super) enum Stage {
+    /// VERSION, which completes the handshake.
+    AwaitingVersion,
+    /// None: no request is in flight.
+    Idle,
+    /// The reply to OPEN or OPENDIR.
+    Opening {
+        /// What the request does with the handle.
+        operation: Operation,
+        /// The object to write.
+        body: Vec<u8>,
+    },
+    /// The reply to READ.
+    Reading {
+        handle: Vec<u8>,
+        /// The object's bytes so far.
+        value: Vec<u8>,
+    },
+    /// The reply to WRITE.
+    Writing {
+        handle: Vec<u8>,
+        /// The chunks that are not sent yet.
+        remaining: VecDeque<Vec<u8>>,
+        /// Bytes sent so far.
+        offset: u64,
+    },
+    /// The reply to the CLOSE of a write.
+    Closing {
+        /// Bytes of the object.
+        size: u64,
+    },
+    /// The reply to STAT.
+    AwaitingAttributes,
+    /// The reply to READDIR.
+    Listing {
+        handle: Vec<u8>,
+        /// Names and sizes in bytes so far.
+        names: Vec<(Vec<u8>, u64)>,
+    },
+}
+
+impl Stage {
+    /// The stage once a request's first command is sent.
+    pub(super) fn after_first_command(request: &StorageRequest) -> Stage {
+        match request.operation {
+            Operation::Stat => Stage::AwaitingAttributes,
+            operation => Stage::Opening { operation, body: request.body.clone() },
+        }
+    }
+
+    /// The open handle of this stage, if the server has reported one that nothing else closes.
+    fn into_handle(self) -> Option<Vec<u8>> {
+        match self {
+            Stage::Reading { handle, .. } | Stage::Writing { handle, .. } | Stage::Listing { handle, .. } => {
+                Some(handle)
+            }
+            _ => None,
+        }
+    }
+}
+
+/// The result of a request that the server completed.
+fn served(body: ResponseBody) -> AttemptResult {
+    AttemptResult { body: Some(body), ..AttemptResult::of(Outcome::Served) }
+}
+
+impl SftpProtocol {
+    /// Handles the reply to the last command. Returns the result if it completes the request; otherwise the
+    /// next command is sent.
+    pub(super) fn handle_reply(
+        &mut self,
+        kind: u8,
+        mut fields: Fields<'_>,
+        out: &mut Vec<u8>,
+    ) -> Result<Option<AttemptResult>, ProtocolError> {
+        let stage = std::mem::replace(&mut self.stage, Stage::Idle);
+        if kind == kind::STATUS {
+            let code = fields.u32()?;
+            return Ok(self.handle_status(stage, code, out));
+        }
+        match (stage, kind) {
+            (Stage::Opening { operation, body }, kind::HANDLE) => {
+                self.use_handle(fields.string()?.to_vec(), operation, &body, out);
+                Ok(None)
+            }
+            (Stage::Reading { handle, value }, kind::DATA) => {
+                Ok(self.append_data(handle, value, fields.string()?, out))
+            }
+            (Stage::AwaitingAttributes, kind::ATTRS) => {
+                let size = fields.attrs()?.unwrap_or(0);
+                Ok(Some(served(ResponseBody::Size(size))))
+            }
+            (Stage::Listing { handle, names }, kind::NAME) => self.append_names(handle, names, fields, out),
+            _ => Err(ProtocolError),
+        }
+    }
+
+    /// Handles a STATUS reply: the regular end of a stage, or a failure of the request.
+    fn handle_status(&mut self, stage: Stage, code: u32, out: &mut Vec<u8>) -> Option<AttemptResult> {
+        let is = |expected: Code| code == expected as u32;
+        match stage {
+            Stage::Opening { operation: Operation::List, .. } if is(Code::NoSuchFile) => {
+                Some(served(ResponseBody::Names(Vec::new())))
+            }
+            Stage::Opening { operation: Operation::Read, .. } | Stage::AwaitingAttributes
+                if is(Code::NoSuchFile) =>
+            {
+                Some(served(ResponseBody::NotFound))
+            }
+            Stage::Reading { handle, value } if is(Code::Eof) => {
+                self.close_ignoring_reply(&handle, out);
+                Some(served(ResponseBody::Value(value)))
+            }
+            Stage::Writing { handle, remaining, offset } if is(Code::Ok) => {
+                self.write_next_chunk(handle, remaining, offset, out);
+                None
+            }
+            Stage::Closing { size } if is(Code::Ok) => Some(served(ResponseBody::Size(size))),
+            Stage::Listing { handle, names } if is(Code::Eof) => {
+                self.close_ignoring_reply(&handle, out);
+                Some(served(ResponseBody::Names(names)))
+            }
+            failed_stage => {
+                if let Some(handle) = failed_stage.into_handle() {
+                    self.close_ignoring_reply(&handle, out);
+                }
+                Some(AttemptResult::of(Outcome::Error))
+            }
+        }
+    }
+
+    /// Sends the first command on a handle that the server opened.
+    fn use_handle(&mut self, handle: Vec<u8>, operation: Operation, body: &[u8], out: &mut Vec<u8>) {
+        match operation {
+            Operation::Write => {
+                let chunks = body.chunks(CHUNK_BYTES).map(<[u8]>::to_vec).collect();
+                self.write_next_chunk(handle, chunks, 0, out);
+            }
+            Operation::List => self.read_directory(handle, Vec::new(), out),
+            Operation::Read | Operation::Stat => self.read_next_chunk(handle, Vec::new(), out),
+        }
+    }
+
+    /// Appends received bytes of an object and reads on. Fails if the server makes no progress, as that could
+    /// go on forever, or if the object is too long.
+    fn append_data(
+        &mut self,
+        handle: Vec<u8>,
+        mut value: Vec<u8>,
+        data: &[u8],
+        out: &mut Vec<u8>,
+    ) -> Option<AttemptResult> {
+        if data.is_empty() || value.len() + data.len() > self.max_value_length {
+            self.close_ignoring_reply(&handle, out);
+            return Some(AttemptResult::of(Outcome::Error));
+        }
+        value.extend_from_slice(data);
+        self.read_next_chunk(handle, value, out);
+        None
+    }
+
+    /// Appends received names of a directory and reads on. Fails if there are too many.
+    fn append_names(
+        &mut self,
+        handle: Vec<u8>,
+        mut names: Vec<(Vec<u8>, u64)>,
+        mut fields: Fields<'_>,
+        out: &mut Vec<u8>,
+    ) -> Result<Option<AttemptResult>, ProtocolError> {
+        for _ in 0..fields.u32()? {
+            let name = fields.string()?.to_vec();
+            let _long_name = fields.string()?;
+            let size = fields.attrs()?.unwrap_or(0);
+            if name != b"." && name != b".." {
+                names.push((name, size));
+            }
+        }
+        if names.len() > MAX_LISTED_NAMES {
+            self.close_ignoring_reply(&handle, out);
+            return Ok(Some(AttemptResult::of(Outcome::Error)));
+        }
+        self.read_directory(handle, names, out);
+        Ok(None)
+    }
+
+    /// Sends READ for the bytes after `value`.
+    fn read_next_chunk(&mut self, handle: Vec<u8>, value: Vec<u8>, out: &mut Vec<u8>) {
+        let offset = value.len() as u64;
+        self.send_command(kind::READ, out, |read| read.string(&handle).u64(offset).u32(CHUNK_BYTES as u32));
+        self.stage = Stage::Reading { handle, value };
+    }
+
+    /// Sends WRITE for the next chunk at `offset`, or CLOSE after the last one.
+    fn write_next_chunk(
+        &mut self,
+        handle: Vec<u8>,
+        mut remaining: VecDeque<Vec<u8>>,
+        offset: u64,
+        out: &mut Vec<u8>,
+    ) {
+        let Some(chunk) = remaining.pop_front() else {
+            self.send_command(kind::CLOSE, out, |close| close.string(&handle));
+            self.stage = Stage::Closing { size: offset };
+            return;
+        };
+        self.send_command(kind::WRITE, out, |write| write.string(&handle).u64(offset).string(&chunk));
+        self.stage = Stage::Writing { handle, remaining, offset: offset + chunk.len() as u64 };
+    }
+
+    /// Sends READDIR for the names after `names`.
+    fn read_directory(&mut self, handle: Vec<u8>, names: Vec<(Vec<u8>, u64)>, out: &mut Vec<u8>) {
+        self.send_command(kind::READDIR, out, |readdir| readdir.string(&handle));
+        self.stage = Stage::Listing { handle, names };
+    }
+
+    /// Sends CLOSE for a handle whose request is complete already; the reply is ignored by its id.
+    fn close_ignoring_reply(&mut self, handle: &[u8], out: &mut Vec<u8>) {
+        self.send_command(kind::CLOSE, out, |close| close.string(handle));
+        self.ignored_id = Some(self.last_id);
+        self.last_id = self.last_id.wrapping_add(1);
+    }
+}
