--- /dev/null
+++ b/crates/gateway/src/client_protocol/resp/mod.rs
@@ -0,0 +1,118 @@
+//! RESP2 towards clients: `IO.IN` reads and `IO.OUT` writes, and the few commands that client libraries send.
+
+mod names;
+mod parser;
+mod request;
+mod terms;
+
+pub use names::RequestNames;
+pub use parser::MAX_COMMAND_BYTES;
+
+use super::{ClientProtocol, CommandStep};
+use crate::dispatcher::{Operation, Response, ResponseBody};
+use io_scheduler::Micros;
+use parser::parse_words;
+use request::{build_request, RequestError};
+use std::rc::Rc;
+
+/// A connection without a command for so long is closed; clients open new ones when they need them.
+const IDLE_TIMEOUT: Micros = 2_500_000;
+
+/// One client's connection. It has no state of its own, as each command stands alone.
+pub struct RespProtocol {
+    names: Rc<RequestNames>,
+}
+
+impl RespProtocol {
+    /// A new connection whose requests may use `names`.
+    #[must_use]
+    pub fn new(names: Rc<RequestNames>) -> RespProtocol {
+        RespProtocol { names }
+    }
+
+    /// Answers a complete command, or submits its request.
+    fn run_command(&self, words: &[&[u8]], ready: bool) -> CommandStep {
+        let Some(name) = words.first() else { return CommandStep::Reply(Vec::new()) };
+        match name.to_ascii_uppercase().as_slice() {
+            b"IO.IN" if words.len() == 4 => self.submit(Operation::Read, words),
+            b"IO.OUT" if words.len() == 5 => self.submit(Operation::Write, words),
+            b"IO.IN" | b"IO.OUT" => reply(b"-ERR wrong number of arguments\r\n"),
+            b"PING" if ready => reply(b"+PONG\r\n"),
+            b"PING" => reply(b"-ERR not ready\r\n"),
+            b"CLIENT" | b"SELECT" => reply(b"+OK\r\n"),
+            _ => reply(b"-ERR unknown command\r\n"),
+        }
+    }
+
+    /// Submits the request of an `IO.IN` or `IO.OUT` command, or answers why it is invalid.
+    fn submit(&self, operation: Operation, words: &[&[u8]]) -> CommandStep {
+        match build_request(&self.names, operation, words) {
+            Ok(request) => CommandStep::Submit(vec![request]),
+            Err(error) => CommandStep::Reply(encode_request_error(&error)),
+        }
+    }
+}
+
+/// A reply with fixed bytes.
+fn reply(bytes: &[u8]) -> CommandStep {
+    CommandStep::Reply(bytes.to_vec())
+}
+
+/// An error line for an invalid request. The text may repeat parts of the request, which must not end the line.
+fn encode_request_error(error: &RequestError) -> Vec<u8> {
+    let text = error.to_string().replace(['\r', '\n'], " ");
+    format!("-ERR {text}\r\n").into_bytes()
+}
+
+/// A RESP bulk string.
+fn encode_bulk_string(value: &[u8]) -> Vec<u8> {
+    let mut bytes = format!("${}\r\n", value.len()).into_bytes();
+    bytes.extend_from_slice(value);
+    bytes.extend_from_slice(b"\r\n");
+    bytes
+}
+
+/// The reply to a rejected request; it states the wait in milliseconds, rounded up, if there is one.
+fn encode_rejection(retry_after: Micros) -> Vec<u8> {
+    if retry_after <= 0 {
+        return b"-BUSY\r\n".to_vec();
+    }
+    let milliseconds = (retry_after as f64 / 1000.0).ceil();
+    format!("-BUSY {milliseconds}\r\n").into_bytes()
+}
+
+impl ClientProtocol for RespProtocol {
+    fn parse_command(&mut self, input: &[u8], position: &mut usize, _slot: u64, ready: bool) -> CommandStep {
+        match parse_words(input, position) {
+            Ok(Some(words)) => self.run_command(&words, ready),
+            Ok(None) => CommandStep::Incomplete,
+            Err(error) => CommandStep::Close(format!("-ERR Protocol error: {error}\r\n").into_bytes()),
+        }
+    }
+
+    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<(u64, Vec<u8>)>) {
+        let bytes = match response {
+            Response::Served(ResponseBody::Value(value)) => encode_bulk_string(&value),
+            // A file server's reply to a write carries no value.
+            Response::Served(ResponseBody::Size(_) | ResponseBody::Names(_)) => encode_bulk_string(b""),
+            Response::Served(ResponseBody::NotFound) => b"-ERR not found\r\n".to_vec(),
+            Response::Rejected(retry_after) => encode_rejection(retry_after),
+            Response::Invalid(reason) => format!("-ERR {reason}\r\n").into_bytes(),
+            Response::Failed => b"-ERR failed\r\n".to_vec(),
+            Response::TimedOut => b"-ERR timed out\r\n".to_vec(),
+        };
+        out.push((slot, bytes));
+    }
+
+    fn overloaded_reply(&self) -> Vec<u8> {
+        b"-BUSY 250\r\n".to_vec()
+    }
+
+    fn timeout_reply(&self) -> Vec<u8> {
+        b"-ERR the command was not whole in time\r\n".to_vec()
+    }
+
+    fn idle_timeout(&self) -> Micros {
+        IDLE_TIMEOUT
+    }
+}
--- a/crates/gateway/src/event_loop/client_connections.rs
+++ b/crates/gateway/src/event_loop/client_connections.rs
@@ -3,7 +3,7 @@
 use super::node_connections::out_of_descriptors;
 use super::socket::Socket;
 use super::{Connection, Gateway, ListenerProtocol};
-use crate::client_protocol::resp::{RespProtocol, COMMAND_MOST};
+use crate::client_protocol::resp::{RespProtocol, MAX_COMMAND_BYTES};
 use crate::client_protocol::sftp::SftpProtocol;
 use crate::client_protocol::{ClientProtocol, CommandStep};
 use crate::dispatcher::{ReplySlot, Response};
@@ -33,7 +33,7 @@
 /// Connections accepted in one turn: requests that have come are not to wait for hundreds of them.
 const ACCEPTED_MOST: usize = 64;
 /// Input held for a connection: one whole command with its words' lengths.
-const INPUT_MOST: usize = COMMAND_MOST + (2 << 10);
+const INPUT_MOST: usize = MAX_COMMAND_BYTES + (2 << 10);
 /// Accepting rests for this long when no descriptor is left and no connection can be closed.
 const ACCEPT_REST: Micros = 20_000;
 
