--- /dev/null
+++ b/crates/gateway/src/client_protocol/sftp/handle.rs
@@ -0,0 +1,117 @@
+//! The open handles of one client, with their part of the memory budget.
+
+use super::directory::Directory;
+use super::error::SftpError;
+use super::path::Target;
+use super::shared::SftpShared;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// Most handles that one client may have open.
+const MAX_HANDLES: usize = 64;
+
+/// An open file or directory.
+pub(super) enum Handle {
+    /// An object that is read: all its bytes.
+    Reading(Vec<u8>),
+    /// An object that is written.
+    Upload {
+        target: Target,
+        /// The bytes so far.
+        data: Vec<u8>,
+    },
+    /// A directory.
+    Directory(Directory),
+}
+
+impl Handle {
+    /// Bytes of object data that the handle buffers.
+    pub(super) fn buffered_bytes(&self) -> usize {
+        match self {
+            Handle::Reading(data) | Handle::Upload { data, .. } => data.len(),
+            Handle::Directory(_) => 0,
+        }
+    }
+}
+
+/// The open handles of one client, by number. Their buffered bytes are reserved in the shared budget and
+/// released when a handle or the table goes.
+pub(super) struct HandleTable {
+    shared: Rc<SftpShared>,
+    handles: BTreeMap<u32, Handle>,
+    next_number: u32,
+}
+
+impl HandleTable {
+    /// An empty table.
+    pub(super) fn new(shared: Rc<SftpShared>) -> HandleTable {
+        HandleTable { shared, handles: BTreeMap::new(), next_number: 0 }
+    }
+
+    /// Adds a handle and returns its number. Fails if the client has too many, or if the shared budget has no
+    /// capacity for the bytes of the handle.
+    pub(super) fn insert(&mut self, handle: Handle) -> Result<u32, SftpError> {
+        if self.handles.len() >= MAX_HANDLES {
+            return Err(SftpError::TooManyHandles);
+        }
+        self.shared.reserve_bytes(handle.buffered_bytes())?;
+        let number = self.next_number;
+        self.next_number = number.wrapping_add(1);
+        self.handles.insert(number, handle);
+        Ok(number)
+    }
+
+    /// Removes a handle and releases its bytes.
+    pub(super) fn remove(&mut self, number: u32) -> Result<Handle, SftpError> {
+        let handle = self.handles.remove(&number).ok_or(SftpError::NoSuchHandle)?;
+        self.shared.release_bytes(handle.buffered_bytes());
+        Ok(handle)
+    }
+
+    /// Any open handle.
+    pub(super) fn get(&self, number: u32) -> Result<&Handle, SftpError> {
+        self.handles.get(&number).ok_or(SftpError::NoSuchHandle)
+    }
+
+    /// The bytes of an object that is read.
+    pub(super) fn read_data(&self, number: u32) -> Result<&[u8], SftpError> {
+        match self.handles.get(&number) {
+            Some(Handle::Reading(data)) => Ok(data),
+            _ => Err(SftpError::NoSuchHandle),
+        }
+    }
+
+    /// An open directory.
+    pub(super) fn directory_mut(&mut self, number: u32) -> Result<&mut Directory, SftpError> {
+        match self.handles.get_mut(&number) {
+            Some(Handle::Directory(directory)) => Ok(directory),
+            _ => Err(SftpError::NoSuchHandle),
+        }
+    }
+
+    /// Writes bytes of an upload at `offset`, which is within the largest object size. A gap before them is
+    /// filled with zeros.
+    pub(super) fn write_upload(&mut self, number: u32, offset: usize, bytes: &[u8]) -> Result<(), SftpError> {
+        let Some(Handle::Upload { data, .. }) = self.handles.get_mut(&number) else {
+            return Err(SftpError::NoSuchHandle);
+        };
+        let end = offset + bytes.len();
+        let new_length = data.len().max(end);
+        self.shared.reserve_bytes(new_length - data.len())?;
+        data.resize(new_length, 0);
+        data[offset..end].copy_from_slice(bytes);
+        Ok(())
+    }
+
+    /// Whether an upload is open.
+    pub(super) fn has_upload(&self) -> bool {
+        self.handles.values().any(|handle| matches!(handle, Handle::Upload { .. }))
+    }
+}
+
+impl Drop for HandleTable {
+    fn drop(&mut self) {
+        let buffered = self.handles.values().map(Handle::buffered_bytes).sum();
+        self.shared.release_bytes(buffered);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/client_protocol/sftp/response.rs
@@ -0,0 +1,143 @@
+//! Responses to submitted requests, and the replies that complete their commands.
+
+use super::command::{encode_attributes, encode_handle};
+use super::directory::{encode_next_entries, Directory, PendingListing};
+use super::error::SftpError;
+use super::handle::Handle;
+use super::path::Target;
+use super::SftpProtocol;
+use crate::dispatcher::{Response, ResponseBody};
+use crate::sftp_packet::{status, Code};
+
+/// A command whose requests are in flight.
+pub(super) struct PendingCommand {
+    /// The id that the client gave the command.
+    pub(super) request_id: u32,
+    pub(super) operation: PendingOperation,
+}
+
+/// What the responses of a command are for.
+pub(super) enum PendingOperation {
+    /// OPEN of an object to read.
+    Open(Target),
+    /// STAT or LSTAT of an object.
+    Stat(Target),
+    /// CLOSE of an upload.
+    Store {
+        target: Target,
+        /// Bytes of the object.
+        size: u64,
+    },
+    /// READDIR of a volume.
+    List(PendingListing),
+}
+
+impl SftpProtocol {
+    /// Takes a response to a request of the command at `slot`. Returns the encoded reply if it completes the
+    /// command.
+    pub(super) fn handle_response(&mut self, slot: u64, response: Response) -> Option<Vec<u8>> {
+        let PendingCommand { request_id, operation } = self.pending.remove(&slot)?;
+        let body = match served_body(response) {
+            Ok(body) => body,
+            Err(error) => {
+                self.abandon(&operation);
+                return Some(error.to_status(request_id));
+            }
+        };
+        let reply = match operation {
+            PendingOperation::Open(target) => self.finish_open(request_id, &target, body),
+            PendingOperation::Stat(target) => self.finish_stat(request_id, &target, &body),
+            PendingOperation::Store { target, size } => self.finish_store(request_id, &target, size, &body),
+            PendingOperation::List(mut listing) => {
+                listing.add_shard(body);
+                if listing.remaining_shards > 0 {
+                    let operation = PendingOperation::List(listing);
+                    self.pending.insert(slot, PendingCommand { request_id, operation });
+                    return None;
+                }
+                self.finish_listing(request_id, listing)
+            }
+        };
+        Some(reply.unwrap_or_else(|error| error.to_status(request_id)))
+    }
+
+    /// Gives up an operation whose request failed.
+    fn abandon(&mut self, operation: &PendingOperation) {
+        if let PendingOperation::List(listing) = operation {
+            if let Ok(directory) = self.handles.directory_mut(listing.handle) {
+                directory.reset_listing();
+            }
+        }
+    }
+
+    /// Completes OPEN: the fetched object gets a handle.
+    fn finish_open(
+        &mut self,
+        request_id: u32,
+        target: &Target,
+        body: ResponseBody,
+    ) -> Result<Vec<u8>, SftpError> {
+        let value = match body {
+            ResponseBody::Value(value) => value,
+            ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
+            ResponseBody::Size(_) | ResponseBody::Names(_) => return Err(SftpError::Failed),
+        };
+        self.shared.record_size(target, value.len() as u64);
+        let number = self.handles.insert(Handle::Reading(value))?;
+        Ok(encode_handle(request_id, number))
+    }
+
+    /// Completes STAT: a RESP2 node answers it with the object itself.
+    fn finish_stat(
+        &self,
+        request_id: u32,
+        target: &Target,
+        body: &ResponseBody,
+    ) -> Result<Vec<u8>, SftpError> {
+        let size = match body {
+            ResponseBody::Value(value) => value.len() as u64,
+            ResponseBody::Size(size) => *size,
+            ResponseBody::Names(_) => 0,
+            ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
+        };
+        self.shared.record_size(target, size);
+        Ok(encode_attributes(request_id, Some(size)))
+    }
+
+    /// Completes the CLOSE of an upload of `size` bytes.
+    fn finish_store(
+        &self,
+        request_id: u32,
+        target: &Target,
+        size: u64,
+        body: &ResponseBody,
+    ) -> Result<Vec<u8>, SftpError> {
+        if *body == ResponseBody::NotFound {
+            return Err(SftpError::NoSuchFile);
+        }
+        self.shared.record_size(target, size);
+        Ok(status(request_id, Code::Ok, ""))
+    }
+
+    /// Completes the first READDIR of a volume: the handle gets the entries, and the client the first of them.
+    fn finish_listing(&mut self, request_id: u32, listing: PendingListing) -> Result<Vec<u8>, SftpError> {
+        let directory = self.handles.directory_mut(listing.handle)?;
+        let mut entries = listing.into_sorted_entries();
+        let reply = encode_next_entries(request_id, &mut entries);
+        *directory = Directory::Listed(entries);
+        reply
+    }
+}
+
+/// The body of a served request, or the error that a failed one is answered with.
+fn served_body(response: Response) -> Result<ResponseBody, SftpError> {
+    match response {
+        Response::Served(body) => Ok(body),
+        Response::Rejected(retry_after) => {
+            Err(SftpError::Rejected { retry_after_ms: (retry_after as f64 / 1000.0).ceil() })
+        }
+        Response::Invalid(reason) => Err(SftpError::Invalid(reason)),
+        Response::Failed => Err(SftpError::Failed),
+        Response::TimedOut => Err(SftpError::TimedOut),
+    }
+}
