--- a/crates/gateway/src/client_protocol/resp/mod.rs
+++ b/crates/gateway/src/client_protocol/resp/mod.rs
@@ -11,7 +11,7 @@
 use super::{ClientProtocol, CommandStep};
 use crate::dispatcher::{Operation, Response, ResponseBody};
 use io_scheduler::Micros;
-use parser::parse_words;
+use parser::parse_arguments;
 use request::{build_request, RequestError};
 use std::rc::Rc;
 
@@ -31,11 +31,11 @@
     }
 
     /// Answers a complete command, or submits its request.
-    fn run_command(&self, words: &[&[u8]], ready: bool) -> CommandStep {
-        let Some(name) = words.first() else { return CommandStep::Reply(Vec::new()) };
+    fn run_command(&self, arguments: &[&[u8]], ready: bool) -> CommandStep {
+        let Some(name) = arguments.first() else { return CommandStep::Reply(Vec::new()) };
         match name.to_ascii_uppercase().as_slice() {
-            b"IO.IN" if words.len() == 4 => self.submit(Operation::Read, words),
-            b"IO.OUT" if words.len() == 5 => self.submit(Operation::Write, words),
+            b"IO.IN" if arguments.len() == 4 => self.submit(Operation::Read, arguments),
+            b"IO.OUT" if arguments.len() == 5 => self.submit(Operation::Write, arguments),
             b"IO.IN" | b"IO.OUT" => reply(b"-ERR wrong number of arguments\r\n"),
             b"PING" if ready => reply(b"+PONG\r\n"),
             b"PING" => reply(b"-ERR not ready\r\n"),
@@ -45,8 +45,8 @@
     }
 
     /// Submits the request of an `IO.IN` or `IO.OUT` command, or answers why it is invalid.
-    fn submit(&self, operation: Operation, words: &[&[u8]]) -> CommandStep {
-        match build_request(&self.names, operation, words) {
+    fn submit(&self, operation: Operation, arguments: &[&[u8]]) -> CommandStep {
+        match build_request(&self.names, operation, arguments) {
             Ok(request) => CommandStep::Submit(vec![request]),
             Err(error) => CommandStep::Reply(encode_request_error(&error)),
         }
@@ -83,8 +83,8 @@
 
 impl ClientProtocol for RespProtocol {
     fn parse_command(&mut self, input: &[u8], position: &mut usize, _slot: u64, ready: bool) -> CommandStep {
-        match parse_words(input, position) {
-            Ok(Some(words)) => self.run_command(&words, ready),
+        match parse_arguments(input, position) {
+            Ok(Some(arguments)) => self.run_command(&arguments, ready),
             Ok(None) => CommandStep::Incomplete,
             Err(error) => CommandStep::Close(format!("-ERR Protocol error: {error}\r\n").into_bytes()),
         }
--- a/crates/gateway/src/client_protocol/resp/parser.rs
+++ b/crates/gateway/src/client_protocol/resp/parser.rs
@@ -2,23 +2,23 @@
 
 use crate::config::VALUE_MOST;
 
-/// Most words in one command.
-const MAX_WORDS: usize = 64;
+/// Most arguments in one command, with its name.
+const MAX_ARGUMENTS: usize = 64;
 /// Longest line that announces a length, in bytes.
 const MAX_LENGTH_LINE_BYTES: usize = 64;
-/// Bytes of a command's words together; it bounds a connection's input buffer.
+/// Bytes of a command's arguments together; it bounds a connection's input buffer.
 pub const MAX_COMMAND_BYTES: usize = VALUE_MOST + (8 << 10);
 
 /// Why the input is not a command. The text goes to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RespSyntaxError {
-    /// The array announces a negative number of words, or too many.
+    /// The array announces a negative number of arguments, or too many.
     #[error("invalid multibulk length")]
     InvalidArrayLength,
     /// A bulk string announces a negative length.
     #[error("invalid bulk length")]
     InvalidBulkLength,
-    /// The words together exceed [`MAX_COMMAND_BYTES`].
+    /// The arguments together exceed [`MAX_COMMAND_BYTES`].
     #[error("command too large")]
     CommandTooLarge,
     /// A bulk string does not end where it announced.
@@ -38,18 +38,18 @@
     InvalidNumber,
 }
 
-/// Parses the command of `input` that starts at `position` into its words. Moves `position` past it; returns
-/// `None`, with `position` unchanged, until the command is complete.
-pub(super) fn parse_words<'a>(
+/// Parses the command of `input` that starts at `position` into its arguments, its name first. Moves `position`
+/// past it; returns `None`, with `position` unchanged, until the command is complete.
+pub(super) fn parse_arguments<'a>(
     input: &'a [u8],
     position: &mut usize,
 ) -> Result<Option<Vec<&'a [u8]>>, RespSyntaxError> {
     let mut parser = Parser { input, position: *position };
     let Some(count) = parser.read_length(b'*')? else { return Ok(None) };
-    if !(0..=MAX_WORDS as i64).contains(&count) {
+    if !(0..=MAX_ARGUMENTS as i64).contains(&count) {
         return Err(RespSyntaxError::InvalidArrayLength);
     }
-    let mut words = Vec::with_capacity(count as usize);
+    let mut arguments = Vec::with_capacity(count as usize);
     let mut command_bytes = 0;
     for _ in 0..count {
         let Some(length) = parser.read_length(b'$')? else { return Ok(None) };
@@ -58,11 +58,11 @@
         if command_bytes > MAX_COMMAND_BYTES {
             return Err(RespSyntaxError::CommandTooLarge);
         }
-        let Some(word) = parser.read_bulk_content(length)? else { return Ok(None) };
-        words.push(word);
+        let Some(argument) = parser.read_bulk_content(length)? else { return Ok(None) };
+        arguments.push(argument);
     }
     *position = parser.position;
-    Ok(Some(words))
+    Ok(Some(arguments))
 }
 
 /// Reads parts of a command. Each method returns `None` if the input ends before the part does.
--- a/crates/gateway/src/client_protocol/resp/request.rs
+++ b/crates/gateway/src/client_protocol/resp/request.rs
@@ -1,4 +1,4 @@
-//! Construction of a request from the words of an `IO.IN` or `IO.OUT` command.
+//! Construction of a request from the arguments of an `IO.IN` or `IO.OUT` command.
 
 use super::names::RequestNames;
 use super::terms::RequestTerms;
@@ -10,7 +10,7 @@
 /// Why a request is invalid. The text goes to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
-    /// A word other than the body is not text.
+    /// An argument other than the body is not text.
     #[error("not UTF-8")]
     NotUtf8,
     /// The object is not 16 hex digits.
@@ -53,16 +53,16 @@
     WrongCommand(String),
 }
 
-/// Builds the request of a command with the words: command name, object, client request id, terms and, for a
-/// write, the body.
+/// Builds the request of a command. Its arguments are the command's name, the object, the client request id,
+/// the terms and, for a write, the body.
 pub(super) fn build_request(
     names: &RequestNames,
     operation: Operation,
-    words: &[&[u8]],
+    arguments: &[&[u8]],
 ) -> Result<StorageRequest, RequestError> {
-    let object_text = text_word(words, 1)?;
-    let client_request_id = text_word(words, 2)?;
-    let terms_text = text_word(words, 3)?;
+    let object_text = text_argument(arguments, 1)?;
+    let client_request_id = text_argument(arguments, 2)?;
+    let terms_text = text_argument(arguments, 3)?;
     let object = parse_hex(object_text).ok_or(RequestError::InvalidObject)?;
     check_request_id(client_request_id)?;
 
@@ -88,15 +88,15 @@
         hosts: terms.hosts,
         wait: wait.capped_micros(class.max_wait_ms),
         retry: terms.retry,
-        body: words.get(4).map(|body| body.to_vec()).unwrap_or_default(),
+        body: arguments.get(4).map(|body| body.to_vec()).unwrap_or_default(),
         terms: (wait.prefix.into(), wait.suffix.into()),
     })
 }
 
-/// The word at `index` as text.
-fn text_word<'a>(words: &[&'a [u8]], index: usize) -> Result<&'a str, RequestError> {
-    let word = words.get(index).ok_or(RequestError::NotUtf8)?;
-    std::str::from_utf8(word).map_err(|_| RequestError::NotUtf8)
+/// The argument at `index` as text; the command's name has index 0.
+fn text_argument<'a>(arguments: &[&'a [u8]], index: usize) -> Result<&'a str, RequestError> {
+    let argument = arguments.get(index).ok_or(RequestError::NotUtf8)?;
+    std::str::from_utf8(argument).map_err(|_| RequestError::NotUtf8)
 }
 
 /// The value of 16 hex digits.
--- a/crates/gateway/src/client_protocol/sftp/command.rs
+++ b/crates/gateway/src/client_protocol/sftp/command.rs
@@ -13,8 +13,8 @@
 pub(super) enum CommandOutcome {
     /// An encoded reply.
     Reply(Vec<u8>),
-    /// Requests whose responses complete the operation.
-    Submit(Vec<StorageRequest>, PendingOperation),
+    /// Requests whose responses complete an operation.
+    Submit { requests: Vec<StorageRequest>, operation: PendingOperation },
 }
 
 /// The outcome of a command, or an error that is answered with a STATUS.
@@ -46,7 +46,8 @@
         };
         if flags == open::READ {
             let request = self.shared.object_request(Operation::Read, &target, Vec::new());
-            return Ok(CommandOutcome::Submit(vec![request], PendingOperation::Open(target)));
+            let operation = PendingOperation::Open(target);
+            return Ok(CommandOutcome::Submit { requests: vec![request], operation });
         }
         // An object is replaced as a whole: flags that keep a part of the old one are not supported.
         let replace_flags = open::WRITE | open::CREAT;
@@ -109,7 +110,8 @@
         };
         let size = data.len() as u64;
         let request = self.shared.object_request(Operation::Write, &target, data);
-        Ok(CommandOutcome::Submit(vec![request], PendingOperation::Store { target, size }))
+        let operation = PendingOperation::Store { target, size };
+        Ok(CommandOutcome::Submit { requests: vec![request], operation })
     }
 
     /// STAT and LSTAT: directories have fixed attributes, an object's size comes from its storage node.
@@ -118,7 +120,8 @@
             return Ok(CommandOutcome::Reply(encode_attributes(request_id, None)));
         };
         let request = self.shared.object_request(Operation::Stat, &target, Vec::new());
-        Ok(CommandOutcome::Submit(vec![request], PendingOperation::Stat(target)))
+        let operation = PendingOperation::Stat(target);
+        Ok(CommandOutcome::Submit { requests: vec![request], operation })
     }
 
     /// FSTAT: the size of the buffered object.
@@ -145,7 +148,7 @@
         let requests = self.shared.list_requests(&target);
         *directory = Directory::Listing(target);
         let listing = PendingListing { handle, remaining_shards: requests.len(), entries: Vec::new() };
-        Ok(CommandOutcome::Submit(requests, PendingOperation::List(listing)))
+        Ok(CommandOutcome::Submit { requests, operation: PendingOperation::List(listing) })
     }
 }
 
--- a/crates/gateway/src/client_protocol/sftp/mod.rs
+++ b/crates/gateway/src/client_protocol/sftp/mod.rs
@@ -69,7 +69,7 @@
         let Ok(request_id) = fields.u32() else { return CommandStep::Close(Vec::new()) };
         match self.run_command(kind, request_id, fields) {
             Ok(CommandOutcome::Reply(reply)) => CommandStep::Reply(reply),
-            Ok(CommandOutcome::Submit(requests, operation)) => {
+            Ok(CommandOutcome::Submit { requests, operation }) => {
                 self.pending.insert(slot, PendingCommand { request_id, operation });
                 CommandStep::Submit(requests)
             }
--- a/crates/gateway/src/node_protocol/resp/reply.rs
+++ b/crates/gateway/src/node_protocol/resp/reply.rs
@@ -16,8 +16,8 @@
 const MAX_ARRAY_DEPTH: u8 = 3;
 /// Most elements of one array.
 const MAX_ARRAY_ELEMENTS: i64 = 8;
-/// Largest accepted utilization, in percent. A larger number is no measurement of a node's and would hold its
-/// volume back for the rest of the day.
+/// Largest accepted utilization, in percent. A larger number is no measurement of a node's and would
+/// count against its volume for the rest of the day.
 const MAX_UTILIZATION_PERCENT: f64 = 10_000.0;
 /// Largest accepted cost of one request, in units, for the same reason.
 const MAX_REMOTE_UNITS: f64 = 10_000.0;
