--- /dev/null
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -0,0 +1,3 @@
+//! Connections to storage nodes.
+
+pub mod idle_timeout;
--- a/crates/gateway/src/event_loop/client_connections.rs
+++ b/crates/gateway/src/event_loop/client_connections.rs
@@ -1,16 +1,15 @@
 //! Connections of clients.
 
 use super::node_connections::out_of_descriptors;
-use super::socket::Socket;
 use super::{Connection, Gateway, ListenerProtocol};
 use crate::client_protocol::resp::{RespProtocol, COMMAND_MOST};
 use crate::client_protocol::sftp::SftpProtocol;
 use crate::client_protocol::{ClientProtocol, CommandStep};
+use crate::connections::socket::{Interest, Socket, StreamStatus};
 use crate::dispatcher::{ReplySlot, Response};
 use crate::timer_queue::Timer;
 use io_scheduler::{Micros, RequestId};
-use rustix::event::epoll::{self, EventData, EventFlags};
-use rustix::fd::AsFd;
+use rustix::event::epoll::EventFlags;
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::net::TcpListener;
@@ -80,12 +79,13 @@
 impl ClientConnection {
     /// Bytes of answers that it has not taken yet.
     fn owes(&self) -> usize {
-        self.socket.unsent() + self.replies.iter().map(|(_, r)| r.as_ref().map_or(0, Vec::len)).sum::<usize>()
+        self.socket.unsent_bytes()
+            + self.replies.iter().map(|(_, r)| r.as_ref().map_or(0, Vec::len)).sum::<usize>()
     }
 
     /// Nothing is owed.
     fn settled(&self) -> bool {
-        self.replies.is_empty() && self.socket.unsent() == 0
+        self.replies.is_empty() && self.socket.unsent_bytes() == 0
     }
 
     /// Between requests: nothing is owed and no command or upload has begun.
@@ -98,7 +98,7 @@
         if self.leaving.is_some() {
             return Some(self.used_at + LEAVE_WITHIN);
         }
-        if self.socket.unsent() > 0 {
+        if self.socket.unsent_bytes() > 0 {
             return Some(self.used_at + TAKE_WITHIN);
         }
         if !self.replies.is_empty() {
@@ -156,7 +156,7 @@
                     };
                     let token = self.conns.reserve();
                     let socket = Socket::new(stream).and_then(|mut socket| {
-                        socket.watch(&self.epoll, token, true, false)?;
+                        socket.set_interest(&self.poller, token, Interest::Read)?;
                         Ok(socket)
                     });
                     let Ok(socket) = socket else {
@@ -274,9 +274,7 @@
         let wanted = if on { EventFlags::IN } else { EventFlags::empty() };
         for (token, conn) in self.conns.iter() {
             if let Connection::Listener(listener, _) = conn {
-                if let Err(e) =
-                    epoll::modify(&self.epoll, listener.as_fd(), EventData::new_u64(token), wanted)
-                {
+                if let Err(e) = self.poller.modify(listener, token, wanted) {
                     log::error!("accept: {e}");
                 }
             }
@@ -292,19 +290,19 @@
     ) {
         self.unshelved(&mut client);
         let over = if let Some(left) = &mut client.leaving {
-            client.socket.discard(left)
+            client.socket.discard_available(left)
         } else if flags.intersects(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR) {
             // Its end may stand behind more than is read here, and what it asked is not to wait for that.
-            Ok(true)
+            Ok(StreamStatus::Ended)
         } else if flags.contains(EventFlags::IN) {
-            client.socket.fill(INPUT_MOST)
+            client.socket.read_available(INPUT_MOST)
         } else {
-            Ok(false)
+            Ok(StreamStatus::Open)
         };
         match over {
-            Ok(false) => self.client_go(token, client, now),
+            Ok(StreamStatus::Open) => self.client_go(token, client, now),
             // The client has gone away, whatever it still had to ask.
-            Ok(true) | Err(_) => self.drop_client(token, client, now),
+            Ok(StreamStatus::Ended) | Err(_) => self.drop_client(token, client, now),
         }
     }
 
@@ -314,7 +312,7 @@
         let crowded = self.owed >= self.config.budget.owed;
         while !(client.hanging || crowded && !client.replies.is_empty())
             && client.replies.len() < PIPELINE_MOST
-            && client.socket.unsent() < UNSENT_MOST
+            && client.socket.unsent_bytes() < UNSENT_MOST
         {
             let slot = client.next_slot;
             match client.protocol.parse_command(
@@ -366,16 +364,16 @@
         let full = client.socket.input.len() >= INPUT_MOST;
         let done = client.hanging
             || self.draining && client.socket.input.is_empty() && !client.protocol.mid_command();
-        let unsent = client.socket.unsent();
+        let unsent = client.socket.unsent_bytes();
         let result = client.socket.flush();
-        if client.socket.unsent() < unsent {
+        if client.socket.unsent_bytes() < unsent {
             client.used_at = now;
         }
         self.owed = self.owed + client.owes() - client.owed;
         client.owed = client.owes();
         // Answers come faster than bounds on commands can tell: who takes none of them is given up before
         // the process is.
-        let glut = self.owed > 2 * self.config.budget.owed && client.socket.unsent() > UNSENT_MOST;
+        let glut = self.owed > 2 * self.config.budget.owed && client.socket.unsent_bytes() > UNSENT_MOST;
         if result.is_err() || glut {
             return self.drop_client(token, client, now);
         }
@@ -383,7 +381,11 @@
             return self.part_from(token, client, now);
         }
         let read = !full && !client.hanging;
-        if client.socket.watch(&self.epoll, token, read, false).is_err() {
+        if client
+            .socket
+            .set_interest(&self.poller, token, if read { Interest::Read } else { Interest::Paused })
+            .is_err()
+        {
             return self.drop_client(token, client, now);
         }
         self.shelve(token, client);
@@ -394,7 +396,7 @@
     /// it is read and dropped until it has closed too. Nothing of that is sent on: it asks again elsewhere.
     fn part_from(&mut self, token: u64, mut client: ClientConnection, now: Micros) {
         if client.leaving.is_none() {
-            if client.socket.end_sending().is_err() {
+            if client.socket.shutdown_write().is_err() {
                 return self.drop_client(token, client, now);
             }
             client.hanging = true;
@@ -403,7 +405,7 @@
             self.no_requester(&mut client);
         }
         client.socket.consume(client.socket.input.len());
-        if client.socket.watch(&self.epoll, token, true, false).is_err() {
+        if client.socket.set_interest(&self.poller, token, Interest::Read).is_err() {
             return self.drop_client(token, client, now);
         }
         self.shelve(token, client);
@@ -435,8 +437,8 @@
         let Some(Connection::Client(mut client)) = self.conns.take(token) else { return };
         self.unshelved(&mut client);
         let had = client.socket.input.len();
-        match client.socket.fill(INPUT_MOST) {
-            Ok(false) if client.socket.input.len() > had && client.leaving.is_none() => {
+        match client.socket.read_available(INPUT_MOST) {
+            Ok(StreamStatus::Open) if client.socket.input.len() > had && client.leaving.is_none() => {
                 self.client_go(token, client, now)
             }
             _ => self.drop_client(token, client, now),
@@ -453,9 +455,9 @@
     /// Ends a connection that has rested, unless a command has come meanwhile.
     fn rest_over(&mut self, token: u64, mut client: ClientConnection, now: Micros) {
         let had = client.socket.input.len();
-        match client.socket.fill(INPUT_MOST) {
-            Ok(false) if client.socket.input.len() > had => self.client_go(token, client, now),
-            Ok(false) => self.part_from(token, client, now),
+        match client.socket.read_available(INPUT_MOST) {
+            Ok(StreamStatus::Open) if client.socket.input.len() > had => self.client_go(token, client, now),
+            Ok(StreamStatus::Open) => self.part_from(token, client, now),
             _ => self.drop_client(token, client, now),
         }
     }
--- a/crates/gateway/src/event_loop/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -3,8 +3,7 @@
 use super::{Connection, Gateway};
 use crate::console::{self, ConsoleCommand};
 use io_scheduler::{EndpointListEvent, EndpointStatus, Micros};
-use rustix::event::epoll::{self, EventData, EventFlags};
-use rustix::fd::AsFd;
+use rustix::event::epoll::EventFlags;
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
 
@@ -17,7 +16,7 @@
         let (ours, mut theirs) = UnixStream::pair()?;
         ours.set_nonblocking(true)?;
         let token = self.conns.reserve();
-        epoll::add(&self.epoll, ours.as_fd(), EventData::new_u64(token), EventFlags::IN)?;
+        self.poller.register(&ours, token, EventFlags::IN)?;
         self.conns.put(token, Connection::Console(ours));
         std::thread::Builder::new().name("console".into()).spawn(move || {
             // When the loop is gone there is nobody to read for.
--- a/crates/gateway/src/event_loop/discovery_watch.rs
+++ b/crates/gateway/src/event_loop/discovery_watch.rs
@@ -1,7 +1,7 @@
 //! The watch on discovery.
 
-use super::socket::Socket;
 use super::{Connection, Gateway};
+use crate::connections::socket::{Interest, Socket, StreamStatus};
 use crate::discovery::{watch_request, EndpointListUpdate, WatchParser};
 use crate::inventory::Protocol;
 use crate::timer_queue::Timer;
@@ -32,7 +32,7 @@
         (self.watch_told, self.watch_begun) = (false, now);
         let connected = Socket::connect(address).and_then(|mut socket| {
             let token = self.conns.reserve();
-            let watched = socket.watch(&self.epoll, token, true, true);
+            let watched = socket.set_interest(&self.poller, token, Interest::Connect);
             let parser = WatchParser::default();
             let watch = DiscoveryWatch { socket, parser, asked: false };
             self.conns.put(token, Connection::Watch(watch));
@@ -60,7 +60,7 @@
     fn watch_step(&mut self, token: u64, watch: &mut DiscoveryWatch, now: Micros) -> Result<(), String> {
         let text = |e: std::io::Error| e.to_string();
         if !watch.asked {
-            if !watch.socket.connected().map_err(text)? {
+            if !watch.socket.is_connected().map_err(text)? {
                 return Ok(());
             }
             watch.asked = true;
@@ -70,7 +70,7 @@
             }
         }
         watch.socket.flush().map_err(text)?;
-        let over = watch.socket.fill(READ_MOST).map_err(text)?;
+        let over = watch.socket.read_available(READ_MOST).map_err(text)?;
         let bytes = std::mem::take(&mut watch.socket.input);
         let mut updates = Vec::new();
         let mid_object = watch.parser.mid_object();
@@ -84,14 +84,14 @@
             self.take_update(update, update.kind(), now);
         }
         parsed.map_err(|e| e.to_string())?;
-        if over || watch.parser.over() {
+        if over == StreamStatus::Ended || watch.parser.over() {
             return Err("the watch ended".into());
         }
         // What has begun must become whole: the rest of it is no sign of life.
         if !bytes.is_empty() && (!mid_object || !updates.is_empty()) {
             self.timers.reschedule(&mut self.watch_due, Some(now + SILENCE), Timer::DiscoveryWatch);
         }
-        watch.socket.watch(&self.epoll, token, true, false).map_err(text)
+        watch.socket.set_interest(&self.poller, token, Interest::Read).map_err(text)
     }
 
     /// Takes in a list: addresses for the pools, the rest for the core.
--- a/crates/gateway/src/event_loop/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -4,12 +4,15 @@
 //! back. There is one thread and nothing blocks.
 
 mod client_connections;
+mod clock;
 mod console;
 mod discovery_watch;
-pub mod idle_timeout;
 mod node_connections;
-pub mod slab;
-pub mod socket;
+mod poller;
+
+pub use crate::connections::node::idle_timeout;
+pub use crate::connections::slab;
+pub(crate) use poller::Poller;
 
 use crate::client_protocol::resp::RequestNames;
 use crate::client_protocol::sftp::SftpShared;
@@ -20,18 +23,17 @@
 use crate::logger;
 use crate::timer_queue::{AttemptId, Timer, TimerQueue};
 use client_connections::{ClientConnection, EvictionCandidate};
+use clock::Clock;
 use discovery_watch::DiscoveryWatch;
 use io_scheduler::{EndpointListEvent, EndpointStatus, Micros, NodeId};
 use node_connections::{ConnectionPool, NodeConnection};
-use rustix::event::epoll::{self, EventData, EventFlags};
-use rustix::fd::{AsFd, OwnedFd};
+use rustix::event::epoll::{Event, EventFlags};
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixStream;
 use std::rc::Rc;
-use std::time::{Duration, Instant, SystemTime};
 
 /// After SIGTERM everything goes on as before for this long: new connections may still come.
 const RETIRE_AFTER: Micros = 750_000;
@@ -63,29 +65,6 @@
     System(#[from] io::Error),
 }
 
-impl From<rustix::io::Errno> for GatewayError {
-    fn from(e: rustix::io::Errno) -> Self {
-        GatewayError::System(e.into())
-    }
-}
-
-/// The system's clock as it was at the start, carried on by one that never jumps.
-struct Clock {
-    base: Micros,
-    begun: Instant,
-}
-
-impl Clock {
-    fn new() -> Clock {
-        let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        Clock { base: since.as_micros() as Micros, begun: Instant::now() }
-    }
-
-    fn now(&self) -> Micros {
-        self.base + self.begun.elapsed().as_micros() as Micros
-    }
-}
-
 /// Which protocol a listener speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListenerProtocol {
@@ -113,7 +92,7 @@
 pub struct Gateway {
     config: Config,
     clock: Clock,
-    epoll: OwnedFd,
+    poller: Poller,
     conns: Slab<Connection>,
     dispatcher: Dispatcher,
     timers: TimerQueue,
@@ -161,7 +140,7 @@
         let usable = config.descriptors - OTHER_DESCRIPTORS;
         let links_most = usable * 2 / 5;
         let mut gateway = Gateway {
-            epoll: epoll::create(epoll::CreateFlags::CLOEXEC)?,
+            poller: Poller::new()?,
             names: RequestNames::new(&config.settings),
             sftp: config
                 .sftp
@@ -214,12 +193,12 @@
     fn listen(&mut self, address: SocketAddr, speaks: ListenerProtocol) -> Result<(), GatewayError> {
         let listener = TcpListener::bind(address).map_err(|e| GatewayError::Listen(address, e))?;
         // Clients come by the hundreds at times; what a short queue drops tries again only a second later.
-        rustix::net::listen(&listener, BACKLOG)?;
+        rustix::net::listen(&listener, BACKLOG).map_err(io::Error::from)?;
         listener.set_nonblocking(true)?;
         let spoken = if speaks == ListenerProtocol::Resp { "RESP2" } else { "file commands" };
         log::info!("listens for {spoken} on {}", listener.local_addr()?);
         let token = self.conns.reserve();
-        epoll::add(&self.epoll, listener.as_fd(), EventData::new_u64(token), EventFlags::IN)?;
+        self.poller.register(&listener, token, EventFlags::IN)?;
         self.conns.put(token, Connection::Listener(listener, speaks));
         Ok(())
     }
@@ -235,7 +214,7 @@
                 signal_hook::low_level::pipe::register(*signal, theirs.try_clone()?)?;
             }
             let token = self.conns.reserve();
-            epoll::add(&self.epoll, ours.as_fd(), EventData::new_u64(token), EventFlags::IN)?;
+            self.poller.register(&ours, token, EventFlags::IN)?;
             self.conns.put(token, Connection::Signal(ours, told));
         }
         Ok(())
@@ -243,22 +222,14 @@
 
     /// Serves until told to end.
     pub fn run(&mut self) -> Result<(), GatewayError> {
-        let mut events: Vec<epoll::Event> = Vec::with_capacity(EVENTS);
+        let mut events: Vec<Event> = Vec::with_capacity(EVENTS);
         let mut commands = Vec::new();
         loop {
             let now = self.clock.now();
             let next =
                 [self.timers.next(), self.idle_since.map(|at| at + LINGER)].into_iter().flatten().min();
             let wait = if self.dispatcher.has_work() { 0 } else { next.map_or(-1, |at| (at - now).max(0)) };
-            let timeout = (wait >= 0).then(|| rustix::event::Timespec {
-                tv_sec: wait / 1_000_000,
-                tv_nsec: (wait % 1_000_000) * 1_000,
-            });
-            events.clear();
-            match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut events), timeout.as_ref()) {
-                Ok(_) | Err(rustix::io::Errno::INTR) => {}
-                Err(e) => return Err(e.into()),
-            }
+            self.poller.wait(&mut events, (wait >= 0).then_some(wait))?;
             let now = self.clock.now();
             for event in &events {
                 let (flags, data) = (event.flags, event.data);
--- a/crates/gateway/src/event_loop/node_connections.rs
+++ b/crates/gateway/src/event_loop/node_connections.rs
@@ -2,8 +2,8 @@
 //! give up its request can't harm another.
 
 use super::idle_timeout::IdleTimeoutEstimate;
-use super::socket::Socket;
 use super::{Connection, Gateway};
+use crate::connections::socket::{Interest, Socket, StreamStatus};
 use crate::dispatcher::{AttemptResult, Operation, StorageRequest};
 use crate::inventory::Protocol;
 use crate::node_protocol::{resp, sftp, NodeProtocol, ProtocolError};
@@ -76,7 +76,7 @@
 impl NodeConnection {
     /// Whether nothing has come that was not asked for, and the node has not ended the connection.
     fn quiet(&mut self) -> bool {
-        let Ok(false) = self.socket.fill(READ_MOST) else { return false };
+        let Ok(StreamStatus::Open) = self.socket.read_available(READ_MOST) else { return false };
         self.socket.input.is_empty()
             || matches!(self.protocol.decode(&mut self.socket.input, &mut Vec::new()), Ok(None))
     }
@@ -191,7 +191,7 @@
             other => other?,
         };
         let token = self.conns.reserve();
-        if let Err(e) = socket.watch(&self.epoll, token, true, true) {
+        if let Err(e) = socket.set_interest(&self.poller, token, Interest::Connect) {
             self.conns.free(token);
             return Err(e);
         }
@@ -280,7 +280,7 @@
 
     pub(super) fn link_ready(&mut self, token: u64, mut link: NodeConnection, now: Micros) {
         if !link.up {
-            match link.socket.connected() {
+            match link.socket.is_connected() {
                 Ok(false) => return self.conns.put(token, Connection::Node(link)),
                 Err(_) => return self.lose_link(token, link, Outcome::Reset, now),
                 Ok(true) => {
@@ -289,7 +289,7 @@
                 }
             }
         }
-        let over = match link.socket.fill(READ_MOST + link.large) {
+        let over = match link.socket.read_available(READ_MOST + link.large) {
             Ok(over) => over,
             Err(_) => return self.lose_link(token, link, Outcome::Reset, now),
         };
@@ -336,7 +336,7 @@
             }
             Ok(None) => {}
         }
-        if over {
+        if over == StreamStatus::Ended {
             return self.lose_link(token, link, Outcome::Reset, now);
         }
         self.link_go(token, link, now);
@@ -347,7 +347,7 @@
     }
 
     fn note_written(&mut self, link: &mut NodeConnection, done: Option<&InFlight>) {
-        let sent = link.socket.sent;
+        let sent = link.socket.bytes_sent;
         if let Some(c) = done {
             self.dispatcher.mark_written(c.attempt);
         } else if let Some(c) = link.carried.as_mut().filter(|c| !c.told) {
@@ -365,7 +365,7 @@
         if let Some(carried) = link.carried.as_mut().filter(|c| fit && c.runs_after.is_none()) {
             if self.dispatcher.may_write(link.node, now) {
                 let wait = (carried.until - now) / 1000;
-                let begun = link.socket.sent + link.socket.unsent() as u64;
+                let begun = link.socket.bytes_sent + link.socket.unsent_bytes() as u64;
                 let harmless = link.protocol.encode_request(&carried.request, wait, link.socket.output());
                 carried.runs_after = Some(begun + harmless as u64);
                 self.timers.reschedule(&mut link.due, None, Timer::Connection(token));
@@ -381,7 +381,16 @@
         let flushed = if link.up { link.socket.flush() } else { Ok(()) };
         self.note_written(&mut link, None);
         let connecting = !link.up;
-        if flushed.and_then(|()| link.socket.watch(&self.epoll, token, true, connecting)).is_err() {
+        if flushed
+            .and_then(|()| {
+                link.socket.set_interest(
+                    &self.poller,
+                    token,
+                    if connecting { Interest::Connect } else { Interest::Read },
+                )
+            })
+            .is_err()
+        {
             return self.lose_link(token, link, Outcome::Reset, now);
         }
         if link.carried.is_none() {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,6 +3,7 @@
 
 pub mod client_protocol;
 pub mod config;
+pub mod connections;
 pub mod console;
 pub mod discovery;
 pub mod dispatcher;
