--- a/crates/gateway/src/event_loop/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -1,111 +1,157 @@
-//! Lines typed at the terminal, brought to the loop by a thread that only reads them.
+//! The operator's console on standard input and output.
+//!
+//! A thread reads standard input and passes it on through a pipe, so that the event loop never blocks on it.
 
-use super::{Connection, Gateway};
+use super::{Connection, Context, Gateway};
 use crate::console::{self, ConsoleCommand};
-use io_scheduler::{EndpointListEvent, EndpointStatus, Micros};
+use io_scheduler::EndpointStatus;
 use rustix::event::epoll::EventFlags;
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
 
 /// Bytes of a line that is not ended yet.
-const LINE_MOST: usize = 4096;
+const MAX_LINE: usize = 4096;
 
-impl Gateway {
-    /// Opens the console on standard input. Its end leaves the gateway running.
-    pub fn open_console(&mut self) -> io::Result<()> {
-        let (ours, mut theirs) = UnixStream::pair()?;
-        ours.set_nonblocking(true)?;
-        let token = self.conns.reserve();
-        self.poller.register(&ours, token, EventFlags::IN)?;
-        self.conns.put(token, Connection::Console(ours));
+/// Lines typed at the console.
+pub(crate) struct ConsoleInput {
+    stream: UnixStream,
+    /// The line that is not ended yet.
+    buffer: Vec<u8>,
+}
+
+/// The console's input is at its end, or can't be read.
+struct InputClosed;
+
+impl ConsoleInput {
+    /// Reads the console from here on.
+    fn open(context: &mut Context) -> io::Result<()> {
+        let (stream, mut writer) = UnixStream::pair()?;
+        stream.set_nonblocking(true)?;
+        let token = context.connections.reserve();
+        context.poller.register(&stream, token, EventFlags::IN)?;
+        context.connections.put(token, Connection::Console(ConsoleInput { stream, buffer: Vec::new() }));
         std::thread::Builder::new().name("console".into()).spawn(move || {
-            // When the loop is gone there is nobody to read for.
-            let _ = io::copy(&mut io::stdin().lock(), &mut theirs);
+            // Once the event loop is gone, there is nothing left to read for.
+            let _ = io::copy(&mut io::stdin().lock(), &mut writer);
         })?;
         Ok(())
     }
 
-    pub(super) fn console_ready(&mut self, token: u64, mut console: UnixStream, now: Micros) {
+    fn read_available(&mut self) -> Result<(), InputClosed> {
         let mut bytes = [0; 1024];
         loop {
-            match console.read(&mut bytes) {
-                Ok(0) => {
-                    self.conns.free(token);
-                    return;
-                }
-                Ok(n) => self.typed.extend_from_slice(&bytes[..n]),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => {
-                    self.conns.free(token);
-                    return;
-                }
+            match self.stream.read(&mut bytes) {
+                Ok(0) => return Err(InputClosed),
+                Ok(count) => self.buffer.extend_from_slice(&bytes[..count]),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return Err(InputClosed),
             }
         }
-        self.conns.put(token, Connection::Console(console));
-        while let Some(end) = self.typed.iter().position(|b| *b == b'\n') {
-            let line: Vec<u8> = self.typed.drain(..=end).collect();
-            let said = match console::parse(&String::from_utf8_lossy(&line)) {
-                Ok(command) => self.command(command, now),
-                Err(why) => format!("{why}\n"),
-            };
-            let mut out = io::stdout().lock();
-            // A terminal that has gone away reads nothing any more.
-            let _ = out.write_all(said.as_bytes()).and_then(|()| out.flush());
+    }
+
+    /// Takes the complete lines out of the buffer. What is left is dropped if it is too long for a line.
+    fn take_lines(&mut self) -> Vec<String> {
+        let mut lines = Vec::new();
+        while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = self.buffer.drain(..=end).collect();
+            lines.push(String::from_utf8_lossy(&line).into_owned());
+        }
+        if self.buffer.len() > MAX_LINE {
+            self.buffer.clear();
+        }
+        lines
+    }
+}
+
+impl Gateway {
+    /// Opens the console on standard input. The end of standard input leaves the gateway running.
+    ///
+    /// # Errors
+    ///
+    /// If the pipe or the thread that it takes can't be created.
+    pub fn open_console(&mut self) -> io::Result<()> {
+        ConsoleInput::open(&mut self.context)
+    }
+
+    pub(super) fn handle_console_ready(&mut self, token: u64, mut console: ConsoleInput) {
+        if console.read_available().is_err() {
+            self.context.connections.free(token);
+            return;
         }
-        if self.typed.len() > LINE_MOST {
-            self.typed.clear();
+        let lines = console.take_lines();
+        self.context.connections.put(token, Connection::Console(console));
+        for line in lines {
+            let output = match console::parse(&line) {
+                Ok(command) => self.run_console_command(command),
+                Err(error) => format!("{error}\n"),
+            };
+            let mut stdout = io::stdout().lock();
+            // A terminal that is gone reads nothing any more.
+            let _ = stdout.write_all(output.as_bytes()).and_then(|()| stdout.flush());
         }
     }
 
-    fn command(&mut self, command: ConsoleCommand, now: Micros) -> String {
+    /// Runs a command and returns its output.
+    fn run_console_command(&mut self, command: ConsoleCommand) -> String {
         match command {
             ConsoleCommand::Nothing => String::new(),
             ConsoleCommand::Help => console::HELP.to_owned(),
-            ConsoleCommand::Nodes => console::nodes(self.dispatcher.nodes()),
-            ConsoleCommand::Volumes => {
-                let named = self.config.sftp.as_ref().map_or(&[][..], |s| &s.volumes);
-                console::volumes(self.dispatcher.volume_counters(), named)
-            }
-            ConsoleCommand::Status => {
-                let serving =
-                    self.dispatcher.nodes().filter(|n| n.status == EndpointStatus::InService).count();
-                format!(
-                    "{}: {} nodes serving, {} client connections, {} node connections, {} requests open{}\n",
-                    self.config.name,
-                    serving,
-                    self.clients,
-                    self.links,
-                    self.dispatcher.open_requests(),
-                    if self.shutdown_requested { ", ending" } else { "" }
-                )
-            }
-            ConsoleCommand::Drain(name) => self.drain(name, true, now),
-            ConsoleCommand::Undrain(name) => self.drain(name, false, now),
-            ConsoleCommand::Reload if self.config.inventory.is_none() => {
-                "there is no inventory to read\n".into()
-            }
-            ConsoleCommand::Reload => match self.reload(now) {
-                Ok(count) => format!("{count} nodes listed\n"),
-                Err(e) => format!("kept as it was: {e}\n"),
-            },
+            ConsoleCommand::Nodes => console::nodes(self.context.dispatcher.nodes()),
+            ConsoleCommand::Volumes => self.volumes(),
+            ConsoleCommand::Status => self.status(),
+            ConsoleCommand::Drain(name) => self.drain_node(&name),
+            ConsoleCommand::Undrain(name) => self.undrain_node(&name),
+            ConsoleCommand::Reload => self.reload_from_console(),
             ConsoleCommand::Quit => {
-                self.request_shutdown(now);
-                "ending once idle\n".into()
+                self.request_shutdown();
+                "ending once idle\n".to_owned()
             }
         }
     }
 
-    fn drain(&mut self, name: String, on: bool, now: Micros) -> String {
-        let Some(line) = self.lines.get(&name).cloned() else {
-            return format!("no node is named '{name}'\n");
+    fn volumes(&self) -> String {
+        let named_volumes = match &self.context.config.sftp {
+            Some(sftp) => sftp.volumes.as_slice(),
+            None => &[],
         };
-        if on {
-            self.drained.insert(name.clone());
-        } else {
-            self.drained.remove(&name);
+        console::volumes(self.context.dispatcher.volume_counters(), named_volumes)
+    }
+
+    fn status(&self) -> String {
+        let nodes = self.context.dispatcher.nodes();
+        let in_service = nodes.filter(|node| node.status == EndpointStatus::InService).count();
+        format!(
+            "{}: {in_service} nodes serving, {} client connections, {} node connections, {} requests open{}\n",
+            self.context.config.name,
+            self.clients.count(),
+            self.nodes.count(),
+            self.context.dispatcher.open_requests(),
+            if self.context.shutdown.is_requested() { ", ending" } else { "" }
+        )
+    }
+
+    fn drain_node(&mut self, name: &str) -> String {
+        match self.endpoints.drain(name, &mut self.nodes, &mut self.context) {
+            Ok(()) => format!("{name} drains\n"),
+            Err(error) => format!("{error}\n"),
+        }
+    }
+
+    fn undrain_node(&mut self, name: &str) -> String {
+        match self.endpoints.undrain(name, &mut self.nodes, &mut self.context) {
+            Ok(()) => format!("{name} serves as listed\n"),
+            Err(error) => format!("{error}\n"),
+        }
+    }
+
+    fn reload_from_console(&mut self) -> String {
+        if self.context.config.inventory.is_none() {
+            return "there is no inventory to read\n".to_owned();
+        }
+        match self.reload_inventory() {
+            Ok(count) => format!("{count} nodes listed\n"),
+            Err(error) => format!("kept as it was: {error}\n"),
         }
-        self.take_lines(EndpointListEvent::Delta, vec![line], now);
-        format!("{name} {}\n", if on { "drains" } else { "serves as listed" })
     }
 }
--- /dev/null
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -0,0 +1,113 @@
+//! The endpoint list as the gateway uses it: what discovery or the inventory lists, and what the operator drains.
+
+use super::Context;
+use crate::connections::node::{NodeAddress, NodeConnections};
+use crate::discovery::EndpointListUpdate;
+use crate::endpoint::EndpointRecord;
+use crate::inventory::{self, InventoryError, Protocol};
+use io_scheduler::{EndpointListEvent, EndpointStatus};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// No listed node has this name.
+#[derive(Debug, thiserror::Error)]
+#[error("no node is named '{0}'")]
+pub(super) struct UnknownNode(String);
+
+/// The nodes as last listed, and those that the operator drains.
+#[derive(Debug, Default)]
+pub(super) struct EndpointTable {
+    records: BTreeMap<String, EndpointRecord>,
+    drained_by_operator: BTreeSet<String>,
+}
+
+impl EndpointTable {
+    /// Applies a list from discovery: addresses go to the connection pools, the rest to the dispatcher.
+    pub(super) fn apply_update(
+        &mut self,
+        update: &EndpointListUpdate,
+        kind: EndpointListEvent,
+        nodes: &mut NodeConnections,
+        context: &mut Context,
+    ) {
+        let mut records = Vec::with_capacity(update.endpoints.len());
+        for (record, address) in update.lines() {
+            let node = context.dispatcher.node_id(&record.name);
+            nodes.set_address(node, NodeAddress { address, protocol: Protocol::Resp2 }, context);
+            records.push(record);
+        }
+        self.apply(kind, records, nodes, context);
+    }
+
+    /// Reads the inventory again and applies it as the complete list; returns how many nodes it lists. An invalid
+    /// one changes nothing.
+    pub(super) fn reload_inventory(
+        &mut self,
+        nodes: &mut NodeConnections,
+        context: &mut Context,
+    ) -> Result<usize, InventoryError> {
+        let Some(path) = context.config.inventory.clone() else { return Ok(self.records.len()) };
+        let entries = inventory::read(&path)?;
+        for entry in &entries {
+            let node = context.dispatcher.node_id(&entry.line.name);
+            let address = NodeAddress { address: entry.address, protocol: entry.protocol };
+            nodes.set_address(node, address, context);
+        }
+        let count = entries.len();
+        let records = entries.into_iter().map(|entry| entry.line).collect();
+        self.apply(EndpointListEvent::Snapshot, records, nodes, context);
+        Ok(count)
+    }
+
+    /// Drains a node until [`EndpointTable::undrain`].
+    pub(super) fn drain(
+        &mut self,
+        name: &str,
+        nodes: &mut NodeConnections,
+        context: &mut Context,
+    ) -> Result<(), UnknownNode> {
+        let record = self.record(name)?;
+        self.drained_by_operator.insert(name.to_owned());
+        self.apply(EndpointListEvent::Delta, vec![record], nodes, context);
+        Ok(())
+    }
+
+    /// Uses a node again as it is listed.
+    pub(super) fn undrain(
+        &mut self,
+        name: &str,
+        nodes: &mut NodeConnections,
+        context: &mut Context,
+    ) -> Result<(), UnknownNode> {
+        let record = self.record(name)?;
+        self.drained_by_operator.remove(name);
+        self.apply(EndpointListEvent::Delta, vec![record], nodes, context);
+        Ok(())
+    }
+
+    fn record(&self, name: &str) -> Result<EndpointRecord, UnknownNode> {
+        self.records.get(name).cloned().ok_or_else(|| UnknownNode(name.to_owned()))
+    }
+
+    /// Hands records to the dispatcher; those in service that the operator drains are shown as draining.
+    fn apply(
+        &mut self,
+        kind: EndpointListEvent,
+        mut records: Vec<EndpointRecord>,
+        nodes: &mut NodeConnections,
+        context: &mut Context,
+    ) {
+        if kind != EndpointListEvent::Delta {
+            self.records.clear();
+        }
+        for record in &mut records {
+            self.records.insert(record.name.clone(), record.clone());
+            let is_in_service = record.status == EndpointStatus::InService;
+            if is_in_service && self.drained_by_operator.contains(&record.name) {
+                record.status = EndpointStatus::Draining;
+            }
+        }
+        context.dispatcher.update_endpoints(kind, &records, context.now);
+        self.records.retain(|_, record| record.status != EndpointStatus::Removed);
+        nodes.remove_unlisted(context);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -0,0 +1,48 @@
+//! Reloading the configuration while the gateway runs.
+
+use super::Gateway;
+use crate::config::Config;
+use crate::inventory::InventoryError;
+use crate::logger;
+use io_scheduler::EndpointListEvent;
+use std::net::SocketAddr;
+
+impl Gateway {
+    /// Reads the configuration again and applies what can change while the gateway runs. An invalid one changes
+    /// nothing. Requests go on meanwhile.
+    pub(super) fn reload_config(&mut self) {
+        let new = match self.context.config.again(|key| std::env::var(key).ok()) {
+            Ok(new) => new,
+            Err(error) => return log::warn!("configuration kept as it was: {error}"),
+        };
+        log::info!("configuration read again");
+        self.apply_config(new);
+    }
+
+    fn apply_config(&mut self, new: Config) {
+        let current = &mut self.context.config;
+        if new.settings != current.settings || new.listen != current.listen {
+            log::warn!("changes of settings and listen take a restart");
+        }
+        logger::install(new.log);
+        current.inventory = new.inventory;
+        if let Err(error) = self.reload_inventory() {
+            log::warn!("inventory kept as it was: {error}");
+        }
+        if new.discovery != self.context.config.discovery {
+            self.move_discovery(new.discovery);
+        }
+    }
+
+    /// Goes over to another discovery service. The watch at the previous address is closed, even if it works.
+    fn move_discovery(&mut self, address: Option<SocketAddr>) {
+        self.context.config.discovery = address;
+        self.watch.reset_list_index();
+        self.watch.close(EndpointListEvent::WatchLost, &mut self.context);
+    }
+
+    /// Reads the inventory again; returns how many nodes it lists. An invalid one changes nothing.
+    pub(super) fn reload_inventory(&mut self) -> Result<usize, InventoryError> {
+        self.endpoints.reload_inventory(&mut self.nodes, &mut self.context)
+    }
+}
