--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -37,7 +37,11 @@
     fn run_commands(&mut self, token: u64, client: &mut ClientConnection, context: &mut Context) -> usize {
         let mut position = 0;
         let over_budget = self.unsent_bytes >= context.config.budget.owed;
-        while client.may_parse_command(over_budget) {
+        while client.may_parse_command() {
+            // While all clients together leave too much unsent, each gets one reply at a time.
+            if over_budget && !client.replies.is_empty() {
+                break;
+            }
             let slot = client.next_slot;
             let has_endpoint = context.dispatcher.has_endpoint();
             let input = &client.socket.input;
@@ -82,8 +86,8 @@
         client.open_requests.insert(slot, ids);
     }
 
-    /// Drops the input that was parsed. If the partial commands of all clients take too much memory, this one is
-    /// rejected.
+    /// Drops the input that was parsed. If the partial commands of all clients take too much memory, this one
+    /// is rejected.
     fn consume_input(&mut self, client: &mut ClientConnection, parsed: usize, context: &Context) {
         let consumed = if client.is_closing() { client.socket.input.len() } else { parsed };
         client.socket.consume(consumed);
@@ -118,8 +122,8 @@
     }
 
     /// Whether a client takes too little of its replies while all clients together leave far too much unsent.
-    /// Replies may come faster than the limits on commands foresee: the connection is given up before the process
-    /// runs out of memory.
+    /// Replies may come faster than the limits on commands foresee: the connection is given up before the
+    /// process runs out of memory.
     fn has_excessive_backlog(&self, client: &ClientConnection, context: &Context) -> bool {
         self.unsent_bytes > 2 * context.config.budget.owed && client.socket.unsent_bytes() > MAX_UNSENT_BYTES
     }
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -11,7 +11,8 @@
 /// Unsent bytes of one connection; beyond them no further command of it is parsed.
 pub(super) const MAX_UNSENT_BYTES: usize = 64 << 10;
 /// Within this time a connection must send its first complete command, and a command that has begun must be
-/// complete. Clients that connect and stay silent, or never end a command, would hold descriptors that others need.
+/// complete. Clients that connect and stay silent, or never end a command, would hold descriptors that others
+/// need.
 const COMMAND_TIMEOUT: Micros = 2_300_000;
 /// A client that takes nothing of its replies for this long is disconnected.
 const WRITE_TIMEOUT: Micros = 10_000_000;
@@ -59,7 +60,8 @@
     Open,
     /// No further command is taken; the connection closes once all replies are written.
     CloseAfterReplies,
-    /// Everything is written and the client knows that this was the end. What it still sends is read and dropped.
+    /// Everything is written and the client knows that this was the end. What it still sends is read and
+    /// dropped.
     Lingering {
         /// Bytes that are still read.
         remaining: usize,
@@ -111,13 +113,11 @@
         self.is_fully_replied() && !self.protocol.mid_command() && self.socket.input.is_empty()
     }
 
-    /// Whether the next command may be parsed; `over_budget` tells that clients together leave too many bytes
-    /// unsent.
-    pub(super) fn may_parse_command(&self, over_budget: bool) -> bool {
-        if self.is_closing() || over_budget && !self.replies.is_empty() {
-            return false;
-        }
-        self.replies.len() < MAX_PIPELINED_COMMANDS && self.socket.unsent_bytes() < MAX_UNSENT_BYTES
+    /// Whether the next command may be parsed, as far as this connection alone decides.
+    pub(super) fn may_parse_command(&self) -> bool {
+        !self.is_closing()
+            && self.replies.len() < MAX_PIPELINED_COMMANDS
+            && self.socket.unsent_bytes() < MAX_UNSENT_BYTES
     }
 
     /// When the connection is closed if nothing happens on it until then.
@@ -151,8 +151,8 @@
         self.queue_ready_replies();
     }
 
-    /// Stores encoded replies and queues those whose turn it is. Returns the requests of their commands, as some
-    /// may still be open.
+    /// Stores encoded replies and queues those whose turn it is. Returns the requests of their commands, as
+    /// some may still be open.
     pub(super) fn complete_replies(&mut self, encoded: Vec<(u64, Vec<u8>)>) -> Vec<RequestId> {
         let mut requests = Vec::new();
         for (slot, bytes) in encoded {
--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// The connection to close for another one: the longest silent one of those that never sent a command, unless
-    /// that has only just connected, else the longest idle one of the lowest priority above.
+    /// The connection to close for another one: the longest silent one of those that never sent a command,
+    /// unless that has only just connected, else the longest idle one of the lowest priority above.
     fn next_to_evict(&self, now: Micros) -> Option<u64> {
         let first = self.candidates.first()?;
         if now - first.last_active_at >= FIRST_COMMAND_GRACE {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Closes the longest idle connections of clients that have sent a request while there are too many of them.
-    /// Some clients keep a connection for good after a single request, and others could not connect.
+    /// Closes the longest idle connections of clients that have sent a request while there are too many of
+    /// them. Some clients keep a connection for good after a single request, and others could not connect.
     pub(crate) fn close_excess_requesters(&mut self, context: &mut Context) {
         while self.requesters > self.limits.requesters {
             let Some(token) = self.eviction_queue.longest_idle_requester() else { return };
--- a/crates/gateway/src/connections/client/mod.rs
+++ b/crates/gateway/src/connections/client/mod.rs
@@ -1,7 +1,7 @@
 //! Client connections: their counters and limits, and what happens to them.
 //!
-//! A method that is given a connection by value has taken it out of the table. It ends by storing it again or by
-//! dropping it.
+//! A method that is given a connection by value has taken it out of the table. It ends by storing it again or
+//! by dropping it.
 
 mod accept;
 mod closing;
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Handles the timer of a connection: it was idle for too long, its command does not become complete, or its
-    /// client does not take the replies.
+    /// Handles the timer of a connection: it was idle for too long, its command does not become complete, or
+    /// its client does not take the replies.
     pub(crate) fn handle_timeout(&mut self, token: u64, mut client: ClientConnection, context: &mut Context) {
         client.deadline = None;
         self.eviction_queue.remove(&mut client);
@@ -133,8 +133,8 @@
         Some(client)
     }
 
-    /// Puts a connection back into the table, with its timer, and into the eviction queue if it may be closed for
-    /// others.
+    /// Puts a connection back into the table, with its timer, and into the eviction queue if it may be closed
+    /// for others.
     fn store(&mut self, token: u64, mut client: ClientConnection, context: &mut Context) {
         let close_at = client.close_at();
         if close_at != client.deadline {
--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -7,13 +7,12 @@
 use io_scheduler::Outcome;
 
 impl NodeConnections {
-    /// Puts an idle connection into its pool. It is closed if the node has moved or is no longer listed: another
-    /// process may listen at its previous address.
+    /// Puts an idle connection into its pool. It is closed if the node has moved or is no longer listed:
+    /// another process may listen at its previous address.
     pub(super) fn return_to_pool(
         &mut self,
         token: u64,
         mut connection: NodeConnection,
-        is_ready: bool,
         context: &mut Context,
     ) {
         let Some(pool) = self.current_pool(&connection, context) else {
@@ -23,7 +22,7 @@
             pool.idle.push(token);
             connection.idle_since = Some(context.now);
         }
-        if is_ready {
+        if connection.is_ready() {
             let close_at = context.now + pool.idle_timeout.limit();
             context.timers.reschedule(&mut connection.deadline, Some(close_at), Timer::Connection(token));
         }
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -14,8 +14,8 @@
 /// Bytes of a node's response buffered at once, unless the response is known to be larger.
 pub(super) const MAX_BUFFERED_INPUT: usize = 80 << 10;
 
-/// A connection to a node. It carries one request at a time, so that closing it to give up its request affects
-/// no other.
+/// A connection to a node. It carries one request at a time, so that closing it to give up its request
+/// affects no other.
 pub(crate) struct NodeConnection {
     pub(super) socket: Socket,
     pub(super) node: NodeId,
@@ -107,7 +107,8 @@
             || matches!(self.protocol.decode(&mut self.socket.input, &mut Vec::new()), Ok(None))
     }
 
-    /// Encodes the request in flight. Its time limit ends the attempt from here on, not the connection's timer.
+    /// Encodes the request in flight. Its time limit ends the attempt from here on, not the connection's
+    /// timer.
     pub(super) fn encode_request(&mut self, token: u64, context: &mut Context) {
         let Some(in_flight) = &mut self.in_flight else { return };
         let wait_ms = (in_flight.deadline - context.now) / 1000;
--- a/crates/gateway/src/connections/node/idle_timeout.rs
+++ b/crates/gateway/src/connections/node/idle_timeout.rs
@@ -1,8 +1,8 @@
 //! An estimate of how long a node keeps an idle connection, learned from resets and answers.
 //!
-//! The settings state when a node closes such a connection at the latest. Some nodes forget it sooner and reset
-//! the next request, which may then have run. A request that would follow a longer idle time goes out on a new
-//! connection.
+//! The settings state when a node closes such a connection at the latest. Some nodes forget it sooner and
+//! reset the next request, which may then have run. A request that would follow a longer idle time goes out
+//! on a new connection.
 
 use io_scheduler::Micros;
 
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -1,7 +1,7 @@
 //! Connections to storage nodes, pooled by node.
 //!
-//! A method that is given a connection by value has taken it out of the table. It ends by storing it again or by
-//! dropping it.
+//! A method that is given a connection by value has taken it out of the table. It ends by storing it again or
+//! by dropping it.
 
 mod closing;
 mod connection;
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Gives up an attempt: its connection is closed, which tells the node. A connection to which no byte of the
-    /// request was written is kept for the next one.
+    /// Gives up an attempt: its connection is closed, which tells the node. A connection to which no byte of
+    /// the request was written is kept for the next one.
     pub(crate) fn abandon_attempt(&mut self, attempt: AttemptId, context: &mut Context) {
         let Some(token) = self.attempt_connections.remove(&attempt) else { return };
         let Some(Connection::Node(mut connection)) = context.connections.take(token) else { return };
@@ -142,8 +142,8 @@
         self.advance(token, connection, context);
     }
 
-    /// Decodes what has arrived; the result of the attempt if its response is complete. It is an error, too, if
-    /// large responses together exceed their budget.
+    /// Decodes what has arrived; the result of the attempt if its response is complete. It is an error, too,
+    /// if large responses together exceed their budget.
     fn decode(
         &mut self,
         connection: &mut NodeConnection,
@@ -185,11 +185,10 @@
         }
     }
 
-    /// Writes the request of a connection once that is possible, and returns the connection to its pool if it has
-    /// none.
+    /// Writes the request of a connection once that is possible, and returns the connection to its pool if it
+    /// has none.
     fn advance(&mut self, token: u64, mut connection: NodeConnection, context: &mut Context) {
-        let is_ready = connection.is_ready();
-        if is_ready {
+        if connection.is_ready() {
             self.write_request(token, &mut connection, context);
         }
         let flushed = if connection.is_connected { connection.socket.flush() } else { Ok(()) };
@@ -202,11 +201,11 @@
         if connection.in_flight.is_some() {
             return context.connections.put(token, Connection::Node(connection));
         }
-        self.return_to_pool(token, connection, is_ready, context);
+        self.return_to_pool(token, connection, context);
     }
 
-    /// Encodes the request in flight if that has not been done. If the node may get no new request by now, the
-    /// attempt fails instead.
+    /// Encodes the request in flight if that has not been done. If the node may get no new request by now,
+    /// the attempt fails instead.
     fn write_request(&mut self, token: u64, connection: &mut NodeConnection, context: &mut Context) {
         let Some(in_flight) = &connection.in_flight else { return };
         if in_flight.may_run_after.is_some() {
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Takes an idle connection out of a pool. It must be quiet: what came without a request would be taken for the
-    /// next response.
+    /// Takes an idle connection out of a pool. It must be quiet: what came without a request would be taken
+    /// for the next response.
     fn take_idle(&mut self, node: NodeId, operation: Operation, context: &mut Context) -> Option<u64> {
         let is_repeatable = operation != Operation::Write;
         loop {
--- a/crates/gateway/src/connections/node/pool.rs
+++ b/crates/gateway/src/connections/node/pool.rs
@@ -6,8 +6,8 @@
 use io_scheduler::Micros;
 use std::net::SocketAddr;
 
-/// An idle connection is closed after this part of the node's idle timeout: a request written to a connection that
-/// the node closes just then would count as one that may have run.
+/// An idle connection is closed after this part of the node's idle timeout: a request written to a connection
+/// that the node closes just then would count as one that may have run.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 /// The idle timeout where the settings state none.
 const DEFAULT_IDLE_TIMEOUT: Micros = 20_000_000;
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -124,8 +124,8 @@
         Ok(StreamStatus::Open)
     }
 
-    /// Reads and drops what has arrived, at most `remaining` bytes over all calls. Beyond them the stream counts
-    /// as ended.
+    /// Reads and drops what has arrived, at most `remaining` bytes over all calls. Beyond them the stream
+    /// counts as ended.
     pub(crate) fn discard_available(&mut self, remaining: &mut usize) -> io::Result<StreamStatus> {
         let mut chunk = [0; READ_CHUNK];
         loop {
--- a/crates/gateway/src/event_loop/discovery_watch.rs
+++ b/crates/gateway/src/event_loop/discovery_watch.rs
@@ -12,8 +12,9 @@
 
 /// A watch that has not begun to answer by then is given up; discovery itself gives up after 2 s.
 const FIRST_RESPONSE_TIMEOUT: Micros = 2_500_000;
-/// Discovery sends an empty line every 2 s: a longer silence means that the connection is cut off. Every update
-/// must have arrived after 6 s all the same, so there must be time to open another watch, and for that to fail.
+/// Discovery sends an empty line every 2 s: a longer silence means that the connection is cut off. Every
+/// update must have arrived after 6 s all the same, so there must be time to open another watch, and for that
+/// to fail.
 const SILENCE_TIMEOUT: Micros = 2_800_000;
 /// Bytes read in one turn.
 const MAX_READ_PER_TURN: usize = 256 << 10;
@@ -49,7 +50,8 @@
     /// Whether what followed the updates is valid.
     parsed: Result<(), WatchError>,
     is_ended: bool,
-    /// Whether it proves that the connection works. An incomplete object does not: it must become complete in time.
+    /// Whether it proves that the connection works. An incomplete object does not: it must become complete in
+    /// time.
     is_sign_of_life: bool,
 }
 
--- a/crates/gateway/src/event_loop/endpoint_table.rs
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -1,4 +1,5 @@
-//! The endpoint list as the gateway uses it: what discovery or the inventory lists, and what the operator drains.
+//! The endpoint list as the gateway uses it: what discovery or the inventory lists, and what the operator
+//! drains.
 
 use super::Context;
 use crate::connections::node::{NodeAddress, NodeConnections};
@@ -38,8 +39,8 @@
         self.apply(kind, records, nodes, context);
     }
 
-    /// Reads the inventory again and applies it as the complete list; returns how many nodes it lists. An invalid
-    /// one changes nothing.
+    /// Reads the inventory again and applies it as the complete list; returns how many nodes it lists. An
+    /// invalid one changes nothing.
     pub(super) fn reload_inventory(
         &mut self,
         nodes: &mut NodeConnections,
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -191,7 +191,8 @@
         self.context.timers.set(self.context.now + DRAIN_GRACE, Timer::Shutdown);
     }
 
-    /// Whether the gateway is draining, has been idle for long enough, and had nothing to handle in this turn.
+    /// Whether the gateway is draining, has been idle for long enough, and had nothing to handle in this
+    /// turn.
     fn is_shutdown_complete(&mut self, events: &[Event]) -> bool {
         if !(self.context.shutdown.is_draining() && self.is_idle()) {
             self.context.shutdown.note_busy();
--- a/crates/gateway/src/event_loop/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -1,10 +1,10 @@
 //! The event loop: one thread that never blocks.
 //!
-//! Each turn handles the connections that are ready, then the timers that have expired, and hands all of it to the
-//! scheduler in one call. Then it carries out the commands that come back.
+//! Each turn handles the connections that are ready, then the timers that have expired, and hands all of it
+//! to the scheduler in one call. Then it carries out the commands that come back.
 //!
-//! [`Gateway`] joins the owners of the state: client connections, node connections, the endpoint table and the
-//! discovery watch. What they share is in the [`Context`], which is passed to each of them.
+//! [`Gateway`] joins the owners of the state: client connections, node connections, the endpoint table and
+//! the discovery watch. What they share is in `Context`, which is passed to each of them.
 
 mod clock;
 mod console;
--- a/crates/gateway/src/event_loop/reload.rs
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 
 impl Gateway {
-    /// Reads the configuration again and applies what can change while the gateway runs. An invalid one changes
-    /// nothing. Requests go on meanwhile.
+    /// Reads the configuration again and applies what can change while the gateway runs. An invalid one
+    /// changes nothing. Requests go on meanwhile.
     pub(super) fn reload_config(&mut self) {
         let new = match self.context.config.again(|key| std::env::var(key).ok()) {
             Ok(new) => new,
--- a/crates/gateway/src/event_loop/shutdown.rs
+++ b/crates/gateway/src/event_loop/shutdown.rs
@@ -8,8 +8,8 @@
 
 /// How long everything goes on unchanged after SIGTERM: new connections may still come.
 const SHUTDOWN_GRACE: Micros = 750_000;
-/// How long the gateway must have been idle before it ends. A request that crossed the closing of its connection is
-/// sent again on a new one, and would be lost in the listener's queue.
+/// How long the gateway must have been idle before it ends. A request that crossed the closing of its
+/// connection is sent again on a new one, and would be lost in the listener's queue.
 pub(super) const DRAIN_GRACE: Micros = 100_000;
 
 /// Progress of a graceful shutdown.
@@ -42,8 +42,8 @@
         self.is_draining
     }
 
-    /// Begins or goes on to drain. Returns how long a connection must have been idle to be closed now: the first
-    /// time every idle one is, later those that were opened since and stay idle.
+    /// Begins or goes on to drain. Returns how long a connection must have been idle to be closed now: the
+    /// first time every idle one is, later those that were opened since and stay idle.
     pub(super) fn drain(&mut self) -> Micros {
         let min_idle_time = if self.is_draining { DRAIN_GRACE } else { 0 };
         self.is_draining = true;
