--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -52,7 +52,7 @@
     /// Starts or continues the lingering close of a connection on which every reply is written.
     ///
     /// Closing it at once while bytes arrive would reset it, and the last reply might be lost with them. So
-    /// the client is told of the end first, and what it still sends is read and dropped until it has closed
+    /// the client is notified of the end first, and what it still sends is read and dropped until it has closed
     /// its side too. No request of that is submitted: the client sends it again elsewhere.
     pub(super) fn linger(&mut self, token: u64, mut client: ClientConnection, context: &mut Context) {
         if !client.is_lingering() {
--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -9,7 +9,7 @@
 /// A connection younger than this may have its first command on the way.
 const FIRST_COMMAND_GRACE: Micros = 50_000;
 
-/// What a connection has brought so far; the lowest is closed first.
+/// What a client has sent so far; the lowest is closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionPriority {
     /// No complete command.
@@ -25,8 +25,11 @@
 /// A connection that may be closed, in the order in which they are. The order of the fields counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionCandidate {
+    /// What the client has sent so far.
     pub(super) priority: EvictionPriority,
+    /// When the client was last active.
     pub(super) last_active_at: Micros,
+    /// The connection's token.
     pub(super) token: u64,
 }
 
--- a/crates/gateway/src/connections/client/mod.rs
+++ b/crates/gateway/src/connections/client/mod.rs
@@ -41,7 +41,7 @@
     requesters: usize,
     /// Bytes of replies that clients have not taken yet.
     unsent_bytes: usize,
-    /// Bytes that buffers of commands take which are not complete yet.
+    /// Capacity in bytes of all input buffers; they hold commands that are not complete yet.
     partial_command_bytes: usize,
     eviction_queue: EvictionQueue,
 }
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -30,8 +30,9 @@
     pools: HashMap<NodeId, ConnectionPool>,
     /// The token of the connection that carries an attempt.
     attempt_connections: HashMap<AttemptId, u64>,
-    /// Open connections, and how many there may be.
+    /// Open connections.
     count: usize,
+    /// How many connections may be open.
     max_count: usize,
     /// Bytes of large responses that are being received.
     large_response_bytes: usize,
--- a/crates/gateway/src/event_loop/listener.rs
+++ b/crates/gateway/src/event_loop/listener.rs
@@ -23,7 +23,9 @@
 
 /// A socket that accepts client connections.
 pub(crate) struct Listener {
+    /// The listening socket, not blocking.
     pub(crate) socket: TcpListener,
+    /// What its clients speak.
     pub(crate) protocol: ListenerProtocol,
 }
 
