--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -2,17 +2,17 @@
 
 use io_scheduler::{EndpointStatus, Micros};
 
-/// A storage node as an endpoint list names it, without its address.
+/// A storage node as an endpoint list states it, without its address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Name of the node; it stays the same over restarts.
+    /// Name of the node, unchanged over restarts.
     pub name: String,
-    /// Zone of the node.
+    /// Name of the node's zone.
     pub zone: String,
-    /// Shard that the node holds.
+    /// Number of the shard whose objects the node stores.
     pub shard: u64,
-    /// Whether the node takes requests.
+    /// Whether the node is in service, draining or removed.
     pub status: EndpointStatus,
-    /// When its process last started, if the list states it.
+    /// When the node's process last started, if the list states it; in microseconds of the gateway's clock.
     pub started_at: Option<Micros>,
 }
--- a/crates/gateway/src/memory_budget.rs
+++ b/crates/gateway/src/memory_budget.rs
@@ -1,42 +1,52 @@
 //! How the memory limit of the process is divided among what it buffers.
 
-/// What may be held at once, in step with the memory that the process may use. Together they take less than
-/// half of it: the rest is for connections, for the lists and for what the allocator keeps.
+/// Most bytes that the process buffers at once, by purpose, in proportion to its memory limit.
+///
+/// Together the parts take less than half of the limit: the rest is for connections, for the endpoint list
+/// and for the overhead of the allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryBudget {
-    /// Bytes of request bodies; beyond them requests are refused.
+    /// Bytes of request bodies in flight; requests beyond it are rejected.
     pub bodies: usize,
-    /// Bytes of answers not taken by clients; beyond them a client gets one answer at a time.
+    /// Bytes of responses that clients have not read yet; beyond it each client gets one response at a time.
     pub owed: usize,
-    /// Bytes of commands that are not whole yet; beyond them they are turned away.
+    /// Bytes of incomplete commands; clients with an incomplete command are disconnected beyond it.
     pub input: usize,
-    /// Bytes of uploads and of objects that file clients read.
+    /// Bytes of uploads and of objects that SFTP clients have open.
     pub files: usize,
-    /// Bytes of large answers that are coming from nodes; beyond them one more is given up.
+    /// Bytes of large responses that nodes are sending; beyond it one more large response is abandoned.
     pub answers: usize,
-    /// Bytes of the largest value that is taken from a node. Nodes are said to hold 64 KiB, and give more.
+    /// Bytes of the largest value accepted from a node. Nodes are specified for 64 KiB but send more.
     pub value: usize,
-    /// Requests; beyond them requests are refused.
+    /// Number of requests in flight; requests beyond it are rejected.
     pub requests: usize,
 }
 
 impl MemoryBudget {
-    /// Bytes that a request takes besides its body, with its place in every list.
-    const REQUEST: usize = 2 << 10;
-    /// A length beyond this is a spoilt one, however much memory there is.
-    const VALUE_MOST: usize = 1 << 20;
+    /// Bytes per MiB.
+    const BYTES_PER_MIB: usize = 1 << 20;
+    /// Each buffer that grows with the load gets the memory limit divided by this.
+    const BUFFER_FRACTION: usize = 12;
+    /// The largest value accepted from a node is the memory limit divided by this.
+    const VALUE_FRACTION: usize = 32;
+    /// Bytes that a request takes besides its body, with its entries in every table.
+    const REQUEST_OVERHEAD_BYTES: usize = 2 << 10;
+    /// A value longer than this is taken for a corrupt length, however much memory there is.
+    const MAX_VALUE_BYTES: usize = 1 << 20;
 
+    /// The budget of a process that may use `memory_mb` MiB.
+    #[must_use]
     pub fn of(memory_mb: usize) -> MemoryBudget {
-        let memory = memory_mb << 20;
-        let part = memory / 12;
+        let memory = memory_mb * Self::BYTES_PER_MIB;
+        let buffer = memory / Self::BUFFER_FRACTION;
         MemoryBudget {
-            bodies: part,
-            owed: part,
-            input: part,
-            files: part,
-            answers: part,
-            value: (memory / 32).min(Self::VALUE_MOST),
-            requests: part / Self::REQUEST,
+            bodies: buffer,
+            owed: buffer,
+            input: buffer,
+            files: buffer,
+            answers: buffer,
+            value: (memory / Self::VALUE_FRACTION).min(Self::MAX_VALUE_BYTES),
+            requests: buffer / Self::REQUEST_OVERHEAD_BYTES,
         }
     }
 }
--- a/crates/gateway/src/timer_queue.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -1,68 +1,81 @@
-//! One sorted structure for every deadline of the program; the loop sweeps it each turn.
+//! The timers of the whole program, sorted by time; the event loop takes the expired ones in every turn.
 
 use io_scheduler::{Micros, RequestId};
 use std::collections::BTreeSet;
 
-/// One attempt of a request.
+/// One attempt of a request at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
+    /// The request.
     pub request: RequestId,
+    /// Number of the attempt within its request, from 0.
     pub number: u32,
 }
 
-/// What is due.
+/// What to do when a timer expires.
+///
+/// Timers that expire at the same time are taken in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// An attempt is given up. Sorts before `Scheduler`: the scheduler hears of it in the same turn.
+    /// Give an attempt up. Sorts before [`Timer::Scheduler`]: the scheduler learns of the timeout in the
+    /// same turn.
     AttemptTimeout(AttemptId),
-    /// The scheduler wants to be called.
+    /// Call the scheduler, which asked for it with [`io_scheduler::Action::SetTimer`].
     Scheduler,
-    /// A request has still no final answer.
+    /// Fail a request that has no final response although its deadline has passed.
     RequestOverdue(RequestId),
-    /// A connection has not come up, or has stood idle; the number is the loop's token.
+    /// Close a connection that has not been established in time or has been idle for too long. The number
+    /// is the event loop's token of the connection.
     Connection(u64),
-    /// The watch on discovery has been silent for too long.
+    /// End the watch on the discovery service, which has been silent for too long.
     DiscoveryWatch,
-    /// The time after SIGTERM in which everything goes on as before is over.
+    /// Take the next step of the graceful shutdown.
     Shutdown,
-    /// Connections may be accepted again after descriptors ran out.
+    /// Accept connections again after the process ran out of file descriptors.
     ResumeAccepting,
 }
 
-/// Deadlines in order of time.
+/// Pending timers in the order of their time.
 #[derive(Debug, Default)]
 pub struct TimerQueue {
-    sorted: BTreeSet<(Micros, Timer)>,
+    pending: BTreeSet<(Micros, Timer)>,
 }
 
 impl TimerQueue {
+    /// Sets a timer for the time `at`.
     pub fn set(&mut self, at: Micros, timer: Timer) {
-        self.sorted.insert((at, timer));
+        self.pending.insert((at, timer));
     }
 
+    /// Cancels a timer that was set for the time `at`; without effect if it is not pending.
     pub fn cancel(&mut self, at: Micros, timer: Timer) {
-        self.sorted.remove(&(at, timer));
+        self.pending.remove(&(at, timer));
     }
 
-    /// Moves a deadline; `from` is where it stands, if it does.
-    pub fn reschedule(&mut self, from: &mut Option<Micros>, to: Option<Micros>, timer: Timer) {
-        if let Some(at) = from.take() {
+    /// Moves a timer from the time in `set_for`, if it is set, to `new_time`, and notes the new time there.
+    /// Without a `new_time` the timer is only cancelled.
+    pub fn reschedule(&mut self, set_for: &mut Option<Micros>, new_time: Option<Micros>, timer: Timer) {
+        if let Some(at) = set_for.take() {
             self.cancel(at, timer);
         }
-        if let Some(at) = to {
+        if let Some(at) = new_time {
             self.set(at, timer);
         }
-        *from = to;
+        *set_for = new_time;
     }
 
+    /// The time of the first pending timer.
+    #[must_use]
     pub fn next(&self) -> Option<Micros> {
-        self.sorted.first().map(|(at, _)| *at)
+        self.pending.first().map(|(at, _)| *at)
     }
 
-    /// Takes out one deadline that has passed.
+    /// Removes and returns the first timer whose time has come.
     pub fn pop_expired(&mut self, now: Micros) -> Option<Timer> {
-        let (at, timer) = self.sorted.first().copied().filter(|(at, _)| *at <= now)?;
-        self.sorted.remove(&(at, timer));
-        Some(timer)
+        let (at, _) = self.pending.first()?;
+        if *at > now {
+            return None;
+        }
+        self.pending.pop_first().map(|(_, timer)| timer)
     }
 }
