--- a/crates/gateway/src/client_protocol/sftp.rs
+++ b/crates/gateway/src/client_protocol/sftp.rs
@@ -470,7 +470,7 @@
                 return self.listing_failed(awaited);
             }
             Response::Invalid(why) => {
-                out.push((slot, status(id, Code::Failure, why)));
+                out.push((slot, status(id, Code::Failure, &why.to_string())));
                 return self.listing_failed(awaited);
             }
             Response::Failed => {
--- /dev/null
+++ b/crates/gateway/src/dispatcher/command.rs
@@ -0,0 +1,33 @@
+//! What the dispatcher tells the event loop to do.
+
+use super::{ReplySlot, Response, StorageRequest};
+use crate::timer_queue::AttemptId;
+use io_scheduler::{Micros, NodeId};
+use std::sync::Arc;
+
+/// One step for the event loop. Commands are carried out in the order in which they are given.
+#[derive(Debug)]
+pub enum Command {
+    /// Forward a request to a node.
+    StartAttempt {
+        /// The attempt.
+        attempt: AttemptId,
+        /// The node to forward to.
+        node: NodeId,
+        /// When the attempt is given up.
+        until: Micros,
+        /// What is forwarded.
+        request: Arc<StorageRequest>,
+    },
+    /// Stop an attempt: its result is no longer awaited.
+    AbandonAttempt(AttemptId),
+    /// Send a request's final response to its client.
+    Respond {
+        /// Where the response goes.
+        reply_slot: ReplySlot,
+        /// The final response.
+        response: Response,
+    },
+    /// Open a watch on the endpoint list.
+    OpenWatch,
+}
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,331 +1,139 @@
-//! The core: requests, attempts and nodes, with no wire and no socket.
+//! The dispatcher joins clients, nodes and the scheduler, independent of sockets and wire formats.
 //!
-//! It hands the scheduler its events, turns the scheduler's actions into effects for the loop, sees to
-//! it that each request gets exactly one final answer, keeps writes away from draining nodes and counts
-//! the service of every volume.
+//! It reports what happens to the scheduler as events, turns the scheduler's actions into commands for the
+//! event loop, makes sure that each request gets exactly one final response, keeps requests away from
+//! draining nodes and counts the service that each volume gets.
+
+mod command;
+mod in_flight;
+mod nodes;
+mod request;
+mod volume_counters;
+
+pub use command::Command;
+pub use nodes::NodeState;
+pub use request::{
+    AttemptResult, InvalidRequest, Operation, ReplySlot, Response, ResponseBody, StorageRequest,
+};
+pub use volume_counters::VolumeCounters;
 
 use crate::endpoint::EndpointRecord;
 use crate::memory_budget::MemoryBudget;
 use crate::timer_queue::{AttemptId, Timer, TimerQueue};
 use deployment_settings::{micros, DeploymentSettings, UnknownValue};
-use io_scheduler::{Micros, NodeId, RequestId};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use in_flight::{InFlightRequest, InFlightTable};
+use io_scheduler::{
+    Action, CompletedAttempt, EndpointListEvent, Event, Micros, NodeId, ObjectKey, Outcome, Request,
+    RequestId, Scheduler, Shard, StateSizes, VolumeId,
+};
+use nodes::NodeTable;
+use std::collections::BTreeMap;
 use std::sync::Arc;
+use volume_counters::VolumeCounterTable;
 
-/// A request is due this long before its client gives up: the answer has a way to go.
-const ANSWER_AHEAD: Micros = 6_000;
-/// A request that the scheduler left open past its time fails after this.
-const OVERDUE: Micros = 3_000;
-/// Writing to a draining node stops this long before the rule says.
-const DRAIN_AHEAD: Micros = 30_000;
-/// Volumes whose service is counted.
-const TALLIES_MOST: usize = 2_000;
-/// What a client that meets a full house is told to wait.
-const FULL_HOUSE_WAIT: Micros = 250_000;
-
-/// What is asked of a node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Operation {
-    Read,
-    Write,
-    /// The size of an object.
-    Stat,
-    /// The names of a volume's objects on one shard.
-    List,
-}
-
-/// One request in no wire's words.
-#[derive(Clone, Debug)]
-pub struct StorageRequest {
-    pub operation: Operation,
-    /// The piece of data.
-    pub object: u64,
-    /// Its name, where the client knows it by one.
-    pub name: Option<Box<str>>,
-    pub volume: u64,
-    /// The client's own name for the request.
-    pub client_request_id: Box<str>,
-    pub class: usize,
-    pub plan: usize,
-    pub units: f64,
-    pub shard: Option<u64>,
-    pub hosts: f64,
-    pub wait: Micros,
-    pub retry: bool,
-    pub body: Vec<u8>,
-    /// The client's list of names and values before and after its waiting time, to pass on unchanged.
-    pub terms: (Box<str>, Box<str>),
-}
-
-/// What a node gave for a request that it ran.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ResponseBody {
-    Value(Vec<u8>),
-    Size(u64),
-    Names(Vec<(Vec<u8>, u64)>),
-    /// The node holds no such object.
-    NotFound,
-}
-
-/// A request's one final answer.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Response {
-    Served(ResponseBody),
-    /// Trying again is harmless, after this wait.
-    Rejected(Micros),
-    /// It was never taken: the client has asked for what can't be.
-    Invalid(&'static str),
-    Failed,
-    /// As `Failed`, because the time ran out.
-    TimedOut,
-}
-
-/// How an attempt ended, as the loop saw it.
-#[derive(Clone, Debug)]
-pub struct AttemptResult {
-    pub outcome: io_scheduler::Outcome,
-    pub body: Option<ResponseBody>,
-    pub remote_units: f64,
-    pub utilization: Option<f64>,
-}
-
-impl AttemptResult {
-    pub fn of(outcome: io_scheduler::Outcome) -> AttemptResult {
-        AttemptResult { outcome, body: None, remote_units: 0.0, utilization: None }
-    }
-}
-
-/// Where an answer goes: a connection's token and the place among its replies.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ReplySlot {
-    pub conn: u64,
-    pub slot: u64,
-}
-
-/// What the loop is to carry out.
-#[derive(Debug)]
-pub enum Command {
-    StartAttempt {
-        attempt: AttemptId,
-        node: NodeId,
-        until: Micros,
-        request: Arc<StorageRequest>,
-    },
-    /// Nobody waits for this attempt any more.
-    AbandonAttempt(AttemptId),
-    Respond {
-        reply_slot: ReplySlot,
-        response: Response,
-    },
-    OpenWatch,
-}
-
-/// Service of one volume.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct VolumeCounters {
-    pub taken: u64,
-    pub served: u64,
-    pub refused: u64,
-    pub failed: u64,
-    pub units: f64,
-    pub attempts: u64,
-}
-
-/// What is known of a node, for the console and the drain guard.
-#[derive(Clone, Debug)]
-pub struct NodeState {
-    pub name: String,
-    pub shard: u64,
-    pub status: io_scheduler::EndpointStatus,
-    pub units: f64,
-    pub out: usize,
-    /// Nothing is written to the node from here on.
-    stop_at: Option<Micros>,
-}
-
-struct InFlightRequest {
-    request: Arc<StorageRequest>,
-    reply_slot: ReplySlot,
-    open: bool,
-    due: Micros,
-    out: Vec<InFlightAttempt>,
-    /// Attempts started.
-    made: u32,
-    /// The last attempt to end got no answer in time.
-    timed_out: bool,
-}
+/// A response has to be on its way this long before its client gives up, or a quarter of the client's waiting
+/// time before, whichever is shorter.
+const RESPONSE_DELIVERY_MARGIN: Micros = 6_000;
+/// The dispatcher fails a request this long after its deadline if the scheduler has not ended it.
+const OVERDUE_GRACE: Micros = 3_000;
+/// How long a client should wait before a retry when the memory budget is exhausted.
+const OVERLOADED_RETRY_AFTER: Micros = 250_000;
 
-struct InFlightAttempt {
-    number: u32,
-    node: NodeId,
-    sent_at: Micros,
-    until: Micros,
-    /// A byte that may take effect has left.
-    may_have_run: bool,
-}
-
-/// See the module.
+/// Joins clients, nodes and the scheduler; see the [module](self).
 pub struct Dispatcher {
-    scheduler: io_scheduler::Scheduler,
-    drain_grace: Micros,
-    budget: MemoryBudget,
-    requests: HashMap<RequestId, InFlightRequest>,
-    /// The clients' own names of the requests held.
-    client_request_ids: HashMap<Box<str>, RequestId>,
-    next_request: u64,
-    bodies: usize,
-    /// The nodes listed, and those gone whose attempts are still out.
-    nodes: BTreeMap<NodeId, NodeState>,
-    names: HashMap<String, NodeId>,
-    next_node: u64,
-    zones: Vec<String>,
-    volume_counters: BTreeMap<u64, VolumeCounters>,
-    events: Vec<io_scheduler::Event>,
-    actions: Vec<io_scheduler::Action>,
+    scheduler: Scheduler,
+    in_flight: InFlightTable,
+    nodes: NodeTable,
+    volume_counters: VolumeCounterTable,
+    /// Events for the next call of the scheduler.
+    events: Vec<Event>,
+    /// Buffer for the scheduler's actions, empty between its calls.
+    actions: Vec<Action>,
+    /// Commands that the event loop has not taken yet.
     commands: Vec<Command>,
-    woken_at: Option<Micros>,
+    /// When [`Timer::Scheduler`] is set for.
+    scheduler_timer: Option<Micros>,
 }
 
 impl Dispatcher {
+    /// A dispatcher without nodes and requests. `seed` is for the scheduler's random choices.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the settings contain a value that the scheduler does not know.
     pub fn new(
         settings: &DeploymentSettings,
         budget: MemoryBudget,
         seed: u64,
         now: Micros,
     ) -> Result<Dispatcher, UnknownValue> {
+        let drain_grace = micros(settings.rules.stop_sending_within_ms);
         Ok(Dispatcher {
-            scheduler: io_scheduler::Scheduler::new(settings.to_scheduler_settings()?, seed, now),
-            drain_grace: micros(settings.rules.stop_sending_within_ms),
-            budget,
-            requests: HashMap::new(),
-            client_request_ids: HashMap::new(),
-            next_request: 0,
-            bodies: 0,
-            nodes: BTreeMap::new(),
-            names: HashMap::new(),
-            next_node: 0,
-            zones: settings.zones.clone(),
-            volume_counters: BTreeMap::new(),
+            scheduler: Scheduler::new(settings.to_scheduler_settings()?, seed, now),
+            in_flight: InFlightTable::new(budget),
+            nodes: NodeTable::new(settings.zones.clone(), drain_grace),
+            volume_counters: VolumeCounterTable::default(),
             events: Vec::new(),
             actions: Vec::new(),
             commands: Vec::new(),
-            woken_at: None,
+            scheduler_timer: None,
         })
     }
 
-    // ---- nodes ----
-
-    /// The id of a node name; the same name has the same id until the node is gone and forgotten.
+    /// The id of a node. A name keeps its id until the node is removed and its last attempt has ended.
     pub fn node_id(&mut self, name: &str) -> NodeId {
-        if let Some(id) = self.names.get(name) {
-            return *id;
-        }
-        let id = NodeId(self.next_node);
-        self.next_node += 1;
-        let state = NodeState {
-            name: name.to_owned(),
-            shard: 0,
-            status: io_scheduler::EndpointStatus::Removed,
-            units: 0.0,
-            out: 0,
-            stop_at: None,
-        };
-        self.nodes.insert(id, state);
-        self.names.insert(name.to_owned(), id);
-        id
+        self.nodes.id_of(name)
     }
 
-    /// Takes in a list of nodes, or changes to it.
-    pub fn update_endpoints(
-        &mut self,
-        kind: io_scheduler::EndpointListEvent,
-        lines: &[EndpointRecord],
-        now: Micros,
-    ) {
-        let told = now + self.drain_grace - DRAIN_AHEAD.min(self.drain_grace / 2);
-        let mut listed = Vec::with_capacity(lines.len());
-        for line in lines {
-            let zone = self.zones.iter().position(|z| *z == line.zone).unwrap_or_else(|| {
-                self.zones.push(line.zone.clone());
-                self.zones.len() - 1
-            });
-            let id = self.node_id(&line.name);
-            if let Some(node) = self.nodes.get_mut(&id) {
-                node.shard = line.shard;
-                node.status = line.status;
-            }
-            listed.push(io_scheduler::Endpoint {
-                node: id,
-                zone: io_scheduler::Zone(zone as u64),
-                shard: io_scheduler::Shard(line.shard),
-                status: line.status,
-                started_at: line.started_at,
-            });
-        }
-        if matches!(kind, io_scheduler::EndpointListEvent::Snapshot | io_scheduler::EndpointListEvent::Cached)
-        {
-            let named: BTreeSet<NodeId> = listed.iter().map(|l| l.node).collect();
-            for (id, node) in &mut self.nodes {
-                if !named.contains(id) {
-                    node.status = io_scheduler::EndpointStatus::Removed;
-                }
-            }
-        }
-        for node in self.nodes.values_mut() {
-            node.stop_at = match node.status {
-                io_scheduler::EndpointStatus::InService => None,
-                _ => node.stop_at.or(Some(told)),
-            };
-        }
-        // With ever new ids, what is gone would pile up.
-        let names = &mut self.names;
-        self.nodes.retain(|_, node| {
-            let kept = node.status != io_scheduler::EndpointStatus::Removed || node.out > 0;
-            if !kept {
-                names.remove(&node.name);
-            }
-            kept
-        });
-        self.events.push(io_scheduler::Event::EndpointList(kind, listed));
+    /// Applies an endpoint list, or changes to it.
+    pub fn update_endpoints(&mut self, kind: EndpointListEvent, records: &[EndpointRecord], now: Micros) {
+        let endpoints = self.nodes.apply(kind, records, now);
+        self.events.push(Event::EndpointList(kind, endpoints));
     }
 
-    /// Whether a node is listed, or gone with attempts out.
+    /// Whether a node is listed, or removed with attempts in flight.
+    #[must_use]
     pub fn knows_node(&self, node: NodeId) -> bool {
-        self.nodes.contains_key(&node)
+        self.nodes.contains(node)
     }
 
-    /// Whether the first byte of an attempt may still go to a node. The scheduler names no node that it
-    /// knows to drain, but a send may have waited for its connection since.
+    /// Whether the first byte of an attempt may still go to a node. The scheduler dispatches nothing to a
+    /// node that it knows to drain, but an attempt may have waited for its connection since.
+    #[must_use]
     pub fn may_write(&self, node: NodeId, now: Micros) -> bool {
-        self.nodes.get(&node).is_some_and(|n| n.stop_at.is_none_or(|at| now < at))
+        self.nodes.may_write(node, now)
     }
 
-    /// Whether there is a node to send to.
+    /// Whether any node is in service.
+    #[must_use]
     pub fn has_endpoint(&self) -> bool {
-        self.nodes.values().any(|n| n.status == io_scheduler::EndpointStatus::InService)
+        self.nodes.has_in_service()
     }
 
+    /// The state of all nodes, by id.
     pub fn nodes(&self) -> impl Iterator<Item = &NodeState> {
-        self.nodes.values()
+        self.nodes.iter()
     }
 
+    /// The counters of the volumes that are asked for most, by volume.
+    #[must_use]
     pub fn volume_counters(&self) -> &BTreeMap<u64, VolumeCounters> {
-        &self.volume_counters
+        self.volume_counters.by_volume()
     }
 
-    /// How much the scheduler remembers.
-    pub fn state_sizes(&self) -> io_scheduler::StateSizes {
+    /// How much state the scheduler keeps.
+    #[must_use]
+    pub fn state_sizes(&self) -> StateSizes {
         self.scheduler.state_sizes()
     }
 
-    /// Requests that have no final answer yet.
+    /// Number of requests that have no final response yet.
+    #[must_use]
     pub fn open_requests(&self) -> usize {
-        self.requests.values().filter(|r| r.open).count()
+        self.in_flight.awaiting_response_count()
     }
 
-    // ---- requests ----
-
-    /// Takes a request; its answer comes as an effect, in this turn or a later one.
+    /// Accepts a request. Its final response is a [`Command::Respond`] of this turn or a later one.
     pub fn submit(
         &mut self,
         request: StorageRequest,
@@ -333,291 +141,254 @@
         now: Micros,
         timers: &mut TimerQueue,
     ) -> RequestId {
-        let id = RequestId(self.next_request);
-        self.next_request += 1;
-        // Two requests of one name can't be told apart at a node, which would run only one of them.
-        if self.client_request_ids.contains_key(&request.client_request_id) {
-            let response = Response::Invalid("the id is that of an open request");
+        let id = self.in_flight.allocate_id();
+        if self.in_flight.contains_client_request_id(&request.client_request_id) {
+            let response = Response::Invalid(InvalidRequest::DuplicateClientRequestId);
             self.commands.push(Command::Respond { reply_slot, response });
             return id;
         }
-        if self.volume_counters.len() >= TALLIES_MOST && !self.volume_counters.contains_key(&request.volume) {
-            self.drop_tallies();
-        }
-        let counters = self.volume_counters.entry(request.volume).or_default();
-        counters.taken += 1;
-        let full = self.requests.len() >= self.budget.requests;
-        if full || self.bodies + request.body.len() > self.budget.bodies {
-            counters.refused += 1;
-            self.commands
-                .push(Command::Respond { reply_slot, response: Response::Rejected(FULL_HOUSE_WAIT) });
+        self.volume_counters.record_received(request.volume);
+        if !self.in_flight.has_capacity(request.body.len()) {
+            let response = Response::Rejected(OVERLOADED_RETRY_AFTER);
+            self.volume_counters.record_response(request.volume, request.units, &response);
+            self.commands.push(Command::Respond { reply_slot, response });
             return id;
         }
-        let due = now + (request.wait - ANSWER_AHEAD.min(request.wait / 4)).max(0);
-        self.bodies += request.body.len();
-        self.client_request_ids.insert(request.client_request_id.clone(), id);
-        timers.set(due + OVERDUE, Timer::RequestOverdue(id));
-        self.events.push(io_scheduler::Event::RequestReceived(io_scheduler::Request {
-            id,
-            volume: io_scheduler::VolumeId(request.volume),
-            plan: request.plan,
-            class: request.class,
-            key: Some(io_scheduler::ObjectKey(request.object)),
-            shard: request.shard.map(io_scheduler::Shard),
-            units: request.units,
-            hosts: request.hosts,
-            deadline: due,
-            is_retry: request.retry,
-        }));
-        let open = InFlightRequest {
-            request: Arc::new(request),
-            reply_slot,
-            open: true,
-            due,
-            out: Vec::new(),
-            made: 0,
-            timed_out: false,
-        };
-        self.requests.insert(id, open);
+        let deadline = response_deadline(now, request.wait);
+        timers.set(deadline + OVERDUE_GRACE, Timer::RequestOverdue(id));
+        self.events.push(Event::RequestReceived(scheduler_request(id, &request, deadline)));
+        self.in_flight.insert(id, request, reply_slot, deadline);
         id
     }
 
-    /// Volumes may be as many as clients care to name: of too many, the half that has asked least is dropped.
-    fn drop_tallies(&mut self) {
-        let mut taken: Vec<u64> = self.volume_counters.values().map(|t| t.taken).collect();
-        let middle = taken.len() / 2;
-        let least = *taken.select_nth_unstable(middle).1;
-        self.volume_counters.retain(|_, t| t.taken > least);
-    }
-
-    /// The client has gone away. What has not begun at a node by now does not begin any more, also where
-    /// attempts can't be cancelled.
+    /// The client has disconnected. Attempts that have not begun at their node never do, even where attempts
+    /// cannot be cancelled.
     pub fn client_disconnected(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
-        let Some(request) = self.requests.get_mut(&id).filter(|r| r.open) else { return };
-        request.open = false;
-        self.events.push(io_scheduler::Event::ClientDisconnected(id));
-        let unsent = request.out.iter().filter(|o| !o.may_have_run).map(|o| o.number);
-        for number in unsent.collect::<Vec<_>>() {
-            self.abort_attempt(
-                AttemptId { request: id, number },
-                io_scheduler::Outcome::Cancelled,
-                now,
-                timers,
-            );
+        let Some(request) = self.in_flight.get_mut(id) else { return };
+        if request.take_reply_slot().is_none() {
+            return;
+        }
+        let unwritten = request.unwritten_attempts();
+        self.events.push(Event::ClientDisconnected(id));
+        for number in unwritten {
+            let attempt = AttemptId { request: id, number };
+            self.abort_attempt(attempt, Outcome::Cancelled, now, timers);
         }
     }
 
-    /// Whether an attempt's end is still waited for.
+    /// Whether the result of an attempt is awaited.
+    #[must_use]
     pub fn is_awaiting(&self, attempt: AttemptId) -> bool {
-        let out = self.requests.get(&attempt.request).map(|r| &r.out);
-        out.is_some_and(|out| out.iter().any(|o| o.number == attempt.number))
+        self.in_flight.attempt(attempt).is_some()
     }
 
-    // ---- attempts ----
-
-    /// A byte that may take effect has been written for this attempt.
+    /// A byte of this attempt that may take effect has been written to the node.
     pub fn mark_written(&mut self, attempt: AttemptId) {
-        let request = self.requests.get_mut(&attempt.request);
-        if let Some(out) = request.and_then(|r| r.out.iter_mut().find(|o| o.number == attempt.number)) {
-            out.may_have_run = true;
+        if let Some(attempt) = self.in_flight.attempt_mut(attempt) {
+            attempt.may_have_run = true;
         }
     }
 
-    /// An attempt has ended; whatever comes for it later is dropped.
+    /// An attempt has ended. Results of attempts that are not awaited are ignored.
     pub fn complete_attempt(
         &mut self,
         attempt: AttemptId,
-        end: AttemptResult,
+        result: AttemptResult,
         now: Micros,
         timers: &mut TimerQueue,
     ) {
-        let Some(request) = self.requests.get_mut(&attempt.request) else { return };
-        let Some(at) = request.out.iter().position(|o| o.number == attempt.number) else { return };
-        let out = request.out.remove(at);
-        request.timed_out = end.outcome == io_scheduler::Outcome::TimedOut;
-        timers.cancel(out.until, Timer::AttemptTimeout(attempt));
-        if let Some(node) = self.nodes.get_mut(&out.node) {
-            node.out = node.out.saturating_sub(1);
-            if end.outcome == io_scheduler::Outcome::Served {
-                node.units += request.request.units;
-            }
-            // It was kept for the attempts that were out there.
-            if node.out == 0 && node.status == io_scheduler::EndpointStatus::Removed {
-                self.names.remove(&node.name);
-                self.nodes.remove(&out.node);
-            }
-        }
-        if let (io_scheduler::Outcome::Served, Some(found)) = (end.outcome, end.body) {
-            if request.open {
-                let answer = Response::Served(found);
-                Self::respond(request, &mut self.volume_counters, &mut self.commands, answer);
-            }
+        let AttemptResult { outcome, body, remote_units, utilization } = result;
+        let Some(request) = self.in_flight.get_mut(attempt.request) else { return };
+        let timed_out = outcome == Outcome::TimedOut;
+        let Some(completed) = request.remove_attempt(attempt.number, timed_out) else { return };
+        timers.cancel(completed.deadline, Timer::AttemptTimeout(attempt));
+        let served_units = if outcome == Outcome::Served { request.request().units } else { 0.0 };
+        self.nodes.attempt_completed(completed.node, served_units);
+        if let (Outcome::Served, Some(body)) = (outcome, body) {
+            self.respond(attempt.request, Response::Served(body));
         }
-        let closed = !request.open;
-        self.events.push(io_scheduler::Event::AttemptCompleted(io_scheduler::CompletedAttempt {
+        self.events.push(Event::AttemptCompleted(CompletedAttempt {
             request: attempt.request,
-            number: out.number,
-            node: out.node,
-            outcome: end.outcome,
-            request_closed: closed,
-            elapsed: now - out.sent_at,
-            remote_units: end.remote_units,
-            utilization: end.utilization,
+            number: attempt.number,
+            node: completed.node,
+            outcome,
+            request_closed: !self.awaits_response(attempt.request),
+            elapsed: now - completed.dispatched_at,
+            remote_units,
+            utilization,
         }));
-        self.forget(attempt.request, timers);
+        self.remove_if_finished(attempt.request, timers);
     }
 
-    /// An attempt is given up or lost its connection: it ends as one that never ran if no byte that may
-    /// take effect has left. One that was given up for its client's sake tells nothing of its node then.
+    /// Ends an attempt that was given up or lost its connection; `outcome` applies if it may have run.
+    ///
+    /// If no byte that may take effect was written, the outcome is [`Outcome::ConnectFailed`], or
+    /// [`Outcome::NotDispatched`] for a cancelled attempt, which says nothing about its node.
     pub fn abort_attempt(
         &mut self,
         attempt: AttemptId,
-        how: io_scheduler::Outcome,
+        outcome: Outcome,
         now: Micros,
         timers: &mut TimerQueue,
     ) {
-        let out = self.requests.get(&attempt.request).map(|r| &r.out);
-        let Some(out) = out.and_then(|o| o.iter().find(|o| o.number == attempt.number)) else { return };
-        let outcome = match how {
-            _ if out.may_have_run => how,
-            io_scheduler::Outcome::Cancelled => io_scheduler::Outcome::NotDispatched,
-            _ => io_scheduler::Outcome::ConnectFailed,
+        let Some(in_flight) = self.in_flight.attempt(attempt) else { return };
+        let outcome = match outcome {
+            _ if in_flight.may_have_run => outcome,
+            Outcome::Cancelled => Outcome::NotDispatched,
+            _ => Outcome::ConnectFailed,
         };
         self.commands.push(Command::AbandonAttempt(attempt));
         self.complete_attempt(attempt, AttemptResult::of(outcome), now, timers);
     }
 
-    /// Takes in a deadline of the core's.
-    pub fn handle_timer(&mut self, due: Timer, now: Micros, timers: &mut TimerQueue) {
-        match due {
-            Timer::AttemptTimeout(attempt) => {
-                self.abort_attempt(attempt, io_scheduler::Outcome::TimedOut, now, timers)
-            }
+    /// Handles an expired timer of the dispatcher; other timers are ignored.
+    pub fn handle_timer(&mut self, timer: Timer, now: Micros, timers: &mut TimerQueue) {
+        match timer {
+            Timer::AttemptTimeout(attempt) => self.abort_attempt(attempt, Outcome::TimedOut, now, timers),
             Timer::Scheduler => {
-                self.woken_at = None;
-                self.events.push(io_scheduler::Event::TimerFired);
-            }
-            Timer::RequestOverdue(id) => {
-                let Some(request) = self.requests.get_mut(&id).filter(|r| r.open) else { return };
-                log::warn!("request {} was left open past its time", request.request.client_request_id);
-                Self::respond(request, &mut self.volume_counters, &mut self.commands, Response::TimedOut);
-                self.events.push(io_scheduler::Event::ClientDisconnected(id));
-            }
-            _ => {}
-        }
-    }
-
-    fn respond(
-        request: &mut InFlightRequest,
-        volume_counters: &mut BTreeMap<u64, VolumeCounters>,
-        commands: &mut Vec<Command>,
-        response: Response,
-    ) {
-        request.open = false;
-        let counters = volume_counters.entry(request.request.volume).or_default();
-        match &response {
-            Response::Served(_) => {
-                counters.served += 1;
-                counters.units += request.request.units;
-            }
-            Response::Rejected(_) => counters.refused += 1,
-            Response::Failed | Response::TimedOut | Response::Invalid(_) => counters.failed += 1,
-        }
-        commands.push(Command::Respond { reply_slot: request.reply_slot, response });
-    }
-
-    fn forget(&mut self, id: RequestId, timers: &mut TimerQueue) {
-        if self.requests.get(&id).is_some_and(|r| !r.open && r.out.is_empty()) {
-            if let Some(request) = self.requests.remove(&id) {
-                self.bodies -= request.request.body.len();
-                self.client_request_ids.remove(&request.request.client_request_id);
-                timers.cancel(request.due + OVERDUE, Timer::RequestOverdue(id));
+                self.scheduler_timer = None;
+                self.events.push(Event::TimerFired);
             }
+            Timer::RequestOverdue(id) => self.fail_overdue(id),
+            Timer::Connection(_) | Timer::DiscoveryWatch | Timer::Shutdown | Timer::ResumeAccepting => {}
         }
     }
 
-    // ---- the turn ----
-
-    /// Whether the scheduler or the loop has something to hear of.
+    /// Whether there are events for the scheduler or commands for the event loop.
+    #[must_use]
     pub fn has_work(&self) -> bool {
         !self.events.is_empty() || !self.commands.is_empty()
     }
 
-    /// One call of the scheduler with all that has come; what is to be done goes to `effects`.
+    /// Calls the scheduler once with all pending events, and appends what is to be done to `commands`.
     pub fn run_scheduler(&mut self, now: Micros, timers: &mut TimerQueue, commands: &mut Vec<Command>) {
         if !self.events.is_empty() {
-            let events = std::mem::take(&mut self.events);
-            let mut actions = std::mem::take(&mut self.actions);
-            self.scheduler.handle(now, &events, &mut actions);
-            for event in events {
-                if let io_scheduler::Event::ClientDisconnected(id) = event {
-                    self.forget(id, timers);
-                }
-            }
-            for action in actions.drain(..) {
-                self.apply_action(action, now, timers);
-            }
-            self.actions = actions;
+            self.call_scheduler(now, timers);
         }
         commands.append(&mut self.commands);
     }
 
-    fn apply_action(&mut self, action: io_scheduler::Action, now: Micros, timers: &mut TimerQueue) {
-        match action {
-            io_scheduler::Action::Dispatch { request: id, node, deadline: until } => {
-                let Some(request) = self.requests.get_mut(&id) else { return };
-                let attempt = AttemptId { request: id, number: request.made };
-                request.made += 1;
-                request.out.push(InFlightAttempt {
-                    number: attempt.number,
-                    node,
-                    sent_at: now,
-                    until,
-                    may_have_run: false,
-                });
-                timers.set(until, Timer::AttemptTimeout(attempt));
-                if let Some(node) = self.nodes.get_mut(&node) {
-                    node.out += 1;
-                }
-                self.volume_counters.entry(request.request.volume).or_default().attempts += 1;
-                let request = Arc::clone(&request.request);
-                self.commands.push(Command::StartAttempt { attempt, node, until, request });
+    fn call_scheduler(&mut self, now: Micros, timers: &mut TimerQueue) {
+        let events = std::mem::take(&mut self.events);
+        let mut actions = std::mem::take(&mut self.actions);
+        self.scheduler.handle(now, &events, &mut actions);
+        for event in events {
+            if let Event::ClientDisconnected(id) = event {
+                self.remove_if_finished(id, timers);
             }
-            io_scheduler::Action::Reject { request: id, retry_after: wait } => {
-                self.finish(id, Response::Rejected(wait), timers)
-            }
-            io_scheduler::Action::Fail(id) => {
-                let late = self.requests.get(&id).is_some_and(|r| r.timed_out || r.due <= now);
-                self.finish(id, if late { Response::TimedOut } else { Response::Failed }, timers);
+        }
+        for action in actions.drain(..) {
+            self.apply_action(&action, now, timers);
+        }
+        self.actions = actions;
+    }
+
+    fn apply_action(&mut self, action: &Action, now: Micros, timers: &mut TimerQueue) {
+        match *action {
+            Action::Dispatch { request, node, deadline } => {
+                self.dispatch(request, node, deadline, now, timers);
             }
-            io_scheduler::Action::Cancel { request, attempt: number } => {
-                self.abort_attempt(
-                    AttemptId { request, number },
-                    io_scheduler::Outcome::Cancelled,
-                    now,
-                    timers,
-                );
+            Action::Reject { request, retry_after } => {
+                self.finish(request, Response::Rejected(retry_after), timers);
             }
-            io_scheduler::Action::OpenWatch => self.commands.push(Command::OpenWatch),
-            // A gateway sends no probes, as the module asks for none: this one found nothing.
-            io_scheduler::Action::HealthCheck(node) => {
-                self.events.push(io_scheduler::Event::HealthCheckCompleted {
-                    node,
-                    healthy: false,
-                    elapsed: 0,
-                    load: None,
-                });
+            Action::Fail(request) => self.fail(request, now, timers),
+            Action::Cancel { request, attempt: number } => {
+                self.abort_attempt(AttemptId { request, number }, Outcome::Cancelled, now, timers);
             }
-            io_scheduler::Action::SetTimer(at) => {
-                timers.reschedule(&mut self.woken_at, Some(at), Timer::Scheduler)
+            Action::OpenWatch => self.commands.push(Command::OpenWatch),
+            Action::HealthCheck(node) => self.fail_health_check(node),
+            Action::SetTimer(at) => {
+                timers.reschedule(&mut self.scheduler_timer, Some(at), Timer::Scheduler);
             }
         }
     }
 
+    /// Starts an attempt at a node.
+    fn dispatch(
+        &mut self,
+        id: RequestId,
+        node: NodeId,
+        deadline: Micros,
+        now: Micros,
+        timers: &mut TimerQueue,
+    ) {
+        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
+        let number = in_flight.start_attempt(node, now, deadline);
+        let request = Arc::clone(in_flight.request());
+        let attempt = AttemptId { request: id, number };
+        timers.set(deadline, Timer::AttemptTimeout(attempt));
+        self.nodes.attempt_started(node);
+        self.volume_counters.record_attempt(request.volume);
+        self.commands.push(Command::StartAttempt { attempt, node, until: deadline, request });
+    }
+
+    /// Gateways send no health checks. Should the scheduler ask for one, it gets a failed one.
+    fn fail_health_check(&mut self, node: NodeId) {
+        self.events.push(Event::HealthCheckCompleted { node, healthy: false, elapsed: 0, load: None });
+    }
+
+    /// Ends a request that the scheduler has failed.
+    fn fail(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
+        let timed_out = self.in_flight.get(id).is_some_and(|request| request.has_timed_out(now));
+        let response = if timed_out { Response::TimedOut } else { Response::Failed };
+        self.finish(id, response, timers);
+    }
+
+    /// Ends a request that the scheduler has left without a final response past its deadline.
+    fn fail_overdue(&mut self, id: RequestId) {
+        let Some(request) = self.in_flight.get(id) else { return };
+        if !request.awaits_response() {
+            return;
+        }
+        log::warn!("request {} was left open past its time", request.request().client_request_id);
+        self.respond(id, Response::TimedOut);
+        self.events.push(Event::ClientDisconnected(id));
+    }
+
+    /// Sends the final response and removes the request if no attempt is in flight.
     fn finish(&mut self, id: RequestId, response: Response, timers: &mut TimerQueue) {
-        if let Some(request) = self.requests.get_mut(&id).filter(|r| r.open) {
-            Self::respond(request, &mut self.volume_counters, &mut self.commands, response);
+        self.respond(id, response);
+        self.remove_if_finished(id, timers);
+    }
+
+    /// Sends the final response, unless the request has got one or its client has disconnected.
+    fn respond(&mut self, id: RequestId, response: Response) {
+        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
+        let Some(reply_slot) = in_flight.take_reply_slot() else { return };
+        let request = in_flight.request();
+        self.volume_counters.record_response(request.volume, request.units, &response);
+        self.commands.push(Command::Respond { reply_slot, response });
+    }
+
+    fn awaits_response(&self, id: RequestId) -> bool {
+        self.in_flight.get(id).is_some_and(InFlightRequest::awaits_response)
+    }
+
+    fn remove_if_finished(&mut self, id: RequestId, timers: &mut TimerQueue) {
+        if let Some(removed) = self.in_flight.remove_finished(id) {
+            timers.cancel(removed.deadline() + OVERDUE_GRACE, Timer::RequestOverdue(id));
         }
-        self.forget(id, timers);
+    }
+}
+
+/// When the response to a client that waits for `wait` has to be on its way.
+fn response_deadline(now: Micros, wait: Micros) -> Micros {
+    let margin = RESPONSE_DELIVERY_MARGIN.min(wait / 4);
+    now + (wait - margin).max(0)
+}
+
+/// A client's request in the scheduler's terms.
+fn scheduler_request(id: RequestId, request: &StorageRequest, deadline: Micros) -> Request {
+    Request {
+        id,
+        volume: VolumeId(request.volume),
+        plan: request.plan,
+        class: request.class,
+        key: Some(ObjectKey(request.object)),
+        shard: request.shard.map(Shard),
+        units: request.units,
+        hosts: request.hosts,
+        deadline,
+        is_retry: request.retry,
     }
 }
--- /dev/null
+++ b/crates/gateway/src/dispatcher/nodes.rs
@@ -0,0 +1,189 @@
+//! The storage nodes of the endpoint list: their ids, their state and the guard against writing to a node
+//! that drains.
+
+use crate::endpoint::EndpointRecord;
+use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, Micros, NodeId, Shard, Zone};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+/// Writing to a draining node stops this long before the drain grace ends, or after half of a shorter grace.
+const DRAIN_SAFETY_MARGIN: Micros = 30_000;
+
+/// What is known of a node.
+#[derive(Clone, Debug)]
+pub struct NodeState {
+    /// Name in the endpoint list.
+    pub name: String,
+    /// Shard whose objects the node stores.
+    pub shard: u64,
+    /// Status in the endpoint list.
+    pub status: EndpointStatus,
+    /// Units of service that this gateway got from the node.
+    pub units: f64,
+    /// Attempts in flight at the node.
+    pub out: usize,
+    /// No attempt may begin to be written from this time on.
+    write_deadline: Option<Micros>,
+}
+
+impl NodeState {
+    /// A node that no endpoint list has stated yet.
+    fn unlisted(name: &str) -> NodeState {
+        NodeState {
+            name: name.to_owned(),
+            shard: 0,
+            status: EndpointStatus::Removed,
+            units: 0.0,
+            out: 0,
+            write_deadline: None,
+        }
+    }
+
+    /// A removed node stays known while attempts are in flight at it.
+    fn is_obsolete(&self) -> bool {
+        self.status == EndpointStatus::Removed && self.out == 0
+    }
+}
+
+/// The nodes of the endpoint list, and removed ones with attempts in flight.
+#[derive(Debug)]
+pub(super) struct NodeTable {
+    nodes: BTreeMap<NodeId, NodeState>,
+    ids_by_name: HashMap<String, NodeId>,
+    next_id: u64,
+    /// Names of the zones; a zone's number is its position.
+    zones: Vec<String>,
+    /// How long after its removal from service a node may still be written to.
+    drain_grace: Micros,
+}
+
+impl NodeTable {
+    /// An empty table; `zones` are the zones that the settings name.
+    pub(super) fn new(zones: Vec<String>, drain_grace: Micros) -> NodeTable {
+        NodeTable { nodes: BTreeMap::new(), ids_by_name: HashMap::new(), next_id: 0, zones, drain_grace }
+    }
+
+    /// The id of a node, which gets one if it has none.
+    pub(super) fn id_of(&mut self, name: &str) -> NodeId {
+        if let Some(id) = self.ids_by_name.get(name) {
+            return *id;
+        }
+        let id = NodeId(self.next_id);
+        self.next_id += 1;
+        self.nodes.insert(id, NodeState::unlisted(name));
+        self.ids_by_name.insert(name.to_owned(), id);
+        id
+    }
+
+    /// All nodes, by id.
+    pub(super) fn iter(&self) -> impl Iterator<Item = &NodeState> {
+        self.nodes.values()
+    }
+
+    /// Whether a node is listed, or removed with attempts in flight.
+    pub(super) fn contains(&self, node: NodeId) -> bool {
+        self.nodes.contains_key(&node)
+    }
+
+    /// Whether any node is in service.
+    pub(super) fn has_in_service(&self) -> bool {
+        self.nodes.values().any(|node| node.status == EndpointStatus::InService)
+    }
+
+    /// Whether an attempt may begin to be written to a node.
+    pub(super) fn may_write(&self, node: NodeId, now: Micros) -> bool {
+        let Some(node) = self.nodes.get(&node) else { return false };
+        node.write_deadline.is_none_or(|deadline| now < deadline)
+    }
+
+    /// Applies an endpoint list, or changes to it, and returns it in the scheduler's terms.
+    pub(super) fn apply(
+        &mut self,
+        kind: EndpointListEvent,
+        records: &[EndpointRecord],
+        now: Micros,
+    ) -> Vec<Endpoint> {
+        let endpoints: Vec<Endpoint> = records.iter().map(|record| self.apply_record(record)).collect();
+        if matches!(kind, EndpointListEvent::Snapshot | EndpointListEvent::Cached) {
+            self.mark_unlisted_as_removed(&endpoints);
+        }
+        self.update_write_deadlines(now);
+        self.forget_obsolete();
+        endpoints
+    }
+
+    /// Counts an attempt that starts at a node.
+    pub(super) fn attempt_started(&mut self, node: NodeId) {
+        if let Some(node) = self.nodes.get_mut(&node) {
+            node.out += 1;
+        }
+    }
+
+    /// Counts an attempt that ended at a node after `served_units` of service.
+    pub(super) fn attempt_completed(&mut self, id: NodeId, served_units: f64) {
+        let Some(node) = self.nodes.get_mut(&id) else { return };
+        node.out = node.out.saturating_sub(1);
+        node.units += served_units;
+        if node.is_obsolete() {
+            self.ids_by_name.remove(&node.name);
+            self.nodes.remove(&id);
+        }
+    }
+
+    fn apply_record(&mut self, record: &EndpointRecord) -> Endpoint {
+        let zone = self.zone_number(&record.zone);
+        let id = self.id_of(&record.name);
+        if let Some(node) = self.nodes.get_mut(&id) {
+            node.shard = record.shard;
+            node.status = record.status;
+        }
+        Endpoint {
+            node: id,
+            zone,
+            shard: Shard(record.shard),
+            status: record.status,
+            started_at: record.started_at,
+        }
+    }
+
+    fn zone_number(&mut self, name: &str) -> Zone {
+        let known = self.zones.iter().position(|zone| zone == name);
+        let position = known.unwrap_or(self.zones.len());
+        if known.is_none() {
+            self.zones.push(name.to_owned());
+        }
+        Zone(position as u64)
+    }
+
+    fn mark_unlisted_as_removed(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<NodeId> = endpoints.iter().map(|endpoint| endpoint.node).collect();
+        for (id, node) in &mut self.nodes {
+            if !listed.contains(id) {
+                node.status = EndpointStatus::Removed;
+            }
+        }
+    }
+
+    /// A node's first list entry out of service starts its drain grace; later ones leave it as it is.
+    fn update_write_deadlines(&mut self, now: Micros) {
+        let margin = DRAIN_SAFETY_MARGIN.min(self.drain_grace / 2);
+        let deadline = now + self.drain_grace - margin;
+        for node in self.nodes.values_mut() {
+            node.write_deadline = match node.status {
+                EndpointStatus::InService => None,
+                EndpointStatus::Draining | EndpointStatus::Removed => node.write_deadline.or(Some(deadline)),
+            };
+        }
+    }
+
+    /// Without this the table would grow without bound where replaced nodes get new names.
+    fn forget_obsolete(&mut self) {
+        let ids_by_name = &mut self.ids_by_name;
+        self.nodes.retain(|_, node| {
+            let obsolete = node.is_obsolete();
+            if obsolete {
+                ids_by_name.remove(&node.name);
+            }
+            !obsolete
+        });
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/dispatcher/request.rs
@@ -0,0 +1,121 @@
+//! Requests and responses as the client protocols and the node protocols exchange them with the dispatcher,
+//! independent of any wire format.
+
+use io_scheduler::{Micros, Outcome};
+use thiserror::Error;
+
+/// What a request asks a node to do.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Operation {
+    /// Read an object.
+    Read,
+    /// Write an object.
+    Write,
+    /// State the size of an object.
+    Stat,
+    /// List the names of a volume's objects on one shard.
+    List,
+}
+
+/// One request of a client.
+#[derive(Clone, Debug)]
+pub struct StorageRequest {
+    /// What the node is to do.
+    pub operation: Operation,
+    /// The object, by its number.
+    pub object: u64,
+    /// Name of the object, where the client's protocol has names.
+    pub name: Option<Box<str>>,
+    /// The volume that the object belongs to.
+    pub volume: u64,
+    /// The client's own id of the request, which the nodes get as well. Unique among the requests in flight.
+    pub client_request_id: Box<str>,
+    /// Class of the request, an index into the deployment settings.
+    pub class: usize,
+    /// Plan of the volume, an index into the deployment settings.
+    pub plan: usize,
+    /// Size of the request in units of service.
+    pub units: f64,
+    /// Shard that stores the object; `None` for a new object, which any node may take.
+    pub shard: Option<u64>,
+    /// Number of gateways through which the requests of the volume arrive.
+    pub hosts: f64,
+    /// How long the client waits for the response, in microseconds.
+    pub wait: Micros,
+    /// Whether the client marked the request as a retry.
+    pub retry: bool,
+    /// Content of the object for a write, else empty.
+    pub body: Vec<u8>,
+    /// The client's list of parameters, split around the value of its waiting time. A node gets both parts
+    /// unchanged, with the remaining time between them.
+    pub terms: (Box<str>, Box<str>),
+}
+
+/// The result of a request that a node has run.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ResponseBody {
+    /// The object's content. RESP2 nodes also reply to writes and listings with a value.
+    Value(Vec<u8>),
+    /// The object's size in bytes, or for a write, the bytes that an SFTP node has stored.
+    Size(u64),
+    /// The names of objects, each with the object's size in bytes.
+    Names(Vec<(Vec<u8>, u64)>),
+    /// The node has no such object.
+    NotFound,
+}
+
+/// Why a request was not accepted. The client gets the text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum InvalidRequest {
+    /// A request with the same client request id is in flight. A node could not tell the two apart and would
+    /// run only one of them.
+    #[error("the id is that of an open request")]
+    DuplicateClientRequestId,
+}
+
+/// The one final response to a request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Response {
+    /// A node has run the request.
+    Served(ResponseBody),
+    /// The request was rejected. A retry after this many microseconds does no harm; 0 stands for no advice.
+    Rejected(Micros),
+    /// The request was not accepted because of an error of the client.
+    Invalid(InvalidRequest),
+    /// The request failed and may have run.
+    Failed,
+    /// As [`Response::Failed`], because there was no result in time.
+    TimedOut,
+}
+
+/// How an attempt at a node ended.
+#[derive(Clone, Debug)]
+pub struct AttemptResult {
+    /// The outcome, as the scheduler counts it.
+    pub outcome: Outcome,
+    /// The node's result, if the node has served the request.
+    pub body: Option<ResponseBody>,
+    /// Units that the node served for the volume through other gateways since its last response to this
+    /// one, 0 if not reported.
+    pub remote_units: f64,
+    /// Part of the volume's provisioned rate that was served everywhere in the last report period, if
+    /// reported.
+    pub utilization: Option<f64>,
+}
+
+impl AttemptResult {
+    /// A result with no body and no usage report.
+    #[must_use]
+    pub fn of(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, body: None, remote_units: 0.0, utilization: None }
+    }
+}
+
+/// Where a response goes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ReplySlot {
+    /// Token of the client's connection.
+    pub conn: u64,
+    /// Position among the replies of that connection.
+    pub slot: u64,
+}
--- /dev/null
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -0,0 +1,76 @@
+//! Counters of the service that each volume got, for the console.
+
+use super::Response;
+use std::collections::BTreeMap;
+
+/// Most volumes with counters.
+const MAX_VOLUME_COUNTERS: usize = 2_000;
+
+/// Requests and service of one volume since its counters were created.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct VolumeCounters {
+    /// Requests received with a client request id of their own.
+    pub taken: u64,
+    /// Requests served.
+    pub served: u64,
+    /// Requests rejected.
+    pub refused: u64,
+    /// Requests failed, timeouts included.
+    pub failed: u64,
+    /// Units of service of the requests served.
+    pub units: f64,
+    /// Attempts started at nodes.
+    pub attempts: u64,
+}
+
+/// The counters of the volumes that are asked for most.
+#[derive(Debug, Default)]
+pub(super) struct VolumeCounterTable {
+    by_volume: BTreeMap<u64, VolumeCounters>,
+}
+
+impl VolumeCounterTable {
+    /// All counters, by volume.
+    pub(super) fn by_volume(&self) -> &BTreeMap<u64, VolumeCounters> {
+        &self.by_volume
+    }
+
+    /// Counts a request received.
+    pub(super) fn record_received(&mut self, volume: u64) {
+        if self.by_volume.len() >= MAX_VOLUME_COUNTERS && !self.by_volume.contains_key(&volume) {
+            self.evict_less_used_half();
+        }
+        self.counters(volume).taken += 1;
+    }
+
+    /// Counts an attempt started.
+    pub(super) fn record_attempt(&mut self, volume: u64) {
+        self.counters(volume).attempts += 1;
+    }
+
+    /// Counts a final response to a request of `units`.
+    pub(super) fn record_response(&mut self, volume: u64, units: f64, response: &Response) {
+        let counters = self.counters(volume);
+        match response {
+            Response::Served(_) => {
+                counters.served += 1;
+                counters.units += units;
+            }
+            Response::Rejected(_) => counters.refused += 1,
+            Response::Failed | Response::TimedOut | Response::Invalid(_) => counters.failed += 1,
+        }
+    }
+
+    /// The counters of a volume, which may have been evicted since its request was received.
+    fn counters(&mut self, volume: u64) -> &mut VolumeCounters {
+        self.by_volume.entry(volume).or_default()
+    }
+
+    /// Drops the half of the volumes with the fewest requests: clients may name any number of volumes.
+    fn evict_less_used_half(&mut self) {
+        let mut received: Vec<u64> = self.by_volume.values().map(|counters| counters.taken).collect();
+        let middle = received.len() / 2;
+        let median = *received.select_nth_unstable(middle).1;
+        self.by_volume.retain(|_, counters| counters.taken > median);
+    }
+}
