--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -36,6 +36,7 @@
 struct StartedAttempt {
     id: AttemptId,
     node: NodeId,
+    deadline: Micros,
 }
 
 /// A dispatcher with the timers and the clock of an event loop.
@@ -131,8 +132,8 @@
     fn take_started_attempts(&mut self) -> Vec<StartedAttempt> {
         let mut started = Vec::new();
         self.commands.retain(|command| match command {
-            Command::StartAttempt { attempt, node, .. } => {
-                started.push(StartedAttempt { id: *attempt, node: *node });
+            Command::StartAttempt { attempt, node, until, .. } => {
+                started.push(StartedAttempt { id: *attempt, node: *node, deadline: *until });
                 false
             }
             _ => true,
@@ -352,6 +353,55 @@
     }
 }
 
+#[test]
+fn an_attempt_without_a_result_is_abandoned_at_its_deadline() {
+    let mut harness = Harness::new(&settings(|_| ()), &[in_service("n", 0)]);
+    harness.submit(Operation::Read, Some(0));
+    harness.run_turn();
+    let started = harness.take_started_attempts();
+    let StartedAttempt { id, deadline, .. } = started[0];
+    harness.mark_written(id);
+    harness.advance(deadline - 1 - harness.now);
+    assert!(harness.dispatcher.is_awaiting(id));
+    harness.advance(1);
+    assert!(!harness.dispatcher.is_awaiting(id));
+    let abandoned = |command: &Command| matches!(command, Command::AbandonAttempt(attempt) if *attempt == id);
+    assert_eq!(harness.commands.iter().filter(|command| abandoned(command)).count(), 1);
+}
+
+/// A request that waits for a node is dropped when its client disconnects.
+#[test]
+fn a_client_request_id_is_free_again_after_its_client_has_disconnected() {
+    const UNKNOWN_SHARD: u64 = 7;
+    let mut harness = Harness::new(&settings(|_| ()), &[in_service("n", 0)]);
+    let request = harness.new_request(Operation::Read, Some(UNKNOWN_SHARD));
+    let first = harness.submit_request(request.clone());
+    harness.run_turn();
+    assert_eq!(harness.dispatcher.open_requests(), 1);
+    harness.dispatcher.client_disconnected(first.id, harness.now, &mut harness.timers);
+    harness.run_turn();
+    assert_eq!(harness.dispatcher.open_requests(), 0);
+    harness.submit_request(request);
+    harness.run_turn();
+    assert!(harness.take_responses().is_empty(), "the second request is in flight");
+    assert_eq!(harness.dispatcher.open_requests(), 1);
+}
+
+#[test]
+fn the_counters_of_the_volumes_with_the_fewest_requests_are_evicted() {
+    let mut harness = Harness::new(&settings(|_| ()), &[in_service("n", 0)]);
+    for _ in 0..2 {
+        harness.submit(Operation::Read, Some(0));
+    }
+    for volume in 0..2_500 {
+        let request = harness.new_request(Operation::Read, Some(0));
+        harness.submit_request(StorageRequest { volume: 1_000_000 + volume, ..request });
+    }
+    let counters = harness.dispatcher.volume_counters();
+    assert!(counters.len() <= 2_000);
+    assert_eq!(counters[&DEFAULT_VOLUME].taken, 2, "the volume with the most requests keeps its counters");
+}
+
 /// A linear congruential generator.
 struct RandomNumbers {
     state: u64,
@@ -440,7 +490,7 @@
     /// Checks the attempts started and writes most of them to their node.
     fn write_started_attempts(&mut self) {
         let seed = self.seed;
-        for StartedAttempt { id, node } in self.harness.take_started_attempts() {
+        for StartedAttempt { id, node, .. } in self.harness.take_started_attempts() {
             assert!(!self.draining.contains(&node.0), "seed {seed}: an attempt at a draining node");
             let is_write = self.writes.contains(&id.request);
             let repeated = is_write && self.may_have_run.contains(&id.request);
