--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -178,7 +178,7 @@
 #[test]
 fn listings_over_a_node_that_goes_cold_keep_its_budget_and_get_one_answer_each() {
     let set = settings(|s| {
-        s.domain.cold_bears = 4.0;
+        s.domain.slow_start_units = 4.0;
         // Nothing is reserved: beyond what a cold node bears for certain nothing may be drawn for it.
         s.plans[0].reservation = 0.0;
     });
--- /dev/null
+++ b/crates/settings/tests/conversion.rs
@@ -0,0 +1,217 @@
+//! Every key of the settings object reaches the right setting of the decision module.
+
+use deployment_settings::{micros, DeploymentSettings, UnknownValue};
+use io_scheduler::{DeduplicationScope, Idempotency, Micros, Settings};
+use serde_json::{json, Value};
+
+fn decode(object: Value) -> DeploymentSettings {
+    serde_json::from_value(object).expect("the settings decode")
+}
+
+fn convert(object: Value) -> Settings {
+    decode(object).to_scheduler_settings().expect("the settings convert")
+}
+
+fn conversion_error(object: Value) -> UnknownValue {
+    decode(object).to_scheduler_settings().expect_err("the conversion fails")
+}
+
+#[test]
+fn an_empty_object_gives_zeros_and_no_feature() {
+    let settings = convert(json!({}));
+    assert!(settings.classes.is_empty());
+    assert!(settings.plans.is_empty());
+    assert_eq!(settings.hosts, 0);
+    assert_eq!(settings.max_attempts, 0);
+    assert!(!settings.hedging_allowed);
+    assert!(!settings.cancellation_allowed);
+    assert!(!settings.health_checks_allowed);
+    assert_eq!(settings.discovery_clients, 0);
+    assert_eq!(settings.max_poll_interval, 0);
+    assert_eq!(settings.drain_grace, 0);
+    assert_eq!(settings.quiesce_period, 0);
+    assert!(settings.retry_budget.is_none());
+    assert_eq!(settings.usage_report_period, 0);
+    assert!(!settings.reports_remote_units);
+}
+
+#[test]
+fn each_allowed_feature_has_its_own_key() {
+    let settings = convert(json!({"allowed": {"max_attempts": 4}}));
+    assert_eq!(settings.max_attempts, 4);
+    for key in ["may_cancel", "probes", "second_copies"] {
+        let settings = convert(json!({"allowed": { key: true }}));
+        assert_eq!(settings.cancellation_allowed, key == "may_cancel", "{key}");
+        assert_eq!(settings.health_checks_allowed, key == "probes", "{key}");
+        assert_eq!(settings.hedging_allowed, key == "second_copies", "{key}");
+    }
+}
+
+#[test]
+fn each_key_of_a_class_reaches_its_setting() {
+    let settings = convert(json!({"classes": [
+        {"aim_ms": 150.5, "points": 3.0, "late_value": 0.25, "effect": "pure", "by_arrival": true},
+        {"effect": "side_effect"}
+    ]}));
+    let class = &settings.classes[0];
+    assert_eq!(class.latency_objective, 150_500);
+    assert_eq!(class.priority_weight, 3.0);
+    assert_eq!(class.late_value, 0.25);
+    assert_eq!(class.idempotency, Idempotency::Idempotent);
+    assert!(class.ordered);
+    assert_eq!(settings.classes[1].idempotency, Idempotency::NonIdempotent);
+    assert!(!settings.classes[1].ordered);
+}
+
+#[test]
+fn an_idempotency_key_has_the_scope_and_the_window_of_its_class() {
+    for (group, scope) in [
+        ("zone", DeduplicationScope::Zone),
+        ("cell", DeduplicationScope::Shard),
+        ("all", DeduplicationScope::All),
+        ("", DeduplicationScope::All),
+    ] {
+        let class = json!({"effect": "token", "group": group, "key_ttl_ms": 2000.0});
+        let settings = convert(json!({ "classes": [class] }));
+        let expected = Idempotency::Keyed { scope, window: 2_000_000 };
+        assert_eq!(settings.classes[0].idempotency, expected, "group '{group}'");
+    }
+}
+
+#[test]
+fn each_key_of_a_plan_reaches_its_setting() {
+    let settings = convert(json!({"plans": [{
+        "reservation": 1.0, "parts": 2.0, "never_over": 3.0, "cap_depth": 4.0, "limit_slack": 5.0,
+        "pays": 6.0, "usual_rate": 7.0
+    }]}));
+    let plan = &settings.plans[0];
+    assert_eq!(plan.reservation, 1.0);
+    assert_eq!(plan.weight, 2.0);
+    assert_eq!(plan.limit, 3.0);
+    assert_eq!(plan.burst_capacity, 4.0);
+    assert_eq!(plan.overdraft, 5.0);
+    assert_eq!(plan.tenant_weight, 6.0);
+    assert_eq!(plan.provisioned_rate, 7.0);
+}
+
+#[test]
+fn each_key_of_the_domain_reaches_its_setting() {
+    let settings = convert(json!({"domain": {
+        "cold_bears": 1.0, "unit_mean": 2.0, "units_top": 3.0, "meter_ms": 4.0, "fair_worth": 5.0,
+        "spare_worth": 6.0, "counts_others": true
+    }}));
+    assert_eq!(settings.slow_start.units, 1.0);
+    assert_eq!(settings.mean_units, 2.0);
+    assert_eq!(settings.max_units, 3.0);
+    assert_eq!(settings.usage_report_period, 4_000);
+    assert_eq!(settings.within_share_value, 5.0);
+    assert_eq!(settings.surplus_value, 6.0);
+    assert!(settings.reports_remote_units);
+}
+
+#[test]
+fn each_key_of_the_rules_reaches_its_setting() {
+    let settings = convert(json!({"rules": {
+        "cold_from": 1.0, "cold_ms": 2.0, "fall_ms": 3.0, "tip_multiple": 4.0, "must_ask_in_ms": 5.0,
+        "order_settle_ms": 6.0, "stop_sending_within_ms": 7.0, "resend_span_ms": 8.0, "extra_free": 9.0,
+        "further_ratio": 10.0
+    }}));
+    assert_eq!(settings.slow_start.initial_capacity, 1.0);
+    assert_eq!(settings.slow_start.duration, 2_000);
+    assert_eq!(settings.slow_start.window, 3_000);
+    assert_eq!(settings.slow_start.burst_factor, 4.0);
+    assert_eq!(settings.max_poll_interval, 5_000);
+    assert_eq!(settings.quiesce_period, 6_000);
+    assert_eq!(settings.drain_grace, 7_000);
+    let budget = settings.retry_budget.expect("there is a window");
+    assert_eq!(budget.window, 8_000);
+    assert_eq!(budget.allowance, 9.0);
+    assert_eq!(budget.ratio, 10.0);
+}
+
+#[test]
+fn a_retry_budget_exists_only_with_a_window() {
+    let settings = convert(json!({"rules": {"extra_free": 9.0, "further_ratio": 10.0}}));
+    assert!(settings.retry_budget.is_none());
+    let settings = convert(json!({"rules": {"resend_span_ms": 8.0}}));
+    let budget = settings.retry_budget.expect("there is a window");
+    assert_eq!((budget.allowance, budget.ratio), (0.0, 0.0));
+}
+
+#[test]
+fn discovery_clients_are_the_whole_group_one_for_an_agent_or_none() {
+    for (discovery, group_size, has_agent, clients) in [
+        ("subscribe", 30, false, 30),
+        ("subscribe", 30, true, 30),
+        ("subscribe", 0, false, 1),
+        ("automatic", 30, true, 1),
+        ("automatic", 30, false, 0),
+        ("", 30, false, 0),
+    ] {
+        let mut settings = decode(json!({"discovery": discovery, "group_size": group_size}));
+        settings.has_agent = has_agent;
+        let converted = settings.to_scheduler_settings().expect("the settings convert");
+        assert_eq!(converted.hosts, group_size);
+        assert_eq!(converted.discovery_clients, clients, "{discovery} {group_size} {has_agent}");
+    }
+}
+
+#[test]
+fn the_agent_is_not_part_of_the_object() {
+    assert!(!decode(json!({"has_agent": true})).has_agent);
+}
+
+#[test]
+fn keys_that_only_the_programs_use_keep_their_spelling() {
+    let settings = decode(json!({
+        "allowed": {"conn_idle_ms": 1.0, "connect_timeout_ms": 2.0},
+        "classes": [{"name": "read", "deadline_ms": 3.0}],
+        "domain": {"n_shards": 4, "writes": [false, true]},
+        "plans": [{"name": "basic"}],
+        "report": {"names": ["queue", "busy"]},
+        "zones": ["a", "b"]
+    }));
+    assert_eq!(settings.allowed.conn_idle_ms, 1.0);
+    assert_eq!(settings.allowed.connect_timeout_ms, 2.0);
+    assert_eq!(settings.classes[0].name, "read");
+    assert_eq!(settings.classes[0].deadline_ms, 3.0);
+    assert_eq!(settings.domain.n_shards, 4);
+    assert_eq!(settings.domain.writes, [false, true]);
+    assert_eq!(settings.plans[0].name, "basic");
+    assert_eq!(settings.load_report.value_names, ["queue", "busy"]);
+    assert_eq!(settings.zones, ["a", "b"]);
+}
+
+#[test]
+fn an_unknown_word_is_reported_with_its_key() {
+    let error = conversion_error(json!({"classes": [{"effect": "pure"}, {"effect": "sometimes"}]}));
+    assert_eq!(error, UnknownValue { key: "classes.effect", value: "sometimes".to_owned() });
+    assert_eq!(error.to_string(), "field classes.effect: 'sometimes' is unknown");
+    let error = conversion_error(json!({"classes": [{"effect": "token", "group": "rack"}]}));
+    assert_eq!(error, UnknownValue { key: "classes.group", value: "rack".to_owned() });
+    assert_eq!(error.to_string(), "field classes.group: 'rack' is unknown");
+}
+
+#[test]
+fn an_absent_idempotency_is_unknown() {
+    let error = conversion_error(json!({"classes": [{"name": "read"}]}));
+    assert_eq!(error.to_string(), "field classes.effect: '' is unknown");
+}
+
+#[test]
+fn an_unknown_deduplication_scope_is_an_error_of_every_class_and_comes_first() {
+    let error = conversion_error(json!({"classes": [{"effect": "pure", "group": "rack"}]}));
+    assert_eq!(error.key, "classes.group");
+    let error = conversion_error(json!({"classes": [{"effect": "sometimes", "group": "rack"}]}));
+    assert_eq!(error.key, "classes.group");
+}
+
+#[test]
+fn milliseconds_round_to_microseconds_and_stop_at_the_ends_of_the_range() {
+    assert_eq!(micros(1.5), 1_500);
+    assert_eq!(micros(0.0004), 0);
+    assert_eq!(micros(0.0006), 1);
+    assert_eq!(micros(f64::INFINITY), Micros::MAX);
+    assert_eq!(micros(f64::NEG_INFINITY), Micros::MIN);
+    assert_eq!(micros(f64::NAN), 0);
+}
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -87,7 +87,7 @@
             classes: info.classes.iter().map(|c| c.name.clone()).collect(),
             plans: info.plans.iter().map(|p| p.name.clone()).collect(),
             zones: info.zones.clone(),
-            load: info.report.names.iter().position(|n| fields.contains(&n.as_str())),
+            load: info.load_report.value_names.iter().position(|n| fields.contains(&n.as_str())),
             nodes: HashMap::new(),
             node_names: Vec::new(),
             requests: HashMap::new(),
