--- /dev/null
+++ b/crates/simulator-adapter/src/instance/encode.rs
@@ -0,0 +1,62 @@
+//! The scheduler's actions as messages to the simulator.
+
+use super::Instance;
+use crate::wire::ActionMessage;
+use io_scheduler::{Action, Micros, NodeId, RequestId};
+
+/// Name of the one timer that an instance has.
+const TIMER_NAME: &str = "wake";
+
+const MICROS_PER_MILLISECOND: f64 = 1000.0;
+
+fn milliseconds(micros: Micros) -> f64 {
+    micros as f64 / MICROS_PER_MILLISECOND
+}
+
+impl Instance {
+    /// Converts an action; `None` if its request is not known any more.
+    pub fn encode_action(&mut self, action: &Action, now: Micros) -> Option<ActionMessage> {
+        match *action {
+            Action::Dispatch { request, node, deadline } => self.encode_dispatch(request, node, deadline),
+            Action::Reject { request, retry_after } => {
+                let request = self.close_request(request)?;
+                Some(ActionMessage::Reject { request, retry_after_ms: milliseconds(retry_after) })
+            }
+            Action::Fail(request) => {
+                let request = self.close_request(request)?;
+                Some(ActionMessage::Fail { request })
+            }
+            Action::Cancel { request, attempt } => {
+                let request = self.requests.get_mut(request)?.name.clone();
+                Some(ActionMessage::Cancel { request, attempt })
+            }
+            Action::OpenWatch => Some(ActionMessage::OpenWatch { open: true }),
+            Action::HealthCheck(node) => Some(ActionMessage::HealthCheck { node: self.node_name(node) }),
+            Action::SetTimer(at) => {
+                let delay_ms = milliseconds((at - now).max(0));
+                Some(ActionMessage::SetTimer { timer: TIMER_NAME.to_owned(), delay_ms })
+            }
+        }
+    }
+
+    fn encode_dispatch(&mut self, id: RequestId, node: NodeId, deadline: Micros) -> Option<ActionMessage> {
+        let request = self.requests.get_mut(id)?;
+        request.attempts_in_flight += 1;
+        Some(ActionMessage::Dispatch {
+            request: request.name.clone(),
+            node: self.node_name(node),
+            deadline_ms: milliseconds(deadline),
+        })
+    }
+
+    /// Marks a request as closed and returns its name.
+    fn close_request(&mut self, id: RequestId) -> Option<String> {
+        let request = self.requests.get_mut(id)?;
+        request.open = false;
+        Some(request.name.clone())
+    }
+
+    fn node_name(&self, node: NodeId) -> String {
+        self.nodes.name(node.0).to_owned()
+    }
+}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,35 +1,50 @@
-//! Reads batches of events from standard input and writes one reply for each to standard output.
-#![forbid(unsafe_code)]
-
-use std::io::{self, BufRead, Write};
-use std::process::ExitCode;
+//! Runs the decision module under the simulator: reads batches of events from standard input, one JSON object
+//! a line, and writes one line of actions to standard output for each.
+//!
+//! The process hosts any number of simulated gateways ([`registry`]); each has a scheduler of its own and
+//! shares nothing with the others ([`instance`]). [`wire`] holds the messages.
 
+mod error;
 mod instance;
+mod registry;
 mod wire;
 
+use error::AdapterError;
+use registry::InstanceRegistry;
+use std::io::{self, BufRead, Write};
+use std::process::ExitCode;
+use wire::ActionBatch;
+
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("simulator-adapter: {message}");
+        Err(error) => {
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), String> {
-    let mut hosts = instance::Hosts::default();
+/// Answers every line of standard input until it ends.
+fn run() -> Result<(), AdapterError> {
+    let mut registry = InstanceRegistry::default();
     let mut output = io::stdout().lock();
     for (index, line) in io::stdin().lock().split(b'\n').enumerate() {
         let number = index + 1;
-        let line = line.map_err(|e| format!("line {number}: cannot read: {e}"))?;
+        let line = line.map_err(|source| AdapterError::Read { line: number, source })?;
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        let batch = wire::parse(&line).map_err(|e| format!("line {number}: {e}"))?;
-        let reply = hosts.answer(batch).map_err(|e| format!("line {number}: {e}"))?;
-        serde_json::to_writer(&mut output, &reply).map_err(|e| format!("cannot write: {e}"))?;
-        output.write_all(b"\n").and_then(|()| output.flush()).map_err(|e| format!("cannot write: {e}"))?;
+        let batch = wire::parse(&line).map_err(|source| AdapterError::Parse { line: number, source })?;
+        let reply = registry.handle(batch).map_err(|source| AdapterError::Event { line: number, source })?;
+        write_reply(&mut output, &reply)?;
     }
     Ok(())
 }
+
+/// Writes one line and flushes it: the simulator waits for it.
+fn write_reply(output: &mut impl Write, reply: &ActionBatch) -> Result<(), AdapterError> {
+    serde_json::to_writer(&mut *output, reply).map_err(AdapterError::Encode)?;
+    output.write_all(b"\n").map_err(AdapterError::Write)?;
+    output.flush().map_err(AdapterError::Write)
+}
