--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,40 +1,48 @@
-//! The adapter on hand-written wire lines.
+//! The adapter as a program: hand-written lines in, replies and error texts out.
 
 use serde_json::{json, Value};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn run(lines: &[String]) -> Output {
+/// Id of the instance on the wire, and its events.
+type InstanceEvents = (u64, Vec<Value>);
+
+fn run_adapter(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("piped");
-    // An adapter that stops at a bad line closes its input early.
+    let mut input = child.stdin.take().expect("standard input is piped");
+    // An adapter that stops at an invalid line closes its input early.
     let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
     drop(input);
     child.wait_with_output().expect("the adapter ends")
 }
 
 fn replies(lines: &[String]) -> Vec<Value> {
-    let output = run(lines);
+    let output = run_adapter(lines);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let text = String::from_utf8(output.stdout).expect("UTF-8");
-    text.lines().map(|l| serde_json::from_str(l).expect("a reply is JSON")).collect()
+    let text = String::from_utf8(output.stdout).expect("replies are UTF-8");
+    text.lines().map(|line| serde_json::from_str(line).expect("a reply is JSON")).collect()
 }
 
-fn complaint(line: &str) -> String {
-    let output = run(&[batch(0, 1.0, &[(0, start())]), line.to_owned()]);
+/// The error text for a line that follows a valid one.
+fn error_text(line: &str) -> String {
+    let output = run_adapter(&[batch(0, 1.0, &[(0, start_events())]), line.to_owned()]);
     assert!(!output.status.success());
-    let text = String::from_utf8(output.stderr).expect("UTF-8");
+    let text = String::from_utf8(output.stderr).expect("error texts are UTF-8");
     assert!(!text.contains("panicked"), "{text}");
     assert!(text.contains("line 2"), "{text}");
     text
 }
 
-fn info() -> Value {
+fn error_text_of_event(event: Value) -> String {
+    error_text(&batch(1, 2.0, &[(0, vec![event])]))
+}
+
+fn settings() -> Value {
     json!({
         "allowed": {"max_attempts": 3, "may_cancel": true},
         "classes": [{"aim_ms": 150.0, "effect": "pure", "group": "all", "name": "read", "points": 3.0}],
@@ -46,123 +54,144 @@
     })
 }
 
-fn start() -> Vec<Value> {
+/// The events that start an instance with one node.
+fn start_events() -> Vec<Value> {
     vec![
-        json!({"ENLIST": {"rng_seed": 5, "info": info()}}),
+        json!({"ENLIST": {"rng_seed": 5, "info": settings()}}),
         json!({"TARGETS": {"kind": "SAVED", "stamp": 1, "rows_in": [
             {"az": "a", "server": "10.0.0.1:1", "unit_group": 0, "condition": "SERVING", "weight": 1}]}}),
     ]
 }
 
-fn incoming(id: &str, due: f64) -> Value {
-    json!({"INCOMING": {"ref": id, "qos_class": "basic", "lane": "read", "share_id": 7, "set_size": 1,
-        "due_ms": due, "shard": 0, "cost_units": 1}})
+fn request_received(request: &str, deadline_ms: f64) -> Value {
+    json!({"INCOMING": {"ref": request, "qos_class": "basic", "lane": "read", "share_id": 7, "set_size": 1,
+        "due_ms": deadline_ms, "shard": 0, "cost_units": 1}})
 }
 
-fn batch(frame: u64, now: f64, parts: &[(u64, Vec<Value>)]) -> String {
-    let part = |p: &(u64, Vec<Value>)| json!({"dispatcher_id": p.0, "msgs": p.1});
-    let parts: Vec<Value> = parts.iter().map(part).collect();
-    json!({"sim_time_ms": now, "frame": frame, "parts": parts}).to_string()
+fn timer_fired() -> Value {
+    json!({"ELAPSED": {"ref": "wake"}})
+}
+
+fn batch(frame: u64, now_ms: f64, instances: &[InstanceEvents]) -> String {
+    let mut parts = Vec::new();
+    for (instance, events) in instances {
+        parts.push(json!({"dispatcher_id": instance, "msgs": events}));
+    }
+    json!({"sim_time_ms": now_ms, "frame": frame, "parts": parts}).to_string()
 }
 
-fn outputs(reply: &Value, host: u64) -> Vec<Value> {
-    let parts = reply["parts"].as_array().expect("parts");
-    let part = parts.iter().find(|p| p["dispatcher_id"] == host);
-    part.map_or(vec![], |p| p["output"].as_array().expect("output").clone())
+fn actions_of(reply: &Value, instance: u64) -> Vec<Value> {
+    let parts = reply["parts"].as_array().expect("parts is a list");
+    let part = parts.iter().find(|part| part["dispatcher_id"] == instance);
+    part.map_or(vec![], |part| part["output"].as_array().expect("output is a list").clone())
 }
 
-fn has(acts: &[Value], name: &str) -> bool {
-    acts.iter().any(|a| a.get(name).is_some())
+fn has_action(actions: &[Value], name: &str) -> bool {
+    actions.iter().any(|action| action.get(name).is_some())
 }
 
 #[test]
-fn a_request_is_sent_and_an_empty_batch_is_answered() {
-    let got = replies(&[
+fn a_request_is_dispatched_and_an_empty_batch_gets_an_empty_reply() {
+    let replies = replies(&[
         batch(0, 1.0, &[]),
-        batch(1, 2.0, &[(3, start())]),
-        batch(2, 3.25, &[(3, vec![incoming("c:a", 1203.25)])]),
+        batch(1, 2.0, &[(3, start_events())]),
+        batch(2, 3.25, &[(3, vec![request_received("c:a", 1203.25)])]),
     ]);
-    assert_eq!(got[0], json!({"frame": 0, "parts": []}));
-    assert!(has(&outputs(&got[1], 3), "OBSERVE"));
-    let sent = json!({"FORWARD": {"ref": "c:a", "server": "10.0.0.1:1", "try_until_ms": 153.25}});
-    assert_eq!(outputs(&got[2], 3)[0], sent);
+    assert_eq!(replies[0], json!({"frame": 0, "parts": []}));
+    assert!(has_action(&actions_of(&replies[1], 3), "OBSERVE"));
+    let dispatch = json!({"FORWARD": {"ref": "c:a", "server": "10.0.0.1:1", "try_until_ms": 153.25}});
+    assert_eq!(actions_of(&replies[2], 3)[0], dispatch);
 }
 
 #[test]
-fn odd_but_legal_events_change_nothing() {
-    let unknown = |name: &str| json!({ name: {"ref": "c:none"} });
-    let odd = vec![
-        unknown("VANISHED"),
-        unknown("ELAPSED"),
-        unknown("UNDER_WAY"),
+fn events_of_unknown_requests_and_nodes_cause_no_action() {
+    let event_of_unknown_request = |name: &str| json!({ name: {"ref": "c:none"} });
+    let events = vec![
+        event_of_unknown_request("VANISHED"),
+        event_of_unknown_request("ELAPSED"),
+        event_of_unknown_request("UNDER_WAY"),
         json!({"OUTCOME": {"ref": "c:none", "status": 408, "server": "10.9.9.9:9"}}),
         json!({"PING_RESULT": {"status": 200, "server": "10.9.9.9:9", "telemetry": []}}),
         json!({"FROM_PEER": {"sender": 1, "content": "00"}}),
     ];
-    let got = replies(&[batch(0, 1.0, &[(0, start())]), batch(1, 2.0, &[(0, odd)])]);
-    assert!(outputs(&got[1], 0).iter().all(|a| a.get("DEFER").is_some()), "{}", got[1]);
+    let replies = replies(&[batch(0, 1.0, &[(0, start_events())]), batch(1, 2.0, &[(0, events)])]);
+    let only_timers = actions_of(&replies[1], 0).iter().all(|action| action.get("DEFER").is_some());
+    assert!(only_timers, "{}", replies[1]);
 }
 
 #[test]
-fn a_restart_in_one_batch_forgets_what_was_held() {
-    let mut again = vec![incoming("c:a", 900.0), json!({"POWER_OFF": {}})];
-    again.extend(start());
-    let end = json!({"OUTCOME": {"ref": "c:a", "status": 502, "server": "10.0.0.1:1"}});
-    let got = replies(&[
-        batch(0, 1.0, &[(0, start())]),
-        batch(1, 2.0, &[(0, again)]),
-        batch(2, 950.0, &[(0, vec![json!({"ELAPSED": {"ref": "wake"}}), end])]),
+fn a_restart_within_a_batch_drops_pending_requests() {
+    let mut restart = vec![request_received("c:a", 900.0), json!({"POWER_OFF": {}})];
+    restart.extend(start_events());
+    let late_outcome = json!({"OUTCOME": {"ref": "c:a", "status": 502, "server": "10.0.0.1:1"}});
+    let replies = replies(&[
+        batch(0, 1.0, &[(0, start_events())]),
+        batch(1, 2.0, &[(0, restart)]),
+        batch(2, 950.0, &[(0, vec![timer_fired(), late_outcome])]),
     ]);
-    assert!(has(&outputs(&got[1], 0), "OBSERVE") && !has(&outputs(&got[1], 0), "FORWARD"));
-    assert!(!has(&outputs(&got[2], 0), "SHED") && !has(&outputs(&got[2], 0), "FORWARD"));
+    let after_restart = actions_of(&replies[1], 0);
+    assert!(has_action(&after_restart, "OBSERVE") && !has_action(&after_restart, "FORWARD"));
+    let after_outcome = actions_of(&replies[2], 0);
+    assert!(!has_action(&after_outcome, "SHED") && !has_action(&after_outcome, "FORWARD"));
 }
 
-#[test]
-fn one_process_or_several_give_the_same_actions() {
-    let served = |id: &str| {
-        json!({"OUTCOME": {"ref": id, "status": 200, "complete": true, "server": "10.0.0.1:1",
+/// The batches of 40 requests to each of two instances; the first also learns how its attempts ended.
+fn batches_of_two_instances() -> Vec<(f64, Vec<InstanceEvents>)> {
+    let served = |request: &str| {
+        json!({"OUTCOME": {"ref": request, "status": 200, "complete": true, "server": "10.0.0.1:1",
             "time_taken_ms": 18.5, "go": 0}})
     };
-    let mut lines = vec![vec![(0, start()), (1, start())]];
-    for n in 0..40u64 {
-        let (a, b) = (format!("c:a{n}"), format!("c:b{n}"));
-        let now = 10.0 + 20.0 * n as f64;
-        let mut first = vec![incoming(&a, now + 600.0)];
-        if n % 3 == 0 {
-            first.insert(0, json!({"ELAPSED": {"ref": "wake"}}));
+    let mut batches = vec![(1.0, vec![(0, start_events()), (1, start_events())])];
+    for number in 0..40u64 {
+        let now_ms = 10.0 + 20.0 * number as f64;
+        let mut first = vec![request_received(&format!("c:a{number}"), now_ms + 600.0)];
+        if number % 3 == 0 {
+            first.insert(0, timer_fired());
         }
-        if n > 0 {
-            first.push(served(&format!("c:a{}", n - 1)));
+        if number > 0 {
+            first.push(served(&format!("c:a{}", number - 1)));
         }
-        lines.push(vec![(0, first), (1, vec![incoming(&b, now + 600.0)])]);
+        let second = vec![request_received(&format!("c:b{number}"), now_ms + 600.0)];
+        batches.push((now_ms, vec![(0, first), (1, second)]));
     }
-    let text = |only: Option<u64>| -> Vec<String> {
-        let keep = |parts: &Vec<(u64, Vec<Value>)>| -> Vec<(u64, Vec<Value>)> {
-            parts.iter().filter(|p| only.is_none_or(|o| o == p.0)).cloned().collect()
-        };
-        let now = |n: usize| if n == 0 { 1.0 } else { 10.0 + 20.0 * (n - 1) as f64 };
-        lines.iter().enumerate().map(|(n, l)| batch(n as u64, now(n), &keep(l))).collect()
+    batches
+}
+
+#[test]
+fn instances_act_the_same_in_one_process_and_in_separate_ones() {
+    let batches = batches_of_two_instances();
+    let lines_for = |instances: &[u64]| -> Vec<String> {
+        let mut lines = Vec::new();
+        for (frame, (now_ms, parts)) in batches.iter().enumerate() {
+            let mut parts = parts.clone();
+            parts.retain(|(instance, _)| instances.contains(instance));
+            lines.push(batch(frame as u64, *now_ms, &parts));
+        }
+        lines
     };
-    let (both, first, second) = (replies(&text(None)), replies(&text(Some(0))), replies(&text(Some(1))));
-    for n in 0..lines.len() {
-        assert_eq!(outputs(&both[n], 0), outputs(&first[n], 0));
-        assert_eq!(outputs(&both[n], 1), outputs(&second[n], 1));
+    let together = replies(&lines_for(&[0, 1]));
+    let first_alone = replies(&lines_for(&[0]));
+    let second_alone = replies(&lines_for(&[1]));
+    for frame in 0..batches.len() {
+        assert_eq!(actions_of(&together[frame], 0), actions_of(&first_alone[frame], 0));
+        assert_eq!(actions_of(&together[frame], 1), actions_of(&second_alone[frame], 1));
     }
 }
 
 #[test]
-fn bad_lines_are_named_with_their_field() {
-    assert!(complaint("{not json").contains("simulator-adapter"));
-    assert!(complaint(&batch(1, 2.0, &[(0, vec![json!({"NEWS": {}})])])).contains("NEWS"));
-    let missing = json!({"INCOMING": {"ref": "c:a"}});
-    assert!(complaint(&batch(1, 2.0, &[(0, vec![missing])])).contains("INCOMING"));
-    let mut mistyped = incoming("c:a", 5.0);
-    mistyped["INCOMING"]["due_ms"] = json!("soon");
-    assert!(complaint(&batch(1, 2.0, &[(0, vec![mistyped])])).contains("due_ms"));
-    let mut lane = incoming("c:a", 5.0);
-    lane["INCOMING"]["lane"] = json!("nowhere");
-    assert!(complaint(&batch(1, 2.0, &[(0, vec![lane])])).contains("lane"));
-    let end = json!({"OUTCOME": {"ref": "c:a", "status": 299, "server": "10.0.0.1:1"}});
-    assert!(complaint(&batch(1, 2.0, &[(0, vec![end])])).contains("299"));
-    assert!(complaint(&batch(1, 2.0, &[(7, vec![incoming("c:a", 5.0)])])).contains("ENLIST"));
+fn an_invalid_line_is_reported_with_its_number_and_field() {
+    assert!(error_text("{not json").contains("simulator-adapter"));
+    assert!(error_text_of_event(json!({"NEWS": {}})).contains("NEWS"));
+    let missing_fields = json!({"INCOMING": {"ref": "c:a"}});
+    assert!(error_text_of_event(missing_fields).contains("INCOMING"));
+    let mut mistyped_deadline = request_received("c:a", 5.0);
+    mistyped_deadline["INCOMING"]["due_ms"] = json!("soon");
+    assert!(error_text_of_event(mistyped_deadline).contains("due_ms"));
+    let mut unknown_class = request_received("c:a", 5.0);
+    unknown_class["INCOMING"]["lane"] = json!("nowhere");
+    assert!(error_text_of_event(unknown_class).contains("lane"));
+    let unknown_status = json!({"OUTCOME": {"ref": "c:a", "status": 299, "server": "10.0.0.1:1"}});
+    assert!(error_text_of_event(unknown_status).contains("299"));
+    let not_started = batch(1, 2.0, &[(7, vec![request_received("c:a", 5.0)])]);
+    assert!(error_text(&not_started).contains("ENLIST"));
 }
