--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,14 +1,20 @@
-//! A small bench for module tests: settings to change, events to feed, actions to look at.
-#![allow(dead_code)]
+//! Fixtures of the scheduler's tests: settings to change, a harness that feeds events on a clock of its own,
+//! and views of the actions.
+#![allow(dead_code)] // Each test program uses some of them.
 
-use io_scheduler::*;
+use io_scheduler::{
+    Action, CompletedAttempt, Endpoint, EndpointListEvent, EndpointStatus, Event, Idempotency, Micros,
+    NodeId, Outcome, Request, RequestClass, RequestId, Scheduler, Settings, Shard, SlowStart, VolumeId,
+    VolumePlan, Zone,
+};
 
-pub const MS: Micros = 1_000;
-pub const S: Micros = 1_000_000;
+pub const MILLISECOND: Micros = 1_000;
+pub const SECOND: Micros = 1_000_000;
 
-pub fn class(idempotency: Idempotency) -> RequestClass {
+/// A class with a latency objective of 500 ms.
+pub fn request_class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
-        latency_objective: 500 * MS,
+        latency_objective: 500 * MILLISECOND,
         priority_weight: 1.0,
         late_value: 0.1,
         idempotency,
@@ -16,7 +22,8 @@
     }
 }
 
-pub fn plan(reservation: f64, weight: f64, limit: f64) -> VolumePlan {
+/// A plan whose token bucket holds one second of the limit.
+pub fn volume_plan(reservation: f64, weight: f64, limit: f64) -> VolumePlan {
     VolumePlan {
         reservation,
         weight,
@@ -28,22 +35,23 @@
     }
 }
 
+/// One host, one idempotent class, and one plan without a reservation or a limit.
 pub fn settings() -> Settings {
     Settings {
-        classes: vec![class(Idempotency::Idempotent)],
-        plans: vec![plan(0.0, 1.0, 0.0)],
+        classes: vec![request_class(Idempotency::Idempotent)],
+        plans: vec![volume_plan(0.0, 1.0, 0.0)],
         hosts: 1,
         max_attempts: 3,
         hedging_allowed: false,
         cancellation_allowed: true,
         health_checks_allowed: false,
         discovery_clients: 0,
-        max_poll_interval: 10 * S,
-        drain_grace: 250 * MS,
+        max_poll_interval: 10 * SECOND,
+        drain_grace: 250 * MILLISECOND,
         slow_start: SlowStart {
             initial_capacity: 0.2,
-            duration: 10 * S,
-            window: S,
+            duration: 10 * SECOND,
+            window: SECOND,
             burst_factor: 3.0,
             units: 20.0,
         },
@@ -58,45 +66,94 @@
     }
 }
 
-pub fn line(node: u64, status: EndpointStatus, started_at: Option<Micros>) -> Endpoint {
+/// A node that stores the shard of its own number.
+pub fn endpoint(node: u64, status: EndpointStatus, started_at: Option<Micros>) -> Endpoint {
     Endpoint { node: NodeId(node), zone: Zone(node % 2), shard: Shard(node), status, started_at }
 }
 
-pub struct Host {
-    pub scheduler: Scheduler,
+/// A complete endpoint list.
+pub fn snapshot(endpoints: Vec<Endpoint>) -> Event {
+    Event::EndpointList(EndpointListEvent::Snapshot, endpoints)
+}
+
+/// Changes of an endpoint list.
+pub fn delta(endpoints: Vec<Endpoint>) -> Event {
+    Event::EndpointList(EndpointListEvent::Delta, endpoints)
+}
+
+/// The end of an attempt; a request that was served is closed with it.
+pub fn attempt_completed(request: u64, number: u32, node: u64, outcome: Outcome, elapsed: Micros) -> Event {
+    Event::AttemptCompleted(CompletedAttempt {
+        request: RequestId(request),
+        number,
+        node: NodeId(node),
+        outcome,
+        request_closed: outcome == Outcome::Served,
+        elapsed,
+        remote_units: 0.0,
+        utilization: None,
+    })
+}
+
+/// The first attempt of a request at node 0 was served.
+pub fn served(request: u64, elapsed: Micros) -> Event {
+    attempt_completed(request, 0, 0, Outcome::Served, elapsed)
+}
+
+/// A scheduler on a clock that the test moves.
+pub struct SchedulerHarness {
+    scheduler: Scheduler,
+    /// Time of the next events.
     pub now: Micros,
-    next: u64,
+    next_request: u64,
 }
 
-impl Host {
-    /// A host that knows `nodes` warm nodes, numbered from 0, each with the shard of its number.
+impl SchedulerHarness {
+    /// A scheduler that knows this many nodes, numbered from 0; none of them is warming up.
     pub fn new(settings: Settings, nodes: u64) -> Self {
-        Host::seeded(settings, nodes, 1)
+        SchedulerHarness::with_seed(settings, nodes, 1)
     }
 
-    pub fn seeded(settings: Settings, nodes: u64, seed: u64) -> Self {
-        let mut host = Host { scheduler: Scheduler::new(settings, seed, 0), now: 0, next: 0 };
-        let lines = (0..nodes).map(|n| line(n, EndpointStatus::InService, None)).collect();
-        host.feed(vec![Event::EndpointList(EndpointListEvent::Snapshot, lines)]);
-        host
+    /// As [`SchedulerHarness::new`], with another sequence of random numbers.
+    pub fn with_seed(settings: Settings, nodes: u64, seed: u64) -> Self {
+        let scheduler = Scheduler::new(settings, seed, 0);
+        let mut harness = SchedulerHarness { scheduler, now: 0, next_request: 0 };
+        let mut endpoints = Vec::new();
+        for node in 0..nodes {
+            endpoints.push(endpoint(node, EndpointStatus::InService, None));
+        }
+        harness.handle(&[snapshot(endpoints)]);
+        harness
     }
 
-    pub fn feed(&mut self, events: Vec<Event>) -> Vec<Action> {
+    /// Hands the scheduler events at the current time and returns its actions.
+    pub fn handle(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.scheduler.handle(self.now, &events, &mut actions);
+        self.scheduler.handle(self.now, events, &mut actions);
         actions
     }
 
-    /// Events at a later time.
-    pub fn at(&mut self, now: Micros, events: Vec<Event>) -> Vec<Action> {
+    /// Moves the clock, then hands the scheduler events.
+    pub fn handle_at(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         self.now = now;
-        self.feed(events)
+        self.handle(events)
+    }
+
+    /// Moves the clock, then fires the timer.
+    pub fn fire_timer_at(&mut self, now: Micros) -> Vec<Action> {
+        self.handle_at(now, &[Event::TimerFired])
+    }
+
+    /// Hands the scheduler one request at the current time.
+    pub fn receive(&mut self, request: Request) -> Vec<Action> {
+        self.handle(&[Event::RequestReceived(request)])
     }
 
-    /// A request of volume 0, plan 0, class 0, one unit, due in two seconds.
+    /// A request with the next id for a shard, or for a new object: volume 0, plan 0, class 0, one unit, a
+    /// deadline in two seconds.
     pub fn request(&mut self, shard: Option<u64>) -> Request {
-        let id = RequestId(self.next);
-        self.next += 1;
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
         Request {
             id,
             volume: VolumeId(0),
@@ -106,62 +163,97 @@
             shard: shard.map(Shard),
             units: 1.0,
             hosts: 1.0,
-            deadline: self.now + 2 * S,
+            deadline: self.now + 2 * SECOND,
             is_retry: false,
         }
     }
 
-    /// Quick answers from the node, until it has room for the whole cap again.
-    pub fn warm(&mut self, node: u64) {
-        for n in 0..40 {
-            let r = self.request(Some(node));
-            let r = Request { id: RequestId(1_000_000 + n), volume: VolumeId(1_000_000), ..r };
-            self.next -= 1;
-            let id = r.id.0;
-            self.feed(vec![Event::RequestReceived(r)]);
-            self.feed(vec![ended(id, 0, node, Outcome::Served, 0)]);
+    /// A request for the shard of node 0 from a volume, with a deadline at this time.
+    pub fn request_of_volume(&mut self, volume: u64, plan: usize, deadline: Micros) -> Request {
+        Request { volume: VolumeId(volume), plan, deadline, ..self.request(Some(0)) }
+    }
+
+    /// Has a node serve a request at once, with a response that is said to have taken this long. Returns the
+    /// request's id.
+    pub fn serve(&mut self, node: u64, elapsed: Micros) -> u64 {
+        let request = self.request(Some(node));
+        let id = request.id.0;
+        self.receive(request);
+        self.handle(&[attempt_completed(id, 0, node, Outcome::Served, elapsed)]);
+        id
+    }
+
+    /// Has an attempt at a node end badly after a millisecond; its client disconnects before a retry.
+    pub fn fail_without_retry(&mut self, node: u64, outcome: Outcome) {
+        let request = self.request(Some(node));
+        let id = request.id.0;
+        self.receive(request);
+        self.handle(&[
+            attempt_completed(id, 0, node, outcome, MILLISECOND),
+            Event::ClientDisconnected(RequestId(id)),
+        ]);
+    }
+
+    /// Has a node serve requests quickly until its concurrency limit is at its maximum. They take no ids from
+    /// the test's own requests.
+    pub fn warm_up(&mut self, node: u64) {
+        const FIRST_ID: u64 = 1_000_000;
+        const VOLUME: u64 = 1_000_000;
+        for id in FIRST_ID..FIRST_ID + 40 {
+            let request = self.request(Some(node));
+            self.next_request -= 1;
+            self.receive(Request { id: RequestId(id), volume: VolumeId(VOLUME), ..request });
+            self.handle(&[attempt_completed(id, 0, node, Outcome::Served, 0)]);
         }
     }
 
-    pub fn wake(&mut self, now: Micros) -> Vec<Action> {
-        self.at(now, vec![Event::TimerFired])
+    /// Fills node 0 with requests of a volume of their own, so that what follows waits; returns the ids of
+    /// those that were dispatched.
+    pub fn occupy_node(&mut self, requests: u64) -> Vec<u64> {
+        const VOLUME: u64 = 99;
+        let mut events = vec![];
+        for _ in 0..requests {
+            let deadline = self.now + 60 * SECOND;
+            events.push(Event::RequestReceived(self.request_of_volume(VOLUME, 0, deadline)));
+        }
+        dispatched_requests(&self.handle(&events))
     }
 }
 
-pub fn ended(request: u64, number: u32, node: u64, outcome: Outcome, took: Micros) -> Event {
-    Event::AttemptCompleted(CompletedAttempt {
-        request: RequestId(request),
-        number,
-        node: NodeId(node),
-        outcome,
-        request_closed: outcome == Outcome::Served,
-        elapsed: took,
-        remote_units: 0.0,
-        utilization: None,
-    })
+/// The dispatched attempts in order: the request and its node.
+pub fn dispatched(actions: &[Action]) -> Vec<(u64, u64)> {
+    let mut attempts = Vec::new();
+    for action in actions {
+        if let Action::Dispatch { request, node, .. } = action {
+            attempts.push((request.0, node.0));
+        }
+    }
+    attempts
 }
 
-/// Requests and nodes of the sends, in order.
-pub fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
-    let send = |a: &Action| match a {
-        Action::Dispatch { request, node, .. } => Some((request.0, node.0)),
-        _ => None,
-    };
-    actions.iter().filter_map(send).collect()
+/// The requests of the dispatched attempts, in order.
+pub fn dispatched_requests(actions: &[Action]) -> Vec<u64> {
+    dispatched(actions).iter().map(|(request, _)| *request).collect()
 }
 
-pub fn refused(actions: &[Action]) -> Vec<u64> {
-    let refuse = |a: &Action| match a {
-        Action::Reject { request, .. } => Some(request.0),
-        _ => None,
-    };
-    actions.iter().filter_map(refuse).collect()
+/// The rejected requests, in order.
+pub fn rejected(actions: &[Action]) -> Vec<u64> {
+    let mut requests = Vec::new();
+    for action in actions {
+        if let Action::Reject { request, .. } = action {
+            requests.push(request.0);
+        }
+    }
+    requests
 }
 
+/// The failed requests, in order.
 pub fn failed(actions: &[Action]) -> Vec<u64> {
-    let fail = |a: &Action| match a {
-        Action::Fail(request) => Some(request.0),
-        _ => None,
-    };
-    actions.iter().filter_map(fail).collect()
+    let mut requests = Vec::new();
+    for action in actions {
+        if let Action::Fail(request) = action {
+            requests.push(request.0);
+        }
+    }
+    requests
 }
