--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -253,8 +253,8 @@
 
 #[test]
 fn a_surging_volume_leaves_half_of_a_warming_node_s_units_to_the_others() {
-    // A single host may send all of the 20 units within a second, but for those divided by provisioned rate.
-    // A volume that surges gets half of the host's part; the requests of another volume find the other half.
+    // A host alone may send all of the 20 units in a window, apart from those divided by provisioned rate. A
+    // volume that surges gets half of the host's part; the requests of another volume find the other half.
     let mut settings = settings();
     settings.plans = vec![
         VolumePlan { provisioned_rate: 1.0, ..volume_plan(0.0, 1.0, 0.0) },
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -195,3 +195,32 @@
     let not_started = batch(1, 2.0, &[(7, vec![request_received("c:a", 5.0)])]);
     assert!(error_text(&not_started).contains("ENLIST"));
 }
+
+#[test]
+fn an_error_text_states_the_line_the_event_and_the_cause() {
+    let mut unknown_idempotency = settings();
+    unknown_idempotency["classes"][0]["effect"] = json!("sometimes");
+    let mut unknown_plan = request_received("c:a", 5.0);
+    unknown_plan["INCOMING"]["qos_class"] = json!("gold");
+    let mut unknown_class = request_received("c:a", 5.0);
+    unknown_class["INCOMING"]["lane"] = json!("nowhere");
+    for (event, cause) in [
+        (
+            json!({"ENLIST": {"rng_seed": 5, "info": unknown_idempotency}}),
+            "ENLIST: field classes.effect: 'sometimes' is unknown",
+        ),
+        (unknown_plan, "INCOMING c:a: field qos_class: 'gold' is not in the settings"),
+        (unknown_class, "INCOMING c:a: field lane: 'nowhere' is not in the settings"),
+        (
+            json!({"OUTCOME": {"ref": "c:a", "status": 299, "server": "10.0.0.1:1"}}),
+            "OUTCOME c:a: field status: 299 is not an outcome",
+        ),
+    ] {
+        assert_eq!(error_text_of_event(event), format!("simulator-adapter: line 2: {cause}\n"));
+    }
+    let not_started = batch(1, 2.0, &[(7, vec![timer_fired()])]);
+    let expected = "simulator-adapter: line 2: dispatcher_id 7: event before ENLIST\n";
+    assert_eq!(error_text(&not_started), expected);
+    let trailing = batch(1, 2.0, &[]) + "{}";
+    assert!(error_text(&trailing).starts_with("simulator-adapter: line 2: after the batch: trailing"));
+}
