--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -207,7 +207,7 @@
     assert!(harness.dispatcher.may_write(node, drained_at + 501 * MS));
 }
 
-/// The bound of `cold_bears` in [`listings_keep_to_the_slow_start_budget_and_get_one_response_each`].
+/// The bound of `slow_start_units` in [`listings_keep_to_the_slow_start_budget_and_get_one_response_each`].
 const SLOW_START_UNITS: f64 = 4.0;
 
 /// Fails if more units were dispatched to a restarted node within its slow-start window than it can take.
@@ -226,7 +226,7 @@
 fn listings_keep_to_the_slow_start_budget_and_get_one_response_each() {
     const RESTARTED: NodeId = NodeId(1);
     let settings = settings(|s| {
-        s.domain.cold_bears = SLOW_START_UNITS;
+        s.domain.slow_start_units = SLOW_START_UNITS;
         // Without reservations nothing may go beyond the certain capacity of a node that warms up.
         s.plans[0].reservation = 0.0;
     });
