--- a/crates/gateway/src/client_protocol/resp/mod.rs
+++ b/crates/gateway/src/client_protocol/resp/mod.rs
@@ -97,7 +97,7 @@
             Response::Served(ResponseBody::Size(_) | ResponseBody::Names(_)) => encode_bulk_string(b""),
             Response::Served(ResponseBody::NotFound) => b"-ERR not found\r\n".to_vec(),
             Response::Rejected(retry_after) => encode_rejection(retry_after),
-            Response::Invalid(reason) => format!("-ERR {reason}\r\n").into_bytes(),
+            Response::Invalid(error) => format!("-ERR {error}\r\n").into_bytes(),
             Response::Failed => b"-ERR failed\r\n".to_vec(),
             Response::TimedOut => b"-ERR timed out\r\n".to_vec(),
         };
--- a/crates/gateway/src/client_protocol/resp/names.rs
+++ b/crates/gateway/src/client_protocol/resp/names.rs
@@ -15,7 +15,7 @@
     plans: Vec<String>,
     /// Largest number of units of one request.
     pub(super) max_units: f64,
-    /// Largest number of hosts that a request may state.
+    /// Largest number of gateways that a request may state as `hosts`.
     pub(super) max_hosts: f64,
 }
 
--- a/crates/gateway/src/client_protocol/resp/terms.rs
+++ b/crates/gateway/src/client_protocol/resp/terms.rs
@@ -19,7 +19,7 @@
     pub(super) shard: Option<ShardTerm>,
     /// `units`: the size of the request in units, 1 if not stated.
     pub(super) units: f64,
-    /// `hosts`: the number of hosts through which the requests of the volume come, 1 if not stated.
+    /// `hosts`: the number of gateways through which the requests of the volume arrive, 1 if not stated.
     pub(super) hosts: f64,
     /// `r`: whether the client repeats an earlier request.
     pub(super) retry: bool,
@@ -28,8 +28,8 @@
 /// The shard that a request states.
 #[derive(Clone, Copy)]
 pub(super) enum ShardTerm {
-    /// Any shard, stated as -1.
-    Any,
+    /// None yet, stated as -1: any node may take the new object.
+    Unassigned,
     /// The shard of this number.
     Number(u64),
 }
@@ -38,7 +38,7 @@
     /// The shard's number, if one is stated.
     pub(super) fn number(self) -> Option<u64> {
         match self {
-            ShardTerm::Any => None,
+            ShardTerm::Unassigned => None,
             ShardTerm::Number(number) => Some(number),
         }
     }
@@ -147,7 +147,7 @@
     /// The value as a shard.
     fn shard(&self) -> Result<ShardTerm, RequestError> {
         if self.value == "-1" {
-            return Ok(ShardTerm::Any);
+            return Ok(ShardTerm::Unassigned);
         }
         self.value.parse().map(ShardTerm::Number).map_err(|_| self.invalid_value())
     }
--- a/crates/gateway/src/client_protocol/sftp/error.rs
+++ b/crates/gateway/src/client_protocol/sftp/error.rs
@@ -1,5 +1,6 @@
 //! Errors that are answered with a STATUS packet.
 
+use crate::dispatcher::InvalidRequest;
 use crate::sftp_packet::{status, Code, Malformed};
 
 /// Why a command failed. The text is the STATUS message that the client gets.
@@ -50,9 +51,9 @@
         /// When to repeat it, in milliseconds from now, rounded up.
         retry_after_ms: f64,
     },
-    /// The request can never be served; the dispatcher states why.
-    #[error("{0}")]
-    Invalid(&'static str),
+    /// The dispatcher did not accept the request.
+    #[error(transparent)]
+    Invalid(#[from] InvalidRequest),
     /// The request failed.
     #[error("failed")]
     Failed,
--- a/crates/gateway/src/client_protocol/sftp/response.rs
+++ b/crates/gateway/src/client_protocol/sftp/response.rs
@@ -136,7 +136,7 @@
         Response::Rejected(retry_after) => {
             Err(SftpError::Rejected { retry_after_ms: (retry_after as f64 / 1000.0).ceil() })
         }
-        Response::Invalid(reason) => Err(SftpError::Invalid(reason)),
+        Response::Invalid(error) => Err(SftpError::Invalid(error)),
         Response::Failed => Err(SftpError::Failed),
         Response::TimedOut => Err(SftpError::TimedOut),
     }
--- a/crates/gateway/src/client_protocol/sftp/shared.rs
+++ b/crates/gateway/src/client_protocol/sftp/shared.rs
@@ -20,7 +20,7 @@
     /// Names of the plans.
     plans: Vec<String>,
     shard_count: u64,
-    /// Hosts through which the requests of a volume come.
+    /// Number of gateways through which the requests of a volume arrive.
     hosts: f64,
     /// Mean and largest size of a request, in units.
     mean_units: f64,
