--- a/crates/gateway/src/client_protocol/resp.rs
+++ b/crates/gateway/src/client_protocol/resp.rs
@@ -1,7 +1,7 @@
 //! RESP2 from clients: `IO.IN` and `IO.OUT`, and the few commands that client libraries send.
 
 use super::{ClientProtocol, CommandStep};
-use crate::config::VALUE_MOST;
+use crate::config::MAX_VALUE_BYTES;
 use crate::dispatcher::{Operation, Response, ResponseBody, StorageRequest};
 use deployment_settings::{micros, ClassSettings, DeploymentSettings};
 use io_scheduler::Micros;
@@ -12,7 +12,7 @@
 /// Bytes of one line that is not a value.
 const LINE_MOST: usize = 64;
 /// Bytes of a command's words together; with it an input buffer is bounded.
-pub const COMMAND_MOST: usize = VALUE_MOST + (8 << 10);
+pub const COMMAND_MOST: usize = MAX_VALUE_BYTES + (8 << 10);
 /// Longest wait that a client may state, where its class has no deadline.
 const WAIT_MOST_MS: f64 = 600_000.0;
 /// Longest id of a request.
--- /dev/null
+++ b/crates/gateway/src/config/sftp.rs
@@ -0,0 +1,158 @@
+//! Settings of the SFTP listener, as converted from the operator's file.
+
+use super::error::{ConfigError, InvalidValue};
+use super::file::{SftpSection, VolumeEntry};
+use super::validate::{address, hexadecimal};
+use super::MAX_VALUE_BYTES;
+use deployment_settings::DeploymentSettings;
+use std::net::SocketAddr;
+
+/// Bytes that count as one unit, if the file does not state it.
+const DEFAULT_UNIT_BYTES: u64 = 16 << 10;
+
+/// Settings of the SFTP listener.
+#[derive(Clone, Debug)]
+pub struct SftpSettings {
+    /// Where SFTP clients connect.
+    pub listen: SocketAddr,
+    /// Largest upload that is buffered, in bytes.
+    pub max_upload: usize,
+    /// Bytes that count as one unit.
+    pub unit_bytes: u64,
+    /// Class of reads, as an index into the classes of the settings.
+    pub read: usize,
+    /// Class of writes, as an index into the classes of the settings.
+    pub write: usize,
+    /// Class of listings, as an index into the classes of the settings.
+    pub list: usize,
+    /// Class of reads of objects known to hold at least `large_bytes`, as an index into the classes.
+    pub large_read: usize,
+    /// Size from which on an object is large, in bytes.
+    pub large_bytes: u64,
+    /// Volumes that paths may name.
+    pub volumes: Vec<SftpVolume>,
+}
+
+/// A volume that paths may name.
+#[derive(Clone, Debug)]
+pub struct SftpVolume {
+    /// Name of the volume's top folder.
+    pub name: String,
+    /// Id of the volume.
+    pub id: u64,
+    /// Plan of the volume, as an index into the plans of the settings.
+    pub plan: usize,
+}
+
+/// What the requests of a class do.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Access {
+    Read,
+    Write,
+}
+
+impl SftpSettings {
+    /// Checks and converts `sftp` of the operator's file.
+    pub(super) fn from_section(
+        section: &SftpSection,
+        settings: &DeploymentSettings,
+    ) -> Result<SftpSettings, ConfigError> {
+        // A path does not name a shard: it follows from the object's name and the number of shards.
+        if settings.domain.n_shards == 0 {
+            return Err(ConfigError::missing("settings.domain.n_shards"));
+        }
+        let volumes = convert_volumes(&section.volumes, settings)?;
+        let max_upload = max_upload(section)?;
+        let unit_bytes = unit_bytes(section)?;
+        let large_read_class = section.large_read_class.as_ref().unwrap_or(&section.read_class);
+        let list_class = section.list_class.as_ref().unwrap_or(&section.read_class);
+        Ok(SftpSettings {
+            listen: address("sftp.listen", &section.listen)?,
+            max_upload,
+            unit_bytes,
+            read: class_index("sftp.read_class", &section.read_class, Access::Read, settings)?,
+            write: class_index("sftp.write_class", &section.write_class, Access::Write, settings)?,
+            large_read: class_index("sftp.large_read_class", large_read_class, Access::Read, settings)?,
+            large_bytes: section.large_bytes.unwrap_or(u64::MAX),
+            list: class_index("sftp.list_class", list_class, Access::Read, settings)?,
+            volumes,
+        })
+    }
+}
+
+/// The limit on uploads; no larger than what is forwarded to a node.
+fn max_upload(section: &SftpSection) -> Result<usize, ConfigError> {
+    let max_upload = section.max_upload_bytes.unwrap_or(MAX_VALUE_BYTES);
+    if max_upload > MAX_VALUE_BYTES {
+        let cause = InvalidValue::AboveMaximum { max: MAX_VALUE_BYTES };
+        return Err(ConfigError::invalid_value("sftp.max_upload_bytes", cause));
+    }
+    Ok(max_upload)
+}
+
+/// Bytes that count as one unit.
+fn unit_bytes(section: &SftpSection) -> Result<u64, ConfigError> {
+    let unit_bytes = section.unit_bytes.unwrap_or(DEFAULT_UNIT_BYTES);
+    if unit_bytes == 0 {
+        return Err(ConfigError::invalid_value("sftp.unit_bytes", InvalidValue::NotPositive));
+    }
+    Ok(unit_bytes)
+}
+
+/// Index of the class of that name, which must have the access given.
+fn class_index(
+    key: &str,
+    name: &str,
+    access: Access,
+    settings: &DeploymentSettings,
+) -> Result<usize, ConfigError> {
+    let Some(index) = settings.classes.iter().position(|class| class.name == name) else {
+        return Err(ConfigError::invalid_value(key, InvalidValue::UnknownClass(name.to_owned())));
+    };
+    let writes = settings.domain.writes.get(index).copied().unwrap_or_default();
+    let class_access = if writes { Access::Write } else { Access::Read };
+    if class_access != access {
+        return Err(ConfigError::invalid_value(key, InvalidValue::WrongAccess(name.to_owned())));
+    }
+    Ok(index)
+}
+
+/// Checks and converts `sftp.volumes`.
+fn convert_volumes(
+    entries: &[VolumeEntry],
+    settings: &DeploymentSettings,
+) -> Result<Vec<SftpVolume>, ConfigError> {
+    let mut volumes: Vec<SftpVolume> = Vec::new();
+    for (index, entry) in entries.iter().enumerate() {
+        let key = format!("sftp.volumes[{index}]");
+        check_volume_name(&key, &entry.name, &volumes)?;
+        volumes.push(convert_volume(&key, entry, settings)?);
+    }
+    Ok(volumes)
+}
+
+/// Checks that a volume's name can stand at the top of a path and is not used by an earlier volume.
+fn check_volume_name(key: &str, name: &str, earlier: &[SftpVolume]) -> Result<(), ConfigError> {
+    let key = format!("{key}.name");
+    if name.is_empty() || name.contains('/') || name.starts_with('.') {
+        return Err(ConfigError::invalid_value(&key, InvalidValue::NotAFolderName(name.to_owned())));
+    }
+    if earlier.iter().any(|volume| volume.name == name) {
+        return Err(ConfigError::invalid_value(&key, InvalidValue::Duplicate(name.to_owned())));
+    }
+    Ok(())
+}
+
+/// Converts the id and the plan of a volume.
+fn convert_volume(
+    key: &str,
+    entry: &VolumeEntry,
+    settings: &DeploymentSettings,
+) -> Result<SftpVolume, ConfigError> {
+    let id = hexadecimal(&format!("{key}.id"), &entry.id)?;
+    let Some(plan) = settings.plans.iter().position(|plan| plan.name == entry.plan) else {
+        let cause = InvalidValue::UnknownPlan(entry.plan.clone());
+        return Err(ConfigError::invalid_value(&format!("{key}.plan"), cause));
+    };
+    Ok(SftpVolume { name: entry.name.clone(), id, plan })
+}
--- /dev/null
+++ b/crates/gateway/src/config/validate.rs
@@ -0,0 +1,93 @@
+//! Checks of values that decode well but cannot be used.
+
+use super::error::{ConfigError, InvalidValue};
+use super::file::LimitsSection;
+use deployment_settings::{ClassSettings, DeploymentSettings};
+use log::LevelFilter;
+use std::net::SocketAddr;
+
+/// Fewest file descriptors to work with.
+const MIN_DESCRIPTORS: usize = 64;
+/// Least memory to work with, in MiB.
+const MIN_MEMORY_MB: usize = 16;
+/// Most memory, in MiB; a larger number would be no limit.
+const MAX_MEMORY_MB: usize = 1 << 20;
+
+/// What is asked of `deadline_ms` of the classes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum DeadlineRule {
+    /// It may be left out: every request states its own deadline.
+    Optional,
+    /// It must be at least the latency objective: requests over SFTP state no deadline.
+    AtLeastObjective,
+}
+
+/// The checks that both kinds of file share.
+pub(super) fn check(
+    settings: &DeploymentSettings,
+    limits: &LimitsSection,
+    deadline_rule: DeadlineRule,
+) -> Result<(), ConfigError> {
+    if settings.classes.is_empty() {
+        return Err(ConfigError::missing("settings.classes"));
+    }
+    if settings.plans.is_empty() {
+        return Err(ConfigError::missing("settings.plans"));
+    }
+    if let Err(unknown) = settings.to_scheduler_settings() {
+        let key = format!("settings.{}", unknown.key);
+        return Err(ConfigError::invalid_value(&key, InvalidValue::UnknownWord(unknown.value)));
+    }
+    for (index, class) in settings.classes.iter().enumerate() {
+        check_class(index, class, deadline_rule)?;
+    }
+    if settings.allowed.max_attempts == 0 {
+        let cause = InvalidValue::BelowMinimum { min: 1 };
+        return Err(ConfigError::invalid_value("settings.allowed.max_attempts", cause));
+    }
+    check_limits(limits)
+}
+
+/// Checks the times of one class.
+fn check_class(index: usize, class: &ClassSettings, deadline_rule: DeadlineRule) -> Result<(), ConfigError> {
+    let deadline_too_short = class.deadline_ms.is_nan() || class.deadline_ms < class.aim_ms;
+    if deadline_rule == DeadlineRule::AtLeastObjective && deadline_too_short {
+        let key = format!("settings.classes[{index}].deadline_ms");
+        return Err(ConfigError::invalid_value(&key, InvalidValue::DeadlineBelowObjective));
+    }
+    if class.aim_ms.is_nan() || class.aim_ms <= 0.0 {
+        let key = format!("settings.classes[{index}].aim_ms");
+        return Err(ConfigError::invalid_value(&key, InvalidValue::NotPositive));
+    }
+    Ok(())
+}
+
+/// Checks that the process can work within its limits.
+fn check_limits(limits: &LimitsSection) -> Result<(), ConfigError> {
+    if !(MIN_MEMORY_MB..=MAX_MEMORY_MB).contains(&limits.memory_mb) {
+        let cause = InvalidValue::OutOfRange { min: MIN_MEMORY_MB, max: MAX_MEMORY_MB };
+        return Err(ConfigError::invalid_value("limits.memory_mb", cause));
+    }
+    if limits.sockets < MIN_DESCRIPTORS {
+        let cause = InvalidValue::BelowMinimum { min: MIN_DESCRIPTORS };
+        return Err(ConfigError::invalid_value("limits.sockets", cause));
+    }
+    Ok(())
+}
+
+/// Parses an IP address with a port.
+pub(super) fn address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::invalid_value(key, InvalidValue::NotAnAddress(text.to_owned())))
+}
+
+/// Parses a hexadecimal number.
+pub(super) fn hexadecimal(key: &str, text: &str) -> Result<u64, ConfigError> {
+    u64::from_str_radix(text, 16)
+        .map_err(|_| ConfigError::invalid_value(key, InvalidValue::NotHexadecimal(text.to_owned())))
+}
+
+/// Parses the level of the log, `info` if none is given.
+pub(super) fn log_level(key: &str, text: Option<&str>) -> Result<LevelFilter, ConfigError> {
+    let Some(text) = text else { return Ok(LevelFilter::Info) };
+    text.parse().map_err(|_| ConfigError::invalid_value(key, InvalidValue::UnknownLogLevel(text.to_owned())))
+}
--- a/crates/gateway/src/event_loop/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -306,7 +306,7 @@
     /// Takes over what a running gateway can change of its configuration; a bad one leaves all as it was.
     /// Requests go on meanwhile.
     fn read_config_again(&mut self, now: Micros) {
-        let new = match self.config.again(|key| std::env::var(key).ok()) {
+        let new = match self.config.reload(|key| std::env::var(key).ok()) {
             Ok(new) => new,
             Err(e) => return log::warn!("configuration kept as it was: {e}"),
         };
--- a/crates/gateway/src/sftp_packet.rs
+++ b/crates/gateway/src/sftp_packet.rs
@@ -4,7 +4,7 @@
 /// The version spoken.
 pub const VERSION: u32 = 3;
 /// Longest packet taken: one value and what goes round it.
-pub const PACKET_MOST: usize = crate::config::VALUE_MOST + (4 << 10);
+pub const PACKET_MOST: usize = crate::config::MAX_VALUE_BYTES + (4 << 10);
 
 /// Types of packets.
 pub mod kind {
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -301,9 +301,14 @@
         let text = format!(
             r#"{{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{limits},"settings":{good}}}"#
         );
-        config::router(&mut text.into_bytes(), Path::new("f"), |_| None, config::Precedence::Environment)
-            .map(|c| c.budget)
-            .map_err(|e| e.to_string())
+        config::parse_router_config(
+            &mut text.into_bytes(),
+            Path::new("f"),
+            |_| None,
+            config::Precedence::Environment,
+        )
+        .map(|c| c.budget)
+        .map_err(|e| e.to_string())
     };
     let small = bounds(r#"{"memory_mb":32,"sockets":256}"#).expect("it can work with so little");
     let all = small.bodies + small.owed + small.input + small.files + small.answers + small.value;
@@ -335,7 +340,7 @@
     assert!(yaml("g:\n  hosts: [\n").starts_with("f: line "));
     let router = |text: &str| {
         let mut text = text.as_bytes().to_vec();
-        config::router(&mut text, Path::new("f"), |_| None, config::Precedence::Environment)
+        config::parse_router_config(&mut text, Path::new("f"), |_| None, config::Precedence::Environment)
             .expect_err("bad")
             .to_string()
     };
