--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -1,4 +1,6 @@
 //! The files that hold a configuration, as they are written: `ROUTER_CONFIG` and the operator's file.
+//!
+//! The decoder's error messages contain the names of these types.
 
 use super::error::ConfigError;
 use crate::discovery::EndpointListUpdate;
@@ -9,8 +11,7 @@
 
 /// The file that `ROUTER_CONFIG` names. The environment may give `name`, `listen` and `discovery` instead.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Router")]
-pub(super) struct RouterFile {
+pub(super) struct Router {
     /// Name of this gateway.
     pub name: Option<String>,
     /// Where RESP2 clients connect.
@@ -22,7 +23,7 @@
     pub seed: String,
     /// Limits of the process.
     #[serde(default)]
-    pub limits: LimitsSection,
+    pub limits: Limits,
     /// Endpoint list to start with, before discovery sends one.
     #[serde(default)]
     pub known: EndpointListUpdate,
@@ -35,8 +36,8 @@
 
 /// The operator's file.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Operator")]
-pub(super) struct OperatorFile {
+#[serde(deny_unknown_fields)]
+pub(super) struct Operator {
     /// Name of this gateway.
     pub name: Option<String>,
     /// Where RESP2 clients connect.
@@ -49,17 +50,17 @@
     pub log: Option<String>,
     /// Limits of the process.
     #[serde(default)]
-    pub limits: LimitsSection,
+    pub limits: Limits,
     /// Settings of the deployment.
     pub settings: DeploymentSettings,
     /// The SFTP listener.
-    pub sftp: Option<SftpSection>,
+    pub sftp: Option<OperatorSftp>,
 }
 
 /// `sftp` in the operator's file.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct OperatorSftp")]
-pub(super) struct SftpSection {
+#[serde(deny_unknown_fields)]
+pub(super) struct OperatorSftp {
     /// Where SFTP clients connect.
     pub listen: String,
     /// Largest upload that is buffered.
@@ -77,13 +78,13 @@
     /// Class of listings; `read_class` if it is left out.
     pub list_class: Option<String>,
     /// Volumes that paths may name.
-    pub volumes: Vec<VolumeEntry>,
+    pub volumes: Vec<OperatorVolume>,
 }
 
 /// One entry of `sftp.volumes` in the operator's file.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct OperatorVolume")]
-pub(super) struct VolumeEntry {
+#[serde(deny_unknown_fields)]
+pub(super) struct OperatorVolume {
     /// Name of the volume's top folder.
     pub name: String,
     /// 16 hexadecimal digits.
@@ -94,17 +95,17 @@
 
 /// `limits` in either file.
 #[derive(Deserialize)]
-#[serde(default, expecting = "struct Limits")]
-pub(super) struct LimitsSection {
+#[serde(default)]
+pub(super) struct Limits {
     /// File descriptors that the process may use.
     pub sockets: usize,
     /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
 }
 
-impl Default for LimitsSection {
+impl Default for Limits {
     fn default() -> Self {
-        LimitsSection { sockets: 1024, memory_mb: 256 }
+        Limits { sockets: 1024, memory_mb: 256 }
     }
 }
 
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -12,7 +12,6 @@
 use crate::discovery::EndpointListUpdate;
 use crate::memory_budget::MemoryBudget;
 use deployment_settings::DeploymentSettings;
-use file::{OperatorFile, RouterFile};
 use log::LevelFilter;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -111,7 +110,7 @@
     env: impl Fn(&str) -> Option<String>,
     precedence: Precedence,
 ) -> Result<Config, ConfigError> {
-    let mut file: RouterFile = file::decode(text, "ROUTER_CONFIG")?;
+    let mut file: file::Router = file::decode(text, "ROUTER_CONFIG")?;
     file.settings.has_agent = true;
     check(&file.settings, &file.limits, DeadlineRule::Optional)?;
     let required = |key: &str, in_file: Option<String>| {
@@ -168,9 +167,9 @@
 }
 
 /// Reads an operator's file and checks what does not depend on other parts of the configuration.
-fn read_operator_file(path: &Path) -> Result<OperatorFile, ConfigError> {
+fn read_operator_file(path: &Path) -> Result<file::Operator, ConfigError> {
     let mut text = file::read(path)?;
-    let mut file: OperatorFile = file::decode(&mut text, &path.display().to_string())?;
+    let mut file: file::Operator = file::decode(&mut text, &path.display().to_string())?;
     file.settings.has_agent = file.discovery.is_some();
     let deadline_rule = match file.sftp {
         Some(_) => DeadlineRule::AtLeastObjective,
--- a/crates/gateway/src/config/sftp.rs
+++ b/crates/gateway/src/config/sftp.rs
@@ -1,7 +1,7 @@
 //! Settings of the SFTP listener, as converted from the operator's file.
 
 use super::error::{ConfigError, InvalidValue};
-use super::file::{SftpSection, VolumeEntry};
+use super::file::{OperatorSftp, OperatorVolume};
 use super::validate::{address, hexadecimal};
 use super::MAX_VALUE_BYTES;
 use deployment_settings::DeploymentSettings;
@@ -54,7 +54,7 @@
 impl SftpSettings {
     /// Checks and converts `sftp` of the operator's file.
     pub(super) fn from_section(
-        section: &SftpSection,
+        section: &OperatorSftp,
         settings: &DeploymentSettings,
     ) -> Result<SftpSettings, ConfigError> {
         // A path does not name a shard: it follows from the object's name and the number of shards.
@@ -81,7 +81,7 @@
 }
 
 /// The limit on uploads; no larger than what is forwarded to a node.
-fn max_upload(section: &SftpSection) -> Result<usize, ConfigError> {
+fn max_upload(section: &OperatorSftp) -> Result<usize, ConfigError> {
     let max_upload = section.max_upload_bytes.unwrap_or(MAX_VALUE_BYTES);
     if max_upload > MAX_VALUE_BYTES {
         let cause = InvalidValue::AboveMaximum { max: MAX_VALUE_BYTES };
@@ -91,7 +91,7 @@
 }
 
 /// Bytes that count as one unit.
-fn unit_bytes(section: &SftpSection) -> Result<u64, ConfigError> {
+fn unit_bytes(section: &OperatorSftp) -> Result<u64, ConfigError> {
     let unit_bytes = section.unit_bytes.unwrap_or(DEFAULT_UNIT_BYTES);
     if unit_bytes == 0 {
         return Err(ConfigError::invalid_value("sftp.unit_bytes", InvalidValue::NotPositive));
@@ -119,7 +119,7 @@
 
 /// Checks and converts `sftp.volumes`.
 fn convert_volumes(
-    entries: &[VolumeEntry],
+    entries: &[OperatorVolume],
     settings: &DeploymentSettings,
 ) -> Result<Vec<SftpVolume>, ConfigError> {
     let mut volumes: Vec<SftpVolume> = Vec::new();
@@ -146,7 +146,7 @@
 /// Converts the id and the plan of a volume.
 fn convert_volume(
     key: &str,
-    entry: &VolumeEntry,
+    entry: &OperatorVolume,
     settings: &DeploymentSettings,
 ) -> Result<SftpVolume, ConfigError> {
     let id = hexadecimal(&format!("{key}.id"), &entry.id)?;
--- a/crates/gateway/src/config/validate.rs
+++ b/crates/gateway/src/config/validate.rs
@@ -1,7 +1,7 @@
 //! Checks of values that decode well but cannot be used.
 
 use super::error::{ConfigError, InvalidValue};
-use super::file::LimitsSection;
+use super::file::Limits;
 use deployment_settings::{ClassSettings, DeploymentSettings};
 use log::LevelFilter;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 /// The checks that both kinds of file share.
 pub(super) fn check(
     settings: &DeploymentSettings,
-    limits: &LimitsSection,
+    limits: &Limits,
     deadline_rule: DeadlineRule,
 ) -> Result<(), ConfigError> {
     if settings.classes.is_empty() {
@@ -63,7 +63,7 @@
 }
 
 /// Checks that the process can work within its limits.
-fn check_limits(limits: &LimitsSection) -> Result<(), ConfigError> {
+fn check_limits(limits: &Limits) -> Result<(), ConfigError> {
     if !(MIN_MEMORY_MB..=MAX_MEMORY_MB).contains(&limits.memory_mb) {
         let cause = InvalidValue::OutOfRange { min: MIN_MEMORY_MB, max: MAX_MEMORY_MB };
         return Err(ConfigError::invalid_value("limits.memory_mb", cause));
--- /dev/null
+++ b/crates/gateway/src/discovery/watch_parser.rs
@@ -0,0 +1,258 @@
+//! Parser of the HTTP/1.1 response to a watch, fed in pieces of any size.
+
+use super::endpoint_list::EndpointListUpdate;
+use super::error::WatchError;
+use super::json_stream::JsonStream;
+
+/// Longest head of a response, in bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Longest line with the size of a chunk, in bytes.
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 16 << 10;
+/// End of a line.
+const LINE_END: &[u8] = b"\r\n";
+/// End of a head: the last header's line end and an empty line.
+const HEAD_END: &[u8] = b"\r\n\r\n";
+
+/// What the parser expects next.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum ParserState {
+    /// The status line and the headers.
+    #[default]
+    Head,
+    /// The line with the size of a chunk.
+    ChunkSize,
+    /// The data of a chunk, of which `remaining` bytes are still to come.
+    ChunkData { remaining: usize },
+    /// The line end after the data of a chunk.
+    ChunkEnd,
+    /// A body of stated length, of which `remaining` bytes are still to come.
+    FixedLength { remaining: usize },
+    /// A body that lasts as long as its connection.
+    UntilClose,
+    /// Nothing: the response is complete.
+    Complete,
+}
+
+/// What a step of the parser came to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Progress {
+    /// Input was consumed or the state changed; there may be more to parse.
+    Advanced,
+    /// Nothing can be done before more input comes.
+    NeedsInput,
+}
+
+/// Parses the response to a watch.
+#[derive(Debug, Default)]
+pub struct WatchParser {
+    /// Bytes that are not consumed yet.
+    input: Vec<u8>,
+    /// How many bytes of `input` this call has consumed.
+    position: usize,
+    /// What comes next.
+    state: ParserState,
+    /// The body.
+    objects: JsonStream,
+}
+
+impl WatchParser {
+    /// Feeds bytes; every update that they complete is added to `updates`, also before an error.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the response is not well formed, if its status is not 200, or if its body holds something
+    /// else than updates of the endpoint list. The parser cannot go on after that.
+    pub fn feed(&mut self, bytes: &[u8], updates: &mut Vec<EndpointListUpdate>) -> Result<(), WatchError> {
+        self.input.extend_from_slice(bytes);
+        let result = self.parse(updates);
+        self.input.drain(..self.position);
+        self.position = 0;
+        result
+    }
+
+    /// Whether the response is complete.
+    #[must_use]
+    pub fn over(&self) -> bool {
+        self.state == ParserState::Complete
+    }
+
+    /// Whether an update has begun and is not complete.
+    #[must_use]
+    pub fn mid_object(&self) -> bool {
+        self.objects.mid_object()
+    }
+
+    /// Parses as far as the input goes.
+    fn parse(&mut self, updates: &mut Vec<EndpointListUpdate>) -> Result<(), WatchError> {
+        loop {
+            let progress = match self.state {
+                ParserState::Head => self.parse_head()?,
+                ParserState::ChunkSize => self.parse_chunk_size()?,
+                ParserState::ChunkData { remaining } => self.parse_chunk_data(remaining, updates)?,
+                ParserState::ChunkEnd => self.parse_chunk_end()?,
+                ParserState::FixedLength { remaining } => self.parse_fixed_length(remaining, updates)?,
+                ParserState::UntilClose => self.parse_until_close(updates)?,
+                ParserState::Complete => Progress::NeedsInput,
+            };
+            if progress == Progress::NeedsInput {
+                return Ok(());
+            }
+        }
+    }
+
+    /// Parses the status line and the headers.
+    fn parse_head(&mut self) -> Result<Progress, WatchError> {
+        let Some(length) = self.find(HEAD_END, MAX_HEAD_BYTES)? else {
+            return Ok(Progress::NeedsInput);
+        };
+        let head = String::from_utf8_lossy(&self.unread()[..length]).to_ascii_lowercase();
+        self.position += length + HEAD_END.len();
+        self.state = state_after_head(&head)?;
+        Ok(Progress::Advanced)
+    }
+
+    /// Parses the line with the size of a chunk; a size of 0 ends the body.
+    fn parse_chunk_size(&mut self) -> Result<Progress, WatchError> {
+        let Some(length) = self.find(LINE_END, MAX_CHUNK_SIZE_LINE_BYTES)? else {
+            return Ok(Progress::NeedsInput);
+        };
+        let remaining = chunk_size(&self.unread()[..length])?;
+        self.position += length + LINE_END.len();
+        self.state = match remaining {
+            0 => ParserState::Complete,
+            remaining => ParserState::ChunkData { remaining },
+        };
+        Ok(Progress::Advanced)
+    }
+
+    /// Parses data of a chunk.
+    fn parse_chunk_data(
+        &mut self,
+        remaining: usize,
+        updates: &mut Vec<EndpointListUpdate>,
+    ) -> Result<Progress, WatchError> {
+        let consumed = self.feed_body(remaining, updates)?;
+        if consumed == 0 {
+            return Ok(Progress::NeedsInput);
+        }
+        self.state = match remaining - consumed {
+            0 => ParserState::ChunkEnd,
+            remaining => ParserState::ChunkData { remaining },
+        };
+        Ok(Progress::Advanced)
+    }
+
+    /// Parses the line end after the data of a chunk.
+    fn parse_chunk_end(&mut self) -> Result<Progress, WatchError> {
+        if self.unread().len() < LINE_END.len() {
+            return Ok(Progress::NeedsInput);
+        }
+        if !self.unread().starts_with(LINE_END) {
+            return Err(WatchError::Framing);
+        }
+        self.position += LINE_END.len();
+        self.state = ParserState::ChunkSize;
+        Ok(Progress::Advanced)
+    }
+
+    /// Parses data of a body of stated length.
+    fn parse_fixed_length(
+        &mut self,
+        remaining: usize,
+        updates: &mut Vec<EndpointListUpdate>,
+    ) -> Result<Progress, WatchError> {
+        let consumed = self.feed_body(remaining, updates)?;
+        if consumed == 0 {
+            return Ok(Progress::NeedsInput);
+        }
+        self.state = match remaining - consumed {
+            0 => ParserState::Complete,
+            remaining => ParserState::FixedLength { remaining },
+        };
+        Ok(Progress::Advanced)
+    }
+
+    /// Parses data of a body that lasts as long as its connection.
+    fn parse_until_close(&mut self, updates: &mut Vec<EndpointListUpdate>) -> Result<Progress, WatchError> {
+        self.feed_body(usize::MAX, updates)?;
+        Ok(Progress::NeedsInput)
+    }
+
+    /// Passes up to `limit` bytes of input on to the body; returns how many.
+    fn feed_body(
+        &mut self,
+        limit: usize,
+        updates: &mut Vec<EndpointListUpdate>,
+    ) -> Result<usize, WatchError> {
+        let available = self.input.len() - self.position;
+        let length = limit.min(available);
+        let end = self.position + length;
+        self.objects.feed(&self.input[self.position..end], updates)?;
+        self.position = end;
+        Ok(length)
+    }
+
+    /// The input that is not consumed yet.
+    fn unread(&self) -> &[u8] {
+        &self.input[self.position..]
+    }
+
+    /// How many bytes of input there are before `terminator`, if it has come. Fails if it has not come and
+    /// there are more than `max_bytes` of input.
+    fn find(&self, terminator: &[u8], max_bytes: usize) -> Result<Option<usize>, WatchError> {
+        let unread = self.unread();
+        let found = unread.windows(terminator.len()).position(|window| window == terminator);
+        if found.is_none() && unread.len() > max_bytes {
+            return Err(WatchError::Framing);
+        }
+        Ok(found)
+    }
+}
+
+/// Parses the size of a chunk; extensions after a semicolon are ignored.
+fn chunk_size(line: &[u8]) -> Result<usize, WatchError> {
+    let line = std::str::from_utf8(line).map_err(|_| WatchError::Framing)?;
+    let digits = line.split(';').next().unwrap_or_default().trim();
+    let size = u32::from_str_radix(digits, 16).map_err(|_| WatchError::Framing)?;
+    Ok(size as usize)
+}
+
+/// What follows a head, which is in lower case.
+fn state_after_head(head: &str) -> Result<ParserState, WatchError> {
+    let mut lines = head.lines();
+    let status_line = lines.next().unwrap_or_default();
+    let status = status_line.split(' ').nth(1).unwrap_or_default();
+    if is_informational(status) {
+        return Ok(ParserState::Head);
+    }
+    if status != "200" {
+        return Err(WatchError::Status(status_line.to_owned()));
+    }
+    body_framing(lines)
+}
+
+/// Whether the final response follows this one. 101 would switch to a protocol that was never asked for.
+fn is_informational(status: &str) -> bool {
+    status.len() == 3 && status.starts_with('1') && status != "101"
+}
+
+/// How the headers, which are in lower case, frame the body. A transfer coding overrides a length.
+fn body_framing<'a>(headers: impl Iterator<Item = &'a str>) -> Result<ParserState, WatchError> {
+    let mut state = ParserState::UntilClose;
+    for (name, value) in headers.filter_map(|line| line.split_once(':')) {
+        match (name.trim(), value.trim()) {
+            ("transfer-encoding", coding) if coding.ends_with("chunked") => {
+                return Ok(ParserState::ChunkSize);
+            }
+            ("transfer-encoding", _) => return Err(WatchError::Framing),
+            ("content-length", length) => {
+                state = match length.parse().map_err(|_| WatchError::Framing)? {
+                    0 => ParserState::Complete,
+                    remaining => ParserState::FixedLength { remaining },
+                };
+            }
+            _ => {}
+        }
+    }
+    Ok(state)
+}
