--- /dev/null
+++ b/crates/gateway/src/inventory/csv_format.rs
@@ -0,0 +1,96 @@
+//! Inventories in CSV: a line of headings, then one line a node.
+
+use super::error::{InvalidVar, InventoryError, Location};
+use super::vars::{NodeError, VarName, Vars};
+use super::InventoryNode;
+use csv::{ErrorKind, Position, ReaderBuilder, StringRecord, Trim};
+
+/// Headings that must be there; the other vars have defaults.
+const REQUIRED_HEADINGS: [&str; 3] = ["name", "address", "shard"];
+
+/// Parses an inventory in CSV. `file` is how errors name the file.
+///
+/// # Errors
+///
+/// Fails if the text is not well-formed CSV, a required heading is missing, or a line does not describe a
+/// node or repeats the name of an earlier one.
+pub fn from_csv(text: &str, file: &str) -> Result<Vec<InventoryNode>, InventoryError> {
+    let mut reader = ReaderBuilder::new().trim(Trim::All).comment(Some(b'#')).from_reader(text.as_bytes());
+    let headings = match reader.headers() {
+        Ok(headings) => headings.clone(),
+        Err(source) => return Err(csv_error(file, Location::Line(1), source)),
+    };
+    check_headings(&headings, file)?;
+    let mut nodes = Vec::new();
+    for record in reader.records() {
+        let record = record.map_err(|source| {
+            let line = source.position().map_or(0, Position::line);
+            csv_error(file, Location::Line(line), source)
+        })?;
+        let line = record.position().map_or(0, |position| line_of(text, position.byte()));
+        let vars = decode_record(&record, &headings, line, file)?;
+        let node = to_unique_node(&vars, &nodes).map_err(|error| InventoryError::InvalidVar {
+            file: file.to_owned(),
+            location: Location::Field { line, field: error.var.to_string() },
+            source: error.source,
+        })?;
+        nodes.push(node);
+    }
+    Ok(nodes)
+}
+
+/// An error of the CSV decoder.
+fn csv_error(file: &str, location: Location, source: csv::Error) -> InventoryError {
+    InventoryError::Csv { file: file.to_owned(), location, source }
+}
+
+/// Checks that every required heading is there.
+fn check_headings(headings: &StringRecord, file: &str) -> Result<(), InventoryError> {
+    for heading in REQUIRED_HEADINGS {
+        if !headings.iter().any(|present| present == heading) {
+            return Err(InventoryError::MissingHeading { file: file.to_owned(), heading });
+        }
+    }
+    Ok(())
+}
+
+/// Decodes the fields of one line.
+fn decode_record(
+    record: &StringRecord,
+    headings: &StringRecord,
+    line: u64,
+    file: &str,
+) -> Result<Vars, InventoryError> {
+    record.deserialize(Some(headings)).map_err(|source| {
+        let field = field_at_fault(&source, headings).unwrap_or("row").to_owned();
+        csv_error(file, Location::Field { line, field }, source)
+    })
+}
+
+/// Heading of the field that a decoder's error is about, if it is about a single field.
+fn field_at_fault<'a>(error: &csv::Error, headings: &'a StringRecord) -> Option<&'a str> {
+    let ErrorKind::Deserialize { err, .. } = error.kind() else { return None };
+    let index = usize::try_from(err.field()?).ok()?;
+    headings.get(index)
+}
+
+/// The node that a line describes. Two nodes of one name would share an id, so its name must be new.
+fn to_unique_node(vars: &Vars, earlier: &[InventoryNode]) -> Result<InventoryNode, NodeError> {
+    let name = vars.name.as_deref().unwrap_or_default();
+    if name.is_empty() {
+        return Err(NodeError::not_set(VarName::Name));
+    }
+    if earlier.iter().any(|node| node.line.name == name) {
+        return Err(NodeError { var: VarName::Name, source: InvalidVar::Duplicate(name.to_owned()) });
+    }
+    vars.to_node(name)
+}
+
+/// Number of the line with the first record from a byte on: the decoder's own position is before the empty
+/// lines and comments that precede a record.
+fn line_of(text: &str, byte: u64) -> u64 {
+    let (before, rest) = text.split_at_checked(byte as usize).unwrap_or((text, ""));
+    let skipped = rest.lines().take_while(|line| line.trim().is_empty() || line.starts_with('#')).count();
+    let line = before.matches('\n').count() + 1 + skipped;
+    line as u64
+}
--- /dev/null
+++ b/crates/gateway/src/inventory/yaml_format.rs
@@ -0,0 +1,125 @@
+//! Inventories in YAML: groups with `hosts`, `vars` and `children`, as Ansible keeps them.
+
+use super::error::{InventoryError, Location};
+use super::vars::Vars;
+use super::InventoryNode;
+use serde::Deserialize;
+use std::collections::BTreeMap;
+
+/// Deepest nesting of groups; more is an error, so that the recursion over them is bounded.
+const MAX_DEPTH: usize = 16;
+
+/// A group of hosts.
+#[derive(Debug, Default, Deserialize)]
+#[serde(default)]
+struct Group {
+    /// Hosts by name, with vars of their own.
+    hosts: Option<BTreeMap<String, Option<Vars>>>,
+    /// Vars of every host in the group and in the groups below it.
+    vars: Option<Vars>,
+    /// Groups below this one, by name.
+    children: Option<BTreeMap<String, Option<Group>>>,
+}
+
+/// A host as collected from all groups that list it.
+#[derive(Debug, Default)]
+struct Host {
+    /// Path of the key where the host was first listed.
+    path: String,
+    /// Its vars from all groups.
+    vars: Vars,
+}
+
+/// Collects the hosts of nested groups.
+#[derive(Debug)]
+struct HostCollector<'a> {
+    /// How errors name the file.
+    file: &'a str,
+    /// Hosts so far, by name.
+    hosts: BTreeMap<String, Host>,
+}
+
+/// Parses an inventory in YAML. `file` is how errors name the file.
+///
+/// # Errors
+///
+/// Fails if the text is not well-formed YAML, groups are nested too deeply, or the vars of a host do not
+/// describe a node.
+pub fn from_yaml(text: &str, file: &str) -> Result<Vec<InventoryNode>, InventoryError> {
+    let groups = decode(text, file)?;
+    let mut collector = HostCollector { file, hosts: BTreeMap::new() };
+    for (name, group) in &groups {
+        collector.collect(name, group.as_ref(), &Vars::default(), 0)?;
+    }
+    collector.into_nodes()
+}
+
+/// Decodes the groups at the top of the document.
+fn decode(text: &str, file: &str) -> Result<BTreeMap<String, Option<Group>>, InventoryError> {
+    serde_saphyr::from_str(text).map_err(|source| {
+        let location = match source.location() {
+            Some(location) => Location::Line(location.line()),
+            None => Location::Document,
+        };
+        InventoryError::Yaml { file: file.to_owned(), location, source: Box::new(source) }
+    })
+}
+
+impl HostCollector<'_> {
+    /// Collects the hosts of a group and of the groups below it. `inherited` are the vars of the groups above
+    /// it.
+    fn collect(
+        &mut self,
+        path: &str,
+        group: Option<&Group>,
+        inherited: &Vars,
+        depth: usize,
+    ) -> Result<(), InventoryError> {
+        let Some(group) = group else { return Ok(()) };
+        if depth > MAX_DEPTH {
+            return Err(InventoryError::NestedTooDeeply {
+                file: self.file.to_owned(),
+                group: path.to_owned(),
+            });
+        }
+        let group_vars = match &group.vars {
+            Some(vars) => vars.with_defaults(inherited),
+            None => inherited.clone(),
+        };
+        for (name, host_vars) in group.hosts.iter().flatten() {
+            self.add_host(path, name, host_vars.as_ref(), &group_vars);
+        }
+        for (name, child) in group.children.iter().flatten() {
+            self.collect(&format!("{path}.children.{name}"), child.as_ref(), &group_vars, depth + 1)?;
+        }
+        Ok(())
+    }
+
+    /// Adds a host of a group. Several groups may list a host: their vars are merged, and where two set the
+    /// same var the later group wins.
+    fn add_host(&mut self, group_path: &str, name: &str, host_vars: Option<&Vars>, group_vars: &Vars) {
+        let vars = match host_vars {
+            Some(vars) => vars.with_defaults(group_vars),
+            None => group_vars.clone(),
+        };
+        let host = self
+            .hosts
+            .entry(name.to_owned())
+            .or_insert_with(|| Host { path: format!("{group_path}.hosts.{name}"), vars: Vars::default() });
+        host.vars = vars.with_defaults(&host.vars);
+    }
+
+    /// The nodes that the hosts' vars describe, in the order of their names.
+    fn into_nodes(self) -> Result<Vec<InventoryNode>, InventoryError> {
+        let mut nodes = Vec::with_capacity(self.hosts.len());
+        for (name, host) in &self.hosts {
+            let node = host.vars.to_node(name).map_err(|error| InventoryError::InvalidVar {
+                file: self.file.to_owned(),
+                location: Location::Key(format!("{}.{}", host.path, error.var)),
+                source: error.source,
+            })?;
+            nodes.push(node);
+        }
+        Ok(nodes)
+    }
+}
