--- a/crates/gateway/src/console.rs
+++ b/crates/gateway/src/console.rs
@@ -1,4 +1,5 @@
-//! The operator's console: line commands and their words. The loop carries them out.
+//! The operator's console: parsing of its line commands, and the tables that it prints. The event loop
+//! carries the commands out.
 
 use crate::config::SftpVolume;
 use crate::dispatcher::{NodeState, VolumeCounters};
@@ -9,17 +10,44 @@
 /// A line typed at the console.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConsoleCommand {
+    /// Print a summary of the gateway's state.
     Status,
+    /// Print the table of nodes.
     Nodes,
+    /// Print the table of volumes.
     Volumes,
+    /// Drain the node of that name.
     Drain(String),
+    /// End the draining of the node of that name.
     Undrain(String),
+    /// Read the inventory again.
     Reload,
+    /// Print [`HELP`].
     Help,
+    /// Shut the gateway down gracefully.
     Quit,
+    /// An empty line.
     Nothing,
 }
 
+/// A line that is not a command. The text is shown to the operator.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ConsoleError {
+    /// The command takes the name of a node and nothing else.
+    #[error("{command} takes the name of one node")]
+    NodeNameExpected {
+        /// The command.
+        command: String,
+    },
+    /// No command of that name exists.
+    #[error("'{command}' is no command here: try help")]
+    UnknownCommand {
+        /// The first word of the line.
+        command: String,
+    },
+}
+
+/// The list of commands.
 pub const HELP: &str = "\
 status        what the gateway is doing
 nodes         the nodes, their state and service
@@ -31,52 +59,66 @@
 quit          finish what has been taken and end
 ";
 
-/// Takes a line apart; the error is what to show.
-pub fn parse(line: &str) -> Result<ConsoleCommand, String> {
+/// Parses a line.
+///
+/// # Errors
+///
+/// Fails if the line is not a command.
+pub fn parse(line: &str) -> Result<ConsoleCommand, ConsoleError> {
     let words: Vec<&str> = line.split_whitespace().collect();
-    Ok(match words.as_slice() {
-        [] => ConsoleCommand::Nothing,
-        ["status"] => ConsoleCommand::Status,
-        ["nodes"] => ConsoleCommand::Nodes,
-        ["volumes"] => ConsoleCommand::Volumes,
-        ["drain", name] => ConsoleCommand::Drain((*name).to_owned()),
-        ["undrain", name] => ConsoleCommand::Undrain((*name).to_owned()),
-        ["drain" | "undrain", ..] => return Err(format!("{} takes the name of one node", words[0])),
-        ["reload"] => ConsoleCommand::Reload,
-        ["help" | "?"] => ConsoleCommand::Help,
-        ["quit" | "exit"] => ConsoleCommand::Quit,
-        [word, ..] => return Err(format!("'{word}' is no command here: try help")),
-    })
+    match words.as_slice() {
+        [] => Ok(ConsoleCommand::Nothing),
+        ["status"] => Ok(ConsoleCommand::Status),
+        ["nodes"] => Ok(ConsoleCommand::Nodes),
+        ["volumes"] => Ok(ConsoleCommand::Volumes),
+        ["drain", name] => Ok(ConsoleCommand::Drain((*name).to_owned())),
+        ["undrain", name] => Ok(ConsoleCommand::Undrain((*name).to_owned())),
+        [command @ ("drain" | "undrain"), ..] => {
+            Err(ConsoleError::NodeNameExpected { command: (*command).to_owned() })
+        }
+        ["reload"] => Ok(ConsoleCommand::Reload),
+        ["help" | "?"] => Ok(ConsoleCommand::Help),
+        ["quit" | "exit"] => Ok(ConsoleCommand::Quit),
+        [command, ..] => Err(ConsoleError::UnknownCommand { command: (*command).to_owned() }),
+    }
 }
 
 /// The table of nodes.
 pub fn nodes<'a>(nodes: impl Iterator<Item = &'a NodeState>) -> String {
     let mut text = format!("{:<24} {:>6} {:<9} {:>5} {:>12}\n", "node", "shard", "state", "out", "units");
-    for n in nodes {
-        let state = match n.status {
+    for node in nodes {
+        let state = match node.status {
             EndpointStatus::InService => "serving",
             EndpointStatus::Draining => "draining",
             EndpointStatus::Removed => "gone",
         };
         // Writing to a string cannot fail.
-        let _ = writeln!(text, "{:<24} {:>6} {state:<9} {:>5} {:>12.1}", n.name, n.shard, n.out, n.units);
+        let _ = writeln!(
+            text,
+            "{:<24} {:>6} {state:<9} {:>5} {:>12.1}",
+            node.name, node.shard, node.out, node.units
+        );
     }
     text
 }
 
-/// The table of volumes; one that paths name goes by that name.
+/// The table of volumes. A volume that SFTP paths may name has that name, any other its id.
+#[must_use]
 pub fn volumes(volume_counters: &BTreeMap<u64, VolumeCounters>, named: &[SftpVolume]) -> String {
     let mut text = format!(
         "{:<24} {:>9} {:>9} {:>9} {:>9} {:>12}\n",
         "volume", "taken", "served", "refused", "failed", "units"
     );
-    for (volume, t) in volume_counters {
-        let name = named.iter().find(|v| v.id == *volume).map(|v| v.name.clone());
-        let name = name.unwrap_or_else(|| format!("{volume:016x}"));
+    for (id, counters) in volume_counters {
+        let name = match named.iter().find(|volume| volume.id == *id) {
+            Some(volume) => volume.name.clone(),
+            None => format!("{id:016x}"),
+        };
+        // Writing to a string cannot fail.
         let _ = writeln!(
             text,
             "{name:<24} {:>9} {:>9} {:>9} {:>9} {:>12.1}",
-            t.taken, t.served, t.refused, t.failed, t.units
+            counters.taken, counters.served, counters.refused, counters.failed, counters.units
         );
     }
     text
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,68 +1,106 @@
-//! The storage-gateway gateway.
+//! The storage gateway's program: its command line, and the start of the gateway.
 #![forbid(unsafe_code)]
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use storage_gateway::config::{self, Config};
 use storage_gateway::event_loop::{Gateway, GatewayError};
 use storage_gateway::{inventory, logger};
 
+/// The text that `--help` prints.
 const USAGE: &str = "\
 usage: storage-gateway                          serve as ROUTER_CONFIG says
        storage-gateway --config FILE            serve as an operator's file says, with a console
        storage-gateway --config FILE --check    say whether the file and its inventory can be used
 ";
 
-enum Task {
-    Platform,
-    Serve(PathBuf),
+/// Exit code if the command line cannot be parsed.
+const EXIT_USAGE: u8 = 2;
+
+/// What the command line asks for.
+#[derive(Clone, Debug, PartialEq, Eq)]
+enum CliCommand {
+    /// Serve with the platform's configuration, from the environment.
+    ServePlatform,
+    /// Serve with an operator's file, with a console.
+    ServeOperator(PathBuf),
+    /// Check an operator's file and its inventory.
     Check(PathBuf),
-    Usage,
+    /// Print [`USAGE`].
+    Help,
 }
 
-fn task(words: &[String]) -> Option<Task> {
-    match words.iter().map(String::as_str).collect::<Vec<_>>().as_slice() {
-        [] => Some(Task::Platform),
-        ["--help" | "-h"] => Some(Task::Usage),
-        ["--config", file] => Some(Task::Serve(file.into())),
-        ["--config", file, "--check"] | ["--check", "--config", file] => Some(Task::Check(file.into())),
-        _ => None,
+impl CliCommand {
+    /// Parses the arguments after the program's name; `None` if they are not a command.
+    fn parse(arguments: &[String]) -> Option<CliCommand> {
+        let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+        match arguments.as_slice() {
+            [] => Some(CliCommand::ServePlatform),
+            ["--help" | "-h"] => Some(CliCommand::Help),
+            ["--config", file] => Some(CliCommand::ServeOperator(file.into())),
+            ["--config", file, "--check"] | ["--check", "--config", file] => {
+                Some(CliCommand::Check(file.into()))
+            }
+            _ => None,
+        }
     }
 }
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let Some(task) = task(&words) else {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let Some(command) = CliCommand::parse(&arguments) else {
         eprint!("{USAGE}");
-        return ExitCode::from(2);
+        return ExitCode::from(EXIT_USAGE);
     };
-    match run(task) {
+    match run(command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("storage-gateway: {e}");
+        Err(error) => {
+            eprintln!("storage-gateway: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run(task: Task) -> Result<(), GatewayError> {
-    match task {
-        Task::Usage => print!("{USAGE}"),
-        Task::Platform => start(config::from_env(|key| std::env::var(key).ok())?)?.run()?,
-        Task::Serve(file) => {
-            let mut gateway = start(config::from_file(&file)?)?;
-            gateway.open_console()?;
-            gateway.run()?;
-        }
-        Task::Check(file) => {
-            let config = config::from_file(&file)?;
-            let nodes = config.inventory.as_deref().map(inventory::read).transpose()?.unwrap_or_default();
-            println!("{}: good, {} nodes in the inventory", file.display(), nodes.len());
+/// Carries a command out; a command that serves returns when the gateway has shut down.
+fn run(command: CliCommand) -> Result<(), GatewayError> {
+    match command {
+        CliCommand::Help => {
+            print!("{USAGE}");
+            Ok(())
         }
+        CliCommand::ServePlatform => serve_platform(),
+        CliCommand::ServeOperator(file) => serve_operator(&file),
+        CliCommand::Check(file) => check(&file),
     }
+}
+
+/// Serves with the platform's configuration.
+fn serve_platform() -> Result<(), GatewayError> {
+    let config = config::from_env(|key| std::env::var(key).ok())?;
+    start(config)?.run()?;
+    Ok(())
+}
+
+/// Serves with an operator's file, with a console.
+fn serve_operator(file: &Path) -> Result<(), GatewayError> {
+    let mut gateway = start(config::from_file(file)?)?;
+    gateway.open_console()?;
+    gateway.run()?;
+    Ok(())
+}
+
+/// Checks an operator's file and its inventory.
+fn check(file: &Path) -> Result<(), GatewayError> {
+    let config = config::from_file(file)?;
+    let nodes = match &config.inventory {
+        Some(path) => inventory::read(path)?,
+        None => Vec::new(),
+    };
+    println!("{}: good, {} nodes in the inventory", file.display(), nodes.len());
     Ok(())
 }
 
+/// Starts the gateway and its log.
 fn start(config: Config) -> Result<Gateway, GatewayError> {
     logger::install(config.log);
     log::info!("{} starts", config.name);
