--- /dev/null
+++ b/crates/gateway/tests/configuration.rs
@@ -0,0 +1,89 @@
+//! Configurations and inventories: the examples are valid, and errors name the key or the line at fault.
+
+use std::path::Path;
+use storage_gateway::config::{self, Config, ConfigError, Precedence};
+use storage_gateway::inventory;
+
+/// Settings of a deployment that are valid.
+const SETTINGS: &str = include_str!("common/settings.json");
+/// Headings of an inventory in CSV.
+const HEADINGS: &str = "name,address,shard,protocol\n";
+
+/// Loads a configuration of the platform from its text, with an empty environment.
+fn load_router_config(text: String) -> Result<Config, ConfigError> {
+    config::parse_router_config(&mut text.into_bytes(), Path::new("f"), |_| None, Precedence::Environment)
+}
+
+/// The error that a configuration of the platform is rejected with.
+fn router_config_error(text: String) -> String {
+    load_router_config(text).expect_err("bad").to_string()
+}
+
+/// The error that an inventory in CSV is rejected with.
+fn csv_error(text: &str) -> String {
+    inventory::from_csv(text, "f").expect_err("bad").to_string()
+}
+
+/// The error that an inventory in YAML is rejected with.
+fn yaml_error(text: &str) -> String {
+    inventory::from_yaml(text, "f").expect_err("bad").to_string()
+}
+
+#[test]
+fn examples_are_valid_and_both_inventory_formats_agree() {
+    let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
+    let config = config::from_file(&deploy.join("operator.example.json")).expect("a good example");
+    let yaml = inventory::read(&config.inventory.expect("it names one")).expect("a good inventory");
+    let csv = inventory::read(&deploy.join("inventory.example.csv")).expect("a good inventory");
+    assert_eq!(yaml, csv);
+    assert_eq!(yaml.len(), 3);
+}
+
+#[test]
+fn memory_budget_is_proportional_to_the_configured_memory() {
+    let budget = |limits: &str| {
+        let text = format!(
+            r#"{{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{limits},"settings":{SETTINGS}}}"#
+        );
+        load_router_config(text).map(|config| config.budget).map_err(|error| error.to_string())
+    };
+    let small = budget(r#"{"memory_mb":32,"sockets":256}"#).expect("it can work with so little");
+    let total = small.bodies + small.owed + small.input + small.files + small.answers + small.value;
+    assert!(total < 16 << 20 && small.value >= 400 << 10, "{small:?}");
+    assert_eq!(budget(r#"{"memory_mb":64}"#).expect("good").requests, 2 * small.requests);
+    let too_small = budget(r#"{"memory_mb":1}"#).expect_err("bad");
+    assert_eq!(too_small, "limits.memory_mb: must be from 16 to 1048576");
+}
+
+#[test]
+fn csv_inventory_error_names_the_line_and_the_field() {
+    let cases = [
+        ("name,shard\n".to_owned(), "f: line 1: heading address is missing"),
+        (format!("{HEADINGS}a,127.0.0.1:1,0,ftp\n"), "f: line 2, protocol: 'ftp' is neither resp2 nor sftp"),
+        (format!("{HEADINGS}a,here,0,sftp\n"), "f: line 2, address: 'here' is no address with a port"),
+        (format!("{HEADINGS}a,[::1]:1,0,\n\n# b\na,[::1]:2,1,\n"), "f: line 5, name: 'a' stands twice"),
+    ];
+    for (text, expected) in cases {
+        assert_eq!(csv_error(&text), expected);
+    }
+    assert!(csv_error(&format!("{HEADINGS}a,127.0.0.1:1,x,resp2\n")).starts_with("f: line 2, shard: "));
+    assert!(csv_error(&format!("{HEADINGS}a,127.0.0.1:1\n")).starts_with("f: line 2: "));
+}
+
+#[test]
+fn yaml_inventory_error_names_the_key_or_the_line() {
+    assert_eq!(yaml_error("g:\n  hosts:\n    a: {shard: 1}\n"), "f: g.hosts.a.address: not set");
+    assert!(yaml_error("g:\n  hosts: [\n").starts_with("f: line "));
+}
+
+#[test]
+fn configuration_error_names_the_key() {
+    assert_eq!(router_config_error(format!(r#"{{"settings":{SETTINGS}}}"#)), "ROUTER_NAME: not set");
+    let unknown_effect = SETTINGS.replace("\"pure\"", "\"sometimes\"");
+    assert_eq!(
+        router_config_error(format!(r#"{{"settings":{unknown_effect}}}"#)),
+        "settings.classes.effect: 'sometimes' is unknown"
+    );
+    let wrong_type = router_config_error(r#"{"settings":{"plans":[{"pays":"x"}]}}"#.to_owned());
+    assert!(wrong_type.starts_with("ROUTER_CONFIG: settings.plans[0].pays:"));
+}
--- /dev/null
+++ b/crates/gateway/tests/malformed_input.rs
@@ -0,0 +1,101 @@
+//! Parsers take anything at all without a panic, and never report a result that consumed no input.
+
+mod fixtures;
+
+use deployment_settings::DeploymentSettings;
+use fixtures::{storage_request, MAX_VALUE_BYTES};
+use std::rc::Rc;
+use storage_gateway::client_protocol::resp::{RequestNames, RespProtocol};
+use storage_gateway::client_protocol::{ClientProtocol, CommandStep};
+use storage_gateway::discovery::WatchParser;
+use storage_gateway::dispatcher::Operation;
+use storage_gateway::node_protocol::{self, NodeProtocol};
+
+/// Pieces that random input is made of: what the protocols use, so that it gets past their first bytes.
+const ALPHABET: [&[u8]; 17] = [
+    b"*",
+    b"$",
+    b"-1",
+    b"1",
+    b"4",
+    b"\r\n",
+    b"9999999999999999999",
+    b"IO.IN",
+    b"\0\0\0",
+    b"\x05",
+    b"\xff",
+    b"c=read,t=gold,d=1,volume=",
+    b"0000000000000001",
+    b":",
+    b"-ERR ",
+    b"\x65",
+    b"\x01",
+];
+
+/// A reproducible source of random input.
+struct InputGenerator {
+    /// State of a linear congruential generator.
+    state: u64,
+}
+
+impl InputGenerator {
+    /// The next input, of 1 to 16 pieces.
+    fn next_input(&mut self) -> Vec<u8> {
+        let mut input = Vec::new();
+        for _ in 0..(self.state >> 60) + 1 {
+            self.state =
+                self.state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            input.extend_from_slice(ALPHABET[(self.state >> 33) as usize % ALPHABET.len()]);
+        }
+        input
+    }
+}
+
+/// Settings of a deployment that are valid.
+fn settings() -> DeploymentSettings {
+    let mut text = include_str!("common/settings.json").as_bytes().to_vec();
+    simd_json::serde::from_slice(&mut text).expect("the scenarios use it")
+}
+
+/// A command of a client consumes input, unless it is incomplete or ends the connection.
+fn check_client_protocol(names: &Rc<RequestNames>, input: &[u8]) {
+    let mut position = 0;
+    let step = RespProtocol::new(names.clone()).parse_command(input, &mut position, 0, true);
+    let may_consume_nothing = matches!(step, CommandStep::Incomplete | CommandStep::Close(_));
+    assert!(position <= input.len() && (position > 0 || may_consume_nothing));
+}
+
+/// A result of an attempt consumes input.
+fn check_node_protocols(input: &[u8]) {
+    let mut output = Vec::new();
+    let mut protocols: [Box<dyn NodeProtocol>; 2] = [
+        Box::new(node_protocol::resp::RespProtocol::new(MAX_VALUE_BYTES)),
+        Box::new(node_protocol::sftp::SftpProtocol::new(MAX_VALUE_BYTES)),
+    ];
+    for protocol in &mut protocols {
+        protocol.encode_request(&storage_request(Operation::Read), 1, &mut output);
+        let mut unread = input.to_vec();
+        if let Ok(Some(result)) = protocol.decode(&mut unread, &mut output) {
+            assert!(unread.len() < input.len(), "{result:?} came of nothing");
+        }
+    }
+}
+
+/// Random input is never an update of the endpoint list.
+fn check_watch_parser(input: &[u8]) {
+    let mut updates = Vec::new();
+    let result = WatchParser::default().feed(input, &mut updates);
+    assert!(result.is_err() || updates.is_empty());
+}
+
+#[test]
+fn random_input_never_causes_a_panic_or_a_result_of_nothing() {
+    let names = RequestNames::new(&settings());
+    let mut generator = InputGenerator { state: 1 };
+    for _ in 0..20_000 {
+        let input = generator.next_input();
+        check_client_protocol(&names, &input);
+        check_node_protocols(&input);
+        check_watch_parser(&input);
+    }
+}
--- /dev/null
+++ b/crates/gateway/tests/node_protocols.rs
@@ -0,0 +1,163 @@
+//! The protocols towards storage nodes: responses are decoded in pieces of any size, and malformed or
+//! unsolicited ones are errors.
+
+mod fixtures;
+
+use fixtures::{storage_request, MAX_VALUE_BYTES};
+use io_scheduler::Outcome;
+use storage_gateway::dispatcher::{AttemptResult, Operation, ResponseBody};
+use storage_gateway::node_protocol::resp::RespProtocol;
+use storage_gateway::node_protocol::sftp::SftpProtocol;
+use storage_gateway::node_protocol::{NodeProtocol, ProtocolError};
+use storage_gateway::sftp_packet::{kind, open, Packet};
+
+/// What the tests compare of an attempt's result.
+type ComparedResult = (Outcome, Option<ResponseBody>, Option<f64>, f64);
+
+/// Feeds a response byte by byte; it must be complete with its last byte and not before.
+fn decode_byte_by_byte(
+    protocol: &mut dyn NodeProtocol,
+    response: &[u8],
+) -> Result<AttemptResult, ProtocolError> {
+    let (mut input, mut output) = (Vec::new(), Vec::new());
+    for (index, byte) in response.iter().enumerate() {
+        input.push(*byte);
+        if let Some(result) = protocol.decode(&mut input, &mut output)? {
+            assert_eq!((index + 1, input.len()), (response.len(), 0));
+            return Ok(result);
+        }
+    }
+    panic!("no result after {:?}", String::from_utf8_lossy(response));
+}
+
+/// Sends a read over RESP and decodes the response; checks the request's wire form on the way.
+fn resp_exchange(response: &str) -> Result<ComparedResult, ProtocolError> {
+    let mut protocol = RespProtocol::new(MAX_VALUE_BYTES);
+    let mut output = Vec::new();
+    let bytes_without_effect = protocol.encode_request(&storage_request(Operation::Read), 480, &mut output);
+    assert_eq!(bytes_without_effect + 1, output.len(), "it has not run before its last byte has left");
+    let command = "*4\r\n$5\r\nIO.IN\r\n$16\r\n00000000000000ab\r\n$1\r\nx\r\n$19\r\nc=read,d=480,t=gold\r\n";
+    assert_eq!(String::from_utf8_lossy(&output), command);
+    decode_byte_by_byte(&mut protocol, response.as_bytes())
+        .map(|result| (result.outcome, result.body, result.utilization, result.remote_units))
+}
+
+/// The body of a response with a value.
+fn value(text: &str) -> Option<ResponseBody> {
+    Some(ResponseBody::Value(text.as_bytes().to_vec()))
+}
+
+#[test]
+fn resp_response_is_decoded_with_its_cost_and_load_report() {
+    let with_report = "*3\r\n$2\r\nv\r\r\n$14\r\nused=37,cost=4\r\n$7\r\nqueue=2\r\n";
+    assert_eq!(resp_exchange(with_report), Ok((Outcome::Served, value("v\r"), Some(0.37), 4.0)));
+    let without_report = "*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n";
+    assert_eq!(resp_exchange(without_report), Ok((Outcome::Served, value(""), None, 0.0)));
+    assert_eq!(resp_exchange("-BUSY\r\n"), Ok((Outcome::Overloaded, None, None, 0.0)));
+    assert_eq!(resp_exchange("-ERR failed cost=2 queue=1\r\n"), Ok((Outcome::Error, None, None, 2.0)));
+}
+
+#[test]
+fn resp_load_report_that_is_unreadable_or_absurd_leaves_the_value_served() {
+    let served = Ok((Outcome::Served, value("v"), None, 0.0));
+    let reports =
+        ["$9\r\nused=1e99\r\n:1\r\n", "*1\r\n$1\r\nx\r\n-what\r\n", "$9\r\ncost=none\r\n$0\r\n\r\n"];
+    for report in reports {
+        assert_eq!(resp_exchange(&format!("*3\r\n$1\r\nv\r\n{report}")), served, "{report:?}");
+    }
+    let mut protocol = RespProtocol::new(MAX_VALUE_BYTES);
+    protocol.encode_request(&storage_request(Operation::Read), 1, &mut Vec::new());
+    let not_utf8 = b"*3\r\n$1\r\nv\r\n$2\r\n\xff\xfe\r\n$1\r\n\x80\r\n";
+    let result = decode_byte_by_byte(&mut protocol, not_utf8).expect("the value is good");
+    assert_eq!(result.body, value("v"));
+}
+
+#[test]
+fn malformed_resp_response_is_a_protocol_error() {
+    let malformed = [
+        "?",
+        "*1\r\n$-1\r\n",
+        "$70000\r\n",
+        "*-1\r\n",
+        "$1\r\nab\r\n",
+        "+OK\r\n",
+        "$1\r\nv\r\n",
+        "*1\r\n$1\r\nv\r\n",
+        "*3\r\n$3000000000\r\n",
+        "*3\r\n$aaaaaaaaaaaaaaaaaaaaaaaaaaaaa",
+        "*3\r\n$1\r\nab\r\n",
+    ];
+    for response in malformed {
+        assert_eq!(resp_exchange(response).err(), Some(ProtocolError), "{response:?}");
+    }
+}
+
+/// A value may be larger than what clients may send, as far as the memory budget allows.
+#[test]
+fn resp_value_is_accepted_up_to_the_limit_given() {
+    let text = "v".repeat(400 << 10);
+    let response = format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes();
+    for (max_value_bytes, accepted) in [(1 << 20, true), (300 << 10, false)] {
+        let mut protocol = RespProtocol::new(max_value_bytes);
+        protocol.encode_request(&storage_request(Operation::Read), 1, &mut Vec::new());
+        let (mut input, mut decoded) = (Vec::new(), Ok(None));
+        for piece in response.chunks(16 << 10) {
+            input.extend_from_slice(piece);
+            decoded = protocol.decode(&mut input, &mut Vec::new());
+            if decoded.is_err() {
+                break;
+            }
+            let expected_buffer = if matches!(decoded, Ok(None)) { text.len() } else { 0 };
+            assert_eq!(protocol.buffered_bytes(), expected_buffer);
+        }
+        let value_is_whole = decoded.map(|result| result.and_then(|result| result.body) == value(&text)).ok();
+        assert_eq!(value_is_whole, accepted.then_some(true), "{max_value_bytes}");
+    }
+}
+
+/// Even part of an unsolicited response must not be taken for the response to the next request.
+#[test]
+fn unsolicited_resp_response_is_a_protocol_error() {
+    for unsolicited in [&b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"[..], b"*"] {
+        let mut protocol = RespProtocol::new(MAX_VALUE_BYTES);
+        assert!(protocol.decode(&mut unsolicited.to_vec(), &mut Vec::new()).is_err());
+    }
+}
+
+#[test]
+fn sftp_response_with_a_foreign_id_is_ignored_and_data_without_end_fails_the_read() {
+    let mut protocol = SftpProtocol::new(MAX_VALUE_BYTES);
+    let mut output = Vec::new();
+    protocol.start_handshake(&mut output);
+    assert!(!protocol.ready());
+    let mut input = Packet::new(kind::VERSION).u32(3).done();
+    assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
+    assert!(protocol.ready());
+    assert_eq!(
+        protocol.encode_request(&storage_request(Operation::Write), 1, &mut output),
+        0,
+        "any byte of a write's OPEN may take effect"
+    );
+    let flags = (open::WRITE | open::CREAT | open::TRUNC).to_be_bytes();
+    assert!(output.windows(4).any(|window| window == flags));
+    // The id of no command, then data without end.
+    let mut input = Packet::with_id(kind::HANDLE, 77).string("h").done();
+    assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
+    protocol.encode_request(&storage_request(Operation::Read), 1, &mut output);
+    let not_found = Packet::with_id(kind::STATUS, 2).u32(2).string("").string("").done();
+    let result = decode_byte_by_byte(&mut protocol, &not_found);
+    assert_eq!(result.expect("a result").body, Some(ResponseBody::NotFound));
+    protocol.encode_request(&storage_request(Operation::Read), 1, &mut output);
+    let mut input = Packet::with_id(kind::HANDLE, 3).string("h").done();
+    assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
+    for id in 4..7 {
+        let mut input = Packet::with_id(kind::DATA, id).string(vec![0; 30 << 10]).done();
+        let result = protocol.decode(&mut input, &mut output).expect("well formed");
+        let outcome = result.map(|result| result.outcome);
+        assert_eq!(outcome, (id == 6).then_some(Outcome::Error), "packet {id}");
+    }
+    // The response to the CLOSE that nobody waits for is ignored once; a second copy of it is an error.
+    let closed = Packet::with_id(kind::STATUS, 7).u32(0).string("").string("").done();
+    assert!(matches!(protocol.decode(&mut closed.clone(), &mut output), Ok(None)));
+    assert!(protocol.decode(&mut closed.clone(), &mut output).is_err());
+}
