--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// Reads a file whole.
+/// Reads a file into memory.
 pub(super) fn read(path: &Path) -> Result<Vec<u8>, ConfigError> {
     std::fs::read(path).map_err(|source| ConfigError::unreadable(path, source))
 }
--- a/crates/gateway/src/config/sftp.rs
+++ b/crates/gateway/src/config/sftp.rs
@@ -47,7 +47,9 @@
 /// What the requests of a class do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Access {
+    /// They read objects or list them.
     Read,
+    /// They write objects.
     Write,
 }
 
--- a/crates/gateway/src/console.rs
+++ b/crates/gateway/src/console.rs
@@ -1,5 +1,5 @@
 //! The operator's console: parsing of its line commands, and the tables that it prints. The event loop
-//! carries the commands out.
+//! executes the commands.
 
 use crate::config::SftpVolume;
 use crate::dispatcher::{NodeState, VolumeCounters};
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -6,13 +6,13 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// One update of the endpoint list: the whole list, or the entries that changed.
+/// One update of the endpoint list: the complete list, or the entries that changed.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointListUpdate {
     /// Version of the list after this update.
     #[serde(default)]
     pub index: u64,
-    /// Whether this is the whole list.
+    /// Whether this is the complete list.
     #[serde(default)]
     pub snapshot: bool,
     /// The entries.
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Carries a command out; a command that serves returns when the gateway has shut down.
+/// Executes a command; one that serves returns after the gateway has shut down.
 fn run(command: CliCommand) -> Result<(), GatewayError> {
     match command {
         CliCommand::Help => {
