--- a/crates/gateway/src/client_protocol/resp/parser.rs
+++ b/crates/gateway/src/client_protocol/resp/parser.rs
@@ -1,13 +1,13 @@
 //! Parsing of RESP2 commands: arrays of bulk strings.
 
-use crate::config::VALUE_MOST;
+use crate::config::MAX_VALUE_BYTES;
 
 /// Most arguments in one command, with its name.
 const MAX_ARGUMENTS: usize = 64;
 /// Longest line that announces a length, in bytes.
 const MAX_LENGTH_LINE_BYTES: usize = 64;
 /// Bytes of a command's arguments together; it bounds a connection's input buffer.
-pub const MAX_COMMAND_BYTES: usize = VALUE_MOST + (8 << 10);
+pub const MAX_COMMAND_BYTES: usize = MAX_VALUE_BYTES + (8 << 10);
 
 /// Why the input is not a command. The text goes to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/gateway/src/event_loop/reload.rs
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -11,7 +11,7 @@
     /// Reads the configuration again and applies what can change while the gateway runs. An invalid one
     /// changes nothing. Requests go on meanwhile.
     pub(super) fn reload_config(&mut self) {
-        let new = match self.context.config.again(|key| std::env::var(key).ok()) {
+        let new = match self.context.config.reload(|key| std::env::var(key).ok()) {
             Ok(new) => new,
             Err(error) => return log::warn!("configuration kept as it was: {error}"),
         };
--- a/crates/gateway/src/sftp_packet/mod.rs
+++ b/crates/gateway/src/sftp_packet/mod.rs
@@ -14,7 +14,7 @@
 /// The protocol version that both sides announce.
 pub const VERSION: u32 = 3;
 /// Longest accepted packet in bytes, without its length field: one value and the fields around it.
-pub const MAX_PACKET_LENGTH: usize = crate::config::VALUE_MOST + (4 << 10);
+pub const MAX_PACKET_LENGTH: usize = crate::config::MAX_VALUE_BYTES + (4 << 10);
 
 /// Flag bit of file attributes: the size field is present.
 const ATTRIBUTE_SIZE: u32 = 0x0000_0001;
