--- a/crates/gateway/src/client_protocol/mod.rs
+++ b/crates/gateway/src/client_protocol/mod.rs
@@ -22,6 +22,15 @@
     Close(Vec<u8>),
 }
 
+/// The reply to one command of a connection.
+#[derive(Debug)]
+pub struct EncodedReply {
+    /// The command's place among the connection's replies.
+    pub slot: u64,
+    /// The bytes to send.
+    pub bytes: Vec<u8>,
+}
+
 /// A client's protocol on one connection.
 pub trait ClientProtocol {
     /// Parses the next command of `input`, which starts at `position`, and moves `position` past it unless it
@@ -33,7 +42,7 @@
 
     /// Takes the one response to a request of the command at `slot`. Called once for each submitted request,
     /// in any order. Once the command has all that it needs, its slot and encoded reply are appended to `out`.
-    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<(u64, Vec<u8>)>);
+    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>);
 
     /// The last bytes to a client whose incomplete command no longer fits in memory; the command did not run.
     fn overloaded_reply(&self) -> Vec<u8>;
@@ -45,7 +54,7 @@
     fn idle_timeout(&self) -> Micros;
 
     /// Whether closing the connection now would lose state between commands, such as a buffered upload.
-    fn mid_command(&self) -> bool {
+    fn is_mid_command(&self) -> bool {
         false
     }
 }
--- a/crates/gateway/src/client_protocol/resp/mod.rs
+++ b/crates/gateway/src/client_protocol/resp/mod.rs
@@ -8,7 +8,7 @@
 pub use names::RequestNames;
 pub use parser::MAX_COMMAND_BYTES;
 
-use super::{ClientProtocol, CommandStep};
+use super::{ClientProtocol, CommandStep, EncodedReply};
 use crate::dispatcher::{Operation, Response, ResponseBody};
 use io_scheduler::Micros;
 use parser::parse_arguments;
@@ -90,18 +90,18 @@
         }
     }
 
-    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<(u64, Vec<u8>)>) {
+    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>) {
         let bytes = match response {
             Response::Served(ResponseBody::Value(value)) => encode_bulk_string(&value),
             // A file server's reply to a write carries no value.
             Response::Served(ResponseBody::Size(_) | ResponseBody::Names(_)) => encode_bulk_string(b""),
             Response::Served(ResponseBody::NotFound) => b"-ERR not found\r\n".to_vec(),
-            Response::Rejected(retry_after) => encode_rejection(retry_after),
+            Response::Rejected { retry_after } => encode_rejection(retry_after),
             Response::Invalid(error) => format!("-ERR {error}\r\n").into_bytes(),
             Response::Failed => b"-ERR failed\r\n".to_vec(),
             Response::TimedOut => b"-ERR timed out\r\n".to_vec(),
         };
-        out.push((slot, bytes));
+        out.push(EncodedReply { slot, bytes });
     }
 
     fn overloaded_reply(&self) -> Vec<u8> {
--- a/crates/gateway/src/client_protocol/resp/names.rs
+++ b/crates/gateway/src/client_protocol/resp/names.rs
@@ -43,8 +43,8 @@
             classes: settings.classes.iter().enumerate().map(class).collect(),
             plans: settings.plans.iter().map(|plan| plan.name.clone()).collect(),
             // Larger numbers than the settings know would count against a volume for the rest of the day.
-            max_units: if domain.units_top > 0.0 { domain.units_top } else { DEFAULT_MAX_UNITS },
-            max_hosts: f64::from(settings.group_size.max(1)),
+            max_units: if domain.max_units > 0.0 { domain.max_units } else { DEFAULT_MAX_UNITS },
+            max_hosts: f64::from(settings.gateway_count.max(1)),
         })
     }
 
--- a/crates/gateway/src/client_protocol/resp/request.rs
+++ b/crates/gateway/src/client_protocol/resp/request.rs
@@ -2,7 +2,7 @@
 
 use super::names::RequestNames;
 use super::terms::RequestTerms;
-use crate::dispatcher::{Operation, StorageRequest};
+use crate::dispatcher::{Operation, RequestParameters, StorageRequest};
 
 /// Longest client request id in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 64;
@@ -78,7 +78,7 @@
     Ok(StorageRequest {
         operation,
         object,
-        name: None,
+        object_name: None,
         volume,
         client_request_id: client_request_id.into(),
         class: class_index,
@@ -86,10 +86,13 @@
         units: terms.units,
         shard: shard.number(),
         hosts: terms.hosts,
-        wait: wait.capped_micros(class.max_wait_ms),
-        retry: terms.retry,
+        client_timeout: wait.capped_micros(class.max_wait_ms),
+        is_retry: terms.is_retry,
         body: arguments.get(4).map(|body| body.to_vec()).unwrap_or_default(),
-        terms: (wait.prefix.into(), wait.suffix.into()),
+        parameters: RequestParameters {
+            before_timeout: wait.prefix.into(),
+            after_timeout: wait.suffix.into(),
+        },
     })
 }
 
--- a/crates/gateway/src/client_protocol/resp/terms.rs
+++ b/crates/gateway/src/client_protocol/resp/terms.rs
@@ -22,7 +22,7 @@
     /// `hosts`: the number of gateways through which the requests of the volume arrive, 1 if not stated.
     pub(super) hosts: f64,
     /// `r`: whether the client repeats an earlier request.
-    pub(super) retry: bool,
+    pub(super) is_retry: bool,
 }
 
 /// The shard that a request states.
@@ -81,7 +81,7 @@
             shard: None,
             units: 1.0,
             hosts: 1.0,
-            retry: false,
+            is_retry: false,
         };
         let mut seen_names = Vec::new();
         let mut term_start = 0;
@@ -107,7 +107,7 @@
             "units" => self.units = term.positive_number()?.min(names.max_units),
             "shard" => self.shard = Some(term.shard()?),
             "hosts" => self.hosts = term.positive_number()?.clamp(1.0, names.max_hosts),
-            "r" => self.retry = term.value == "1",
+            "r" => self.is_retry = term.value == "1",
             _ => {}
         }
         Ok(())
--- a/crates/gateway/src/client_protocol/sftp/directory.rs
+++ b/crates/gateway/src/client_protocol/sftp/directory.rs
@@ -2,7 +2,7 @@
 
 use super::error::SftpError;
 use super::path::Target;
-use crate::dispatcher::ResponseBody;
+use crate::dispatcher::{ObjectEntry, ResponseBody};
 use crate::sftp_packet::{kind, Packet};
 use std::collections::VecDeque;
 
@@ -20,6 +20,12 @@
     pub(super) size: Option<u64>,
 }
 
+impl From<ObjectEntry> for DirectoryEntry {
+    fn from(object: ObjectEntry) -> Self {
+        DirectoryEntry { name: object.name, size: Some(object.size) }
+    }
+}
+
 /// An open directory, by the state of its listing.
 pub(super) enum Directory {
     /// A volume that no READDIR has asked for yet.
@@ -55,8 +61,7 @@
         self.remaining_shards -= 1;
         match body {
             ResponseBody::Names(names) => {
-                let entries = names.into_iter();
-                self.entries.extend(entries.map(|(name, size)| DirectoryEntry { name, size: Some(size) }));
+                self.entries.extend(names.into_iter().map(DirectoryEntry::from));
             }
             ResponseBody::Value(index) => self.entries.extend(parse_index(&index)),
             ResponseBody::Size(_) | ResponseBody::NotFound => {}
--- a/crates/gateway/src/client_protocol/sftp/mod.rs
+++ b/crates/gateway/src/client_protocol/sftp/mod.rs
@@ -15,7 +15,7 @@
 pub use path::object_of;
 pub use shared::SftpShared;
 
-use super::{ClientProtocol, CommandStep};
+use super::{ClientProtocol, CommandStep, EncodedReply};
 use crate::dispatcher::Response;
 use crate::sftp_packet::{kind, packet, Fields, Packet, VERSION};
 use command::CommandOutcome;
@@ -77,9 +77,9 @@
         }
     }
 
-    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<(u64, Vec<u8>)>) {
+    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>) {
         if let Some(reply) = self.handle_response(slot, response) {
-            out.push((slot, reply));
+            out.push(EncodedReply { slot, bytes: reply });
         }
     }
 
@@ -95,7 +95,7 @@
         IDLE_TIMEOUT
     }
 
-    fn mid_command(&self) -> bool {
+    fn is_mid_command(&self) -> bool {
         self.handles.has_upload()
     }
 }
--- a/crates/gateway/src/client_protocol/sftp/response.rs
+++ b/crates/gateway/src/client_protocol/sftp/response.rs
@@ -133,7 +133,7 @@
 fn served_body(response: Response) -> Result<ResponseBody, SftpError> {
     match response {
         Response::Served(body) => Ok(body),
-        Response::Rejected(retry_after) => {
+        Response::Rejected { retry_after } => {
             Err(SftpError::Rejected { retry_after_ms: (retry_after as f64 / 1000.0).ceil() })
         }
         Response::Invalid(error) => Err(SftpError::Invalid(error)),
--- a/crates/gateway/src/client_protocol/sftp/shared.rs
+++ b/crates/gateway/src/client_protocol/sftp/shared.rs
@@ -4,7 +4,7 @@
 use super::error::SftpError;
 use super::path::Target;
 use crate::config::SftpSettings;
-use crate::dispatcher::{Operation, StorageRequest};
+use crate::dispatcher::{Operation, RequestParameters, StorageRequest};
 use deployment_settings::{micros, DeploymentSettings};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -69,10 +69,10 @@
                 .map(|class| RequestClass { name: class.name.clone(), deadline_ms: class.deadline_ms })
                 .collect(),
             plans: settings.plans.iter().map(|plan| plan.name.clone()).collect(),
-            shard_count: settings.domain.n_shards.max(1),
-            hosts: f64::from(settings.group_size.max(1)),
-            mean_units: settings.domain.unit_mean.max(1.0),
-            max_units: settings.domain.units_top.max(1.0),
+            shard_count: settings.domain.shard_count.max(1),
+            hosts: f64::from(settings.gateway_count.max(1)),
+            mean_units: settings.domain.mean_units.max(1.0),
+            max_units: settings.domain.max_units.max(1.0),
             next_request_id: Cell::new(first_request_id),
             buffered_bytes: Cell::new(0),
             max_buffered_bytes,
@@ -132,7 +132,7 @@
         StorageRequest {
             operation,
             object: target.object,
-            name: target.name.clone(),
+            object_name: target.name.clone(),
             volume: target.volume,
             client_request_id: format!("{request_id:016x}").into(),
             class,
@@ -140,10 +140,10 @@
             units,
             shard: Some(shard),
             hosts: self.hosts,
-            wait: micros(*deadline_ms),
-            retry: false,
+            client_timeout: micros(*deadline_ms),
+            is_retry: false,
             body,
-            terms: (prefix.into(), suffix.into()),
+            parameters: RequestParameters { before_timeout: prefix.into(), after_timeout: suffix.into() },
         }
     }
 
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -35,7 +35,7 @@
     /// Where discovery serves the endpoint list.
     pub discovery: Option<SocketAddr>,
     /// Endpoint list to start with, before discovery sends one.
-    pub known: EndpointListUpdate,
+    pub cached_endpoints: EndpointListUpdate,
     /// Seed of the random numbers.
     pub seed: u64,
     /// File descriptors that the process may use.
@@ -127,10 +127,10 @@
         name: required("ROUTER_NAME", file.name)?,
         listen: Some(address("ROUTER_LISTEN", &required("ROUTER_LISTEN", file.listen)?)?),
         discovery: Some(address("ROUTER_DISCOVERY", &required("ROUTER_DISCOVERY", file.discovery)?)?),
-        known: file.known,
+        cached_endpoints: file.known,
         seed: hexadecimal("seed", seed)?,
         descriptors: file.limits.sockets,
-        budget: MemoryBudget::of(file.limits.memory_mb),
+        budget: MemoryBudget::from_memory_mb(file.limits.memory_mb),
         settings: file.settings,
         inventory: None,
         sftp: None,
@@ -155,10 +155,10 @@
         name: file.name.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
         listen: optional_address("listen", file.listen.as_deref())?,
         discovery: optional_address("discovery", file.discovery.as_deref())?,
-        known: EndpointListUpdate::default(),
+        cached_endpoints: EndpointListUpdate::default(),
         seed: 0,
         descriptors: file.limits.sockets,
-        budget: MemoryBudget::of(file.limits.memory_mb),
+        budget: MemoryBudget::from_memory_mb(file.limits.memory_mb),
         settings: file.settings,
         inventory: file.inventory.map(|inventory| folder.join(inventory)),
         sftp,
--- a/crates/gateway/src/config/sftp.rs
+++ b/crates/gateway/src/config/sftp.rs
@@ -60,7 +60,7 @@
         settings: &DeploymentSettings,
     ) -> Result<SftpSettings, ConfigError> {
         // A path does not name a shard: it follows from the object's name and the number of shards.
-        if settings.domain.n_shards == 0 {
+        if settings.domain.shard_count == 0 {
             return Err(ConfigError::missing("settings.domain.n_shards"));
         }
         let volumes = convert_volumes(&section.volumes, settings)?;
--- a/crates/gateway/src/config/validate.rs
+++ b/crates/gateway/src/config/validate.rs
@@ -50,12 +50,12 @@
 
 /// Checks the times of one class.
 fn check_class(index: usize, class: &ClassSettings, deadline_rule: DeadlineRule) -> Result<(), ConfigError> {
-    let deadline_too_short = class.deadline_ms.is_nan() || class.deadline_ms < class.aim_ms;
+    let deadline_too_short = class.deadline_ms.is_nan() || class.deadline_ms < class.latency_objective_ms;
     if deadline_rule == DeadlineRule::AtLeastObjective && deadline_too_short {
         let key = format!("settings.classes[{index}].deadline_ms");
         return Err(ConfigError::invalid_value(&key, InvalidValue::DeadlineBelowObjective));
     }
-    if class.aim_ms.is_nan() || class.aim_ms <= 0.0 {
+    if class.latency_objective_ms.is_nan() || class.latency_objective_ms <= 0.0 {
         let key = format!("settings.classes[{index}].aim_ms");
         return Err(ConfigError::invalid_value(&key, InvalidValue::NotPositive));
     }
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -18,7 +18,7 @@
         let is_finished = client.is_closing()
             || context.shutdown.is_draining()
                 && client.socket.input.is_empty()
-                && !client.protocol.mid_command();
+                && !client.protocol.is_mid_command();
         let flushed = self.flush(&mut client, context.now);
         if flushed.is_err() || self.has_excessive_backlog(&client, context) {
             return self.drop_connection(token, client, context);
@@ -36,7 +36,7 @@
     /// Parses and runs as many commands as may wait for a reply; returns the length of their input.
     fn run_commands(&mut self, token: u64, client: &mut ClientConnection, context: &mut Context) -> usize {
         let mut position = 0;
-        let over_budget = self.unsent_bytes >= context.config.budget.owed;
+        let over_budget = self.unsent_bytes >= context.config.budget.unsent_reply_bytes;
         while client.may_parse_command() {
             // While all clients together leave too much unsent, each gets one reply at a time.
             if over_budget && !client.replies.is_empty() {
@@ -78,7 +78,7 @@
             client.eviction_priority = EvictionPriority::Requests;
             self.requesters += 1;
         }
-        let reply_slot = ReplySlot { conn: token, slot };
+        let reply_slot = ReplySlot { connection: token, slot };
         let mut ids = Vec::with_capacity(requests.len());
         for request in requests {
             ids.push(context.dispatcher.submit(request, reply_slot, context.now, &mut context.timers));
@@ -101,7 +101,7 @@
         self.partial_command_bytes =
             self.partial_command_bytes + bytes - client.counted_partial_command_bytes;
         client.counted_partial_command_bytes = bytes;
-        let over_budget = self.partial_command_bytes > context.config.budget.input;
+        let over_budget = self.partial_command_bytes > context.config.budget.partial_command_bytes;
         if over_budget && client.partial_command_since.is_some() && !client.is_closing() {
             client.close_after_reply(client.protocol.overloaded_reply());
             client.socket.consume(client.socket.input.len());
@@ -125,6 +125,7 @@
     /// Replies may come faster than the limits on commands foresee: the connection is given up before the
     /// process runs out of memory.
     fn has_excessive_backlog(&self, client: &ClientConnection, context: &Context) -> bool {
-        self.unsent_bytes > 2 * context.config.budget.owed && client.socket.unsent_bytes() > MAX_UNSENT_BYTES
+        self.unsent_bytes > 2 * context.config.budget.unsent_reply_bytes
+            && client.socket.unsent_bytes() > MAX_UNSENT_BYTES
     }
 }
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -1,7 +1,7 @@
 //! One client connection.
 
 use super::eviction::{EvictionCandidate, EvictionPriority};
-use crate::client_protocol::ClientProtocol;
+use crate::client_protocol::{ClientProtocol, EncodedReply};
 use crate::connections::socket::Socket;
 use io_scheduler::{Micros, RequestId};
 use std::collections::{BTreeMap, VecDeque};
@@ -110,7 +110,7 @@
 
     /// Whether nothing is under way: no reply is pending and no command or upload has begun.
     pub(super) fn is_idle(&self) -> bool {
-        self.is_fully_replied() && !self.protocol.mid_command() && self.socket.input.is_empty()
+        self.is_fully_replied() && !self.protocol.is_mid_command() && self.socket.input.is_empty()
     }
 
     /// Whether the next command may be parsed, as far as this connection alone decides.
@@ -153,9 +153,9 @@
 
     /// Stores encoded replies and queues those whose turn it is. Returns the requests of their commands, as
     /// some may still be open.
-    pub(super) fn complete_replies(&mut self, encoded: Vec<(u64, Vec<u8>)>) -> Vec<RequestId> {
+    pub(super) fn complete_replies(&mut self, encoded: Vec<EncodedReply>) -> Vec<RequestId> {
         let mut requests = Vec::new();
-        for (slot, bytes) in encoded {
+        for EncodedReply { slot, bytes } in encoded {
             if let Some(reply) = self.replies.iter_mut().find(|reply| reply.slot == slot) {
                 reply.bytes = Some(bytes);
             }
--- a/crates/gateway/src/connections/client/mod.rs
+++ b/crates/gateway/src/connections/client/mod.rs
@@ -49,10 +49,9 @@
 impl ClientConnections {
     /// No connections yet; `now` makes the handles of SFTP clients differ from those of an earlier run.
     pub(crate) fn new(config: &Config, limits: ConnectionLimits, now: Micros) -> ClientConnections {
-        let sftp = config
-            .sftp
-            .clone()
-            .map(|settings| SftpShared::new(settings, &config.settings, config.budget.files, now as u64));
+        let sftp = config.sftp.clone().map(|settings| {
+            SftpShared::new(settings, &config.settings, config.budget.sftp_file_bytes, now as u64)
+        });
         ClientConnections {
             request_names: RequestNames::new(&config.settings),
             sftp,
@@ -114,7 +113,7 @@
 
     /// Replies to a command with the response to one of its requests.
     pub(crate) fn respond(&mut self, reply_slot: ReplySlot, response: Response, context: &mut Context) {
-        let token = reply_slot.conn;
+        let token = reply_slot.connection;
         let Some(mut client) = self.take(token, context) else { return };
         let mut encoded = Vec::new();
         client.protocol.encode_response(reply_slot.slot, response, &mut encoded);
@@ -140,7 +139,7 @@
         if close_at != client.deadline {
             context.timers.reschedule(&mut client.deadline, close_at, Timer::Connection(token));
         }
-        if client.is_fully_replied() && !client.protocol.mid_command() {
+        if client.is_fully_replied() && !client.protocol.is_mid_command() {
             let priority = if client.socket.input.is_empty() {
                 client.eviction_priority
             } else {
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -162,7 +162,7 @@
         self.large_response_bytes =
             self.large_response_bytes - connection.counted_large_response_bytes + large;
         connection.counted_large_response_bytes = large;
-        if self.large_response_bytes > context.config.budget.answers {
+        if self.large_response_bytes > context.config.budget.large_response_bytes {
             log::warn!("node {}: no room for an answer of {buffered} bytes", connection.node.0);
             result = Err(ProtocolError);
         }
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -121,7 +121,8 @@
         if let Some(pool) = self.pools.get_mut(&node) {
             pool.count += 1;
         }
-        let mut connection = NodeConnection::new(socket, node, address, context.config.budget.value);
+        let mut connection =
+            NodeConnection::new(socket, node, address, context.config.budget.max_value_bytes);
         let connect_timeout = micros(context.config.settings.allowed.connect_timeout_ms.max(1.0));
         context.timers.reschedule(
             &mut connection.deadline,
--- a/crates/gateway/src/console.rs
+++ b/crates/gateway/src/console.rs
@@ -96,7 +96,7 @@
         let _ = writeln!(
             text,
             "{:<24} {:>6} {state:<9} {:>5} {:>12.1}",
-            node.name, node.shard, node.out, node.units
+            node.name, node.shard, node.attempts_in_flight, node.units
         );
     }
     text
@@ -118,7 +118,7 @@
         let _ = writeln!(
             text,
             "{name:<24} {:>9} {:>9} {:>9} {:>9} {:>12.1}",
-            counters.taken, counters.served, counters.refused, counters.failed, counters.units
+            counters.received, counters.served, counters.rejected, counters.failed, counters.units
         );
     }
     text
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -91,7 +91,7 @@
     }
 
     /// The entries, each with its address. An entry whose address cannot be parsed is logged and left out.
-    pub fn lines(&self) -> impl Iterator<Item = (EndpointRecord, SocketAddr)> + '_ {
+    pub fn records(&self) -> impl Iterator<Item = (EndpointRecord, SocketAddr)> + '_ {
         self.endpoints.iter().filter_map(|entry| {
             let Ok(address) = entry.address.parse() else {
                 log::warn!("discovery: node {} has no usable address '{}'", entry.name, entry.address);
--- a/crates/gateway/src/discovery/json_stream.rs
+++ b/crates/gateway/src/discovery/json_stream.rs
@@ -24,7 +24,7 @@
 
 impl JsonStream {
     /// Whether an object has begun and is not complete.
-    pub(super) fn mid_object(&self) -> bool {
+    pub(super) fn is_mid_object(&self) -> bool {
         self.depth > 0
     }
 
--- a/crates/gateway/src/discovery/watch_parser.rs
+++ b/crates/gateway/src/discovery/watch_parser.rs
@@ -72,14 +72,14 @@
 
     /// Whether the response is complete.
     #[must_use]
-    pub fn over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.state == ParserState::Complete
     }
 
     /// Whether an update has begun and is not complete.
     #[must_use]
-    pub fn mid_object(&self) -> bool {
-        self.objects.mid_object()
+    pub fn is_mid_object(&self) -> bool {
+        self.objects.is_mid_object()
     }
 
     /// Parses as far as the input goes.
--- a/crates/gateway/src/dispatcher/command.rs
+++ b/crates/gateway/src/dispatcher/command.rs
@@ -15,7 +15,7 @@
         /// The node to forward to.
         node: NodeId,
         /// When the attempt is given up.
-        until: Micros,
+        deadline: Micros,
         /// What is forwarded.
         request: Arc<StorageRequest>,
     },
--- a/crates/gateway/src/dispatcher/in_flight.rs
+++ b/crates/gateway/src/dispatcher/in_flight.rs
@@ -130,8 +130,8 @@
 
     /// Whether the memory budget allows one more request with a body of this many bytes.
     pub(super) fn has_capacity(&self, body_bytes: usize) -> bool {
-        self.requests.len() < self.budget.requests
-            && self.buffered_body_bytes + body_bytes <= self.budget.bodies
+        self.requests.len() < self.budget.max_requests
+            && self.buffered_body_bytes + body_bytes <= self.budget.request_body_bytes
     }
 
     /// Adds a request whose client request id is not in flight.
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -13,7 +13,8 @@
 pub use command::Command;
 pub use nodes::NodeState;
 pub use request::{
-    AttemptResult, InvalidRequest, Operation, ReplySlot, Response, ResponseBody, StorageRequest,
+    AttemptResult, InvalidRequest, ObjectEntry, Operation, ReplySlot, RequestParameters, Response,
+    ResponseBody, StorageRequest,
 };
 pub use volume_counters::VolumeCounters;
 
@@ -67,7 +68,7 @@
         seed: u64,
         now: Micros,
     ) -> Result<Dispatcher, UnknownValue> {
-        let drain_grace = micros(settings.rules.stop_sending_within_ms);
+        let drain_grace = micros(settings.rules.drain_grace_ms);
         Ok(Dispatcher {
             scheduler: Scheduler::new(settings.to_scheduler_settings()?, seed, now),
             in_flight: InFlightTable::new(budget),
@@ -149,12 +150,12 @@
         }
         self.volume_counters.record_received(request.volume);
         if !self.in_flight.has_capacity(request.body.len()) {
-            let response = Response::Rejected(OVERLOADED_RETRY_AFTER);
+            let response = Response::Rejected { retry_after: OVERLOADED_RETRY_AFTER };
             self.volume_counters.record_response(request.volume, request.units, &response);
             self.commands.push(Command::Respond { reply_slot, response });
             return id;
         }
-        let deadline = response_deadline(now, request.wait);
+        let deadline = response_deadline(now, request.client_timeout);
         timers.set(deadline + OVERDUE_GRACE, Timer::RequestOverdue(id));
         self.events.push(Event::RequestReceived(scheduler_request(id, &request, deadline)));
         self.in_flight.insert(id, request, reply_slot, deadline);
@@ -238,7 +239,7 @@
             _ => Outcome::ConnectFailed,
         };
         self.commands.push(Command::AbandonAttempt(attempt));
-        self.complete_attempt(attempt, AttemptResult::of(outcome), now, timers);
+        self.complete_attempt(attempt, AttemptResult::without_body(outcome), now, timers);
     }
 
     /// Handles an expired timer of the dispatcher; other timers are ignored.
@@ -289,7 +290,7 @@
                 self.dispatch(request, node, deadline, now, timers);
             }
             Action::Reject { request, retry_after } => {
-                self.finish(request, Response::Rejected(retry_after), timers);
+                self.finish(request, Response::Rejected { retry_after }, timers);
             }
             Action::Fail(request) => self.fail(request, now, timers),
             Action::Cancel { request, attempt: number } => {
@@ -319,7 +320,7 @@
         timers.set(deadline, Timer::AttemptTimeout(attempt));
         self.nodes.attempt_started(node);
         self.volume_counters.record_attempt(request.volume);
-        self.commands.push(Command::StartAttempt { attempt, node, until: deadline, request });
+        self.commands.push(Command::StartAttempt { attempt, node, deadline, request });
     }
 
     /// Gateways send no health checks. Should the scheduler ask for one, it gets a failed one.
@@ -371,10 +372,10 @@
     }
 }
 
-/// When the response to a client that waits for `wait` has to be on its way.
-fn response_deadline(now: Micros, wait: Micros) -> Micros {
-    let margin = RESPONSE_DELIVERY_MARGIN.min(wait / 4);
-    now + (wait - margin).max(0)
+/// When the response to a client that waits for `client_timeout` has to be on its way.
+fn response_deadline(now: Micros, client_timeout: Micros) -> Micros {
+    let margin = RESPONSE_DELIVERY_MARGIN.min(client_timeout / 4);
+    now + (client_timeout - margin).max(0)
 }
 
 /// A client's request in the scheduler's terms.
@@ -389,6 +390,6 @@
         units: request.units,
         hosts: request.hosts,
         deadline,
-        is_retry: request.retry,
+        is_retry: request.is_retry,
     }
 }
--- a/crates/gateway/src/dispatcher/nodes.rs
+++ b/crates/gateway/src/dispatcher/nodes.rs
@@ -20,7 +20,7 @@
     /// Units of service that this gateway got from the node.
     pub units: f64,
     /// Attempts in flight at the node.
-    pub out: usize,
+    pub attempts_in_flight: usize,
     /// No attempt may begin to be written from this time on.
     write_deadline: Option<Micros>,
 }
@@ -33,14 +33,14 @@
             shard: 0,
             status: EndpointStatus::Removed,
             units: 0.0,
-            out: 0,
+            attempts_in_flight: 0,
             write_deadline: None,
         }
     }
 
     /// A removed node stays known while attempts are in flight at it.
     fn is_obsolete(&self) -> bool {
-        self.status == EndpointStatus::Removed && self.out == 0
+        self.status == EndpointStatus::Removed && self.attempts_in_flight == 0
     }
 }
 
@@ -114,14 +114,14 @@
     /// Counts an attempt that starts at a node.
     pub(super) fn attempt_started(&mut self, node: NodeId) {
         if let Some(node) = self.nodes.get_mut(&node) {
-            node.out += 1;
+            node.attempts_in_flight += 1;
         }
     }
 
     /// Counts an attempt that ended at a node after `served_units` of service.
     pub(super) fn attempt_completed(&mut self, id: NodeId, served_units: f64) {
         let Some(node) = self.nodes.get_mut(&id) else { return };
-        node.out = node.out.saturating_sub(1);
+        node.attempts_in_flight = node.attempts_in_flight.saturating_sub(1);
         node.units += served_units;
         if node.is_obsolete() {
             self.ids_by_name.remove(&node.name);
--- a/crates/gateway/src/dispatcher/request.rs
+++ b/crates/gateway/src/dispatcher/request.rs
@@ -25,7 +25,7 @@
     /// The object, by its number.
     pub object: u64,
     /// Name of the object, where the client's protocol has names.
-    pub name: Option<Box<str>>,
+    pub object_name: Option<Box<str>>,
     /// The volume that the object belongs to.
     pub volume: u64,
     /// The client's own id of the request, which the nodes get as well. Unique among the requests in flight.
@@ -41,14 +41,32 @@
     /// Number of gateways through which the requests of the volume arrive.
     pub hosts: f64,
     /// How long the client waits for the response, in microseconds.
-    pub wait: Micros,
+    pub client_timeout: Micros,
     /// Whether the client marked the request as a retry.
-    pub retry: bool,
+    pub is_retry: bool,
     /// Content of the object for a write, else empty.
     pub body: Vec<u8>,
-    /// The client's list of parameters, split around the value of its waiting time. A node gets both parts
-    /// unchanged, with the remaining time between them.
-    pub terms: (Box<str>, Box<str>),
+    /// The client's list of parameters.
+    pub parameters: RequestParameters,
+}
+
+/// The client's list of parameters, split around the value of its waiting time. A node gets both parts
+/// unchanged, with the remaining time between them.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct RequestParameters {
+    /// The list up to the value of the waiting time.
+    pub before_timeout: Box<str>,
+    /// The list after the value of the waiting time.
+    pub after_timeout: Box<str>,
+}
+
+/// An object in the listing of a volume.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ObjectEntry {
+    /// Name of the object; not necessarily UTF-8.
+    pub name: Vec<u8>,
+    /// Size of the object in bytes.
+    pub size: u64,
 }
 
 /// The result of a request that a node has run.
@@ -58,8 +76,8 @@
     Value(Vec<u8>),
     /// The object's size in bytes, or for a write, the bytes that an SFTP node has stored.
     Size(u64),
-    /// The names of objects, each with the object's size in bytes.
-    Names(Vec<(Vec<u8>, u64)>),
+    /// The objects of a volume on one shard.
+    Names(Vec<ObjectEntry>),
     /// The node has no such object.
     NotFound,
 }
@@ -79,7 +97,7 @@
     /// A node has run the request.
     Served(ResponseBody),
     /// The request was rejected. A retry after this many microseconds does no harm; 0 stands for no advice.
-    Rejected(Micros),
+    Rejected { retry_after: Micros },
     /// The request was not accepted because of an error of the client.
     Invalid(InvalidRequest),
     /// The request failed and may have run.
@@ -106,7 +124,7 @@
 impl AttemptResult {
     /// A result with no body and no usage report.
     #[must_use]
-    pub fn of(outcome: Outcome) -> AttemptResult {
+    pub fn without_body(outcome: Outcome) -> AttemptResult {
         AttemptResult { outcome, body: None, remote_units: 0.0, utilization: None }
     }
 }
@@ -115,7 +133,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplySlot {
     /// Token of the client's connection.
-    pub conn: u64,
+    pub connection: u64,
     /// Position among the replies of that connection.
     pub slot: u64,
 }
--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VolumeCounters {
     /// Requests received with a client request id of their own.
-    pub taken: u64,
+    pub received: u64,
     /// Requests served.
     pub served: u64,
     /// Requests rejected.
-    pub refused: u64,
+    pub rejected: u64,
     /// Requests failed, timeouts included.
     pub failed: u64,
     /// Units of service of the requests served.
@@ -40,7 +40,7 @@
         if self.by_volume.len() >= MAX_VOLUME_COUNTERS && !self.by_volume.contains_key(&volume) {
             self.evict_less_used_half();
         }
-        self.counters(volume).taken += 1;
+        self.counters(volume).received += 1;
     }
 
     /// Counts an attempt started.
@@ -56,7 +56,7 @@
                 counters.served += 1;
                 counters.units += units;
             }
-            Response::Rejected(_) => counters.refused += 1,
+            Response::Rejected { .. } => counters.rejected += 1,
             Response::Failed | Response::TimedOut | Response::Invalid(_) => counters.failed += 1,
         }
     }
@@ -68,9 +68,9 @@
 
     /// Drops the half of the volumes with the fewest requests: clients may name any number of volumes.
     fn evict_less_used_half(&mut self) {
-        let mut received: Vec<u64> = self.by_volume.values().map(|counters| counters.taken).collect();
+        let mut received: Vec<u64> = self.by_volume.values().map(|counters| counters.received).collect();
         let middle = received.len() / 2;
         let median = *received.select_nth_unstable(middle).1;
-        self.by_volume.retain(|_, counters| counters.taken > median);
+        self.by_volume.retain(|_, counters| counters.received > median);
     }
 }
--- a/crates/gateway/src/event_loop/discovery_watch.rs
+++ b/crates/gateway/src/event_loop/discovery_watch.rs
@@ -76,11 +76,11 @@
         let status = self.socket.read_available(MAX_READ_PER_TURN)?;
         let bytes = std::mem::take(&mut self.socket.input);
         let mut updates = Vec::new();
-        let was_mid_object = self.parser.mid_object();
+        let was_mid_object = self.parser.is_mid_object();
         let parsed = self.parser.feed(&bytes, &mut updates);
         Ok(WatchInput {
             parsed,
-            is_ended: status == StreamStatus::Ended || self.parser.over(),
+            is_ended: status == StreamStatus::Ended || self.parser.is_complete(),
             is_sign_of_life: !bytes.is_empty() && (!was_mid_object || !updates.is_empty()),
             updates,
         })
--- a/crates/gateway/src/event_loop/endpoint_table.rs
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -31,7 +31,7 @@
         context: &mut Context,
     ) {
         let mut records = Vec::with_capacity(update.endpoints.len());
-        for (record, address) in update.lines() {
+        for (record, address) in update.records() {
             let node = context.dispatcher.node_id(&record.name);
             nodes.set_address(node, NodeAddress { address, protocol: Protocol::Resp2 }, context);
             records.push(record);
@@ -49,12 +49,12 @@
         let Some(path) = context.config.inventory.clone() else { return Ok(self.records.len()) };
         let entries = inventory::read(&path)?;
         for entry in &entries {
-            let node = context.dispatcher.node_id(&entry.line.name);
+            let node = context.dispatcher.node_id(&entry.record.name);
             let address = NodeAddress { address: entry.address, protocol: entry.protocol };
             nodes.set_address(node, address, context);
         }
         let count = entries.len();
-        let records = entries.into_iter().map(|entry| entry.line).collect();
+        let records = entries.into_iter().map(|entry| entry.record).collect();
         self.apply(EndpointListEvent::Snapshot, records, nodes, context);
         Ok(count)
     }
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -35,7 +35,7 @@
     ///
     /// If the settings or the inventory can't be used, or the system refuses an address or a resource.
     pub fn new(mut config: Config) -> Result<Gateway, GatewayError> {
-        let cached = std::mem::take(&mut config.known);
+        let cached = std::mem::take(&mut config.cached_endpoints);
         let limits = ConnectionLimits::for_descriptors(config.descriptors);
         let mut context = Context::new(config)?;
         context.update_now();
@@ -169,8 +169,8 @@
     fn run_command(&mut self, command: Command) {
         let context = &mut self.context;
         match command {
-            Command::StartAttempt { attempt, node, until, request } => {
-                self.nodes.start_attempt(attempt, node, until, request, context);
+            Command::StartAttempt { attempt, node, deadline, request } => {
+                self.nodes.start_attempt(attempt, node, deadline, request, context);
             }
             Command::AbandonAttempt(attempt) => self.nodes.abandon_attempt(attempt, context),
             Command::Respond { reply_slot, response } => self.clients.respond(reply_slot, response, context),
--- a/crates/gateway/src/inventory/csv_format.rs
+++ b/crates/gateway/src/inventory/csv_format.rs
@@ -80,7 +80,7 @@
     if name.is_empty() {
         return Err(NodeError::not_set(VarName::Name));
     }
-    if earlier.iter().any(|node| node.line.name == name) {
+    if earlier.iter().any(|node| node.record.name == name) {
         return Err(NodeError { var: VarName::Name, source: InvalidVar::Duplicate(name.to_owned()) });
     }
     vars.to_node(name)
--- a/crates/gateway/src/inventory/mod.rs
+++ b/crates/gateway/src/inventory/mod.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct InventoryNode {
     /// The node as an endpoint list would name it.
-    pub line: EndpointRecord,
+    pub record: EndpointRecord,
     /// Its address.
     pub address: SocketAddr,
     /// Protocol that it speaks.
--- a/crates/gateway/src/inventory/vars.rs
+++ b/crates/gateway/src/inventory/vars.rs
@@ -81,14 +81,14 @@
         let address = parse_address(address)?;
         let protocol = self.parse_protocol()?;
         let shard = self.shard.ok_or(NodeError::not_set(VarName::Shard))?;
-        let line = EndpointRecord {
+        let record = EndpointRecord {
             name: name.to_owned(),
             zone: self.zone.clone().unwrap_or_default(),
             shard,
             status,
             started_at: self.since_ms.filter(|ms| *ms > 0.0).map(micros),
         };
-        Ok(InventoryNode { line, address, protocol })
+        Ok(InventoryNode { record, address, protocol })
     }
 
     /// The status; in service if none is set.
--- a/crates/gateway/src/memory_budget.rs
+++ b/crates/gateway/src/memory_budget.rs
@@ -7,19 +7,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryBudget {
     /// Bytes of request bodies in flight; requests beyond it are rejected.
-    pub bodies: usize,
+    pub request_body_bytes: usize,
     /// Bytes of responses that clients have not read yet; beyond it each client gets one response at a time.
-    pub owed: usize,
+    pub unsent_reply_bytes: usize,
     /// Bytes of incomplete commands; clients with an incomplete command are disconnected beyond it.
-    pub input: usize,
+    pub partial_command_bytes: usize,
     /// Bytes of uploads and of objects that SFTP clients have open.
-    pub files: usize,
+    pub sftp_file_bytes: usize,
     /// Bytes of large responses that nodes are sending; beyond it one more large response is abandoned.
-    pub answers: usize,
+    pub large_response_bytes: usize,
     /// Bytes of the largest value accepted from a node. Nodes are specified for 64 KiB but send more.
-    pub value: usize,
+    pub max_value_bytes: usize,
     /// Number of requests in flight; requests beyond it are rejected.
-    pub requests: usize,
+    pub max_requests: usize,
 }
 
 impl MemoryBudget {
@@ -36,17 +36,17 @@
 
     /// The budget of a process that may use `memory_mb` MiB.
     #[must_use]
-    pub fn of(memory_mb: usize) -> MemoryBudget {
+    pub fn from_memory_mb(memory_mb: usize) -> MemoryBudget {
         let memory = memory_mb * Self::BYTES_PER_MIB;
         let buffer = memory / Self::BUFFER_FRACTION;
         MemoryBudget {
-            bodies: buffer,
-            owed: buffer,
-            input: buffer,
-            files: buffer,
-            answers: buffer,
-            value: (memory / Self::VALUE_FRACTION).min(Self::MAX_VALUE_BYTES),
-            requests: buffer / Self::REQUEST_OVERHEAD_BYTES,
+            request_body_bytes: buffer,
+            unsent_reply_bytes: buffer,
+            partial_command_bytes: buffer,
+            sftp_file_bytes: buffer,
+            large_response_bytes: buffer,
+            max_value_bytes: (memory / Self::VALUE_FRACTION).min(Self::MAX_VALUE_BYTES),
+            max_requests: buffer / Self::REQUEST_OVERHEAD_BYTES,
         }
     }
 }
--- a/crates/gateway/src/node_protocol/resp/mod.rs
+++ b/crates/gateway/src/node_protocol/resp/mod.rs
@@ -3,7 +3,7 @@
 mod reply;
 
 use super::{NodeProtocol, ProtocolError};
-use crate::dispatcher::{AttemptResult, Operation, StorageRequest};
+use crate::dispatcher::{AttemptResult, Operation, RequestParameters, StorageRequest};
 use reply::{announced_value_length, parse_reply, MAX_OVERHEAD_BYTES};
 use std::io::Write;
 
@@ -47,8 +47,8 @@
         write_bulk_string(command, out);
         write_bulk_string(format!("{:016x}", request.object).as_bytes(), out);
         write_bulk_string(request.client_request_id.as_bytes(), out);
-        let (prefix, suffix) = &request.terms;
-        write_bulk_string(format!("{prefix}{}{suffix}", wait_ms.max(1)).as_bytes(), out);
+        let RequestParameters { before_timeout, after_timeout } = &request.parameters;
+        write_bulk_string(format!("{before_timeout}{}{after_timeout}", wait_ms.max(1)).as_bytes(), out);
         if is_write {
             write_bulk_string(&request.body, out);
         }
--- a/crates/gateway/src/node_protocol/resp/reply.rs
+++ b/crates/gateway/src/node_protocol/resp/reply.rs
@@ -58,9 +58,9 @@
 fn error_result(text: &[u8]) -> AttemptResult {
     let error_name = text.split(|byte| *byte == b' ').next();
     if error_name == Some(b"BUSY") {
-        return AttemptResult::of(Outcome::Overloaded);
+        return AttemptResult::without_body(Outcome::Overloaded);
     }
-    let mut result = AttemptResult::of(Outcome::Error);
+    let mut result = AttemptResult::without_body(Outcome::Error);
     apply_usage_report(text, &mut result);
     result
 }
@@ -116,7 +116,7 @@
         };
         let Some(usage_report) = self.read_value(MAX_OVERHEAD_BYTES, 0)? else { return Ok(None) };
         let Some(_load_report) = self.read_value(MAX_OVERHEAD_BYTES, 0)? else { return Ok(None) };
-        let mut result = AttemptResult::of(Outcome::Served);
+        let mut result = AttemptResult::without_body(Outcome::Served);
         if let RespValue::BulkString(Some(text)) = usage_report {
             apply_usage_report(text, &mut result);
         }
--- a/crates/gateway/src/node_protocol/sftp/mod.rs
+++ b/crates/gateway/src/node_protocol/sftp/mod.rs
@@ -101,7 +101,7 @@
     fn encode_request(&mut self, request: &StorageRequest, _wait_ms: i64, out: &mut Vec<u8>) -> usize {
         let start = out.len();
         let directory = format!("/{:016x}", request.volume);
-        let path = match &request.name {
+        let path = match &request.object_name {
             Some(name) => format!("{directory}/{name}"),
             None => format!("{directory}/{:016x}", request.object),
         };
--- a/crates/gateway/src/node_protocol/sftp/stage.rs
+++ b/crates/gateway/src/node_protocol/sftp/stage.rs
@@ -1,7 +1,7 @@
 //! The stages of a request to a file server, and what each reply leads to.
 
 use super::{ProtocolError, SftpProtocol};
-use crate::dispatcher::{AttemptResult, Operation, ResponseBody, StorageRequest};
+use crate::dispatcher::{AttemptResult, ObjectEntry, Operation, ResponseBody, StorageRequest};
 use crate::sftp_packet::{kind, Code, Fields};
 use io_scheduler::Outcome;
 use std::collections::VecDeque;
@@ -49,7 +49,7 @@
     Listing {
         handle: Vec<u8>,
         /// Names and sizes in bytes so far.
-        names: Vec<(Vec<u8>, u64)>,
+        names: Vec<ObjectEntry>,
     },
 }
 
@@ -75,7 +75,7 @@
 
 /// The result of a request that the server completed.
 fn served(body: ResponseBody) -> AttemptResult {
-    AttemptResult { body: Some(body), ..AttemptResult::of(Outcome::Served) }
+    AttemptResult { body: Some(body), ..AttemptResult::without_body(Outcome::Served) }
 }
 
 impl SftpProtocol {
@@ -138,7 +138,7 @@
                 if let Some(handle) = failed_stage.into_handle() {
                     self.close_ignoring_reply(&handle, out);
                 }
-                Some(AttemptResult::of(Outcome::Error))
+                Some(AttemptResult::without_body(Outcome::Error))
             }
         }
     }
@@ -166,7 +166,7 @@
     ) -> Option<AttemptResult> {
         if data.is_empty() || value.len() + data.len() > self.max_value_length {
             self.close_ignoring_reply(&handle, out);
-            return Some(AttemptResult::of(Outcome::Error));
+            return Some(AttemptResult::without_body(Outcome::Error));
         }
         value.extend_from_slice(data);
         self.read_next_chunk(handle, value, out);
@@ -177,7 +177,7 @@
     fn append_names(
         &mut self,
         handle: Vec<u8>,
-        mut names: Vec<(Vec<u8>, u64)>,
+        mut names: Vec<ObjectEntry>,
         mut fields: Fields<'_>,
         out: &mut Vec<u8>,
     ) -> Result<Option<AttemptResult>, ProtocolError> {
@@ -186,12 +186,12 @@
             let _long_name = fields.string()?;
             let size = fields.attrs()?.unwrap_or(0);
             if name != b"." && name != b".." {
-                names.push((name, size));
+                names.push(ObjectEntry { name, size });
             }
         }
         if names.len() > MAX_LISTED_NAMES {
             self.close_ignoring_reply(&handle, out);
-            return Ok(Some(AttemptResult::of(Outcome::Error)));
+            return Ok(Some(AttemptResult::without_body(Outcome::Error)));
         }
         self.read_directory(handle, names, out);
         Ok(None)
@@ -222,7 +222,7 @@
     }
 
     /// Sends READDIR for the names after `names`.
-    fn read_directory(&mut self, handle: Vec<u8>, names: Vec<(Vec<u8>, u64)>, out: &mut Vec<u8>) {
+    fn read_directory(&mut self, handle: Vec<u8>, names: Vec<ObjectEntry>, out: &mut Vec<u8>) {
         self.send_command(kind::READDIR, out, |readdir| readdir.string(&handle));
         self.stage = Stage::Listing { handle, names };
     }
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -48,9 +48,14 @@
         load_router_config(text).map(|config| config.budget).map_err(|error| error.to_string())
     };
     let small = budget(r#"{"memory_mb":32,"sockets":256}"#).expect("it can work with so little");
-    let total = small.bodies + small.owed + small.input + small.files + small.answers + small.value;
-    assert!(total < 16 << 20 && small.value >= 400 << 10, "{small:?}");
-    assert_eq!(budget(r#"{"memory_mb":64}"#).expect("good").requests, 2 * small.requests);
+    let total = small.request_body_bytes
+        + small.unsent_reply_bytes
+        + small.partial_command_bytes
+        + small.sftp_file_bytes
+        + small.large_response_bytes
+        + small.max_value_bytes;
+    assert!(total < 16 << 20 && small.max_value_bytes >= 400 << 10, "{small:?}");
+    assert_eq!(budget(r#"{"memory_mb":64}"#).expect("good").max_requests, 2 * small.max_requests);
     let too_small = budget(r#"{"memory_mb":1}"#).expect_err("bad");
     assert_eq!(too_small, "limits.memory_mb: must be from 16 to 1048576");
 }
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -17,7 +17,7 @@
         parser.feed(&[*byte], &mut updates).expect("well formed");
     }
     assert_eq!(versions(&updates), [43]);
-    assert!(parser.over());
+    assert!(parser.is_complete());
 }
 
 #[test]
@@ -55,9 +55,9 @@
                 parser.feed(piece, &mut updates).expect("well formed");
             }
             assert_eq!(versions(&updates), [7, 8, 9], "{response}");
-            let names: Vec<_> = updates[0].lines().map(|(line, _)| line.name).collect();
+            let names: Vec<_> = updates[0].records().map(|(record, _)| record.name).collect();
             assert_eq!(names, ["a }\" {"]);
-            assert_eq!((parser.over(), parser.mid_object()), (complete, false));
+            assert_eq!((parser.is_complete(), parser.is_mid_object()), (complete, false));
         }
     }
 }
@@ -69,7 +69,7 @@
     for (beginning, repeated, times) in endless {
         let (mut parser, mut updates) = (WatchParser::default(), Vec::new());
         parser.feed(format!("{head}{beginning}").as_bytes(), &mut updates).expect("it may go on well");
-        assert!(parser.mid_object());
+        assert!(parser.is_mid_object());
         let result = (0..times).try_for_each(|_| parser.feed(repeated.as_bytes(), &mut updates));
         assert!(result.is_err() && updates.is_empty(), "{beginning}");
     }
@@ -82,6 +82,6 @@
     response += text;
     let mut updates = Vec::new();
     WatchParser::default().feed(response.as_bytes(), &mut updates).expect("well formed");
-    let statuses: Vec<_> = updates[0].lines().map(|(line, _)| line.status).collect();
+    let statuses: Vec<_> = updates[0].records().map(|(record, _)| record.status).collect();
     assert_eq!(statuses, [EndpointStatus::Draining]);
 }
--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -68,8 +68,8 @@
 impl Harness {
     fn new(settings: &DeploymentSettings, endpoints: &[EndpointRecord]) -> Harness {
         let now = 1_000_000 * MS;
-        let mut dispatcher =
-            Dispatcher::new(settings, MemoryBudget::of(MEMORY_MB), 7, now).expect("valid settings");
+        let mut dispatcher = Dispatcher::new(settings, MemoryBudget::from_memory_mb(MEMORY_MB), 7, now)
+            .expect("valid settings");
         dispatcher.update_endpoints(EndpointListEvent::Snapshot, endpoints, now);
         let timers = TimerQueue::default();
         let mut harness = Harness { dispatcher, timers, now, commands: Vec::new(), submitted: 0 };
@@ -83,7 +83,7 @@
         StorageRequest {
             operation,
             object: self.submitted,
-            name: None,
+            object_name: None,
             volume: DEFAULT_VOLUME,
             client_request_id: self.submitted.to_string().into(),
             class: if operation == Operation::Write { WRITE_CLASS } else { READ_CLASS },
@@ -91,10 +91,10 @@
             units: 1.0,
             shard,
             hosts: 1.0,
-            wait: CLIENT_WAIT,
-            retry: false,
+            client_timeout: CLIENT_WAIT,
+            is_retry: false,
             body: Vec::new(),
-            terms: Default::default(),
+            parameters: Default::default(),
         }
     }
 
@@ -105,7 +105,7 @@
     fn submit_request(&mut self, request: StorageRequest) -> Submitted {
         self.submitted += 1;
         let slot = self.submitted;
-        let reply_slot = ReplySlot { conn: 0, slot };
+        let reply_slot = ReplySlot { connection: 0, slot };
         let id = self.dispatcher.submit(request, reply_slot, self.now, &mut self.timers);
         Submitted { slot, id }
     }
@@ -132,8 +132,8 @@
     fn take_started_attempts(&mut self) -> Vec<StartedAttempt> {
         let mut started = Vec::new();
         self.commands.retain(|command| match command {
-            Command::StartAttempt { attempt, node, until, .. } => {
-                started.push(StartedAttempt { id: *attempt, node: *node, deadline: *until });
+            Command::StartAttempt { attempt, node, deadline, .. } => {
+                started.push(StartedAttempt { id: *attempt, node: *node, deadline: *deadline });
                 false
             }
             _ => true,
@@ -160,7 +160,7 @@
 
     fn complete(&mut self, attempt: AttemptId, outcome: Outcome) {
         let body = (outcome == Outcome::Served).then(|| ResponseBody::Value(b"v".to_vec()));
-        let result = AttemptResult { body, ..AttemptResult::of(outcome) };
+        let result = AttemptResult { body, ..AttemptResult::without_body(outcome) };
         self.dispatcher.complete_attempt(attempt, result, self.now, &mut self.timers);
     }
 
@@ -184,7 +184,7 @@
         harness.run_turn();
         let responses = harness.take_responses();
         assert_eq!(responses.len(), 1);
-        let rejected = matches!(responses[0].response, Response::Rejected(_));
+        let rejected = matches!(responses[0].response, Response::Rejected { .. });
         assert_eq!(rejected, expect_rejected, "written: {written}");
     }
 }
@@ -340,7 +340,7 @@
 #[test]
 fn requests_beyond_the_memory_budget_are_rejected() {
     let mut harness = Harness::new(&settings(|_| ()), &[in_service("n", 0)]);
-    let capacity = MemoryBudget::of(MEMORY_MB).requests;
+    let capacity = MemoryBudget::from_memory_mb(MEMORY_MB).max_requests;
     for _ in 0..capacity + 5 {
         harness.submit(Operation::Read, Some(0));
     }
@@ -349,7 +349,7 @@
     assert_eq!(responses.len(), 5);
     for Responded { slot, response } in responses {
         assert!(slot > capacity as u64, "request {slot} is within the budget");
-        assert!(matches!(response, Response::Rejected(retry_after) if retry_after > 0));
+        assert!(matches!(response, Response::Rejected { retry_after } if retry_after > 0));
     }
 }
 
@@ -399,7 +399,7 @@
     }
     let counters = harness.dispatcher.volume_counters();
     assert!(counters.len() <= 2_000);
-    assert_eq!(counters[&DEFAULT_VOLUME].taken, 2, "the volume with the most requests keeps its counters");
+    assert_eq!(counters[&DEFAULT_VOLUME].received, 2, "the volume with the most requests keeps its counters");
 }
 
 /// A linear congruential generator.
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -21,19 +21,19 @@
         Ok(Settings {
             classes: self.request_classes()?,
             plans: self.plans.iter().map(VolumePlan::from).collect(),
-            hosts: self.group_size,
+            hosts: self.gateway_count,
             max_attempts: allowed.max_attempts,
             hedging_allowed: allowed.hedging,
             cancellation_allowed: allowed.cancellation,
             health_checks_allowed: allowed.health_checks,
             discovery_clients: self.discovery_clients(),
             max_poll_interval: micros(rules.max_poll_interval_ms),
-            drain_grace: micros(rules.stop_sending_within_ms),
+            drain_grace: micros(rules.drain_grace_ms),
             slow_start: self.slow_start(),
             quiesce_period: micros(rules.quiesce_period_ms),
             retry_budget: self.retry_budget(),
-            mean_units: domain.unit_mean,
-            max_units: domain.units_top,
+            mean_units: domain.mean_units,
+            max_units: domain.max_units,
             usage_report_period: micros(domain.usage_report_period_ms),
             reports_remote_units: domain.reports_remote_units,
             within_share_value: domain.within_share_value,
@@ -48,7 +48,7 @@
     /// Number of gateways that poll the same discovery service.
     fn discovery_clients(&self) -> u32 {
         if self.discovery == SUBSCRIBE {
-            return self.group_size.max(1);
+            return self.gateway_count.max(1);
         }
         u32::from(self.has_agent)
     }
@@ -78,7 +78,7 @@
 
     fn try_from(class: &ClassSettings) -> Result<Self, Self::Error> {
         Ok(RequestClass {
-            latency_objective: micros(class.aim_ms),
+            latency_objective: micros(class.latency_objective_ms),
             priority_weight: class.priority_weight,
             late_value: class.late_value,
             idempotency: idempotency(class)?,
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -20,7 +20,8 @@
     /// Properties of the stored data and of the storage nodes.
     pub domain: DomainSettings,
     /// Number of gateways that work beside each other, this one included.
-    pub group_size: u32,
+    #[serde(rename = "group_size")]
+    pub gateway_count: u32,
     /// Plans of volumes; requests refer to them by index.
     pub plans: Vec<PlanSettings>,
     /// Contents of a node's load report.
@@ -58,7 +59,8 @@
 #[serde(default)]
 pub struct ClassSettings {
     /// Latency objective in milliseconds: a response within this time has its full value.
-    pub aim_ms: f64,
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: f64,
     /// Requests for one object key run in the order of their arrival.
     #[serde(rename = "by_arrival")]
     pub ordered: bool,
@@ -103,11 +105,14 @@
     #[serde(rename = "spare_worth")]
     pub surplus_value: f64,
     /// Number of shards of the data.
-    pub n_shards: u64,
+    #[serde(rename = "n_shards")]
+    pub shard_count: u64,
     /// Mean size of a request in units.
-    pub unit_mean: f64,
+    #[serde(rename = "unit_mean")]
+    pub mean_units: f64,
     /// Largest size of a request in units.
-    pub units_top: f64,
+    #[serde(rename = "units_top")]
+    pub max_units: f64,
     /// For each class, by index: whether its requests write.
     pub writes: Vec<bool>,
 }
@@ -178,7 +183,8 @@
     #[serde(rename = "resend_span_ms")]
     pub retry_window_ms: Option<f64>,
     /// Milliseconds after the notice that a node is draining or removed within which dispatches to it stop.
-    pub stop_sending_within_ms: f64,
+    #[serde(rename = "stop_sending_within_ms")]
+    pub drain_grace_ms: f64,
     /// Work that a warming node can take within a window, as a multiple of its capacity at that time.
     #[serde(rename = "tip_multiple")]
     pub slow_start_burst_factor: f64,
--- a/crates/settings/tests/conversion.rs
+++ b/crates/settings/tests/conversion.rs
@@ -175,7 +175,7 @@
     assert_eq!(settings.allowed.connect_timeout_ms, 2.0);
     assert_eq!(settings.classes[0].name, "read");
     assert_eq!(settings.classes[0].deadline_ms, 3.0);
-    assert_eq!(settings.domain.n_shards, 4);
+    assert_eq!(settings.domain.shard_count, 4);
     assert_eq!(settings.domain.writes, [false, true]);
     assert_eq!(settings.plans[0].name, "basic");
     assert_eq!(settings.load_report.value_names, ["queue", "busy"]);
