--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The decision module: every choice of the gateway is made here. Its interface is `src/api.rs`.
+//! The decision module: every choice of the gateway is made here. Its interface is `src/api`.
 //!
 //! The ordinary path is dmClock as the README sums it up: per node and volume, tags R, L and P
 //! advance by plan rates and by service at all nodes; due R tags leave first, then the least P tag
