--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -89,6 +89,20 @@
     NotDispatched,
 }
 
+impl Outcome {
+    /// Whether the node may have executed the attempt.
+    #[must_use]
+    pub fn may_have_executed(self) -> bool {
+        !matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotDispatched)
+    }
+
+    /// Whether the node may still be executing the attempt.
+    #[must_use]
+    pub fn may_be_executing(self) -> bool {
+        matches!(self, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
+    }
+}
+
 /// The end of one attempt.
 #[derive(Clone, Debug)]
 pub struct CompletedAttempt {
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -45,7 +45,7 @@
 }
 
 /// A plan; rates are units a second of one volume over all hosts and nodes.
-#[derive(Clone, Debug)]
+#[derive(Clone, Debug, Default)]
 pub struct VolumePlan {
     /// Reserved rate; 0 where there is none.
     pub reservation: f64,
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -8,8 +8,13 @@
 #![warn(missing_docs)]
 
 mod api;
+mod endpoints;
 mod hash;
+mod node_health;
 mod scheduler;
+mod state;
+mod tags;
+mod volumes;
 
 pub use api::*;
 pub use scheduler::Scheduler;
--- /dev/null
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -0,0 +1,109 @@
+//! Attempts that completed, and the one final response of each request.
+
+use super::{retry::client_may_repeat, Scheduler};
+use crate::api::{Action, CompletedAttempt, Micros, Outcome, RequestId};
+use crate::state::{Attempt, Position};
+
+/// A client's repeat is recognized for this long after the latency objective.
+const REPEAT_WINDOW: Micros = 1_000_000;
+
+impl Scheduler {
+    pub(super) fn on_attempt_completed(&mut self, completed: &CompletedAttempt) {
+        let (id, outcome) = (completed.request, completed.outcome);
+        let Some(pending) = self.requests.get_mut(id) else { return };
+        let Some(attempt) = pending.complete_attempt(completed.number) else { return };
+        if outcome.may_have_executed() {
+            pending.first_executed.get_or_insert(attempt);
+        }
+        let awaits_attempt = pending.open && pending.in_flight.is_empty();
+        if let Some(key) = pending.request.key.filter(|_| outcome.may_be_executing()) {
+            self.sequences.quiesce(key, self.now + self.settings.quiesce_period);
+        }
+        self.record_attempt(attempt, completed);
+        if outcome == Outcome::Served {
+            self.close(id);
+        } else if completed.request_closed {
+            self.close_unserved(id);
+        } else if awaits_attempt {
+            self.retry_or_reject(id, attempt.node, outcome);
+        } else {
+            self.settle(id);
+        }
+    }
+
+    /// Counts an attempt that completed for its node and its volume.
+    fn record_attempt(&mut self, attempt: Attempt, completed: &CompletedAttempt) {
+        let Some(pending) = self.requests.get(completed.request) else { return };
+        let (request, now) = (&pending.request, self.now);
+        let is_served = completed.outcome == Outcome::Served;
+        let served_units = if is_served { request.units } else { 0.0 };
+        if let Some(volume) = self.volumes.get_mut(&request.volume) {
+            let (rate, max_age) = (volume.plan.provisioned_rate, 2 * self.settings.usage_report_period);
+            volume.usage.record(served_units, completed, rate, max_age, now);
+        }
+        let Some(node) = self.nodes.get_mut(attempt.node) else { return };
+        node.remove_attempt(request.units);
+        node.health.record(completed, &attempt, now);
+        let queue = self.queues.get_mut(&node.endpoint.shard).filter(|_| !is_served);
+        if let Some(flow) = queue.and_then(|queue| queue.flows.get_mut(&request.volume)) {
+            flow.counted_units -= request.units;
+        }
+    }
+
+    /// What is still not dispatched after half of its time has missed its objective: the client hears of it
+    /// while it can still do something else, rather than wait for a slot that goes to timely work.
+    pub(super) fn reject_expired(&mut self) {
+        while let Some(pending) = self.requests.pop_expired(self.now) {
+            let (id, deadline) = (pending.request.id, pending.request.deadline);
+            if pending.may_have_executed() && pending.reject_at < deadline {
+                self.requests.postpone(id, deadline);
+            } else {
+                self.reject(id);
+            }
+        }
+    }
+
+    /// The final response of an open request: a rejection where a repeat does no harm, else a failure.
+    pub(super) fn reject(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get(id).filter(|pending| pending.open) else { return };
+        self.actions.push(if client_may_repeat(pending) {
+            Action::Reject { request: id, retry_after: self.retry_after(pending) }
+        } else {
+            Action::Fail(id)
+        });
+        self.close_unserved(id);
+    }
+
+    /// Stops the attempts of a request that nobody waits for any more.
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
+        if let Some(pending) = self.requests.get(id).filter(|_| self.settings.cancellation_allowed) {
+            let numbers = pending.in_flight.iter().map(|attempt| attempt.number);
+            self.actions.extend(numbers.map(|attempt| Action::Cancel { request: id, attempt }));
+        }
+        self.close_unserved(id);
+    }
+
+    /// Closes a request that was not served; a repeat by its client will be recognized.
+    pub(super) fn close_unserved(&mut self, id: RequestId) {
+        if let Some(pending) = self.requests.get(id).filter(|pending| pending.open) {
+            self.repeats.record(pending, self.now - REPEAT_WINDOW);
+        }
+        self.close(id);
+    }
+
+    fn close(&mut self, id: RequestId) {
+        self.dequeue(id);
+        self.requests.close(id);
+        self.settle(id);
+    }
+
+    /// Forgets a request that is closed and has no attempt in flight; the next of its key may go.
+    fn settle(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get(id).filter(|pending| pending.is_over()) else { return };
+        let key = pending.request.key.filter(|_| pending.class.ordered);
+        self.requests.remove(id);
+        if let Some(next) = key.and_then(|key| self.sequences.remove(key, id, self.now)) {
+            self.enqueue(next, Position::ByPriority);
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/scheduler/retry.rs
@@ -0,0 +1,71 @@
+//! Which requests may be attempted again, by the gateway or by the client.
+
+use super::Scheduler;
+use crate::api::{DeduplicationScope, Idempotency, Micros, NodeId, Outcome, RequestId};
+use crate::state::{Node, PendingRequest, Position};
+
+/// Bounds of the time for which a rejected client is asked to stay away.
+const MIN_RETRY_AFTER: Micros = 10_000;
+const MAX_RETRY_AFTER: Micros = 500_000;
+
+/// Whether a repeat by the client, at any node, does no harm.
+pub(super) fn client_may_repeat(pending: &PendingRequest) -> bool {
+    match pending.class.idempotency {
+        Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
+        _ => !pending.may_have_executed(),
+    }
+}
+
+impl Scheduler {
+    /// Another attempt if it is allowed and can still earn something, else the final response.
+    pub(super) fn retry_or_reject(&mut self, id: RequestId, failed_at: NodeId, outcome: Outcome) {
+        let Some(pending) = self.requests.get(id) else { return };
+        let has_attempts_left = pending.attempts < self.settings.max_attempts;
+        let has_time_left = pending.request.deadline > self.now && outcome != Outcome::NotDispatched;
+        let next_node = self.nodes.get(failed_at).and_then(|node| self.node_of(node.endpoint.shard));
+        let is_harmless = pending.first_executed.is_none()
+            || next_node.is_some_and(|node| self.may_execute_at(pending, node));
+        if has_attempts_left && has_time_left && is_harmless {
+            self.enqueue(id, Position::Front);
+        } else {
+            self.reject(id);
+        }
+    }
+
+    pub(super) fn may_retry_at(&self, pending: &PendingRequest, node: &Node) -> bool {
+        let has_attempts_left = pending.attempts < self.settings.max_attempts && pending.in_flight.is_empty();
+        has_attempts_left && self.is_within_retry_budget() && self.may_execute_at(pending, node)
+    }
+
+    fn is_within_retry_budget(&self) -> bool {
+        let Some(budget) = &self.settings.retry_budget else { return true };
+        let allowed = budget.allowance + budget.ratio * self.retry_history.requests(self.now) as f64;
+        self.retry_history.retries(self.now) as f64 + 1.0 <= allowed
+    }
+
+    /// Whether a request does no harm at a node, given the attempt that may have been executed before.
+    pub(super) fn may_execute_at(&self, pending: &PendingRequest, node: &Node) -> bool {
+        let Some(first) = pending.first_executed else { return true };
+        let (scope, window) = match pending.class.idempotency {
+            Idempotency::Idempotent => return true,
+            Idempotency::NonIdempotent => return false,
+            Idempotency::Keyed { scope, window } => (scope, window),
+        };
+        let Some(first_node) = self.nodes.get(first.node) else { return false };
+        let deduplicates = match scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => first_node.endpoint.zone == node.endpoint.zone,
+            DeduplicationScope::Shard => first_node.endpoint.shard == node.endpoint.shard,
+        };
+        deduplicates && self.now - first.dispatched_at < window
+    }
+
+    /// For how long a rejected client should stay away: until the node's pause ends, and for the time of a
+    /// response there for each request that its concurrency limit leaves out.
+    pub(super) fn retry_after(&self, pending: &PendingRequest) -> Micros {
+        let node = pending.request.shard.and_then(|shard| self.node_of(shard));
+        let Some(health) = node.map(|node| &node.health) else { return MAX_RETRY_AFTER };
+        let response = (health.expected_latency(self.now) / health.concurrency_limit.min(1.0)) as Micros;
+        response.max(health.paused_until - self.now).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/state/deadline_queue.rs
@@ -0,0 +1,48 @@
+//! A queue of entries that each have a deadline.
+
+use crate::api::Micros;
+use std::collections::BTreeSet;
+
+/// Entries in the order of their deadlines; entries of one deadline stand in their own order.
+pub struct DeadlineQueue<T> {
+    entries: BTreeSet<(Micros, T)>,
+}
+
+impl<T> Default for DeadlineQueue<T> {
+    fn default() -> Self {
+        DeadlineQueue { entries: BTreeSet::new() }
+    }
+}
+
+impl<T: Copy + Ord> DeadlineQueue<T> {
+    /// Adds an entry.
+    pub fn insert(&mut self, deadline: Micros, entry: T) {
+        self.entries.insert((deadline, entry));
+    }
+
+    /// Removes an entry; tells whether it was there.
+    pub fn remove(&mut self, deadline: Micros, entry: T) -> bool {
+        self.entries.remove(&(deadline, entry))
+    }
+
+    /// Removes and returns the entry of the earliest deadline, if that has passed.
+    pub fn pop_expired(&mut self, now: Micros) -> Option<T> {
+        self.next_deadline().filter(|deadline| *deadline <= now)?;
+        self.entries.pop_first().map(|(_, entry)| entry)
+    }
+
+    /// The earliest deadline.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        self.entries.first().map(|(deadline, _)| *deadline)
+    }
+
+    /// All entries, earliest deadline first.
+    pub fn iter(&self) -> impl Iterator<Item = T> + '_ {
+        self.entries.iter().map(|(_, entry)| *entry)
+    }
+
+    /// Whether there is no entry.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/state/shard_queue.rs
@@ -0,0 +1,59 @@
+//! What waits for the nodes: the queue of a shard, with a flow for each volume.
+
+use super::{DeadlineQueue, QueuedRequest, Seconds, Tags};
+use crate::api::{NodeId, RequestId, Shard, VolumeId};
+use std::collections::{BTreeMap, VecDeque};
+
+/// The queues of all shards.
+pub type ShardQueues = BTreeMap<Shard, ShardQueue>;
+
+/// What waits for one shard's node.
+#[derive(Default)]
+pub struct ShardQueue {
+    /// The node in service that holds the shard.
+    pub node: Option<NodeId>,
+    /// Requests in dmClock's order, by volume.
+    pub flows: BTreeMap<VolumeId, Flow>,
+    /// Requests that can't meet their latency objective any more, by their deadline.
+    pub late: DeadlineQueue<RequestId>,
+    /// Units of all of them.
+    pub queued_units: f64,
+    /// Added to stored share tags: a shift of all of them in one step.
+    pub share_shift: Seconds,
+}
+
+impl ShardQueue {
+    /// The first request of each volume.
+    pub fn heads(&self) -> impl Iterator<Item = (VolumeId, &QueuedRequest)> {
+        self.flows.iter().filter_map(|(volume, flow)| Some((*volume, flow.queue.front()?)))
+    }
+
+    /// Whether a request waits that is not late.
+    pub fn has_timely(&self) -> bool {
+        self.heads().next().is_some()
+    }
+
+    /// Whether no request waits.
+    pub fn is_empty(&self) -> bool {
+        !self.has_timely() && self.late.is_empty()
+    }
+}
+
+/// A volume's queue at one shard.
+pub struct Flow {
+    /// Requests in the order of their dispatch.
+    pub queue: VecDeque<QueuedRequest>,
+    /// Tags of the request dispatched last.
+    pub last_tags: Tags,
+    /// Units of the volume's service that tags here have counted.
+    pub counted_units: f64,
+    /// When a request was last tagged here.
+    pub tagged_at: Seconds,
+}
+
+impl Flow {
+    /// An empty flow of a volume that was served so many units so far.
+    pub fn new(counted_units: f64, now: Seconds) -> Self {
+        Flow { queue: VecDeque::new(), last_tags: Tags::MIN, counted_units, tagged_at: now }
+    }
+}
--- a/crates/scheduler/tests/size.rs
+++ b/crates/scheduler/tests/size.rs
@@ -1,11 +1,13 @@
-//! The files with decision logic, named by `policy` in the deploy file, stay small enough to be read in one sitting.
+//! The files with decision logic, named by `policy` in the deploy file, stay small enough to be read in one
+//! sitting.
 
 use std::path::{Path, PathBuf};
 
 const MAX_LINES: usize = 950;
 const MAX_WIDTH: usize = 110;
-/// Source files without any decision, which need not be in `policy`.
-const WITHOUT_DECISIONS: [&str; 2] = ["lib.rs", "hash.rs"];
+/// Files and folders without any decision, which are not in `policy`: the crate's opening, the interface, a
+/// hash, and the records and containers of what the scheduler remembers.
+const WITHOUT_DECISIONS: [&str; 4] = ["lib.rs", "api", "hash.rs", "state"];
 
 fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().expect("the root of the repository")
@@ -66,9 +68,25 @@
     let policy = policy_files();
     for path in source_files(&sources) {
         let below_sources = path.strip_prefix(&sources).expect("a file below the sources");
-        let exempt = below_sources.starts_with("api")
-            || WITHOUT_DECISIONS.iter().any(|file| below_sources == Path::new(file));
+        let exempt = WITHOUT_DECISIONS.iter().any(|exempt| below_sources.starts_with(exempt));
         let name = format!("crates/scheduler/src/{}", below_sources.display());
         assert_eq!(policy.contains(&name), !exempt, "{name}: `policy` names it if and only if it decides");
     }
 }
+
+#[test]
+fn records_and_containers_read_no_settings_and_define_no_constants() {
+    for path in source_files(&repository_root().join("crates/scheduler/src/state")) {
+        let text = std::fs::read_to_string(&path).expect("a source file");
+        for line in text.lines() {
+            let is_constant = line.starts_with("const ") || line.starts_with("pub const ");
+            let reads_settings = line.contains("Settings") || line.contains("settings");
+            let names_them_in_a_comment = line.trim_start().starts_with("//");
+            assert!(
+                names_them_in_a_comment || !(is_constant || reads_settings),
+                "{}: belongs to a file of `policy`: {line}",
+                path.display()
+            );
+        }
+    }
+}
