--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -2,38 +2,38 @@
 
 use super::{Micros, NodeId, RequestId};
 
-/// What the host is to do.
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Dispatch {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The node it goes to.
         node: NodeId,
         /// When the attempt is given up.
         deadline: Micros,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final response: rejected; the client may try again without harm.
     Reject {
         /// The request.
         request: RequestId,
-        /// For how long the client should stay away; 0 for no advice.
+        /// Time in microseconds for which the client should wait before it tries again; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed; nothing is promised.
+    /// Final response: failed; the request may have been executed.
     Fail(RequestId),
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number among the attempts of the request, from 0.
         attempt: u32,
     },
-    /// Watch the list of nodes from now on.
+    /// Open a watch of the endpoint list.
     OpenWatch,
-    /// Ask a node for its load.
+    /// Send a health check to a node.
     HealthCheck(NodeId),
-    /// Hand in [`Event::TimerFired`] at this time or after.
+    /// Hand in [`Event::TimerFired`](super::Event::TimerFired) at this time or after.
     SetTimer(Micros),
 }
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -2,51 +2,51 @@
 
 use super::{Micros, NodeId, ObjectKey, RequestId, Shard, VolumeId, Zone};
 
-/// State of a node in the list.
+/// State of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// Its process runs.
+    /// It takes requests.
     InService,
-    /// It finishes its work and takes nothing new.
+    /// It finishes its requests and takes no new ones.
     Draining,
-    /// It was removed.
+    /// It was removed from the list.
     Removed,
 }
 
-/// One line of the list of nodes.
+/// One line of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// The node.
     pub node: NodeId,
     /// Its zone.
     pub zone: Zone,
-    /// What it holds.
+    /// The shard that it holds.
     pub shard: Shard,
     /// Its state.
     pub status: EndpointStatus,
-    /// When it last started, if that is told.
+    /// When its process last started, if that is known.
     pub started_at: Option<Micros>,
 }
 
-/// What a list event carries.
+/// News of the endpoint list, or of the calls that fetch it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListEvent {
-    /// The host's own list from before it started; may be old.
+    /// The list that the host cached before it started; it may be out of date.
     Cached,
     /// The complete list.
     Snapshot,
-    /// Changed lines only.
+    /// The lines that changed.
     Delta,
-    /// A call failed.
+    /// A poll of the list failed.
     PollFailed,
-    /// The watch broke, fell silent, or has to be opened elsewhere.
+    /// The watch was closed, timed out, or has to be opened again.
     WatchLost,
 }
 
 /// A client request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Its id, never used twice.
     pub id: RequestId,
     /// Its volume.
     pub volume: VolumeId,
@@ -54,100 +54,87 @@
     pub plan: usize,
     /// Its class, an index into the settings.
     pub class: usize,
-    /// The piece of data, if it has one.
+    /// The object that it reads or writes, if it names one.
     pub key: Option<ObjectKey>,
-    /// Where the data is; `None` for a new object, which any node may take.
+    /// The shard that holds the object; `None` for a new object, which any node may take.
     pub shard: Option<Shard>,
-    /// Its size.
+    /// Its size in units.
     pub units: f64,
-    /// Hosts through which the volume's requests come.
+    /// Number of hosts through which the volume's requests come.
     pub hosts: f64,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Micros,
-    /// It is marked as a client's repeat.
+    /// The client has marked it as a retry.
     pub is_retry: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The node served it.
     Served,
-    /// The node answered with an error; it may have run.
+    /// The node responded with an error; it may have been executed.
     Error,
-    /// The node had no room; it never ran.
+    /// The node had no capacity; it was not executed.
     Overloaded,
-    /// No answer in time; it may have run or may still run.
+    /// No response in time; it may have been executed or may still be executing.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection; it was not executed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was lost; it may have been executed or may still be executing.
     Reset,
-    /// Cancelled; it may have run.
+    /// Cancelled; it may have been executed or may still be executing.
     Cancelled,
-    /// It was not sent at all.
+    /// It was not sent to the node at all.
     NotDispatched,
 }
 
-impl Outcome {
-    /// Whether the node may have executed the attempt.
-    #[must_use]
-    pub fn may_have_executed(self) -> bool {
-        !matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotDispatched)
-    }
-
-    /// Whether the node may still be executing the attempt.
-    #[must_use]
-    pub fn may_be_executing(self) -> bool {
-        matches!(self, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
-    }
-}
-
 /// The end of one attempt.
 #[derive(Clone, Debug)]
 pub struct CompletedAttempt {
     /// The request.
     pub request: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number among the attempts of the request, from 0.
     pub number: u32,
     /// The node it went to.
     pub node: NodeId,
     /// How it ended.
     pub outcome: Outcome,
-    /// The request has its final answer.
+    /// The request has its final response.
     pub request_closed: bool,
-    /// Time since the send.
+    /// Time since its dispatch, in microseconds.
     pub elapsed: Micros,
-    /// Units the node served for the volume through other hosts since its last answer, if told.
+    /// Units that the node served for the volume through other hosts since its last response, if reported.
     pub remote_units: f64,
-    /// Part of the usual rate served for the volume everywhere in a past period, if told.
+    /// Usage report, if there is one: the service of the volume at all nodes in a past period, as a part of
+    /// its provisioned rate.
     pub utilization: Option<f64>,
 }
 
-/// What happens to a host.
+/// What happened at a host.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of nodes, or changes to it.
+    /// The endpoint list, changes to it, or a failure to fetch it.
     EndpointList(EndpointListEvent, Vec<Endpoint>),
-    /// A request was taken.
+    /// A client's request was received.
     RequestReceived(Request),
-    /// The time asked for with [`Action::SetTimer`] has come.
+    /// The time of [`Action::SetTimer`](super::Action::SetTimer) has come.
     TimerFired,
-    /// The answer of an attempt has begun; it is the client's from here on.
+    /// The response of an attempt has started and is passed on to the client.
     ResponseStarted(RequestId),
-    /// The client has left or the request was closed.
+    /// The client has disconnected, or the request was closed.
     ClientDisconnected(RequestId),
-    /// An attempt ended.
+    /// An attempt completed.
     AttemptCompleted(CompletedAttempt),
-    /// A probe was answered, or not.
+    /// A health check completed.
     HealthCheckCompleted {
         /// The node.
         node: NodeId,
-        /// It answered.
+        /// Whether it responded.
         healthy: bool,
-        /// Time since the probe was sent.
+        /// Time since the health check was sent, in microseconds.
         elapsed: Micros,
-        /// Requests waiting or in hand at the node, if it reports either.
+        /// Load report: requests queued or in service at the node, if it tells either.
         load: Option<f64>,
     },
 }
--- a/crates/scheduler/src/api/mod.rs
+++ b/crates/scheduler/src/api/mod.rs
@@ -8,7 +8,7 @@
 pub use events::*;
 pub use settings::*;
 
-/// A point in time or a span, in whole microseconds of the caller's clock.
+/// A point in time or a span of time, in microseconds of the caller's clock.
 pub type Micros = i64;
 
 macro_rules! ids {
@@ -20,15 +20,15 @@
 }
 
 ids! {
-    /// One client request; never used twice.
+    /// A client request; an id is never used twice.
     RequestId,
-    /// A storage node; it keeps its id over restarts.
+    /// A storage node; it keeps its id when it restarts.
     NodeId,
-    /// A volume, the flow that reservation, weight and limit belong to.
+    /// A volume, to which reservation, weight and limit belong.
     VolumeId,
-    /// The piece of data that a request reads or writes.
+    /// The object that a request reads or writes.
     ObjectKey,
-    /// The part of the data that a node holds; a node's successor holds the same.
+    /// The part of the data that a node holds; the node's successor holds the same.
     Shard,
     /// A zone of nodes.
     Zone
@@ -37,9 +37,9 @@
 /// How much a host remembers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateSizes {
-    /// Nodes listed, or gone with answers still out.
+    /// Nodes listed, or removed with attempts still in flight.
     pub nodes: usize,
-    /// Volumes that have asked something of late.
+    /// Volumes with requests of late.
     pub volumes: usize,
     /// Shards that a node holds, or that something waits for.
     pub shards: usize,
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -2,19 +2,19 @@
 
 use super::Micros;
 
-/// Whether a request that may have run can run again.
+/// Whether a request that may have been executed can be executed again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats do no harm.
+    /// Executing it again does no harm.
     Idempotent,
-    /// Repeats are dropped by the nodes of a group for a time after the first send.
+    /// It carries an idempotency key: the nodes of a scope drop repeats for some time.
     Keyed {
         /// The nodes that drop repeats.
         scope: DeduplicationScope,
-        /// For how long they do.
+        /// For how long after the first dispatch they do, in microseconds.
         window: Micros,
     },
-    /// A repeat would take effect twice.
+    /// Executing it again would take effect twice.
     NonIdempotent,
 }
 
@@ -32,102 +32,105 @@
 /// A class of request.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// An answer within this time earns its full worth.
+    /// Latency objective: a response within this time (microseconds) earns the full value.
     pub latency_objective: Micros,
-    /// Worth of one request of mean size.
+    /// Value of one request of mean size, relative to other classes.
     pub priority_weight: f64,
-    /// Part of the worth left after the aim.
+    /// Part of the value that a response after the objective still earns, from 0 to 1.
     pub late_value: f64,
-    /// May it run again.
+    /// Whether a request may be executed again.
     pub idempotency: Idempotency,
-    /// Requests of one key run in the order taken.
+    /// Requests of one key are executed one after the other, in the order of their receipt.
     pub ordered: bool,
 }
 
-/// A plan; rates are units a second of one volume over all hosts and nodes.
+/// What a volume is entitled to; rates are in units a second over all hosts and nodes.
 #[derive(Clone, Debug, Default)]
 pub struct VolumePlan {
     /// Reserved rate; 0 where there is none.
     pub reservation: f64,
-    /// Share of what is left beyond the reservations.
+    /// Weight of the volume's share in what the reservations leave over.
     pub weight: f64,
-    /// Rate that must not be passed; 0 where there is none.
+    /// Rate that must not be exceeded; 0 where there is none.
     pub limit: f64,
-    /// Units that the limit's store holds.
+    /// Capacity of the limit's token bucket, in units.
     pub burst_capacity: f64,
-    /// Units by which that store may fall below zero.
+    /// Units by which the token bucket may fall below zero.
     pub overdraft: f64,
-    /// Multiplies the worth.
+    /// Multiplies the value of the volume's requests.
     pub tenant_weight: f64,
-    /// Rate that such a volume is sized for.
+    /// Rate that such a volume is provisioned for.
     pub provisioned_rate: f64,
 }
 
-/// Attempts beyond each request's first in any span: `free` and `ratio` times the requests taken.
+/// Bound on retries within a sliding window: `allowance` and `ratio` times the requests received.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// Length of the window.
+    /// Length of the window, in microseconds.
     pub window: Micros,
-    /// Always allowed.
+    /// Retries that are always allowed.
     pub allowance: f64,
-    /// Allowed for each request taken.
+    /// Retries allowed for each request received.
     pub ratio: f64,
 }
 
-/// How the capacity of a node grows after its process has started.
+/// How the capacity of a node grows after the start of its process.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
-    /// Part of its full capacity, above 0 and up to 1, that a node has at its start.
+    /// Part of its full capacity that a node has at its start; above 0, at most 1.
     pub initial_capacity: f64,
-    /// Time after which it has its full capacity at the latest.
+    /// Time after which it has its full capacity at the latest, in microseconds.
     pub duration: Micros,
-    /// Span over which the work sent to such a node is counted.
+    /// Window within which the units dispatched to such a node are counted, in microseconds.
     pub window: Micros,
-    /// Work that a node stands within a window, as a multiple of its capacity at the time.
+    /// Units that a node can take within a window, as a multiple of its capacity at the time.
     pub burst_factor: f64,
-    /// Units within a window that a node stands at its start, from all hosts together.
+    /// Units that a node can take within a window at its start, from all hosts together.
     pub units: f64,
 }
 
 /// What the deployment states at start-up.
 #[derive(Clone, Debug)]
+#[allow(clippy::struct_excessive_bools)] // each is one independent statement of the deployment
 pub struct Settings {
-    /// Classes of request, by index.
+    /// Classes of requests, by index.
     pub classes: Vec<RequestClass>,
-    /// Plans, by index.
+    /// Plans of volumes, by index.
     pub plans: Vec<VolumePlan>,
-    /// Hosts that work beside each other, this one included.
+    /// Number of hosts that share the nodes, this one included.
     pub hosts: u32,
-    /// Attempts allowed for one request.
+    /// Attempts allowed for one request, the first included.
     pub max_attempts: u32,
-    /// Two attempts of one request may be out at once.
+    /// Two attempts of one request may be in flight at once.
     pub hedging_allowed: bool,
-    /// Attempts may be cancelled.
+    /// Attempts in flight may be cancelled.
     pub cancellation_allowed: bool,
-    /// Nodes may be probed.
+    /// Nodes may be sent health checks.
     pub health_checks_allowed: bool,
-    /// Hosts that ask the same service for the list of nodes, this one included; 0 where it comes by itself.
+    /// Number of hosts that poll the same discovery service, this one included; 0 where the list comes by
+    /// itself.
     pub discovery_clients: u32,
-    /// Without a watch, a host must ask for the list at least this often; 0 where it need not.
+    /// Longest time between two polls of the list without a watch, in microseconds; 0 for no bound.
     pub max_poll_interval: Micros,
-    /// Nothing new may go to a draining or gone node later than this after the news.
+    /// Time after the news that a node drains or is removed from which nothing may be dispatched to it, in
+    /// microseconds.
     pub drain_grace: Micros,
-    /// How much a node that has just started takes.
+    /// How much a node takes while it warms up.
     pub slow_start: SlowStart,
-    /// A key rests this long after an attempt that may still be running.
+    /// Pause of a key after an attempt that may still be executing, in microseconds.
     pub quiesce_period: Micros,
-    /// The budget of further attempts, where there is one.
+    /// The budget of retries, where there is one.
     pub retry_budget: Option<RetryBudget>,
-    /// Mean units of a request.
+    /// Mean size of a request, in units.
     pub mean_units: f64,
-    /// Largest units of a request.
+    /// Largest size of a request, in units.
     pub max_units: f64,
-    /// Period of the service meter; 0 where answers carry none.
+    /// Period of usage reports, in microseconds; 0 where responses carry none.
     pub usage_report_period: Micros,
-    /// Answers tell what the node served for the volume through other hosts.
+    /// Responses report the units that the node served for the volume through other hosts.
     pub reports_remote_units: bool,
-    /// Part of the worth that units within the share earn.
+    /// Part of the value that units within the share earn.
     pub within_share_value: f64,
-    /// Part of the worth that units beyond the share earn.
+    /// Part of the value that units beyond the share earn.
     pub surplus_value: f64,
 }
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -12,11 +12,12 @@
         let (id, outcome) = (completed.request, completed.outcome);
         let Some(pending) = self.requests.get_mut(id) else { return };
         let Some(attempt) = pending.complete_attempt(completed.number) else { return };
-        if outcome.may_have_executed() {
+        if !matches!(outcome, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotDispatched) {
             pending.first_executed.get_or_insert(attempt);
         }
         let awaits_attempt = pending.open && pending.in_flight.is_empty();
-        if let Some(key) = pending.request.key.filter(|_| outcome.may_be_executing()) {
+        let may_be_executing = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+        if let Some(key) = pending.request.key.filter(|_| may_be_executing) {
             self.sequences.quiesce(key, self.now + self.settings.quiesce_period);
         }
         self.record_attempt(attempt, completed);
--- a/crates/scheduler/src/scheduler/slow_start.rs
+++ b/crates/scheduler/src/scheduler/slow_start.rs
@@ -7,7 +7,7 @@
 
 /// A host's quota at a node that warms up goes by the rate its volumes there are provisioned for, times this
 /// as they use their hosts unevenly; the fewer the hosts, the more of it is an even part.
-const NOMINAL_RATE_FACTOR: f64 = 1.25;
+const UNEVEN_USE_FACTOR: f64 = 1.25;
 /// Part of the quota that is left for requests beyond a volume's share and for late ones.
 pub(super) const SURPLUS_QUOTA: f64 = 0.5;
 
@@ -30,8 +30,7 @@
         let flows = self.queues[&node.endpoint.shard].flows.keys();
         let nominal_rate: f64 = flows.filter_map(|id| self.volumes.get(id)).map(Volume::rate_at_shard).sum();
         let nominal_units = nominal_rate * slow_start.window as f64 / 1e6;
-        let by_rate = NOMINAL_RATE_FACTOR * nominal_units * slow_start.burst_factor * capacity;
-        let by_rate = by_rate.min(all_hosts);
+        let by_rate = (UNEVEN_USE_FACTOR * nominal_units * slow_start.burst_factor * capacity).min(all_hosts);
         let hosts = f64::from(self.settings.hosts.max(1));
         let quota = quota_part * (by_rate + (all_hosts / hosts - by_rate) / hosts.sqrt());
         let dispatched: f64 = node.health.slow_start_units.within(slow_start.window, now).sum();
