--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -4,8 +4,16 @@
 //!
 //! The library does no I/O and reads no clock: a dispatcher hands it [`Event`]s and carries out the
 //! [`Action`]s that it returns.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//!
+//! Where to read on:
+//!
+//! - `api`: settings, events and actions.
+//! - `scheduler`: [`Scheduler`], the loop of events, with the decisions that need more than one part of the
+//!   state in modules below it: dispatch, completion, retry, placement and slow start.
+//! - `tags` (dmClock's order), `volumes` (limits and provisioned rates), `node_health` (latency, concurrency
+//!   limit, ejection) and `endpoints` (polls of the endpoint list, nodes of the shards): decisions about one
+//!   part of the state.
+//! - `state`: records and containers, without any decision.
 
 mod api;
 mod endpoints;
