--- a/crates/scheduler/src/hash.rs
+++ b/crates/scheduler/src/hash.rs
@@ -1,4 +1,4 @@
-//! A hash that stands in for random numbers, so that decisions can be repeated.
+//! A hash in place of random numbers, so that decisions can be reproduced.
 
 /// Moves numbers that are close to each other far apart (the golden ratio in 64 bits).
 pub fn scatter(number: u64) -> u64 {
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -18,7 +18,7 @@
 use crate::volumes::{Volume, VOLUME_RETENTION};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Requests that wait for a tag, a token bucket or a budget are looked at again after this.
+/// Requests that wait for a tag, a token bucket or a budget are checked again after this.
 const RECHECK_INTERVAL: Micros = 4_000;
 
 /// Decides for one host: feed it events in order, carry out its actions in order.
@@ -32,7 +32,7 @@
     actions: Vec<Action>,
     nodes: NodeTable,
     queues: ShardQueues,
-    /// Shards for which something is queued: only these are looked at, however large the fleet.
+    /// Shards for which something is queued: only these are checked, however large the fleet.
     backlogged: BTreeSet<Shard>,
     volumes: BTreeMap<VolumeId, Volume>,
     requests: RequestTable,
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -58,13 +58,13 @@
         }
     }
 
-    /// When most nodes look like outliers, the fault is likely not theirs: none is held back then.
+    /// When most nodes look like outliers, the fault is likely not theirs: then none is treated as ejected.
     fn most_are_ejected(&self) -> bool {
         let ejected = self.nodes.in_service().filter(|node| node.health.is_ejected()).count();
         2 * ejected > self.nodes.in_service().count()
     }
 
-    /// Requests at the front of their flows that can't meet their latency objective any more step aside.
+    /// Moves requests at the front of their flows that can't meet their objective any more to the late ones.
     fn set_late_aside(&mut self, shard: Shard) {
         let Some(node) = self.node_of(shard) else { return };
         let (latency, now) = (node.health.expected_latency(self.now), self.now);
@@ -130,6 +130,7 @@
         is_allowed && self.slow_start_admits(request.units, quota_part, node)
     }
 
+    /// Starts an attempt of the request selected.
     fn dispatch(&mut self, selected: &Candidate, node_id: NodeId) {
         let (now, id) = (self.now, selected.request);
         let pending = self.requests.get_mut(id).expect("invariant: queued requests are pending");
--- a/crates/scheduler/src/scheduler/retry.rs
+++ b/crates/scheduler/src/scheduler/retry.rs
@@ -21,11 +21,11 @@
     pub(super) fn retry_or_reject(&mut self, id: RequestId, failed_at: NodeId, outcome: Outcome) {
         let Some(pending) = self.requests.get(id) else { return };
         let has_attempts_left = pending.attempts < self.settings.max_attempts;
-        let has_time_left = pending.request.deadline > self.now && outcome != Outcome::NotDispatched;
+        let has_time_left = pending.request.deadline > self.now;
         let next_node = self.nodes.get(failed_at).and_then(|node| self.node_of(node.endpoint.shard));
         let is_harmless = pending.first_executed.is_none()
             || next_node.is_some_and(|node| self.may_execute_at(pending, node));
-        if has_attempts_left && has_time_left && is_harmless {
+        if outcome != Outcome::NotDispatched && has_attempts_left && has_time_left && is_harmless {
             self.enqueue(id, Position::Front);
         } else {
             self.reject(id);
--- a/crates/scheduler/src/state/deadline_queue.rs
+++ b/crates/scheduler/src/state/deadline_queue.rs
@@ -3,7 +3,7 @@
 use crate::api::Micros;
 use std::collections::BTreeSet;
 
-/// Entries in the order of their deadlines; entries of one deadline stand in their own order.
+/// Entries in the order of their deadlines; entries of one deadline are in their own order.
 pub struct DeadlineQueue<T> {
     entries: BTreeSet<(Micros, T)>,
 }
--- a/crates/scheduler/src/tags.rs
+++ b/crates/scheduler/src/tags.rs
@@ -78,7 +78,7 @@
     }
 
     /// Removes the first request for its dispatch. One that goes by weight leaves the reservation untouched:
-    /// the volume's reservation tags drop back.
+    /// the volume's reservation tags are set back by its units.
     pub fn pop_head(&mut self, units: f64, phase: Phase, reservation: f64) {
         let head = self.queue.pop_front().expect("invariant: the request selected is the head of its flow");
         self.last_tags = head.tags;
