--- /dev/null
+++ b/crates/scheduler/src/api/events.rs
@@ -0,0 +1,140 @@
+//! What the caller tells the scheduler.
+
+use super::{Micros, NodeId, ObjectKey, RequestId, Shard, VolumeId, Zone};
+
+/// State of a node in the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointStatus {
+    /// It takes requests.
+    InService,
+    /// It finishes its requests and takes no new ones.
+    Draining,
+    /// It was removed from the list.
+    Removed,
+}
+
+/// One line of the endpoint list.
+#[derive(Clone, Debug)]
+pub struct Endpoint {
+    /// The node.
+    pub node: NodeId,
+    /// Its zone.
+    pub zone: Zone,
+    /// The shard that it holds.
+    pub shard: Shard,
+    /// Its state.
+    pub status: EndpointStatus,
+    /// When its process last started, if that is known.
+    pub started_at: Option<Micros>,
+}
+
+/// News of the endpoint list, or of the calls that fetch it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointListEvent {
+    /// The list that the host cached before it started; it may be out of date.
+    Cached,
+    /// The complete list.
+    Snapshot,
+    /// The lines that changed.
+    Delta,
+    /// A poll of the list failed.
+    PollFailed,
+    /// The watch was closed, timed out, or has to be opened again.
+    WatchLost,
+}
+
+/// A client request.
+#[derive(Clone, Debug)]
+pub struct Request {
+    /// Its id, never used twice.
+    pub id: RequestId,
+    /// Its volume.
+    pub volume: VolumeId,
+    /// The volume's plan, an index into the settings.
+    pub plan: usize,
+    /// Its class, an index into the settings.
+    pub class: usize,
+    /// The object that it reads or writes, if it names one.
+    pub key: Option<ObjectKey>,
+    /// The shard that holds the object; `None` for a new object, which any node may take.
+    pub shard: Option<Shard>,
+    /// Its size in units.
+    pub units: f64,
+    /// Number of hosts through which the volume's requests come.
+    pub hosts: f64,
+    /// When the client stops waiting.
+    pub deadline: Micros,
+    /// The client has marked it as a retry.
+    pub is_retry: bool,
+}
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Outcome {
+    /// The node served it.
+    Served,
+    /// The node responded with an error; it may have been executed.
+    Error,
+    /// The node had no capacity; it was not executed.
+    Overloaded,
+    /// No response in time; it may have been executed or may still be executing.
+    TimedOut,
+    /// No connection; it was not executed.
+    ConnectFailed,
+    /// The connection was lost; it may have been executed or may still be executing.
+    Reset,
+    /// Cancelled; it may have been executed or may still be executing.
+    Cancelled,
+    /// It was not sent to the node at all.
+    NotDispatched,
+}
+
+/// The end of one attempt.
+#[derive(Clone, Debug)]
+pub struct CompletedAttempt {
+    /// The request.
+    pub request: RequestId,
+    /// Number among the attempts of the request, from 0.
+    pub number: u32,
+    /// The node it went to.
+    pub node: NodeId,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// The request has its final response.
+    pub request_closed: bool,
+    /// Time since its dispatch, in microseconds.
+    pub elapsed: Micros,
+    /// Units that the node served for the volume through other hosts since its last response, if reported.
+    pub remote_units: f64,
+    /// Usage report, if there is one: the service of the volume at all nodes in a past period, as a part of
+    /// its provisioned rate.
+    pub utilization: Option<f64>,
+}
+
+/// What happened at a host.
+#[derive(Clone, Debug)]
+pub enum Event {
+    /// The endpoint list, changes to it, or a failure to fetch it.
+    EndpointList(EndpointListEvent, Vec<Endpoint>),
+    /// A client's request was received.
+    RequestReceived(Request),
+    /// The time of [`Action::SetTimer`](super::Action::SetTimer) has come.
+    TimerFired,
+    /// The response of an attempt has started and is passed on to the client.
+    ResponseStarted(RequestId),
+    /// The client has disconnected, or the request was closed.
+    ClientDisconnected(RequestId),
+    /// An attempt completed.
+    AttemptCompleted(CompletedAttempt),
+    /// A health check completed.
+    HealthCheckCompleted {
+        /// The node.
+        node: NodeId,
+        /// Whether it responded.
+        healthy: bool,
+        /// Time since the health check was sent, in microseconds.
+        elapsed: Micros,
+        /// Load report: requests queued or in service at the node, if it tells either.
+        load: Option<f64>,
+    },
+}
--- /dev/null
+++ b/crates/scheduler/src/api/mod.rs
@@ -0,0 +1,46 @@
+//! The interface of the decision module: settings, events and actions. No decision is made here.
+
+mod actions;
+mod events;
+mod settings;
+
+pub use actions::*;
+pub use events::*;
+pub use settings::*;
+
+/// A point in time or a span of time, in microseconds of the caller's clock.
+pub type Micros = i64;
+
+macro_rules! ids {
+    ($($(#[$doc:meta])* $name:ident),*) => {$(
+        $(#[$doc])*
+        #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+        pub struct $name(pub u64);
+    )*};
+}
+
+ids! {
+    /// A client request; an id is never used twice.
+    RequestId,
+    /// A storage node; it keeps its id when it restarts.
+    NodeId,
+    /// A volume, to which reservation, weight and limit belong.
+    VolumeId,
+    /// The object that a request reads or writes.
+    ObjectKey,
+    /// The part of the data that a node holds; the node's successor holds the same.
+    Shard,
+    /// A zone of nodes.
+    Zone
+}
+
+/// How much a host remembers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StateSizes {
+    /// Nodes listed, or removed with attempts still in flight.
+    pub nodes: usize,
+    /// Volumes with requests of late.
+    pub volumes: usize,
+    /// Shards that a node holds, or that something waits for.
+    pub shards: usize,
+}
