--- /dev/null
+++ b/crates/gateway/tests/harness/config.rs
@@ -0,0 +1,92 @@
+//! Configuration files for gateways under test.
+
+use super::discovery::{endpoint_list, UpdateKind};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU32, Ordering};
+
+/// The deployment settings that all tests start from.
+pub const SETTINGS: &str = include_str!("../common/settings.json");
+
+/// The configuration of a gateway on the platform, with the endpoint list that it has cached.
+pub fn platform_config(discovery: SocketAddr, cached_entries: &[String]) -> String {
+    let cached_list = endpoint_list(1, UpdateKind::Snapshot, cached_entries);
+    format!(
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"1","limits":{{"sockets":256}},"known":{cached_list},"settings":{SETTINGS}}}"#
+    )
+}
+
+/// Replaces a part of a configuration, which must be there.
+#[track_caller]
+pub fn replace_setting(config: &str, from: &str, to: &str) -> String {
+    assert!(config.contains(from), "the configuration has no {from}");
+    config.replace(from, to)
+}
+
+/// An own directory for the files of one gateway, removed at the end.
+pub struct TestDirectory(PathBuf);
+
+impl TestDirectory {
+    /// Creates an empty directory.
+    pub fn new() -> Self {
+        static CREATED: AtomicU32 = AtomicU32::new(0);
+        let number = CREATED.fetch_add(1, Ordering::Relaxed);
+        let name = format!("storage-gateway-{}-{number}", std::process::id());
+        let path = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&path).expect("a writable directory for temporary files");
+        Self(path)
+    }
+
+    /// The path of a file in it.
+    pub fn path(&self, file_name: &str) -> PathBuf {
+        self.0.join(file_name)
+    }
+
+    /// Writes a file.
+    pub fn write(&self, file_name: &str, content: &str) -> PathBuf {
+        let path = self.path(file_name);
+        std::fs::write(&path, content).expect("a writable file");
+        path
+    }
+
+    /// Reads a file.
+    pub fn read(&self, file_name: &str) -> String {
+        std::fs::read_to_string(Path::new(&self.path(file_name))).expect("a file that was written")
+    }
+}
+
+impl Drop for TestDirectory {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// Attempts can't be cancelled once they are at a node.
+pub fn without_cancellation(config: &str) -> String {
+    replace_setting(config, "\"may_cancel\": true", "\"may_cancel\": false")
+}
+
+/// Connections to nodes may take long to be established.
+pub fn with_long_connect_timeout(config: &str) -> String {
+    replace_setting(config, "\"connect_timeout_ms\": 1000", "\"connect_timeout_ms\": 8000")
+}
+
+/// Of the file descriptors, clients may hold 24.
+pub fn with_few_sockets(config: &str) -> String {
+    replace_setting(config, "\"sockets\":256", "\"sockets\":64")
+}
+
+/// The gateway writes its debug log.
+pub fn with_debug_log(config: &str) -> String {
+    replace_setting(config, "\"seed\"", "\"log\":\"debug\",\"seed\"")
+}
+
+/// A node that drains may be sent to for a shorter time.
+pub fn with_short_drain_grace(config: &str) -> String {
+    replace_setting(config, "\"stop_sending_within_ms\": 500", "\"stop_sending_within_ms\": 100")
+}
+
+/// An agent pushes endpoint lists.
+pub fn with_pushed_lists(config: &str) -> String {
+    replace_setting(config, "subscribe", "automatic")
+}
--- /dev/null
+++ b/crates/gateway/tests/harness/requests.rs
@@ -0,0 +1,55 @@
+//! The storage requests that the tests send, and the nodes' responses to them.
+
+use super::resp::encode_command;
+
+/// The bytes of a request, in two parts.
+pub struct SplitRequest {
+    /// The first half, which is not a complete command.
+    pub first_half: String,
+    /// The rest.
+    pub second_half: String,
+}
+
+impl SplitRequest {
+    /// Splits a request in the middle.
+    pub fn new(request: &str) -> Self {
+        let (first_half, second_half) = request.split_at(request.len() / 2);
+        Self { first_half: first_half.to_owned(), second_half: second_half.to_owned() }
+    }
+}
+
+/// A read from shard 0 with a deadline of five seconds.
+pub fn read_request(id: &str) -> String {
+    read_request_with_deadline(id, 5_000)
+}
+
+/// A read from shard 0 whose client waits for so many milliseconds.
+pub fn read_request_with_deadline(id: &str, deadline_ms: u32) -> String {
+    encode_command(&format!(
+        "IO.IN 7f3a9c21e0b4d655 {id} c=read,t=gold,d={deadline_ms},volume=00000000000000a1,units=2,shard=0,hosts=1"
+    ))
+}
+
+/// A read from shard 0 of another object than [`read_request`]'s, so that it is no repetition of that one.
+pub fn read_request_of_another_object(id: &str) -> String {
+    read_request(id).replace("7f3a9c21e0b4d655", "7f3a9c21e0b4d657")
+}
+
+/// A write of a new object, which any node may store.
+pub fn write_request(id: &str) -> String {
+    encode_command(&format!(
+        "IO.OUT 7f3a9c21e0b4d656 {id} c=write,t=gold,d=5000,volume=00000000000000a1,units=2,shard=-1,hosts=1 note"
+    ))
+}
+
+/// A node's response with a value, and with neither costs nor hints.
+pub fn value_response(value: &str) -> String {
+    format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len())
+}
+
+/// The milliseconds that a forwarded request leaves its node.
+pub fn forwarded_deadline_ms(request: &str) -> u128 {
+    let (_, options) = request.split_once(",d=").expect("the request has a deadline");
+    let deadline = options.split(',').next().expect("split gives at least one part");
+    deadline.parse().expect("milliseconds")
+}
--- /dev/null
+++ b/crates/gateway/tests/races.rs
@@ -0,0 +1,16 @@
+//! Two events that race, one pair a test, on real sockets; `docs/races.md` has the whole table.
+
+mod harness;
+
+#[path = "races/client_close.rs"]
+mod client_close;
+#[path = "races/discovery_watch.rs"]
+mod discovery_watch;
+#[path = "races/idle_close.rs"]
+mod idle_close;
+#[path = "races/node_connections.rs"]
+mod node_connections;
+#[path = "races/reload.rs"]
+mod reload;
+#[path = "races/shutdown.rs"]
+mod shutdown;
