--- a/crates/gateway/tests/harness/config.rs
+++ b/crates/gateway/tests/harness/config.rs
@@ -2,7 +2,7 @@
 
 use super::discovery::{endpoint_list, UpdateKind};
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
 /// The deployment settings that all tests start from.
@@ -51,7 +51,7 @@
 
     /// Reads a file.
     pub fn read(&self, file_name: &str) -> String {
-        std::fs::read_to_string(Path::new(&self.path(file_name))).expect("a file that was written")
+        std::fs::read_to_string(self.path(file_name)).expect("a file that was written")
     }
 }
 
--- a/crates/gateway/tests/harness/gateway.rs
+++ b/crates/gateway/tests/harness/gateway.rs
@@ -6,6 +6,7 @@
 use super::gateway_process::{GatewayProcess, GATEWAY_PROGRAM};
 use super::log_lines;
 use super::node::StorageNode;
+use super::resp::encode_command;
 use rustix::process::Signal;
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
@@ -84,18 +85,10 @@
 
     /// Returns when the gateway has processed all that was ready on its sockets before the call.
     pub fn wait_until_input_is_processed(&self) {
-        let mut client = self.pause_and_ping();
+        let mut client = self.connect_and_send_at_once(encode_command("PING"));
         client.receive_value();
     }
 
-    fn pause_and_ping(&self) -> Connection {
-        self.pause();
-        let mut client = self.connect();
-        client.send_ping();
-        self.resume();
-        client
-    }
-
     /// Stops the process where it is: what happens until [`Self::resume`] is ready in one iteration of its
     /// event loop.
     pub fn pause(&self) {
--- /dev/null
+++ b/crates/gateway/tests/scenario_runner/party.rs
@@ -0,0 +1,263 @@
+//! Those who speak with the gateway: clients, stand-in nodes, discovery and the console.
+
+use super::error::ScenarioError;
+use super::masking::mask_variable_words;
+use super::message::{decode_message, Message, Protocol};
+use crate::harness::connection::ConnectionEnd;
+use std::collections::VecDeque;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::process::ChildStdout;
+use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+/// How long a scenario waits for the next message or the end of a connection.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(8);
+
+/// What a thread saw on a connection.
+struct ConnectionEvent {
+    /// The number of the connection among its party's.
+    connection: usize,
+    kind: ConnectionEventKind,
+}
+
+enum ConnectionEventKind {
+    Received(Message),
+    Ended(ConnectionEnd),
+}
+
+/// A request that a node has received and not answered.
+struct PendingRequest {
+    connection: usize,
+    request_id: u32,
+}
+
+/// Where a party's next message goes.
+pub struct ReplyAddress {
+    /// The number of the connection among the party's.
+    pub connection: usize,
+    /// The id that the message carries, where the protocol has one.
+    pub request_id: u32,
+}
+
+/// On which side of a connection the party stands.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Role {
+    /// It has one connection, which it opened.
+    Client,
+    /// It listens; the gateway connects.
+    Server { address: SocketAddr },
+}
+
+/// One who speaks with the gateway.
+pub struct Party {
+    /// What it speaks.
+    pub protocol: Protocol,
+    role: Role,
+    events: Receiver<ConnectionEvent>,
+    /// Messages that were received while the end of a connection was waited for: threads that read two
+    /// connections hand over in any order.
+    deferred: VecDeque<ConnectionEvent>,
+    connections: Connections,
+    pending_requests: VecDeque<PendingRequest>,
+    last_request_id: u32,
+}
+
+impl Party {
+    fn new(
+        protocol: Protocol,
+        role: Role,
+        events: Receiver<ConnectionEvent>,
+        connections: Connections,
+    ) -> Self {
+        Self {
+            protocol,
+            role,
+            events,
+            deferred: VecDeque::new(),
+            connections,
+            pending_requests: VecDeque::new(),
+            last_request_id: 1,
+        }
+    }
+
+    /// A party that listens at a free port.
+    pub fn listen(protocol: Protocol) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("it listens");
+        let (sender, events) = channel();
+        let connections = Connections::default();
+        let accepted = connections.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming().map_while(Result::ok) {
+                accepted.add(stream, protocol, sender.clone());
+            }
+        });
+        Self::new(protocol, Role::Server { address }, events, connections)
+    }
+
+    /// A client that connects to the gateway.
+    pub fn connect(protocol: Protocol, gateway: SocketAddr) -> Self {
+        let (sender, events) = channel();
+        let connections = Connections::default();
+        let stream = TcpStream::connect(gateway).expect("the gateway listens");
+        connections.add(stream, protocol, sender);
+        Self::new(protocol, Role::Client, events, connections)
+    }
+
+    /// The reader of the gateway's console.
+    pub fn console(output: ChildStdout) -> Self {
+        let (sender, events) = channel();
+        std::thread::spawn(move || {
+            for text in BufReader::new(output).lines().map_while(Result::ok) {
+                let message = Message { text, request_id: 0 };
+                let kind = ConnectionEventKind::Received(message);
+                let _ = sender.send(ConnectionEvent { connection: 0, kind });
+            }
+        });
+        Self::new(Protocol::Lines, Role::Client, events, Connections::default())
+    }
+
+    /// Where a party that listens does so.
+    pub fn address(&self) -> SocketAddr {
+        match self.role {
+            Role::Server { address } => address,
+            Role::Client => panic!("a client does not listen"),
+        }
+    }
+
+    fn next_event(&self) -> Result<ConnectionEvent, ScenarioError> {
+        self.events.recv_timeout(RECEIVE_TIMEOUT).map_err(|_| ScenarioError::NothingReceived)
+    }
+
+    /// Waits for the next message. Ends of a listening party's connections are skipped.
+    pub fn receive(&mut self) -> Result<String, ScenarioError> {
+        loop {
+            let event = match self.deferred.pop_front() {
+                Some(event) => event,
+                None => self.next_event()?,
+            };
+            match event.kind {
+                ConnectionEventKind::Received(message) => {
+                    if self.role != Role::Client {
+                        let request_id = message.request_id;
+                        self.pending_requests
+                            .push_back(PendingRequest { connection: event.connection, request_id });
+                    }
+                    return Ok(mask_variable_words(&message.text));
+                }
+                ConnectionEventKind::Ended(_) if self.role == Role::Client => {
+                    return Err(ScenarioError::ConnectionClosed)
+                }
+                ConnectionEventKind::Ended(_) => {}
+            }
+        }
+    }
+
+    /// Waits for the end of a connection. A listening party may receive messages before, which stay for
+    /// [`Self::receive`]; how its connection ends makes no difference.
+    pub fn wait_for_end(&mut self) -> Result<ConnectionEnd, ScenarioError> {
+        loop {
+            let event = self.next_event()?;
+            match event.kind {
+                ConnectionEventKind::Ended(end) => {
+                    self.pending_requests.retain(|request| request.connection != event.connection);
+                    return match self.role {
+                        // What a reset overtakes is lost to a client that reads late.
+                        Role::Client => Ok(end),
+                        Role::Server { .. } => Ok(ConnectionEnd::Closed),
+                    };
+                }
+                ConnectionEventKind::Received(message) if self.role == Role::Client => {
+                    return Err(ScenarioError::UnexpectedMessage(message.text))
+                }
+                ConnectionEventKind::Received(_) => self.deferred.push_back(event),
+            }
+        }
+    }
+
+    /// As a node: takes the oldest request that has not been answered.
+    pub fn take_pending_request(&mut self) -> ReplyAddress {
+        let request = self.pending_requests.pop_front().expect("a request to answer");
+        ReplyAddress { connection: request.connection, request_id: request.request_id }
+    }
+
+    /// As a node: the connection opened last, for a response to no request.
+    pub fn last_connection(&self) -> ReplyAddress {
+        let connection = self.connections.count().checked_sub(1).expect("a connection");
+        ReplyAddress { connection, request_id: 0 }
+    }
+
+    /// As a client: its connection, with an id for the next request.
+    pub fn next_request(&mut self) -> ReplyAddress {
+        self.last_request_id += 1;
+        ReplyAddress { connection: 0, request_id: self.last_request_id }
+    }
+
+    /// Sends bytes on one of its connections.
+    pub fn send(&self, connection: usize, bytes: &[u8]) {
+        self.connections.send(connection, bytes);
+    }
+
+    /// Closes all its connections; what it has not answered stays so.
+    pub fn close_connections(&mut self) {
+        self.pending_requests.clear();
+        self.connections.close_all();
+    }
+}
+
+/// The connections of one party, in the order in which they were opened.
+#[derive(Clone, Default)]
+struct Connections(Arc<Mutex<Vec<TcpStream>>>);
+
+impl Connections {
+    /// Adds a connection and starts a thread that reads complete messages from it.
+    fn add(&self, stream: TcpStream, protocol: Protocol, events: Sender<ConnectionEvent>) {
+        let mut streams = self.0.lock().expect("no thread panics with the lock");
+        let connection = streams.len();
+        streams.push(stream.try_clone().expect("a descriptor"));
+        std::thread::spawn(move || read_messages(connection, stream, protocol, &events));
+    }
+
+    fn count(&self) -> usize {
+        self.0.lock().expect("no thread panics with the lock").len()
+    }
+
+    fn send(&self, connection: usize, bytes: &[u8]) {
+        let mut streams = self.0.lock().expect("no thread panics with the lock");
+        streams[connection].write_all(bytes).expect("the gateway reads");
+    }
+
+    fn close_all(&self) {
+        let streams = self.0.lock().expect("no thread panics with the lock");
+        for stream in streams.iter() {
+            let _ = stream.shutdown(Shutdown::Both);
+        }
+    }
+}
+
+fn read_messages(
+    connection: usize,
+    mut stream: TcpStream,
+    protocol: Protocol,
+    events: &Sender<ConnectionEvent>,
+) {
+    let report = |kind| {
+        let _ = events.send(ConnectionEvent { connection, kind });
+    };
+    let mut input = Vec::new();
+    let mut bytes = [0; 4096];
+    loop {
+        let count = match stream.read(&mut bytes) {
+            Ok(0) => return report(ConnectionEventKind::Ended(ConnectionEnd::Closed)),
+            Err(_) => return report(ConnectionEventKind::Ended(ConnectionEnd::Reset)),
+            Ok(count) => count,
+        };
+        input.extend_from_slice(&bytes[..count]);
+        while let Some(decoded) = decode_message(&input, protocol) {
+            input.drain(..decoded.length);
+            report(ConnectionEventKind::Received(decoded.message));
+        }
+    }
+}
