--- a/crates/gateway/src/discovery/watch_parser.rs
+++ b/crates/gateway/src/discovery/watch_parser.rs
@@ -33,6 +33,23 @@
     Complete,
 }
 
+impl ParserState {
+    /// The state after `consumed` bytes of body data.
+    fn after_data(self, consumed: usize) -> ParserState {
+        match self {
+            ParserState::ChunkData { remaining } if remaining == consumed => ParserState::ChunkEnd,
+            ParserState::ChunkData { remaining } => {
+                ParserState::ChunkData { remaining: remaining - consumed }
+            }
+            ParserState::FixedLength { remaining } if remaining == consumed => ParserState::Complete,
+            ParserState::FixedLength { remaining } => {
+                ParserState::FixedLength { remaining: remaining - consumed }
+            }
+            other => other,
+        }
+    }
+}
+
 /// What a step of the parser came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
@@ -88,9 +105,10 @@
             let progress = match self.state {
                 ParserState::Head => self.parse_head()?,
                 ParserState::ChunkSize => self.parse_chunk_size()?,
-                ParserState::ChunkData { remaining } => self.parse_chunk_data(remaining, updates)?,
+                ParserState::ChunkData { remaining } | ParserState::FixedLength { remaining } => {
+                    self.parse_counted_data(remaining, updates)?
+                }
                 ParserState::ChunkEnd => self.parse_chunk_end()?,
-                ParserState::FixedLength { remaining } => self.parse_fixed_length(remaining, updates)?,
                 ParserState::UntilClose => self.parse_until_close(updates)?,
                 ParserState::Complete => Progress::NeedsInput,
             };
@@ -125,8 +143,8 @@
         Ok(Progress::Advanced)
     }
 
-    /// Parses data of a chunk.
-    fn parse_chunk_data(
+    /// Parses body data of which `remaining` bytes are still to come.
+    fn parse_counted_data(
         &mut self,
         remaining: usize,
         updates: &mut Vec<EndpointListUpdate>,
@@ -135,10 +153,7 @@
         if consumed == 0 {
             return Ok(Progress::NeedsInput);
         }
-        self.state = match remaining - consumed {
-            0 => ParserState::ChunkEnd,
-            remaining => ParserState::ChunkData { remaining },
-        };
+        self.state = self.state.after_data(consumed);
         Ok(Progress::Advanced)
     }
 
@@ -155,23 +170,6 @@
         Ok(Progress::Advanced)
     }
 
-    /// Parses data of a body of stated length.
-    fn parse_fixed_length(
-        &mut self,
-        remaining: usize,
-        updates: &mut Vec<EndpointListUpdate>,
-    ) -> Result<Progress, WatchError> {
-        let consumed = self.feed_body(remaining, updates)?;
-        if consumed == 0 {
-            return Ok(Progress::NeedsInput);
-        }
-        self.state = match remaining - consumed {
-            0 => ParserState::Complete,
-            remaining => ParserState::FixedLength { remaining },
-        };
-        Ok(Progress::Advanced)
-    }
-
     /// Parses data of a body that lasts as long as its connection.
     fn parse_until_close(&mut self, updates: &mut Vec<EndpointListUpdate>) -> Result<Progress, WatchError> {
         self.feed_body(usize::MAX, updates)?;
