--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -84,7 +84,7 @@
         let Some(token) = self.eviction_queue.next_to_evict(context.now) else {
             return false;
         };
-        log::debug!("closing an idle client connection to make room");
+        log::debug!("evicting an idle client connection for another one");
         self.evict(token, context);
         true
     }
@@ -106,7 +106,7 @@
     pub(crate) fn close_excess_requesters(&mut self, context: &mut Context) {
         while self.requesters > self.limits.requesters {
             let Some(token) = self.eviction_queue.longest_idle_requester() else { return };
-            log::debug!("closing a client connection that rests: too many have asked");
+            log::debug!("closing an idle client connection: too many have sent requests");
             self.close_idle(token, context);
         }
     }
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -163,7 +163,7 @@
             self.large_response_bytes - connection.counted_large_response_bytes + large;
         connection.counted_large_response_bytes = large;
         if self.large_response_bytes > context.config.budget.large_response_bytes {
-            log::warn!("node {}: no room for an answer of {buffered} bytes", connection.node.0);
+            log::warn!("node {}: no memory for a response of {buffered} bytes", connection.node.0);
             result = Err(ProtocolError);
         }
         connection.socket.output().append(&mut output);
@@ -225,5 +225,5 @@
 fn log_invalid_response(connection: &NodeConnection) {
     let input = &connection.socket.input;
     let head = &input[..input.len().min(MAX_LOGGED_BYTES)];
-    log::debug!("node {}: spoilt: {}", connection.node.0, head.escape_ascii());
+    log::debug!("node {}: invalid response: {}", connection.node.0, head.escape_ascii());
 }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -341,7 +341,7 @@
         if !request.awaits_response() {
             return;
         }
-        log::warn!("request {} was left open past its time", request.request().client_request_id);
+        log::warn!("request {} had no response at its deadline", request.request().client_request_id);
         self.respond(id, Response::TimedOut);
         self.events.push(Event::ClientDisconnected(id));
     }
--- a/crates/gateway/src/event_loop/discovery_watch.rs
+++ b/crates/gateway/src/event_loop/discovery_watch.rs
@@ -23,10 +23,10 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchFailure {
     /// Nothing complete has arrived in time.
-    #[error("silent for too long")]
+    #[error("no data received in time")]
     TimedOut,
     /// Discovery has closed the connection or completed its response.
-    #[error("the watch ended")]
+    #[error("the watch was closed")]
     Ended,
     /// Discovery sent something invalid.
     #[error(transparent)]
@@ -191,7 +191,7 @@
         if !self.has_delivered {
             self.has_delivered = true;
             let (count, elapsed_ms) = (update.endpoints.len(), self.elapsed_ms(now));
-            log::info!("discovery: told of {count} nodes {elapsed_ms} ms after the call");
+            log::info!("discovery: received {count} endpoints {elapsed_ms} ms after the call");
         }
         self.list_index = update.index;
     }
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -82,7 +82,7 @@
             self.context.update_now();
             self.run_turn(&events, &mut commands);
             if self.is_shutdown_complete(&events) {
-                log::info!("idle after SIGTERM: done");
+                log::info!("shutdown complete");
                 return Ok(());
             }
         }
--- a/crates/gateway/src/event_loop/listener.rs
+++ b/crates/gateway/src/event_loop/listener.rs
@@ -43,7 +43,7 @@
         ListenerProtocol::Resp => "RESP2",
         ListenerProtocol::Sftp => "file commands",
     };
-    log::info!("listens for {protocol_name} on {}", socket.local_addr()?);
+    log::info!("listening for {protocol_name} on {}", socket.local_addr()?);
     let token = context.connections.reserve();
     context.poller.register(&socket, token, EventFlags::IN)?;
     context.connections.put(token, Connection::Listener(Listener { socket, protocol }));
--- a/crates/gateway/src/event_loop/reload.rs
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -13,21 +13,21 @@
     pub(super) fn reload_config(&mut self) {
         let new = match self.context.config.reload(|key| std::env::var(key).ok()) {
             Ok(new) => new,
-            Err(error) => return log::warn!("configuration kept as it was: {error}"),
+            Err(error) => return log::warn!("configuration not reloaded: {error}"),
         };
-        log::info!("configuration read again");
+        log::info!("configuration reloaded");
         self.apply_config(new);
     }
 
     fn apply_config(&mut self, new: Config) {
         let current = &mut self.context.config;
         if new.settings != current.settings || new.listen != current.listen {
-            log::warn!("changes of settings and listen take a restart");
+            log::warn!("changes of settings and listen take effect after a restart");
         }
         logger::install(new.log);
         current.inventory = new.inventory;
         if let Err(error) = self.reload_inventory() {
-            log::warn!("inventory kept as it was: {error}");
+            log::warn!("inventory not reloaded: {error}");
         }
         if new.discovery != self.context.config.discovery {
             self.move_discovery(new.discovery);
--- a/crates/gateway/src/event_loop/shutdown.rs
+++ b/crates/gateway/src/event_loop/shutdown.rs
@@ -26,7 +26,7 @@
     /// Starts the grace period; further requests change nothing.
     pub(super) fn request(&mut self, now: Micros, timers: &mut TimerQueue) {
         if !self.is_requested {
-            log::info!("told to end: going on until idle");
+            log::info!("shutdown requested: serving until idle");
             self.is_requested = true;
             timers.set(now + SHUTDOWN_GRACE, Timer::Shutdown);
         }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -103,6 +103,6 @@
 /// Starts the gateway and its log.
 fn start(config: Config) -> Result<Gateway, GatewayError> {
     logger::install(config.log);
-    log::info!("{} starts", config.name);
+    log::info!("starting {}", config.name);
     Gateway::new(config)
 }
