--- a/crates/gateway/src/client_protocol/sftp/mod.rs
+++ b/crates/gateway/src/client_protocol/sftp/mod.rs
@@ -17,7 +17,7 @@
 
 use super::{ClientProtocol, CommandStep, EncodedReply};
 use crate::dispatcher::Response;
-use crate::sftp_packet::{kind, packet, Fields, Packet, VERSION};
+use crate::sftp_packet::{decode_packet, kind, DecodedPacket, Fields, Packet, VERSION};
 use command::CommandOutcome;
 use handle::HandleTable;
 use io_scheduler::Micros;
@@ -58,7 +58,7 @@
 
 impl ClientProtocol for SftpProtocol {
     fn parse_command(&mut self, input: &[u8], position: &mut usize, slot: u64, _ready: bool) -> CommandStep {
-        let (kind, mut fields) = match packet(input, position) {
+        let DecodedPacket { kind, mut fields } = match decode_packet(input, position) {
             Ok(Some(packet)) => packet,
             Ok(None) => return CommandStep::Incomplete,
             Err(_) => return CommandStep::Close(Vec::new()),
--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -23,7 +23,7 @@
             connection.idle_since = Some(context.now);
         }
         if connection.is_ready() {
-            let close_at = context.now + pool.idle_timeout.limit();
+            let close_at = context.now + pool.idle_timeout.idle_timeout();
             context.timers.reschedule(&mut connection.deadline, Some(close_at), Timer::Connection(token));
         }
         context.connections.put(token, Connection::Node(connection));
@@ -79,7 +79,7 @@
         let Some(in_flight) = in_flight else { return };
         if outcome == Outcome::Reset && in_flight.is_reported_written {
             if let Some(pool) = self.pools.get_mut(&node) {
-                pool.idle_timeout.was_reset(idle, context.now - in_flight.started_at);
+                pool.idle_timeout.record_reset(idle, context.now - in_flight.started_at);
             }
         }
         self.attempt_connections.remove(&in_flight.attempt);
--- a/crates/gateway/src/connections/node/idle_timeout.rs
+++ b/crates/gateway/src/connections/node/idle_timeout.rs
@@ -30,20 +30,25 @@
 
     /// How long an idle connection is kept open by the gateway.
     #[must_use]
-    pub fn limit(&self) -> Micros {
+    pub fn idle_timeout(&self) -> Micros {
         self.estimate
     }
 
-    /// Whether a connection may be used after it was idle for this long. A request that is not `repeatable`
-    /// must not run twice: it trusts a connection for half the time only.
+    /// Whether a request that may run twice can use a connection that was idle for this long.
     #[must_use]
-    pub fn trusts(&self, idle: Micros, repeatable: bool) -> bool {
-        let limit = if repeatable { self.estimate } else { self.estimate / 2 };
-        idle <= limit
+    pub fn allows_repeatable(&self, idle: Micros) -> bool {
+        idle <= self.estimate
+    }
+
+    /// Whether a request that must not run twice can use a connection that was idle for this long: half of the
+    /// estimate, for safety.
+    #[must_use]
+    pub fn allows_non_repeatable(&self, idle: Micros) -> bool {
+        idle <= self.estimate / 2
     }
 
     /// The connection was reset `after` a request was started on it that followed `idle` time.
-    pub fn was_reset(&mut self, idle: Micros, after: Micros) {
+    pub fn record_reset(&mut self, idle: Micros, after: Micros) {
         if idle <= MIN_IDLE_TIMEOUT || after > MAX_RESET_DELAY {
             return;
         }
@@ -56,7 +61,7 @@
     }
 
     /// A request that followed `idle` time was answered: the estimate rises a little if that was near it.
-    pub fn was_good(&mut self, idle: Micros) {
+    pub fn record_response(&mut self, idle: Micros) {
         self.longest_answered = self.longest_answered.max(idle);
         if idle > self.estimate / 2 {
             self.estimate = (self.estimate + self.estimate / 8).min(self.maximum);
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -182,7 +182,7 @@
         context.dispatcher.mark_written(in_flight.attempt);
         context.complete_attempt(in_flight.attempt, result);
         if let Some(pool) = self.pools.get_mut(&connection.node) {
-            pool.idle_timeout.was_good(connection.idle_before_request);
+            pool.idle_timeout.record_response(connection.idle_before_request);
         }
     }
 
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -80,21 +80,25 @@
     /// Takes an idle connection out of a pool. It must be quiet: what came without a request would be taken
     /// for the next response.
     fn take_idle(&mut self, node: NodeId, operation: Operation, context: &mut Context) -> Option<u64> {
-        let is_repeatable = operation != Operation::Write;
         loop {
             let pool = self.pools.get_mut(&node)?;
             let idle_timeout = pool.idle_timeout;
             let token = pool.idle.pop()?;
             let Some(Connection::Node(mut connection)) = context.connections.take(token) else { continue };
             let idle_for = connection.idle_since.map_or(0, |since| context.now - since);
-            let is_trusted = idle_timeout.trusts(idle_for, is_repeatable);
-            if !is_trusted && idle_timeout.trusts(idle_for, true) {
+            let is_allowed = match operation {
+                Operation::Write => idle_timeout.allows_non_repeatable(idle_for),
+                Operation::Read | Operation::Stat | Operation::List => {
+                    idle_timeout.allows_repeatable(idle_for)
+                }
+            };
+            if !is_allowed && idle_timeout.allows_repeatable(idle_for) {
                 // Good enough for repeatable requests. Those before it have been idle for longer.
                 pool.idle.push(token);
                 context.connections.put(token, Connection::Node(connection));
                 return None;
             }
-            if !connection.is_connected || is_trusted && connection.is_quiet() {
+            if !connection.is_connected || is_allowed && connection.is_quiet() {
                 connection.idle_before_request = idle_for;
                 context.connections.put(token, Connection::Node(connection));
                 return Some(token);
--- a/crates/gateway/src/node_protocol/sftp/mod.rs
+++ b/crates/gateway/src/node_protocol/sftp/mod.rs
@@ -8,7 +8,7 @@
 
 use super::{NodeProtocol, ProtocolError};
 use crate::dispatcher::{AttemptResult, Operation, StorageRequest};
-use crate::sftp_packet::{kind, open, packet, Malformed, Packet, VERSION};
+use crate::sftp_packet::{decode_packet, kind, open, DecodedPacket, Malformed, Packet, VERSION};
 use stage::Stage;
 
 /// The protocol state of one connection to a file server.
@@ -49,13 +49,14 @@
 
     /// Decodes the next reply that belongs to the request in flight, with `position` moved past it, and
     /// passes it to the current stage.
-    fn decode_packet(
+    fn decode_next(
         &mut self,
         input: &[u8],
         position: &mut usize,
         out: &mut Vec<u8>,
     ) -> Result<Progress, ProtocolError> {
-        let Some((kind, mut fields)) = packet(input, position)? else { return Ok(Progress::InputConsumed) };
+        let Some(packet) = decode_packet(input, position)? else { return Ok(Progress::InputConsumed) };
+        let DecodedPacket { kind, mut fields } = packet;
         if matches!(self.stage, Stage::AwaitingVersion) {
             if kind != kind::VERSION || fields.u32()? < VERSION {
                 return Err(ProtocolError);
@@ -132,12 +133,12 @@
     ) -> Result<Option<AttemptResult>, ProtocolError> {
         let mut position = 0;
         let result = loop {
-            match self.decode_packet(input, &mut position, out)? {
+            match self.decode_next(input, &mut position, out)? {
                 Progress::PacketConsumed => {}
                 Progress::InputConsumed => break None,
                 Progress::RequestCompleted(result) => {
                     // A packet that directly follows the last reply belongs to no request: it is skipped.
-                    packet(input, &mut position)?;
+                    decode_packet(input, &mut position)?;
                     break Some(result);
                 }
             }
--- a/crates/gateway/src/sftp_packet/mod.rs
+++ b/crates/gateway/src/sftp_packet/mod.rs
@@ -9,7 +9,7 @@
 mod reader;
 
 pub use builder::{status, Packet};
-pub use reader::{packet, Fields, Malformed};
+pub use reader::{decode_packet, DecodedPacket, Fields, Malformed};
 
 /// The protocol version that both sides announce.
 pub const VERSION: u32 = 3;
--- a/crates/gateway/src/sftp_packet/reader.rs
+++ b/crates/gateway/src/sftp_packet/reader.rs
@@ -14,14 +14,25 @@
 #[error("malformed packet")]
 pub struct Malformed;
 
-/// Decodes the packet of `input` that starts at `position`: its type (see [`kind`](super::kind)) and its
-/// fields. Moves `position` past the packet; returns `None`, with `position` unchanged, until the packet is
-/// complete.
+/// A packet that was decoded up to its fields.
+#[derive(Clone, Copy, Debug)]
+pub struct DecodedPacket<'a> {
+    /// The packet's type, see [`kind`](super::kind).
+    pub kind: u8,
+    /// What follows the type.
+    pub fields: Fields<'a>,
+}
+
+/// Decodes the packet of `input` that starts at `position`. Moves `position` past the packet; returns `None`,
+/// with `position` unchanged, until the packet is complete.
 ///
 /// # Errors
 ///
 /// [`Malformed`] if the length field is zero or above [`MAX_PACKET_LENGTH`].
-pub fn packet<'a>(input: &'a [u8], position: &mut usize) -> Result<Option<(u8, Fields<'a>)>, Malformed> {
+pub fn decode_packet<'a>(
+    input: &'a [u8],
+    position: &mut usize,
+) -> Result<Option<DecodedPacket<'a>>, Malformed> {
     let rest = &input[*position..];
     let Some(length_field) = rest.first_chunk::<LENGTH_FIELD_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length_field) as usize;
@@ -31,7 +42,7 @@
     let end = LENGTH_FIELD_BYTES + length;
     let Some(payload) = rest.get(LENGTH_FIELD_BYTES..end) else { return Ok(None) };
     *position += end;
-    Ok(Some((payload[0], Fields { rest: &payload[1..] })))
+    Ok(Some(DecodedPacket { kind: payload[0], fields: Fields { rest: &payload[1..] } }))
 }
 
 /// The fields of one packet, decoded in order from the front.
--- a/crates/gateway/tests/scenario_runner/sftp_message.rs
+++ b/crates/gateway/tests/scenario_runner/sftp_message.rs
@@ -2,7 +2,7 @@
 
 use super::message::{DecodedMessage, Message};
 use std::fmt::Write as _;
-use storage_gateway::sftp_packet::{kind, packet, Fields, Packet};
+use storage_gateway::sftp_packet::{decode_packet, kind, Fields, Packet};
 
 /// The first bytes of a packet that is never completed.
 const INCOMPLETE_PACKET: [u8; 5] = [0, 0, 0, 9, 1];
@@ -10,8 +10,8 @@
 /// Decodes the first packet; `None` until it is complete.
 pub fn decode(input: &[u8]) -> Option<DecodedMessage> {
     let mut length = 0;
-    let (packet_kind, fields) = packet(input, &mut length).expect("a well-formed packet")?;
-    let message = describe(packet_kind, fields);
+    let packet = decode_packet(input, &mut length).expect("a well-formed packet")?;
+    let message = describe(packet.kind, packet.fields);
     Some(DecodedMessage { message, length })
 }
 
