--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -47,7 +47,7 @@
             now,
             actions: Vec::new(),
             state: State::default(),
-            next_poll_at: endpoints::spread_poll(&settings, now, scatter(seed), endpoints::MAX_SPREAD),
+            next_poll_at: endpoints::poll_at(&settings, now, scatter(seed), endpoints::MAX_SPREAD),
             timer_at: None,
             last_cleanup: now,
             settings,
--- a/crates/scheduler/src/scheduler/endpoints.rs
+++ b/crates/scheduler/src/scheduler/endpoints.rs
@@ -17,11 +17,11 @@
 const BACKOFF_PER_HOST: Micros = 100_000;
 const MAX_BACKOFF: Micros = 500_000;
 
-/// When a host makes its next call; never where the list comes by itself.
-pub(super) fn spread_poll(settings: &Settings, after: Micros, random: u64, spread: Micros) -> Option<Micros> {
+/// When a host makes its next call after a time, spread by `random`; never where the list comes by itself.
+pub(super) fn poll_at(settings: &Settings, after: Micros, random: u64, max_spread: Micros) -> Option<Micros> {
     let other_hosts = Micros::from(settings.discovery_clients.checked_sub(1)?);
     let interval = settings.max_poll_interval;
-    let max_spread = if interval > 0 { spread.min(interval / 2) } else { spread };
+    let max_spread = if interval > 0 { max_spread.min(interval / 2) } else { max_spread };
     let spread = unit_hash(random) * (SPREAD_PER_HOST * other_hosts).min(max_spread) as f64;
     Some(after + spread as Micros)
 }
@@ -42,7 +42,7 @@
     fn plan_poll(&mut self, max_spread: Micros) {
         let hosts = Micros::from(self.settings.discovery_clients);
         let resume_at = self.now + (BACKOFF_PER_HOST * hosts).min(MAX_BACKOFF);
-        self.next_poll_at = spread_poll(&self.settings, resume_at, self.seed ^ self.now as u64, max_spread);
+        self.next_poll_at = poll_at(&self.settings, resume_at, self.seed ^ self.now as u64, max_spread);
     }
 
     pub(super) fn poll_if_due(&mut self) {
