--- a/crates/gateway/src/sftp_packet/mod.rs
+++ b/crates/gateway/src/sftp_packet/mod.rs
@@ -2,7 +2,7 @@
 //! stream without the SSH transport.
 //!
 //! The client protocol and the node protocol share this codec. A packet is a 32-bit length, a type byte
-//! (see [`kind`]) and the fields of that type; all numbers are big-endian. [`packet`] and [`Fields`] decode,
+//! (see [`kind`]) and the fields of that type; all numbers are big-endian. [`decode_packet`] and [`Fields`] decode,
 //! [`Packet`] and [`status`] encode.
 
 mod builder;
