--- a/crates/gateway/src/client_protocol/resp/names.rs
+++ b/crates/gateway/src/client_protocol/resp/names.rs
@@ -33,17 +33,17 @@
     /// The names of the settings.
     #[must_use]
     pub fn new(settings: &DeploymentSettings) -> Rc<RequestNames> {
-        let domain = &settings.domain;
+        let storage = &settings.storage;
         let class = |(index, class): (usize, &ClassSettings)| RequestClass {
             name: class.name.clone(),
-            writes: domain.writes.get(index).copied(),
+            writes: storage.writes.get(index).copied(),
             max_wait_ms: if class.deadline_ms > 0.0 { class.deadline_ms } else { MAX_WAIT_MS },
         };
         Rc::new(RequestNames {
             classes: settings.classes.iter().enumerate().map(class).collect(),
             plans: settings.plans.iter().map(|plan| plan.name.clone()).collect(),
             // Larger numbers than the settings know would count against a volume for the rest of the day.
-            max_units: if domain.max_units > 0.0 { domain.max_units } else { DEFAULT_MAX_UNITS },
+            max_units: if storage.max_units > 0.0 { storage.max_units } else { DEFAULT_MAX_UNITS },
             max_hosts: f64::from(settings.gateway_count.max(1)),
         })
     }
--- a/crates/gateway/src/client_protocol/sftp/shared.rs
+++ b/crates/gateway/src/client_protocol/sftp/shared.rs
@@ -69,10 +69,10 @@
                 .map(|class| RequestClass { name: class.name.clone(), deadline_ms: class.deadline_ms })
                 .collect(),
             plans: settings.plans.iter().map(|plan| plan.name.clone()).collect(),
-            shard_count: settings.domain.shard_count.max(1),
+            shard_count: settings.storage.shard_count.max(1),
             hosts: f64::from(settings.gateway_count.max(1)),
-            mean_units: settings.domain.mean_units.max(1.0),
-            max_units: settings.domain.max_units.max(1.0),
+            mean_units: settings.storage.mean_units.max(1.0),
+            max_units: settings.storage.max_units.max(1.0),
             next_request_id: Cell::new(first_request_id),
             buffered_bytes: Cell::new(0),
             max_buffered_bytes,
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -111,7 +111,7 @@
     precedence: Precedence,
 ) -> Result<Config, ConfigError> {
     let mut file: file::Router = file::decode(text, "ROUTER_CONFIG")?;
-    file.settings.has_agent = true;
+    file.settings.has_discovery_agent = true;
     check(&file.settings, &file.limits, DeadlineRule::Optional)?;
     let required = |key: &str, in_file: Option<String>| {
         let value = match precedence {
@@ -170,7 +170,7 @@
 fn read_operator_file(path: &Path) -> Result<file::Operator, ConfigError> {
     let mut text = file::read(path)?;
     let mut file: file::Operator = file::decode(&mut text, &path.display().to_string())?;
-    file.settings.has_agent = file.discovery.is_some();
+    file.settings.has_discovery_agent = file.discovery.is_some();
     let deadline_rule = match file.sftp {
         Some(_) => DeadlineRule::AtLeastObjective,
         None => DeadlineRule::Optional,
--- a/crates/gateway/src/config/sftp.rs
+++ b/crates/gateway/src/config/sftp.rs
@@ -60,7 +60,7 @@
         settings: &DeploymentSettings,
     ) -> Result<SftpSettings, ConfigError> {
         // A path does not name a shard: it follows from the object's name and the number of shards.
-        if settings.domain.shard_count == 0 {
+        if settings.storage.shard_count == 0 {
             return Err(ConfigError::missing("settings.domain.n_shards"));
         }
         let volumes = convert_volumes(&section.volumes, settings)?;
@@ -111,7 +111,7 @@
     let Some(index) = settings.classes.iter().position(|class| class.name == name) else {
         return Err(ConfigError::invalid_value(key, InvalidValue::UnknownClass(name.to_owned())));
     };
-    let writes = settings.domain.writes.get(index).copied().unwrap_or_default();
+    let writes = settings.storage.writes.get(index).copied().unwrap_or_default();
     let class_access = if writes { Access::Write } else { Access::Read };
     if class_access != access {
         return Err(ConfigError::invalid_value(key, InvalidValue::WrongAccess(name.to_owned())));
--- a/crates/gateway/src/config/validate.rs
+++ b/crates/gateway/src/config/validate.rs
@@ -41,7 +41,7 @@
     for (index, class) in settings.classes.iter().enumerate() {
         check_class(index, class, deadline_rule)?;
     }
-    if settings.allowed.max_attempts == 0 {
+    if settings.permissions.max_attempts == 0 {
         let cause = InvalidValue::BelowMinimum { min: 1 };
         return Err(ConfigError::invalid_value("settings.allowed.max_attempts", cause));
     }
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -127,7 +127,7 @@
         }
         let mut connection =
             NodeConnection::new(socket, node, address, context.config.budget.max_value_bytes);
-        let connect_timeout = micros(context.config.settings.allowed.connect_timeout_ms.max(1.0));
+        let connect_timeout = micros(context.config.settings.permissions.connect_timeout_ms.max(1.0));
         context.timers.reschedule(
             &mut connection.deadline,
             Some(context.now + connect_timeout),
--- a/crates/gateway/src/connections/node/pool.rs
+++ b/crates/gateway/src/connections/node/pool.rs
@@ -35,7 +35,7 @@
 
 impl ConnectionPool {
     pub(super) fn new(settings: &DeploymentSettings) -> ConnectionPool {
-        let stated_ms = settings.allowed.conn_idle_ms;
+        let stated_ms = settings.permissions.conn_idle_ms;
         let max_idle =
             if stated_ms > 0.0 { micros(stated_ms * IDLE_TIMEOUT_FRACTION) } else { DEFAULT_IDLE_TIMEOUT };
         ConnectionPool {
--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -172,7 +172,7 @@
 #[test]
 fn an_aborted_write_is_rejected_before_its_first_byte_and_failed_after_it() {
     for (written, expect_rejected) in [(false, true), (true, false)] {
-        let settings = settings(|s| s.allowed.max_attempts = 1);
+        let settings = settings(|s| s.permissions.max_attempts = 1);
         let mut harness = Harness::new(&settings, &[in_service("n", 0)]);
         harness.submit(Operation::Write, Some(0));
         harness.run_turn();
@@ -226,7 +226,7 @@
 fn listings_keep_to_the_slow_start_budget_and_get_one_response_each() {
     const RESTARTED: NodeId = NodeId(1);
     let settings = settings(|s| {
-        s.domain.slow_start_units = SLOW_START_UNITS;
+        s.storage.slow_start_units = SLOW_START_UNITS;
         // Without reservations nothing may go beyond the certain capacity of a node that warms up.
         s.plans[0].reservation = 0.0;
     });
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -1,4 +1,4 @@
-//! Conversion of the decoded settings to those of the decision module.
+//! Conversion of the decoded settings to the settings of the scheduler.
 
 use crate::time::micros;
 use crate::types::{ClassSettings, DeploymentSettings, PlanSettings};
@@ -7,37 +7,37 @@
     DeduplicationScope, Idempotency, RequestClass, RetryBudget, Settings, SlowStart, VolumePlan,
 };
 
-/// Value of `discovery` if every gateway polls the discovery service.
-const SUBSCRIBE: &str = "subscribe";
+/// Value of the key `discovery` if every gateway polls the discovery service itself.
+const DISCOVERY_SUBSCRIBE: &str = "subscribe";
 
 impl DeploymentSettings {
-    /// The settings of the decision module.
+    /// Converts the settings for the scheduler.
     ///
     /// # Errors
     ///
-    /// If the idempotency or the deduplication scope of a class is not a known word.
+    /// If the idempotency or the deduplication scope of a class is not one of the known values.
     pub fn to_scheduler_settings(&self) -> Result<Settings, UnknownValue> {
-        let (allowed, domain, rules) = (&self.allowed, &self.domain, &self.rules);
+        let DeploymentSettings { permissions, storage, rules, .. } = self;
         Ok(Settings {
             classes: self.request_classes()?,
             plans: self.plans.iter().map(VolumePlan::from).collect(),
             hosts: self.gateway_count,
-            max_attempts: allowed.max_attempts,
-            hedging_allowed: allowed.hedging,
-            cancellation_allowed: allowed.cancellation,
-            health_checks_allowed: allowed.health_checks,
+            max_attempts: permissions.max_attempts,
+            hedging_allowed: permissions.hedging,
+            cancellation_allowed: permissions.cancellation,
+            health_checks_allowed: permissions.health_checks,
             discovery_clients: self.discovery_clients(),
             max_poll_interval: micros(rules.max_poll_interval_ms),
             drain_grace: micros(rules.drain_grace_ms),
             slow_start: self.slow_start(),
             quiesce_period: micros(rules.quiesce_period_ms),
             retry_budget: self.retry_budget(),
-            mean_units: domain.mean_units,
-            max_units: domain.max_units,
-            usage_report_period: micros(domain.usage_report_period_ms),
-            reports_remote_units: domain.reports_remote_units,
-            within_share_value: domain.within_share_value,
-            surplus_value: domain.surplus_value,
+            mean_units: storage.mean_units,
+            max_units: storage.max_units,
+            usage_report_period: micros(storage.usage_report_period_ms),
+            reports_remote_units: storage.reports_remote_units,
+            within_share_value: storage.within_share_value,
+            surplus_value: storage.surplus_value,
         })
     }
 
@@ -45,24 +45,27 @@
         self.classes.iter().map(RequestClass::try_from).collect()
     }
 
-    /// Number of gateways that poll the same discovery service.
+    /// Number of gateways that poll the same discovery endpoint: all of them if they poll the discovery service
+    /// itself, only this one if it polls the agent on its own host, and 0 if there is neither.
     fn discovery_clients(&self) -> u32 {
-        if self.discovery == SUBSCRIBE {
+        if self.discovery == DISCOVERY_SUBSCRIBE {
             return self.gateway_count.max(1);
         }
-        u32::from(self.has_agent)
+        u32::from(self.has_discovery_agent)
     }
 
+    /// Slow start of nodes, gathered from the rules and from the properties of the nodes.
     fn slow_start(&self) -> SlowStart {
         SlowStart {
             initial_capacity: self.rules.initial_capacity,
             duration: micros(self.rules.slow_start_duration_ms),
             window: micros(self.rules.slow_start_window_ms),
             burst_factor: self.rules.slow_start_burst_factor,
-            units: self.domain.slow_start_units,
+            units: self.storage.slow_start_units,
         }
     }
 
+    /// The retry budget; `None` if the settings state no window for it.
     fn retry_budget(&self) -> Option<RetryBudget> {
         let window_ms = self.rules.retry_window_ms?;
         Some(RetryBudget {
@@ -87,7 +90,8 @@
     }
 }
 
-/// The scope is checked for every class, although only idempotency by key uses it.
+/// Whether requests of the class may run twice. The deduplication scope is validated for every class, although
+/// only idempotency by key uses it, so that a misspelled scope is always reported.
 fn idempotency(class: &ClassSettings) -> Result<Idempotency, UnknownValue> {
     let scope = deduplication_scope(&class.deduplication_scope)?;
     match class.idempotency.as_str() {
@@ -98,8 +102,9 @@
     }
 }
 
-fn deduplication_scope(word: &str) -> Result<DeduplicationScope, UnknownValue> {
-    match word {
+/// Parses the key `group` of a class.
+fn deduplication_scope(text: &str) -> Result<DeduplicationScope, UnknownValue> {
+    match text {
         "zone" => Ok(DeduplicationScope::Zone),
         "cell" => Ok(DeduplicationScope::Shard),
         "all" | "" => Ok(DeduplicationScope::All),
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -1,5 +1,5 @@
-//! The settings as they are decoded. An absent number is 0, an absent flag is false, an absent string or list
-//! is empty; unknown keys are ignored.
+//! The settings object as serde decodes it. An absent number is 0, an absent flag is false, an absent string or
+//! list is empty; unknown keys are ignored. The decoder's error messages contain the names of these types.
 
 use serde::Deserialize;
 
@@ -7,19 +7,22 @@
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 pub struct DeploymentSettings {
-    /// Features that the deployment lets a gateway use.
-    pub allowed: AllowedFeatures,
+    /// Optional features that the deployment permits, and the limits on attempts and connections.
+    #[serde(rename = "allowed")]
+    pub permissions: AllowedFeatures,
     /// Classes of request; requests refer to them by index.
     pub classes: Vec<ClassSettings>,
     /// How gateways learn the endpoint list; `subscribe` if each of them polls the discovery service.
     pub discovery: String,
-    /// The endpoint list is pushed to an agent on the gateway's host, and the gateway polls that agent. Not
-    /// part of the decoded object: the program sets it from where it runs.
+    /// Whether a discovery agent runs on the gateway's host. The discovery service pushes the endpoint list to
+    /// the agent, and the gateway polls the agent. This is not a key of the settings object: the program sets
+    /// it from its own configuration.
     #[serde(skip)]
-    pub has_agent: bool,
+    pub has_discovery_agent: bool,
     /// Properties of the stored data and of the storage nodes.
-    pub domain: DomainSettings,
-    /// Number of gateways that work beside each other, this one included.
+    #[serde(rename = "domain")]
+    pub storage: DomainSettings,
+    /// Number of gateways in the deployment, including this one.
     #[serde(rename = "group_size")]
     pub gateway_count: u32,
     /// Plans of volumes; requests refer to them by index.
@@ -33,23 +36,23 @@
     pub zones: Vec<String>,
 }
 
-/// Features that a deployment allows, and the limits of connections.
+/// Optional features that a deployment permits, and the limits on attempts and connections.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 pub struct AllowedFeatures {
     /// Attempts allowed for one request, the first included.
     pub max_attempts: u32,
-    /// Milliseconds without traffic after which a storage node closes a connection.
+    /// Idle time in milliseconds after which a storage node closes a connection.
     pub conn_idle_ms: f64,
-    /// Milliseconds within which a connection to a storage node must be established.
+    /// Timeout in milliseconds for establishing a connection to a storage node.
     pub connect_timeout_ms: f64,
-    /// An attempt may be cancelled.
+    /// Whether an attempt in flight may be cancelled.
     #[serde(rename = "may_cancel")]
     pub cancellation: bool,
-    /// Health checks may be sent to nodes.
+    /// Whether health checks may be sent to nodes.
     #[serde(rename = "probes")]
     pub health_checks: bool,
-    /// A request may be hedged: two of its attempts may be in flight at once.
+    /// Whether a request may be hedged, that is, have two attempts in flight at the same time.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
 }
@@ -61,22 +64,22 @@
     /// Latency objective in milliseconds: a response within this time has its full value.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
-    /// Requests for one object key run in the order of their arrival.
+    /// Whether requests for the same object key run one after the other, in the order of their arrival.
     #[serde(rename = "by_arrival")]
     pub ordered: bool,
-    /// Milliseconds after which the client gives up.
+    /// Time in milliseconds after which the client gives up waiting for the response.
     pub deadline_ms: f64,
     /// Whether a request may run twice: `pure` (idempotent), `token` (idempotent by key) or `side_effect`.
     #[serde(rename = "effect")]
     pub idempotency: String,
-    /// Nodes that recognize a repeated idempotency key: `zone` (those of one zone), `cell` (those of one
-    /// shard), or `all`, also if empty.
+    /// Which nodes share their record of idempotency keys, so that each recognizes a key that another has seen:
+    /// `zone` (the nodes of one zone), `cell` (the nodes of one shard) or `all`. An empty string means `all`.
     #[serde(rename = "group")]
     pub deduplication_scope: String,
-    /// Milliseconds for which a node recognizes an idempotency key.
+    /// Time in milliseconds for which a node recognizes an idempotency key.
     #[serde(rename = "key_ttl_ms")]
     pub deduplication_window_ms: f64,
-    /// Fraction of the value that is left after the latency objective.
+    /// Fraction of its value that a response keeps after the latency objective has passed.
     pub late_value: f64,
     /// Name of the class.
     pub name: String,
@@ -89,22 +92,23 @@
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 pub struct DomainSettings {
-    /// Units that a node can take within a slow-start window right after its start, from all gateways.
+    /// Units that a node can process within one slow-start window right after its start, counted over all
+    /// gateways.
     #[serde(rename = "cold_bears")]
     pub slow_start_units: f64,
-    /// Responses state the units that the node served for the volume through other gateways.
+    /// Whether responses state the units that the node served for the volume through other gateways.
     #[serde(rename = "counts_others")]
     pub reports_remote_units: bool,
-    /// Fraction of a request's value that units within the volume's share have.
+    /// Fraction of its value that a request has if its units are within the volume's share.
     #[serde(rename = "fair_worth")]
     pub within_share_value: f64,
     /// Period of the usage report in milliseconds; 0 if responses carry none.
     #[serde(rename = "meter_ms")]
     pub usage_report_period_ms: f64,
-    /// Fraction of a request's value that units beyond the volume's share have.
+    /// Fraction of its value that a request has if its units exceed the volume's share.
     #[serde(rename = "spare_worth")]
     pub surplus_value: f64,
-    /// Number of shards of the data.
+    /// Number of shards that the data is divided into.
     #[serde(rename = "n_shards")]
     pub shard_count: u64,
     /// Mean size of a request in units.
@@ -117,7 +121,8 @@
     pub writes: Vec<bool>,
 }
 
-/// A plan of volumes. Rates are units per second of one volume over all gateways and nodes.
+/// A plan, which states the service that its volumes get. Rates are in units per second for one volume, summed
+/// over all gateways and nodes.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 pub struct PlanSettings {
@@ -132,7 +137,7 @@
     /// dmClock limit: the rate that must not be exceeded; 0 for none.
     #[serde(rename = "never_over")]
     pub limit: f64,
-    /// dmClock weight: the share of what the reservations leave.
+    /// dmClock weight: the volume's share of the capacity beyond the reservations, relative to other volumes.
     #[serde(rename = "parts")]
     pub weight: f64,
     /// Factor on the value of the volume's requests.
@@ -161,13 +166,13 @@
     /// Fraction of its full capacity that a node has right after its start.
     #[serde(rename = "cold_from")]
     pub initial_capacity: f64,
-    /// Milliseconds after its start within which a node reaches its full capacity.
+    /// Duration in milliseconds of slow start: a node has its full capacity this long after its start.
     #[serde(rename = "cold_ms")]
     pub slow_start_duration_ms: f64,
     /// Retries that are allowed in every window of the retry budget; absent counts as 0.
     #[serde(rename = "extra_free")]
     pub retry_allowance: Option<f64>,
-    /// Length in milliseconds of the window over which the work sent to a warming node is counted.
+    /// Length in milliseconds of the window over which the units dispatched to a node in slow start are counted.
     #[serde(rename = "fall_ms")]
     pub slow_start_window_ms: f64,
     /// Further retries that are allowed for each request received in that window; absent counts as 0.
@@ -176,16 +181,18 @@
     /// Longest interval in milliseconds between two polls of the endpoint list without a watch; 0 for none.
     #[serde(rename = "must_ask_in_ms")]
     pub max_poll_interval_ms: f64,
-    /// Milliseconds for which an object key stays blocked after an attempt that may still be running.
+    /// Time in milliseconds for which an object key stays blocked after an attempt that may still be running at
+    /// its node.
     #[serde(rename = "order_settle_ms")]
     pub quiesce_period_ms: f64,
     /// Length in milliseconds of the retry budget's window; absent if there is no budget.
     #[serde(rename = "resend_span_ms")]
     pub retry_window_ms: Option<f64>,
-    /// Milliseconds after the notice that a node is draining or removed within which dispatches to it stop.
+    /// Time in milliseconds within which dispatches to a node must stop after the endpoint list has shown it as
+    /// draining or removed.
     #[serde(rename = "stop_sending_within_ms")]
     pub drain_grace_ms: f64,
-    /// Work that a warming node can take within a window, as a multiple of its capacity at that time.
+    /// Units that a node in slow start can process within one window, as a multiple of its capacity at that time.
     #[serde(rename = "tip_multiple")]
     pub slow_start_burst_factor: f64,
 }
--- a/crates/settings/tests/conversion.rs
+++ b/crates/settings/tests/conversion.rs
@@ -140,7 +140,7 @@
 
 #[test]
 fn discovery_clients_are_the_whole_group_one_for_an_agent_or_none() {
-    for (discovery, group_size, has_agent, clients) in [
+    for (discovery, group_size, has_discovery_agent, clients) in [
         ("subscribe", 30, false, 30),
         ("subscribe", 30, true, 30),
         ("subscribe", 0, false, 1),
@@ -149,16 +149,16 @@
         ("", 30, false, 0),
     ] {
         let mut settings = decode(json!({"discovery": discovery, "group_size": group_size}));
-        settings.has_agent = has_agent;
+        settings.has_discovery_agent = has_discovery_agent;
         let converted = settings.to_scheduler_settings().expect("the settings convert");
         assert_eq!(converted.hosts, group_size);
-        assert_eq!(converted.discovery_clients, clients, "{discovery} {group_size} {has_agent}");
+        assert_eq!(converted.discovery_clients, clients, "{discovery} {group_size} {has_discovery_agent}");
     }
 }
 
 #[test]
 fn the_agent_is_not_part_of_the_object() {
-    assert!(!decode(json!({"has_agent": true})).has_agent);
+    assert!(!decode(json!({"has_discovery_agent": true})).has_discovery_agent);
 }
 
 #[test]
@@ -171,12 +171,12 @@
         "report": {"names": ["queue", "busy"]},
         "zones": ["a", "b"]
     }));
-    assert_eq!(settings.allowed.conn_idle_ms, 1.0);
-    assert_eq!(settings.allowed.connect_timeout_ms, 2.0);
+    assert_eq!(settings.permissions.conn_idle_ms, 1.0);
+    assert_eq!(settings.permissions.connect_timeout_ms, 2.0);
     assert_eq!(settings.classes[0].name, "read");
     assert_eq!(settings.classes[0].deadline_ms, 3.0);
-    assert_eq!(settings.domain.shard_count, 4);
-    assert_eq!(settings.domain.writes, [false, true]);
+    assert_eq!(settings.storage.shard_count, 4);
+    assert_eq!(settings.storage.writes, [false, true]);
     assert_eq!(settings.plans[0].name, "basic");
     assert_eq!(settings.load_report.value_names, ["queue", "busy"]);
     assert_eq!(settings.zones, ["a", "b"]);
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the adapter stops.
+//! The errors that end the program.
 
 use crate::wire::{ParseError, StatusCode};
 use deployment_settings::UnknownValue;
@@ -24,7 +24,7 @@
         /// The cause.
         source: ParseError,
     },
-    /// A line has an event that cannot be handled.
+    /// A line contains an event that cannot be handled.
     #[error("line {line}: {source}")]
     Event {
         /// Number of the line.
--- a/crates/simulator-adapter/src/instance/decode.rs
+++ b/crates/simulator-adapter/src/instance/decode.rs
@@ -1,4 +1,4 @@
-//! The simulator's events as events of the scheduler.
+//! Conversion of the simulator's messages to events for the scheduler.
 
 use super::Instance;
 use crate::error::EventError;
@@ -13,12 +13,12 @@
 };
 
 impl Instance {
-    /// Converts an event. `None` if it does not concern the scheduler, for instance because its request is
-    /// not known any more.
+    /// Converts a message. Returns `None` if the scheduler need not handle it, for instance because its request
+    /// is no longer tracked.
     ///
     /// # Errors
     ///
-    /// If the event names a class, a plan or a status that is not known.
+    /// If the message names an unknown class, plan or status.
     pub fn decode_event(&mut self, message: EventMessage) -> Result<Option<Event>, EventError> {
         Ok(match message {
             EventMessage::EndpointList { kind, endpoints } => {
@@ -41,31 +41,33 @@
         })
     }
 
+    /// Id of the node with this name; a new name gets a new id.
     fn node(&mut self, name: &str) -> NodeId {
-        NodeId(self.nodes.number(name))
+        NodeId(self.nodes.id_of(name))
     }
 
+    /// Converts one row of the endpoint list.
     fn endpoint(&mut self, row: &EndpointRow) -> Endpoint {
         Endpoint {
             node: self.node(&row.node),
-            zone: Zone(self.zones.number(&row.zone)),
+            zone: Zone(self.zones.id_of(&row.zone)),
             shard: Shard(row.shard),
             status: row.condition.into(),
             started_at: row.started_at_ms.filter(|started_at| *started_at > 0.0).map(micros),
         }
     }
 
+    /// Converts a client's request and starts to track it.
     fn request(&mut self, message: IncomingRequest) -> Result<Request, EventError> {
-        let index = |names: &[String], field: &'static str, name: &str| {
-            let index = names.iter().position(|known| known == name);
-            index.ok_or_else(|| EventError::UnknownName {
-                request: message.request.clone(),
-                field,
-                name: name.to_owned(),
-            })
+        let unknown_name = |field: &'static str, name: &str| EventError::UnknownName {
+            request: message.request.clone(),
+            field,
+            name: name.to_owned(),
         };
-        let plan = index(&self.plan_names, "qos_class", &message.plan)?;
-        let class = index(&self.class_names, "lane", &message.class)?;
+        let plan = index_of(&self.plan_names, &message.plan)
+            .ok_or_else(|| unknown_name("qos_class", &message.plan))?;
+        let class = index_of(&self.class_names, &message.class)
+            .ok_or_else(|| unknown_name("lane", &message.class))?;
         Ok(Request {
             id: self.requests.add(message.request),
             volume: VolumeId(message.volume),
@@ -80,6 +82,7 @@
         })
     }
 
+    /// Converts the result of a health check.
     fn health_check(&mut self, message: &HealthCheckMessage) -> Event {
         Event::HealthCheckCompleted {
             node: self.node(&message.node),
@@ -89,12 +92,14 @@
         }
     }
 
-    /// Requests waiting or in progress at the node, if its load report has them.
+    /// Number of requests that wait or run at the node, if its load report contains it.
     fn load(&self, message: &HealthCheckMessage) -> Option<f64> {
         let report = message.load_report.as_ref()?;
-        report.get(self.load_value?).copied()
+        report.get(self.load_value_index?).copied()
     }
 
+    /// Converts the outcome of an attempt and updates its request. Returns `None` if the request is no longer
+    /// tracked.
     fn completed_attempt(
         &mut self,
         message: &AttemptOutcomeMessage,
@@ -103,7 +108,8 @@
             let request = message.request.clone();
             return Err(EventError::UnknownStatus { request, status: message.status });
         };
-        // Also the outcome of an unknown request gives its node a number.
+        // Looked up even if the request is no longer tracked: ids are numbered in the order in which node names
+        // first appear, and this message may be the first to name its node.
         let node = self.node(&message.node);
         let Some(id) = self.requests.id(&message.request) else { return Ok(None) };
         if let Some(request) = self.requests.get_mut(id) {
@@ -123,7 +129,12 @@
     }
 }
 
-/// A negative number stands for a new object, which has no shard yet.
+/// Index of a name in a list of names.
+fn index_of(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|known| known == name)
+}
+
+/// Shard of a request. A negative number stands for a new object, which has no shard yet.
 fn shard(number: f64) -> Option<Shard> {
     if number >= 0.0 {
         Some(Shard(number as u64))
--- a/crates/simulator-adapter/src/instance/encode.rs
+++ b/crates/simulator-adapter/src/instance/encode.rs
@@ -1,20 +1,15 @@
-//! The scheduler's actions as messages to the simulator.
+//! Conversion of the scheduler's actions to messages for the simulator.
 
 use super::Instance;
 use crate::wire::ActionMessage;
+use deployment_settings::milliseconds;
 use io_scheduler::{Action, Micros, NodeId, RequestId};
 
-/// Name of the one timer that an instance has.
+/// Name of the timer of an instance; each instance has only this one.
 const TIMER_NAME: &str = "wake";
 
-const MICROS_PER_MILLISECOND: f64 = 1000.0;
-
-fn milliseconds(micros: Micros) -> f64 {
-    micros as f64 / MICROS_PER_MILLISECOND
-}
-
 impl Instance {
-    /// Converts an action; `None` if its request is not known any more.
+    /// Converts an action and updates its request's entry. Returns `None` if the request is no longer tracked.
     pub fn encode_action(&mut self, action: &Action, now: Micros) -> Option<ActionMessage> {
         match *action {
             Action::Dispatch { request, node, deadline } => self.encode_dispatch(request, node, deadline),
@@ -39,6 +34,7 @@
         }
     }
 
+    /// Converts a dispatch, which adds one to the request's attempts in flight.
     fn encode_dispatch(&mut self, id: RequestId, node: NodeId, deadline: Micros) -> Option<ActionMessage> {
         let request = self.requests.get_mut(id)?;
         request.attempts_in_flight += 1;
@@ -56,6 +52,7 @@
         Some(request.name.clone())
     }
 
+    /// Name of a node on the wire.
     fn node_name(&self, node: NodeId) -> String {
         self.nodes.name(node.0).to_owned()
     }
--- a/crates/simulator-adapter/src/instance/mod.rs
+++ b/crates/simulator-adapter/src/instance/mod.rs
@@ -1,4 +1,4 @@
-//! One simulated gateway: its scheduler, and the tables between names on the wire and ids of the scheduler.
+//! One simulated gateway: its scheduler, and the tables that map names on the wire to the scheduler's ids.
 
 mod decode;
 mod encode;
@@ -12,7 +12,7 @@
 use names::NameTable;
 use requests::RequestTable;
 
-/// Names of the load report's values that count the requests waiting or in progress at a node.
+/// Names under which a load report may state the number of requests that wait or run at a node.
 const LOAD_VALUE_NAMES: [&str; 3] = ["queue", "pending", "busy_reqs"];
 
 /// One simulated gateway.
@@ -22,15 +22,19 @@
     class_names: Vec<String>,
     /// Names of the plans; a plan's index is its id.
     plan_names: Vec<String>,
+    /// Ids of zones by name.
     zones: NameTable,
+    /// Ids of nodes by name.
     nodes: NameTable,
-    /// Index of the load report's value that counts the requests waiting or in progress.
-    load_value: Option<usize>,
+    /// Index, within a load report, of the number of requests that wait or run at the node; `None` if load
+    /// reports do not contain it.
+    load_value_index: Option<usize>,
+    /// Requests that messages may still refer to.
     requests: RequestTable,
 }
 
 impl Instance {
-    /// Starts a gateway.
+    /// Creates a gateway whose random numbers start from `seed`, at the simulated time `now`.
     ///
     /// # Errors
     ///
@@ -43,12 +47,12 @@
             plan_names: settings.plans.iter().map(|plan| plan.name.clone()).collect(),
             zones: NameTable::from_names(&settings.zones),
             nodes: NameTable::default(),
-            load_value: value_names.iter().position(|name| LOAD_VALUE_NAMES.contains(&name.as_str())),
+            load_value_index: value_names.iter().position(|name| LOAD_VALUE_NAMES.contains(&name.as_str())),
             requests: RequestTable::default(),
         })
     }
 
-    /// Hands the scheduler the events and returns its actions.
+    /// Passes the events to the scheduler and returns the resulting actions as messages.
     pub fn handle(&mut self, now: Micros, events: &[Event]) -> Vec<ActionMessage> {
         let mut actions = Vec::new();
         self.scheduler.handle(now, events, &mut actions);
--- a/crates/simulator-adapter/src/instance/names.rs
+++ b/crates/simulator-adapter/src/instance/names.rs
@@ -1,16 +1,17 @@
-//! Numbers for names.
+//! Numeric ids for the names that appear on the wire.
 
 use std::collections::HashMap;
 
-/// Gives each name a number, counted from 0 in the order in which the names appear.
+/// Maps names to ids, which count from 0 in the order in which the names first appear, and back.
 #[derive(Default)]
 pub struct NameTable {
-    numbers: HashMap<String, u64>,
+    ids: HashMap<String, u64>,
+    /// The names, indexed by id.
     names: Vec<String>,
 }
 
 impl NameTable {
-    /// A table that numbers these names by their indices; a repeated name keeps its first index.
+    /// Creates a table in which the id of each name is its index; a repeated name has its first index.
     #[must_use]
     pub fn from_names(names: &[String]) -> Self {
         let mut table = NameTable::default();
@@ -20,28 +21,29 @@
         table
     }
 
-    /// The number of a name; a new name gets the next one.
-    pub fn number(&mut self, name: &str) -> u64 {
-        if let Some(number) = self.numbers.get(name) {
-            return *number;
+    /// The id of a name; a new name gets the next id.
+    pub fn id_of(&mut self, name: &str) -> u64 {
+        if let Some(id) = self.ids.get(name) {
+            return *id;
         }
         self.push(name)
     }
 
-    /// Gives the next number to a name; a name that has one already keeps that.
+    /// Appends a name under the next id and returns the id to use for it. A name that has an id keeps it; the new
+    /// id then stays unused, as ids and indices must agree.
     fn push(&mut self, name: &str) -> u64 {
-        let number = self.names.len() as u64;
+        let next_id = self.names.len() as u64;
         self.names.push(name.to_owned());
-        *self.numbers.entry(name.to_owned()).or_insert(number)
+        *self.ids.entry(name.to_owned()).or_insert(next_id)
     }
 
-    /// The name of a number.
+    /// The name with an id.
     ///
     /// # Panics
     ///
-    /// If the number was never given.
+    /// If no name has this id.
     #[must_use]
-    pub fn name(&self, number: u64) -> &str {
-        &self.names[number as usize]
+    pub fn name(&self, id: u64) -> &str {
+        &self.names[id as usize]
     }
 }
--- a/crates/simulator-adapter/src/instance/requests.rs
+++ b/crates/simulator-adapter/src/instance/requests.rs
@@ -1,15 +1,15 @@
-//! The requests that messages may still refer to.
+//! The table of requests that messages may still refer to.
 
 use io_scheduler::RequestId;
 use std::collections::HashMap;
 
 /// A request that is open or has attempts in flight.
 pub struct TrackedRequest {
-    /// Its name on the wire.
+    /// Name of the request on the wire.
     pub name: String,
-    /// Dispatched attempts without an outcome.
+    /// Number of dispatched attempts whose outcome has not been received.
     pub attempts_in_flight: u32,
-    /// The client has no final response yet.
+    /// Whether the client still waits for the final response.
     pub open: bool,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl RequestTable {
-    /// Adds an open request. A name that is in use refers to the new request from here on.
+    /// Adds an open request. If its name is already in use, the name refers to the new request from now on.
     pub fn add(&mut self, name: String) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -31,18 +31,18 @@
         id
     }
 
-    /// The id of a request; `None` if it is not known any more.
+    /// The id of a request; `None` if it is no longer tracked.
     #[must_use]
     pub fn id(&self, name: &str) -> Option<RequestId> {
         self.ids.get(name).copied()
     }
 
-    /// A request by its id; `None` if it is not known any more.
+    /// A request by its id; `None` if it is no longer tracked.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut TrackedRequest> {
         self.tracked.get_mut(&id)
     }
 
-    /// Closes a request and returns its id; `None` if it is not known any more.
+    /// Closes a request and returns its id; `None` if it is no longer tracked.
     pub fn close(&mut self, name: &str) -> Option<RequestId> {
         let id = self.id(name)?;
         self.get_mut(id)?.open = false;
--- a/crates/simulator-adapter/src/registry.rs
+++ b/crates/simulator-adapter/src/registry.rs
@@ -1,4 +1,4 @@
-//! The instances that this process hosts.
+//! The table of simulated gateways that this process hosts.
 
 use crate::error::EventError;
 use crate::instance::Instance;
@@ -7,24 +7,24 @@
 use io_scheduler::Micros;
 use std::collections::BTreeMap;
 
-/// The running instances by their ids on the wire. They share nothing.
+/// The running instances by their ids on the wire. They share no state.
 #[derive(Default)]
 pub struct InstanceRegistry {
     instances: BTreeMap<u64, Instance>,
 }
 
 impl InstanceRegistry {
-    /// Hands each instance its events and gathers the actions, in the order of the batch.
+    /// Passes each instance its events and collects their actions, in the order of the batch.
     ///
     /// # Errors
     ///
-    /// If an event cannot be handled; the batch is then handled only in part.
+    /// If an event cannot be handled; the rest of the batch is then not handled.
     pub fn handle(&mut self, batch: EventBatch) -> Result<ActionBatch, EventError> {
         let now = micros(batch.now_ms);
         let mut reply = ActionBatch { frame: batch.frame, instances: Vec::new() };
-        for part in batch.instances {
-            let instance = part.instance;
-            let actions = self.handle_instance(part, now)?;
+        for instance_events in batch.instances {
+            let instance = instance_events.instance;
+            let actions = self.handle_instance(instance_events, now)?;
             if !actions.is_empty() {
                 reply.instances.push(InstanceActions { instance, actions });
             }
@@ -32,15 +32,16 @@
         Ok(reply)
     }
 
-    /// Hands one instance its events and returns its actions. A start or a stop voids the events before it.
+    /// Passes one instance its events and returns its actions. A start or a stop discards the earlier events of
+    /// the batch, as the state that they would change is lost.
     fn handle_instance(
         &mut self,
-        part: InstanceEvents,
+        instance_events: InstanceEvents,
         now: Micros,
     ) -> Result<Vec<ActionMessage>, EventError> {
-        let id = part.instance;
+        let id = instance_events.instance;
         let mut events = Vec::new();
-        for message in part.events {
+        for message in instance_events.events {
             match message {
                 EventMessage::Start { seed, settings } => {
                     events.clear();
@@ -59,6 +60,7 @@
         }
     }
 
+    /// The running instance with this id.
     fn instance(&mut self, id: u64) -> Result<&mut Instance, EventError> {
         self.instances.get_mut(&id).ok_or(EventError::NotStarted { instance: id })
     }
--- a/crates/simulator-adapter/src/wire/events.rs
+++ b/crates/simulator-adapter/src/wire/events.rs
@@ -42,7 +42,7 @@
         #[serde(rename = "info")]
         settings: Box<DeploymentSettings>,
     },
-    /// News of the endpoint list.
+    /// An event of the endpoint list.
     #[serde(rename = "TARGETS")]
     EndpointList {
         /// What the rows are.
@@ -57,7 +57,7 @@
     /// A timer fired.
     #[serde(rename = "ELAPSED")]
     TimerFired {},
-    /// The response of a request's attempt has begun; the client has it from here on.
+    /// The response to a request has begun: from now on the client receives it.
     #[serde(rename = "UNDER_WAY")]
     ResponseStarted {
         /// Name of the request.
@@ -88,7 +88,7 @@
 /// What the rows of an endpoint list event are.
 #[derive(Clone, Copy, Deserialize)]
 pub enum EndpointListKind {
-    /// The list that the gateway had stored before it started.
+    /// The list that the gateway cached before it started.
     #[serde(rename = "SAVED")]
     Cached,
     /// The complete list.
@@ -114,7 +114,7 @@
     /// The shard that it stores.
     #[serde(default, rename = "unit_group")]
     pub shard: u64,
-    /// Its condition.
+    /// Whether it takes requests.
     pub condition: EndpointCondition,
     /// When it last started; absent or 0 if that is not known.
     #[serde(rename = "online_since_ms")]
@@ -135,7 +135,7 @@
     Removed,
 }
 
-/// A request from a client.
+/// A request from a client, as received by the gateway.
 #[derive(Deserialize)]
 pub struct IncomingRequest {
     /// Name of the request; further messages refer to it.
@@ -159,11 +159,11 @@
     /// When the client gives up.
     #[serde(rename = "due_ms")]
     pub deadline_ms: f64,
-    /// The request is a client's retry.
+    /// Whether the request is a client's retry of an earlier one.
     #[serde(default, rename = "resent")]
     pub is_retry: bool,
-    /// The shard that stores the object; negative for a new object. Absent counts as 0, as every absent
-    /// number of the wire.
+    /// The shard that stores the object; negative for a new object. As for every number on the wire, an absent
+    /// value counts as 0.
     #[serde(default)]
     pub shard: f64,
     /// Size in units.
@@ -195,7 +195,7 @@
     pub request: String,
     /// How the attempt ended.
     pub status: StatusCode,
-    /// The request has its final response.
+    /// Whether the request has its final response.
     #[serde(default, rename = "complete")]
     pub request_closed: bool,
     /// Name of the node.
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The simulator's messages. Fields and variants carry the terms of the field; `serde(rename)` states their
-//! spelling on the wire.
+//! The simulator's messages. Fields and variants have standard names; `serde(rename)` states their spelling on
+//! the wire.
 
 mod actions;
 mod events;
@@ -14,7 +14,7 @@
 
 use thiserror::Error;
 
-/// Why a line is not a batch of events.
+/// Why a line of input is not a valid batch of events.
 #[derive(Debug, Error)]
 pub enum ParseError {
     /// The line is not JSON, or a field is missing or of the wrong type.
@@ -30,7 +30,7 @@
     TrailingData(#[source] serde_json::Error),
 }
 
-/// Parses one line.
+/// Parses one line of input.
 ///
 /// # Errors
 ///
--- a/crates/simulator-adapter/src/wire/status.rs
+++ b/crates/simulator-adapter/src/wire/status.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::fmt;
 
-/// A status code as the simulator sends it; codes that are not known here are possible.
+/// A status code as the simulator sends it. It may be one that this program does not know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct StatusCode(u32);
