--- a/crates/gateway/src/client_protocol/sftp/command.rs
+++ b/crates/gateway/src/client_protocol/sftp/command.rs
@@ -1,4 +1,4 @@
-//! The commands of a session: each is answered at once or submits requests.
+//! The commands of a client: each is answered immediately or submits requests to storage nodes.
 
 use super::directory::{encode_next_entries, Directory, DirectoryEntry, PendingListing};
 use super::error::SftpError;
@@ -7,67 +7,77 @@
 use super::response::PendingOperation;
 use super::SftpProtocol;
 use crate::dispatcher::{Operation, StorageRequest};
-use crate::sftp_packet::{kind, open, status, Code, Fields, Packet};
+use crate::sftp_packet::{encode_status, open_flags, packet_type, Fields, Packet, StatusCode};
 
-/// What a command leads to.
+/// The result of running a command.
 pub(super) enum CommandOutcome {
-    /// An encoded reply.
+    /// The command is answered with this encoded packet.
     Reply(Vec<u8>),
-    /// Requests whose responses complete an operation.
-    Submit { requests: Vec<StorageRequest>, operation: PendingOperation },
+    /// The command is answered once storage nodes have responded.
+    Submit {
+        /// The requests to submit.
+        requests: Vec<StorageRequest>,
+        /// What their responses complete.
+        operation: PendingOperation,
+    },
 }
 
 /// The outcome of a command, or an error that is answered with a STATUS.
 type CommandResult = Result<CommandOutcome, SftpError>;
 
 impl SftpProtocol {
-    /// Runs the command `request_id` of a packet type.
-    pub(super) fn run_command(&mut self, kind: u8, request_id: u32, fields: Fields<'_>) -> CommandResult {
-        match kind {
-            kind::OPEN => self.open(request_id, fields),
-            kind::OPENDIR => self.open_directory(request_id, fields),
-            kind::READ => self.read(request_id, fields),
-            kind::WRITE => self.write(request_id, fields),
-            kind::CLOSE => self.close(request_id, fields),
-            kind::STAT | kind::LSTAT => self.stat(request_id, fields),
-            kind::FSTAT => self.stat_handle(request_id, fields),
-            kind::READDIR => self.read_directory(request_id, fields),
-            kind::REALPATH => real_path(request_id, fields),
+    /// Runs the command with this type and request id; `fields` follow the request id.
+    pub(super) fn run_command(
+        &mut self,
+        type_byte: u8,
+        request_id: u32,
+        fields: Fields<'_>,
+    ) -> CommandResult {
+        match type_byte {
+            packet_type::OPEN => self.open(request_id, fields),
+            packet_type::OPENDIR => self.open_directory(request_id, fields),
+            packet_type::READ => self.read(request_id, fields),
+            packet_type::WRITE => self.write(request_id, fields),
+            packet_type::CLOSE => self.close(request_id, fields),
+            packet_type::STAT | packet_type::LSTAT => self.stat(request_id, fields),
+            packet_type::FSTAT => self.stat_handle(request_id, fields),
+            packet_type::READDIR => self.read_directory(request_id, fields),
+            packet_type::REALPATH => real_path(request_id, fields),
             _ => Err(SftpError::UnsupportedCommand),
         }
     }
 
-    /// OPEN: an object is fetched before its handle exists; an upload gets its handle at once.
+    /// OPEN: for reading, the object is fetched before the client gets a handle; for writing, the client gets a
+    /// handle immediately.
     fn open(&mut self, request_id: u32, mut fields: Fields<'_>) -> CommandResult {
         let path = fields.string()?;
         let flags = fields.u32()?;
         let PathTarget::Object(target) = self.shared.resolve(path)? else {
             return Err(SftpError::IsDirectory);
         };
-        if flags == open::READ {
+        if flags == open_flags::READ {
             let request = self.shared.object_request(Operation::Read, &target, Vec::new());
             let operation = PendingOperation::Open(target);
             return Ok(CommandOutcome::Submit { requests: vec![request], operation });
         }
-        // An object is replaced as a whole: flags that keep a part of the old one are not supported.
-        let replace_flags = open::WRITE | open::CREAT;
-        if flags != replace_flags && flags != replace_flags | open::TRUNC {
+        // A write replaces the whole object: flags that keep a part of the old one are not supported.
+        let replace_flags = open_flags::WRITE | open_flags::CREAT;
+        if flags != replace_flags && flags != replace_flags | open_flags::TRUNC {
             return Err(SftpError::UnsupportedOpenFlags);
         }
         let number = self.handles.insert(Handle::Upload { target, data: Vec::new() })?;
         Ok(CommandOutcome::Reply(encode_handle(request_id, number)))
     }
 
-    /// OPENDIR: the volumes are known; the objects of a volume are listed at the first READDIR.
+    /// OPENDIR: the entries of the root directory are the configured volumes; the objects of a volume are listed by
+    /// the first READDIR.
     fn open_directory(&mut self, request_id: u32, mut fields: Fields<'_>) -> CommandResult {
         let directory = match self.shared.resolve(fields.string()?)? {
             PathTarget::Object(_) => return Err(SftpError::NotDirectory),
             PathTarget::Volume(target) => Directory::Unlisted(target),
             PathTarget::Root => {
-                let names = self.shared.config.volumes.iter().map(|volume| volume.name.as_bytes());
-                Directory::Listed(
-                    names.map(|name| DirectoryEntry { name: name.to_vec(), size: None }).collect(),
-                )
+                let volumes = self.shared.config.volumes.iter();
+                Directory::Listed(volumes.map(DirectoryEntry::from).collect())
             }
         };
         let number = self.handles.insert(Handle::Directory(directory))?;
@@ -80,12 +90,13 @@
         let offset = fields.u64()?;
         let length = fields.u32()? as usize;
         let data = self.handles.read_data(number)?;
-        let rest = usize::try_from(offset).ok().and_then(|offset| data.get(offset..)).unwrap_or_default();
+        let offset = usize::try_from(offset).map_err(|_| SftpError::EndOfFile)?;
+        let rest = data.get(offset..).unwrap_or_default();
         if rest.is_empty() {
             return Err(SftpError::EndOfFile);
         }
         let range = &rest[..length.min(rest.len())];
-        Ok(CommandOutcome::Reply(Packet::with_id(kind::DATA, request_id).string(range).done()))
+        Ok(CommandOutcome::Reply(Packet::with_id(packet_type::DATA, request_id).string(range).finish()))
     }
 
     /// WRITE: the bytes are buffered until CLOSE.
@@ -93,20 +104,20 @@
         let number = handle_number(&mut fields)?;
         let offset = fields.u64()?;
         let bytes = fields.string()?;
-        let max_size = self.shared.config.max_upload;
+        let max_size = self.shared.config.max_upload_bytes;
         let offset = usize::try_from(offset).map_err(|_| SftpError::ObjectTooLarge)?;
         if offset > max_size || offset + bytes.len() > max_size {
             return Err(SftpError::ObjectTooLarge);
         }
         self.handles.write_upload(number, offset, bytes)?;
-        Ok(CommandOutcome::Reply(status(request_id, Code::Ok, "")))
+        Ok(CommandOutcome::Reply(encode_status(request_id, StatusCode::Ok, "")))
     }
 
-    /// CLOSE: a buffered upload becomes one write; its reply states whether the object is stored.
+    /// CLOSE: a buffered upload is submitted as one write, and the reply states whether the object was stored.
     fn close(&mut self, request_id: u32, mut fields: Fields<'_>) -> CommandResult {
         let number = handle_number(&mut fields)?;
         let Handle::Upload { target, data } = self.handles.remove(number)? else {
-            return Ok(CommandOutcome::Reply(status(request_id, Code::Ok, "")));
+            return Ok(CommandOutcome::Reply(encode_status(request_id, StatusCode::Ok, "")));
         };
         let size = data.len() as u64;
         let request = self.shared.object_request(Operation::Write, &target, data);
@@ -134,7 +145,7 @@
         Ok(CommandOutcome::Reply(encode_attributes(request_id, size)))
     }
 
-    /// READDIR: the first one for a volume asks every shard; later ones take from the entries found.
+    /// READDIR: the first one for a volume submits a listing of every shard; later ones return the next entries.
     fn read_directory(&mut self, request_id: u32, mut fields: Fields<'_>) -> CommandResult {
         let handle = handle_number(&mut fields)?;
         let directory = self.handles.directory_mut(handle)?;
@@ -155,8 +166,9 @@
 /// REALPATH: the canonical form of a path, whether it exists or not.
 fn real_path(request_id: u32, mut fields: Fields<'_>) -> CommandResult {
     let path = canonicalize(fields.string()?).ok_or(SftpError::NoSuchFile)?;
-    let packet = Packet::with_id(kind::NAME, request_id).u32(1).string(&path).string(&path).attrs(None);
-    Ok(CommandOutcome::Reply(packet.done()))
+    let packet =
+        Packet::with_id(packet_type::NAME, request_id).u32(1).string(&path).string(&path).attributes(None);
+    Ok(CommandOutcome::Reply(packet.finish()))
 }
 
 /// Takes a handle, which this server encodes as a 32-bit number.
@@ -167,10 +179,10 @@
 
 /// Encodes a HANDLE reply.
 pub(super) fn encode_handle(request_id: u32, number: u32) -> Vec<u8> {
-    Packet::with_id(kind::HANDLE, request_id).string(number.to_be_bytes()).done()
+    Packet::with_id(packet_type::HANDLE, request_id).string(number.to_be_bytes()).finish()
 }
 
 /// Encodes an ATTRS reply for an object of a size in bytes, or for a directory.
 pub(super) fn encode_attributes(request_id: u32, size: Option<u64>) -> Vec<u8> {
-    Packet::with_id(kind::ATTRS, request_id).attrs(size).done()
+    Packet::with_id(packet_type::ATTRS, request_id).attributes(size).finish()
 }
--- a/crates/gateway/src/client_protocol/sftp/directory.rs
+++ b/crates/gateway/src/client_protocol/sftp/directory.rs
@@ -1,17 +1,18 @@
-//! Directory listings.
+//! Directory listings: their state, and the encoding of their entries.
 
 use super::error::SftpError;
 use super::path::Target;
+use crate::config::SftpVolume;
 use crate::dispatcher::{ObjectEntry, ResponseBody};
-use crate::sftp_packet::{kind, Packet};
+use crate::sftp_packet::{packet_type, Packet};
 use std::collections::VecDeque;
 
-/// Bytes of entries after which a NAME packet takes no more.
+/// Bytes of entries after which no further entry is added to a NAME packet.
 const MAX_NAME_PACKET_BYTES: usize = 32 << 10;
-/// Estimated bytes of an entry in a NAME packet besides its name, which stands there twice.
+/// Estimated bytes of an entry in a NAME packet, without its name, which the entry contains twice.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
 
-/// An entry of a directory; the order is by name.
+/// An entry of a directory. Entries are ordered by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DirectoryEntry {
     /// The name within the directory.
@@ -20,6 +21,12 @@
     pub(super) size: Option<u64>,
 }
 
+impl From<&SftpVolume> for DirectoryEntry {
+    fn from(volume: &SftpVolume) -> Self {
+        DirectoryEntry { name: volume.name.as_bytes().to_vec(), size: None }
+    }
+}
+
 impl From<ObjectEntry> for DirectoryEntry {
     fn from(object: ObjectEntry) -> Self {
         DirectoryEntry { name: object.name, size: Some(object.size) }
@@ -28,16 +35,16 @@
 
 /// An open directory, by the state of its listing.
 pub(super) enum Directory {
-    /// A volume that no READDIR has asked for yet.
+    /// A volume that no READDIR has listed yet.
     Unlisted(Target),
-    /// A volume that is being listed by the storage nodes.
+    /// A volume whose listing the storage nodes have not all answered.
     Listing(Target),
-    /// The entries that the client has not got yet.
+    /// A listed directory: the entries that have not been sent to the client yet.
     Listed(VecDeque<DirectoryEntry>),
 }
 
 impl Directory {
-    /// After a listing that failed, the client may ask again on the same handle.
+    /// Resets the state after a listing that failed, so that the next READDIR on the handle lists again.
     pub(super) fn reset_listing(&mut self) {
         if let Directory::Listing(target) = self {
             *self = Directory::Unlisted(target.clone());
@@ -45,23 +52,23 @@
     }
 }
 
-/// A listing whose shards have not all answered.
+/// A listing that some shards have not answered yet.
 pub(super) struct PendingListing {
     /// The number of the directory's handle.
     pub(super) handle: u32,
-    /// Shards that have not answered.
+    /// Number of shards that have not answered.
     pub(super) remaining_shards: usize,
     /// Entries so far.
     pub(super) entries: Vec<DirectoryEntry>,
 }
 
 impl PendingListing {
-    /// Takes the answer of one shard: names from a file server, or the index object of a RESP2 node.
+    /// Adds the response of one shard: the entries from a file server, or the index object from a RESP2 node.
     pub(super) fn add_shard(&mut self, body: ResponseBody) {
         self.remaining_shards -= 1;
         match body {
-            ResponseBody::Names(names) => {
-                self.entries.extend(names.into_iter().map(DirectoryEntry::from));
+            ResponseBody::Names(objects) => {
+                self.entries.extend(objects.into_iter().map(DirectoryEntry::from));
             }
             ResponseBody::Value(index) => self.entries.extend(parse_index(&index)),
             ResponseBody::Size(_) | ResponseBody::NotFound => {}
@@ -75,7 +82,8 @@
     }
 }
 
-/// The entries of a volume's index, which a RESP2 node stores as object 0: a name and its size on each line.
+/// Parses the index of a volume, which a RESP2 node stores as the object with id 0. Each line holds the name and
+/// the size in bytes of one object.
 fn parse_index(index: &[u8]) -> Vec<DirectoryEntry> {
     let mut entries = Vec::new();
     for line in index.split(|byte| *byte == b'\n') {
@@ -88,7 +96,7 @@
     entries
 }
 
-/// Takes as many entries as one packet has space for off the front and encodes them as the NAME reply to the
+/// Removes as many entries from the front as fit into one packet and encodes them as the NAME reply to the
 /// command `request_id`. Fails with [`SftpError::EndOfDirectory`] if there are none.
 pub(super) fn encode_next_entries(
     request_id: u32,
@@ -97,16 +105,16 @@
     if entries.is_empty() {
         return Err(SftpError::EndOfDirectory);
     }
-    let count = count_fitting(entries);
-    let mut packet = Packet::with_id(kind::NAME, request_id).u32(count as u32);
+    let count = count_entries_for_packet(entries);
+    let mut packet = Packet::with_id(packet_type::NAME, request_id).u32(count as u32);
     for entry in entries.drain(..count) {
-        packet = packet.string(&entry.name).string(long_name(&entry)).attrs(entry.size);
+        packet = packet.string(&entry.name).string(long_name(&entry)).attributes(entry.size);
     }
-    Ok(packet.done())
+    Ok(packet.finish())
 }
 
-/// How many of the first entries go into one packet; at least one.
-fn count_fitting(entries: &VecDeque<DirectoryEntry>) -> usize {
+/// Number of entries from the front that fit into one packet; at least one, however long its name.
+fn count_entries_for_packet(entries: &VecDeque<DirectoryEntry>) -> usize {
     let mut packet_bytes = 0;
     for (index, entry) in entries.iter().enumerate() {
         if index > 0 && packet_bytes >= MAX_NAME_PACKET_BYTES {
@@ -117,7 +125,7 @@
     entries.len()
 }
 
-/// An entry as `ls -l` would show it.
+/// The entry as a line of `ls -l`, which clients may print as it is. Owner and time are not known.
 fn long_name(entry: &DirectoryEntry) -> String {
     let mode = if entry.size.is_some() { "-rw-r--r--" } else { "drwxr-xr-x" };
     let size = entry.size.unwrap_or(0);
--- a/crates/gateway/src/client_protocol/sftp/error.rs
+++ b/crates/gateway/src/client_protocol/sftp/error.rs
@@ -1,15 +1,15 @@
 //! Errors that are answered with a STATUS packet.
 
 use crate::dispatcher::InvalidRequest;
-use crate::sftp_packet::{status, Code, Malformed};
+use crate::sftp_packet::{encode_status, MalformedPacket, StatusCode};
 
 /// Why a command failed. The text is the STATUS message that the client gets.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SftpError {
     /// A field of the packet is missing or reaches beyond its end.
     #[error(transparent)]
-    Malformed(#[from] Malformed),
-    /// The path names nothing, or the storage node has no such object.
+    MalformedPacket(#[from] MalformedPacket),
+    /// The path is invalid, its volume is not configured, or the storage node has no such object.
     #[error("no such file")]
     NoSuchFile,
     /// OPEN of a directory.
@@ -24,13 +24,13 @@
     /// A packet type that is not a supported command.
     #[error("not supported")]
     UnsupportedCommand,
-    /// The client has as many handles open as it may.
+    /// The client has reached the limit on open handles.
     #[error("too many open handles")]
     TooManyHandles,
-    /// The handle is not open, or not for this kind of command.
+    /// The handle is not open, or is of a kind that the command does not apply to.
     #[error("no such handle")]
     NoSuchHandle,
-    /// The memory for buffered objects of all clients is in use.
+    /// The memory budget for the buffered objects of all clients is used up.
     #[error("busy: try again in 500 ms")]
     BuffersFull,
     /// A write beyond the largest object size.
@@ -42,13 +42,13 @@
     /// READDIR after the last entry; the message is empty.
     #[error("")]
     EndOfDirectory,
-    /// READDIR while the storage nodes' answers to the one before are missing.
+    /// READDIR while an earlier READDIR on the same handle has not been answered.
     #[error("the listing is under way")]
     ListingInProgress,
-    /// The request was rejected and may be repeated.
+    /// The request was rejected; the client may retry it.
     #[error("refused: try again in {retry_after_ms} ms")]
     Rejected {
-        /// When to repeat it, in milliseconds from now, rounded up.
+        /// Time until the client should retry, in milliseconds, rounded up.
         retry_after_ms: f64,
     },
     /// The dispatcher did not accept the request.
@@ -57,19 +57,19 @@
     /// The request failed.
     #[error("failed")]
     Failed,
-    /// The request failed because its time ran out.
+    /// The request was not answered before its deadline.
     #[error("timed out")]
     TimedOut,
 }
 
 impl SftpError {
     /// The status code for the error.
-    fn code(&self) -> Code {
+    fn code(&self) -> StatusCode {
         match self {
-            SftpError::Malformed(_) => Code::BadMessage,
-            SftpError::NoSuchFile => Code::NoSuchFile,
-            SftpError::UnsupportedOpenFlags | SftpError::UnsupportedCommand => Code::Unsupported,
-            SftpError::EndOfFile | SftpError::EndOfDirectory => Code::Eof,
+            SftpError::MalformedPacket(_) => StatusCode::BadMessage,
+            SftpError::NoSuchFile => StatusCode::NoSuchFile,
+            SftpError::UnsupportedOpenFlags | SftpError::UnsupportedCommand => StatusCode::Unsupported,
+            SftpError::EndOfFile | SftpError::EndOfDirectory => StatusCode::Eof,
             SftpError::IsDirectory
             | SftpError::NotDirectory
             | SftpError::TooManyHandles
@@ -80,12 +80,12 @@
             | SftpError::Rejected { .. }
             | SftpError::Invalid(_)
             | SftpError::Failed
-            | SftpError::TimedOut => Code::Failure,
+            | SftpError::TimedOut => StatusCode::Failure,
         }
     }
 
     /// Encodes the STATUS reply to the command `request_id`.
     pub(super) fn to_status(&self, request_id: u32) -> Vec<u8> {
-        status(request_id, self.code(), &self.to_string())
+        encode_status(request_id, self.code(), &self.to_string())
     }
 }
--- a/crates/gateway/src/client_protocol/sftp/handle.rs
+++ b/crates/gateway/src/client_protocol/sftp/handle.rs
@@ -1,4 +1,4 @@
-//! The open handles of one client, with their part of the memory budget.
+//! The open handles of one client, and the memory that they reserve.
 
 use super::directory::Directory;
 use super::error::SftpError;
@@ -12,12 +12,13 @@
 
 /// An open file or directory.
 pub(super) enum Handle {
-    /// An object that is read: all its bytes.
+    /// An object open for reading, with all its bytes.
     Reading(Vec<u8>),
-    /// An object that is written.
+    /// An object open for writing.
     Upload {
+        /// The object.
         target: Target,
-        /// The bytes so far.
+        /// The bytes received so far.
         data: Vec<u8>,
     },
     /// A directory.
@@ -34,11 +35,14 @@
     }
 }
 
-/// The open handles of one client, by number. Their buffered bytes are reserved in the shared budget and
-/// released when a handle or the table goes.
+/// The open handles of one client, by number. Their buffered bytes are reserved in the budget that all clients
+/// share, and released when a handle is removed or the table is dropped.
 pub(super) struct HandleTable {
+    /// State shared by all clients of the listener, with the memory budget.
     shared: Rc<SftpShared>,
+    /// The open handles by number.
     handles: BTreeMap<u32, Handle>,
+    /// Number of the next handle.
     next_number: u32,
 }
 
@@ -68,12 +72,12 @@
         Ok(handle)
     }
 
-    /// Any open handle.
+    /// An open handle of any kind.
     pub(super) fn get(&self, number: u32) -> Result<&Handle, SftpError> {
         self.handles.get(&number).ok_or(SftpError::NoSuchHandle)
     }
 
-    /// The bytes of an object that is read.
+    /// The bytes of an object open for reading.
     pub(super) fn read_data(&self, number: u32) -> Result<&[u8], SftpError> {
         match self.handles.get(&number) {
             Some(Handle::Reading(data)) => Ok(data),
@@ -89,8 +93,8 @@
         }
     }
 
-    /// Writes bytes of an upload at `offset`, which is within the largest object size. A gap before them is
-    /// filled with zeros.
+    /// Writes bytes of an upload at `offset`; the caller has checked that they end within the largest upload. A gap
+    /// before them is filled with zeros.
     pub(super) fn write_upload(&mut self, number: u32, offset: usize, bytes: &[u8]) -> Result<(), SftpError> {
         let Some(Handle::Upload { data, .. }) = self.handles.get_mut(&number) else {
             return Err(SftpError::NoSuchHandle);
--- a/crates/gateway/src/client_protocol/sftp/mod.rs
+++ b/crates/gateway/src/client_protocol/sftp/mod.rs
@@ -1,8 +1,8 @@
-//! SFTP-style file commands from clients, without the SSH transport.
+//! SFTP commands from clients, over a plain connection without the SSH transport.
 //!
-//! Paths are `/VOLUME/OBJECT`. An object is fetched once, at OPEN; an upload is buffered and becomes one
-//! write at CLOSE, so a client that disconnects before has caused no request. A listing asks every shard and
-//! is answered once.
+//! Paths are `/VOLUME/OBJECT`. OPEN fetches the whole object, and each READ returns a part of it. An upload is
+//! buffered and CLOSE submits it as one write, so a client that disconnects earlier causes no request. The first
+//! READDIR of a volume lists every shard, and is answered when all of them have responded.
 
 mod command;
 mod directory;
@@ -17,7 +17,7 @@
 
 use super::{ClientProtocol, CommandStep, EncodedReply};
 use crate::dispatcher::Response;
-use crate::sftp_packet::{decode_packet, kind, DecodedPacket, Fields, Packet, VERSION};
+use crate::sftp_packet::{decode_packet, packet_type, DecodedPacket, Fields, Packet, VERSION};
 use command::CommandOutcome;
 use handle::HandleTable;
 use io_scheduler::Micros;
@@ -25,49 +25,52 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A session without a command for so long is closed. It is longer than for programs, as people type commands.
+/// Idle time after which a session is closed, in microseconds. It is longer than that of RESP clients, because
+/// SFTP commands may be typed by a person.
 const IDLE_TIMEOUT: Micros = 300_000_000;
 
-/// One client's session.
+/// The protocol state of one client connection.
 pub struct SftpProtocol {
+    /// State shared by all clients of the listener.
     shared: Rc<SftpShared>,
     /// Whether INIT was answered with VERSION.
     initialized: bool,
+    /// The client's open files and directories.
     handles: HandleTable,
     /// Commands whose requests are in flight, by slot.
     pending: BTreeMap<u64, PendingCommand>,
 }
 
 impl SftpProtocol {
-    /// A new session.
+    /// Creates the state of a new connection.
     #[must_use]
     pub fn new(shared: Rc<SftpShared>) -> SftpProtocol {
         let handles = HandleTable::new(shared.clone());
         SftpProtocol { shared, initialized: false, handles, pending: BTreeMap::new() }
     }
 
-    /// Answers the first packet, which must be INIT with a version.
-    fn initialize(&mut self, kind: u8, mut fields: Fields<'_>) -> CommandStep {
-        self.initialized = kind == kind::INIT && fields.u32().is_ok();
+    /// Answers the first packet, which must be INIT with a version; any other closes the connection.
+    fn initialize(&mut self, type_byte: u8, mut fields: Fields<'_>) -> CommandStep {
+        self.initialized = type_byte == packet_type::INIT && fields.u32().is_ok();
         if !self.initialized {
             return CommandStep::Close(Vec::new());
         }
-        CommandStep::Reply(Packet::new(kind::VERSION).u32(VERSION).done())
+        CommandStep::Reply(Packet::new(packet_type::VERSION).u32(VERSION).finish())
     }
 }
 
 impl ClientProtocol for SftpProtocol {
     fn parse_command(&mut self, input: &[u8], position: &mut usize, slot: u64, _ready: bool) -> CommandStep {
-        let DecodedPacket { kind, mut fields } = match decode_packet(input, position) {
+        let DecodedPacket { type_byte, mut fields } = match decode_packet(input, position) {
             Ok(Some(packet)) => packet,
             Ok(None) => return CommandStep::Incomplete,
             Err(_) => return CommandStep::Close(Vec::new()),
         };
         if !self.initialized {
-            return self.initialize(kind, fields);
+            return self.initialize(type_byte, fields);
         }
         let Ok(request_id) = fields.u32() else { return CommandStep::Close(Vec::new()) };
-        match self.run_command(kind, request_id, fields) {
+        match self.run_command(type_byte, request_id, fields) {
             Ok(CommandOutcome::Reply(reply)) => CommandStep::Reply(reply),
             Ok(CommandOutcome::Submit { requests, operation }) => {
                 self.pending.insert(slot, PendingCommand { request_id, operation });
--- a/crates/gateway/src/client_protocol/sftp/path.rs
+++ b/crates/gateway/src/client_protocol/sftp/path.rs
@@ -1,12 +1,14 @@
-//! Paths: `/` lists the volumes, `/VOLUME` is a volume's directory, `/VOLUME/OBJECT` an object.
+//! Resolution of paths: `/` is the directory of the volumes, `/VOLUME` the directory of a volume, and
+//! `/VOLUME/OBJECT` an object.
 
 use super::error::SftpError;
 use super::shared::SftpShared;
 
 /// Longest name of an object in bytes.
 const MAX_NAME_LENGTH: usize = 255;
-/// Offset basis and prime of the 64-bit FNV-1a hash.
+/// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xCBF2_9CE4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01B3;
 
 /// The volume or object that a path names.
@@ -23,7 +25,7 @@
 }
 
 impl Target {
-    /// The shard of an object. SFTP clients cannot state it, so it follows from the volume and the name.
+    /// The shard of an object. SFTP clients cannot state it, so it is derived from the volume and the object.
     pub(super) fn shard(&self, shard_count: u64) -> u64 {
         hash(&self.volume.to_be_bytes(), self.object) % shard_count
     }
@@ -91,7 +93,8 @@
     hash(name.as_bytes(), 0)
 }
 
-/// 64-bit FNV-1a, with `seed` mixed into its start and the high half folded into the low one.
+/// 64-bit FNV-1a, with `seed` mixed into the offset basis. The high half of the result is folded into the low
+/// half.
 fn hash(bytes: &[u8], seed: u64) -> u64 {
     let mut hash = seed ^ FNV_OFFSET_BASIS;
     for byte in bytes {
--- a/crates/gateway/src/client_protocol/sftp/response.rs
+++ b/crates/gateway/src/client_protocol/sftp/response.rs
@@ -1,4 +1,4 @@
-//! Responses to submitted requests, and the replies that complete their commands.
+//! Handling of responses to submitted requests, which complete pending commands.
 
 use super::command::{encode_attributes, encode_handle};
 use super::directory::{encode_next_entries, Directory, PendingListing};
@@ -7,16 +7,18 @@
 use super::path::Target;
 use super::SftpProtocol;
 use crate::dispatcher::{Response, ResponseBody};
-use crate::sftp_packet::{status, Code};
+use crate::sftp_packet::{encode_status, StatusCode};
+use deployment_settings::milliseconds;
 
 /// A command whose requests are in flight.
 pub(super) struct PendingCommand {
-    /// The id that the client gave the command.
+    /// The request id that the client gave the command; the reply repeats it.
     pub(super) request_id: u32,
+    /// What the responses complete.
     pub(super) operation: PendingOperation,
 }
 
-/// What the responses of a command are for.
+/// The operation that the responses to a command's requests complete.
 pub(super) enum PendingOperation {
     /// OPEN of an object to read.
     Open(Target),
@@ -24,8 +26,9 @@
     Stat(Target),
     /// CLOSE of an upload.
     Store {
+        /// The object.
         target: Target,
-        /// Bytes of the object.
+        /// Size of the object in bytes.
         size: u64,
     },
     /// READDIR of a volume.
@@ -33,7 +36,7 @@
 }
 
 impl SftpProtocol {
-    /// Takes a response to a request of the command at `slot`. Returns the encoded reply if it completes the
+    /// Handles a response to a request of the command at `slot`. Returns the encoded reply if it completes the
     /// command.
     pub(super) fn handle_response(&mut self, slot: u64, response: Response) -> Option<Vec<u8>> {
         let PendingCommand { request_id, operation } = self.pending.remove(&slot)?;
@@ -61,7 +64,7 @@
         Some(reply.unwrap_or_else(|error| error.to_status(request_id)))
     }
 
-    /// Gives up an operation whose request failed.
+    /// Undoes the state changes of an operation whose request failed.
     fn abandon(&mut self, operation: &PendingOperation) {
         if let PendingOperation::List(listing) = operation {
             if let Ok(directory) = self.handles.directory_mut(listing.handle) {
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Completes OPEN: the fetched object gets a handle.
+    /// Completes OPEN: the fetched object is buffered under a new handle.
     fn finish_open(
         &mut self,
         request_id: u32,
@@ -87,7 +90,7 @@
         Ok(encode_handle(request_id, number))
     }
 
-    /// Completes STAT: a RESP2 node answers it with the object itself.
+    /// Completes STAT. A RESP2 node has no such command: it is read from and responds with the object itself.
     fn finish_stat(
         &self,
         request_id: u32,
@@ -116,10 +119,11 @@
             return Err(SftpError::NoSuchFile);
         }
         self.shared.record_size(target, size);
-        Ok(status(request_id, Code::Ok, ""))
+        Ok(encode_status(request_id, StatusCode::Ok, ""))
     }
 
-    /// Completes the first READDIR of a volume: the handle gets the entries, and the client the first of them.
+    /// Completes the first READDIR of a volume: replies with the first entries and keeps the others for later
+    /// READDIR commands on the handle.
     fn finish_listing(&mut self, request_id: u32, listing: PendingListing) -> Result<Vec<u8>, SftpError> {
         let directory = self.handles.directory_mut(listing.handle)?;
         let mut entries = listing.into_sorted_entries();
@@ -129,12 +133,12 @@
     }
 }
 
-/// The body of a served request, or the error that a failed one is answered with.
+/// The body of a served request, or the error with which the client is answered.
 fn served_body(response: Response) -> Result<ResponseBody, SftpError> {
     match response {
         Response::Served(body) => Ok(body),
         Response::Rejected { retry_after } => {
-            Err(SftpError::Rejected { retry_after_ms: (retry_after as f64 / 1000.0).ceil() })
+            Err(SftpError::Rejected { retry_after_ms: milliseconds(retry_after).ceil() })
         }
         Response::Invalid(error) => Err(SftpError::Invalid(error)),
         Response::Failed => Err(SftpError::Failed),
--- a/crates/gateway/src/client_protocol/sftp/shared.rs
+++ b/crates/gateway/src/client_protocol/sftp/shared.rs
@@ -1,5 +1,5 @@
-//! What all clients of the SFTP listener share: settings, request ids, object sizes and the memory budget of
-//! buffered objects.
+//! State shared by all clients of the SFTP listener: settings, request ids, known object sizes and the memory
+//! budget of buffered objects.
 
 use super::error::SftpError;
 use super::path::Target;
@@ -10,36 +10,44 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Most objects whose size is remembered.
+/// Largest number of objects whose size is cached.
 const MAX_KNOWN_SIZES: usize = 10_000;
 
 /// State shared by all clients of the SFTP listener.
 pub struct SftpShared {
+    /// Settings of the listener.
     pub(super) config: SftpSettings,
+    /// Classes of requests, in the order of the settings.
     classes: Vec<RequestClass>,
-    /// Names of the plans.
+    /// Names of the plans, in the order of the settings.
     plans: Vec<String>,
+    /// Number of shards of each volume.
     shard_count: u64,
     /// Number of gateways through which the requests of a volume arrive.
     hosts: f64,
-    /// Mean and largest size of a request, in units.
+    /// Mean size of a request, in units.
     mean_units: f64,
+    /// Largest size of a request, in units.
     max_units: f64,
+    /// The next client request id, shared by all clients so that the ids are unique at the storage nodes.
     next_request_id: Cell<u64>,
-    /// Bytes buffered by all handles of all clients: uploads, and objects that are read.
+    /// Bytes buffered by all handles of all clients: uploads, and objects open for reading.
     buffered_bytes: Cell<usize>,
+    /// Upper bound on `buffered_bytes`.
     max_buffered_bytes: usize,
-    /// Sizes of objects in bytes as last seen; the units of a read follow from them.
+    /// Sizes of objects in bytes as last observed, from which the units of a read are estimated.
     object_sizes: RefCell<BTreeMap<ObjectKey, u64>>,
 }
 
 /// A class of requests.
 struct RequestClass {
+    /// Name of the class.
     name: String,
+    /// Time in milliseconds after which a request of the class times out.
     deadline_ms: f64,
 }
 
-/// An object by the ids of its volume and itself.
+/// Identifies an object by its volume's id and its own.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ObjectKey {
     volume: u64,
@@ -53,8 +61,8 @@
 }
 
 impl SftpShared {
-    /// The shared state of a listener. All handles together may buffer `max_buffered_bytes`; the clients'
-    /// requests get ids from `first_request_id` on.
+    /// Creates the shared state of a listener. All handles together may buffer `max_buffered_bytes`; the request
+    /// ids count up from `first_request_id`.
     #[must_use]
     pub fn new(
         config: SftpSettings,
@@ -95,7 +103,7 @@
         self.buffered_bytes.set(self.buffered_bytes.get() - released);
     }
 
-    /// Remembers the size of an object in bytes; another one is forgotten if there are too many.
+    /// Caches the size of an object in bytes. If the cache is full, the entry with the smallest key is evicted.
     pub(super) fn record_size(&self, target: &Target, size: u64) {
         let mut sizes = self.object_sizes.borrow_mut();
         if sizes.len() >= MAX_KNOWN_SIZES {
@@ -104,7 +112,7 @@
         sizes.insert(target.into(), size);
     }
 
-    /// A request for one object.
+    /// Builds a request for one object.
     pub(super) fn object_request(
         &self,
         operation: Operation,
@@ -114,13 +122,13 @@
         self.request(operation, target, target.shard(self.shard_count), body)
     }
 
-    /// The requests that list a volume, one for each shard.
+    /// Builds the requests that list a volume, one for each shard.
     pub(super) fn list_requests(&self, volume: &Target) -> Vec<StorageRequest> {
         let shards = 0..self.shard_count;
         shards.map(|shard| self.request(Operation::List, volume, shard, Vec::new())).collect()
     }
 
-    /// A request with the next request id.
+    /// Builds a request with the next request id.
     fn request(&self, operation: Operation, target: &Target, shard: u64, body: Vec<u8>) -> StorageRequest {
         let (class, units) = self.class_and_units(operation, target, body.len() as u64);
         let request_id = self.next_request_id.get();
@@ -150,19 +158,19 @@
     /// The class of a request, as an index into the settings, and its units.
     fn class_and_units(&self, operation: Operation, target: &Target, body_bytes: u64) -> (usize, f64) {
         match operation {
-            Operation::Write => (self.config.write, self.units(Some(body_bytes))),
-            Operation::List => (self.config.list, 1.0),
-            Operation::Stat => (self.config.read, 1.0),
+            Operation::Write => (self.config.write_class, self.units(Some(body_bytes))),
+            Operation::List => (self.config.list_class, 1.0),
+            Operation::Stat => (self.config.read_class, 1.0),
             Operation::Read => {
                 let size = self.object_sizes.borrow().get(&target.into()).copied();
                 let is_large = size.is_some_and(|size| size >= self.config.large_bytes);
-                let class = if is_large { self.config.large_read } else { self.config.read };
+                let class = if is_large { self.config.large_read_class } else { self.config.read_class };
                 (class, self.units(size))
             }
         }
     }
 
-    /// The units of an object of `size` bytes, or of one whose size is not known.
+    /// The units of a request for an object of `size` bytes; the mean if the size is not known.
     fn units(&self, size: Option<u64>) -> f64 {
         let units = match size {
             Some(size) => size.div_ceil(self.config.unit_bytes) as f64,
--- a/crates/gateway/src/config/error.rs
+++ b/crates/gateway/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Errors of loading a configuration: each names the file or the key at fault and keeps its cause.
+//! Errors of loading a configuration. Each names the file or the key at fault and has its cause as the source.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -54,28 +54,28 @@
     /// The text is not an IP address with a port.
     #[error("'{0}' is no address with a port")]
     NotAnAddress(String),
-    /// The text is not a level of the log.
+    /// The text is not a log level.
     #[error("'{0}' is none of off, error, warn, info, debug, trace")]
     UnknownLogLevel(String),
     /// The text is not a hexadecimal number.
     #[error("'{0}' is not hex")]
     NotHexadecimal(String),
-    /// The word is not one that the settings know.
+    /// The value is not one of those that the key allows.
     #[error("'{0}' is unknown")]
     UnknownWord(String),
-    /// No class of that name is defined.
+    /// The settings define no class with this name.
     #[error("class '{0}' is not in settings.classes")]
     UnknownClass(String),
-    /// The class reads where one that writes is needed, or the other way round.
+    /// The class reads where a class that writes is required, or the reverse.
     #[error("class '{0}' is on the wrong side of settings.domain.writes")]
     WrongAccess(String),
-    /// No plan of that name is defined.
+    /// The settings define no plan with this name.
     #[error("'{0}' is not in settings.plans")]
     UnknownPlan(String),
-    /// The text cannot be the name of a folder.
+    /// The text is not valid as the first part of a path.
     #[error("'{0}' is no name of a folder")]
     NotAFolderName(String),
-    /// The name is used by an earlier entry.
+    /// An earlier entry has the same name.
     #[error("'{0}' stands twice")]
     Duplicate(String),
     /// The deadline of a class is shorter than its latency objective.
--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -1,6 +1,6 @@
-//! The files that hold a configuration, as they are written: `ROUTER_CONFIG` and the operator's file.
+//! The decoded form of the configuration files: the file that `ROUTER_CONFIG` names, and the operator's file.
 //!
-//! The decoder's error messages contain the names of these types.
+//! The decoder's error messages contain the names of these types, so renaming one changes user-visible text.
 
 use super::error::ConfigError;
 use crate::discovery::EndpointListUpdate;
@@ -14,11 +14,11 @@
 pub(super) struct Router {
     /// Name of this gateway.
     pub name: Option<String>,
-    /// Where RESP2 clients connect.
+    /// Address on which RESP2 clients are accepted.
     pub listen: Option<String>,
-    /// Where discovery serves the endpoint list.
+    /// Address of the discovery endpoint that serves the endpoint list.
     pub discovery: Option<String>,
-    /// Seed of the random numbers, in hexadecimal.
+    /// Seed of the random number generator, as a hexadecimal number; empty for 0.
     #[serde(default)]
     pub seed: String,
     /// Limits of the process.
@@ -29,7 +29,7 @@
     pub known: EndpointListUpdate,
     /// Settings of the deployment.
     pub settings: DeploymentSettings,
-    /// Level of the log.
+    /// Log level.
     #[serde(default)]
     pub log: Option<String>,
 }
@@ -40,13 +40,13 @@
 pub(super) struct Operator {
     /// Name of this gateway.
     pub name: Option<String>,
-    /// Where RESP2 clients connect.
+    /// Address on which RESP2 clients are accepted.
     pub listen: Option<String>,
-    /// Where discovery serves the endpoint list.
+    /// Address of the discovery endpoint that serves the endpoint list.
     pub discovery: Option<String>,
     /// Path of the inventory, relative to the folder of this file.
     pub inventory: Option<PathBuf>,
-    /// Level of the log.
+    /// Log level.
     pub log: Option<String>,
     /// Limits of the process.
     #[serde(default)]
@@ -61,23 +61,23 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct OperatorSftp {
-    /// Where SFTP clients connect.
+    /// Address on which SFTP clients are accepted.
     pub listen: String,
-    /// Largest upload that is buffered.
+    /// Largest upload that is buffered, in bytes.
     pub max_upload_bytes: Option<usize>,
     /// Bytes that count as one unit.
     pub unit_bytes: Option<u64>,
-    /// Class of reads.
+    /// Name of the class of reads.
     pub read_class: String,
-    /// Class of writes.
+    /// Name of the class of writes.
     pub write_class: String,
-    /// Class of reads of large objects; `read_class` if it is left out.
+    /// Name of the class of reads of large objects; `read_class` if absent.
     pub large_read_class: Option<String>,
-    /// Size from which on an object is large; no object is if it is left out.
+    /// Smallest size in bytes of an object that counts as large; if absent, no object does.
     pub large_bytes: Option<u64>,
-    /// Class of listings; `read_class` if it is left out.
+    /// Name of the class of listings; `read_class` if absent.
     pub list_class: Option<String>,
-    /// Volumes that paths may name.
+    /// Volumes that clients may access.
     pub volumes: Vec<OperatorVolume>,
 }
 
@@ -85,11 +85,11 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct OperatorVolume {
-    /// Name of the volume's top folder.
+    /// Name of the volume, which is the first part of the paths of its objects.
     pub name: String,
-    /// 16 hexadecimal digits.
+    /// Id of the volume, as a hexadecimal number.
     pub id: String,
-    /// Name of its plan.
+    /// Name of the volume's plan.
     pub plan: String,
 }
 
@@ -97,7 +97,7 @@
 #[derive(Deserialize)]
 #[serde(default)]
 pub(super) struct Limits {
-    /// File descriptors that the process may use.
+    /// Number of file descriptors that the process may use.
     pub sockets: usize,
     /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
@@ -114,7 +114,7 @@
     std::fs::read(path).map_err(|source| ConfigError::unreadable(path, source))
 }
 
-/// Decodes JSON in place. `file` is how errors name the file.
+/// Decodes JSON; the parser overwrites `text`. `file` is the file's name in errors.
 pub(super) fn decode<T: DeserializeOwned>(text: &mut [u8], file: &str) -> Result<T, ConfigError> {
     let mut json = simd_json::Deserializer::from_slice(text)
         .map_err(|source| ConfigError::Malformed { file: file.to_owned(), source })?;
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! Configuration: the only place where the environment, `ROUTER_CONFIG` and the operator's file are read,
-//! checked and given defaults. Every error names the key at fault.
+//! Configuration. The environment, the file that `ROUTER_CONFIG` names and the operator's file are read,
+//! validated and completed with defaults only here. Every error names the key at fault.
 
 mod error;
 mod file;
@@ -15,7 +15,7 @@
 use log::LevelFilter;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use validate::{address, check, hexadecimal, log_level, DeadlineRule};
+use validate::{check_shared_sections, parse_address, parse_hexadecimal, parse_log_level, DeadlineRule};
 
 /// Largest value that is forwarded to a node, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 << 10;
@@ -23,20 +23,20 @@
 /// Name of the gateway if the operator's file gives none.
 const DEFAULT_NAME: &str = "storage-gateway";
 
-/// What the program runs with.
+/// The validated configuration of a gateway.
 #[derive(Debug)]
 pub struct Config {
-    /// Where the configuration came from.
+    /// Where the configuration came from, for [`Config::reload`].
     source: ConfigSource,
     /// Name of this gateway.
     pub name: String,
-    /// Where RESP2 clients connect.
+    /// Address on which RESP2 clients are accepted.
     pub listen: Option<SocketAddr>,
-    /// Where discovery serves the endpoint list.
+    /// Address of the discovery endpoint that serves the endpoint list.
     pub discovery: Option<SocketAddr>,
     /// Endpoint list to start with, before discovery sends one.
     pub cached_endpoints: EndpointListUpdate,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// File descriptors that the process may use.
     pub descriptors: usize,
@@ -44,15 +44,15 @@
     pub budget: MemoryBudget,
     /// Settings of the deployment.
     pub settings: DeploymentSettings,
-    /// Path of the inventory of nodes.
+    /// Path of the inventory of storage nodes.
     pub inventory: Option<PathBuf>,
     /// Settings of the SFTP listener, if there is one.
     pub sftp: Option<SftpSettings>,
-    /// Level of the log.
+    /// Log level.
     pub log: LevelFilter,
 }
 
-/// Where a configuration came from, to be reloaded from there.
+/// The file that a configuration came from, and its kind.
 #[derive(Clone, Debug)]
 enum ConfigSource {
     /// The file that `ROUTER_CONFIG` named.
@@ -61,18 +61,18 @@
     OperatorFile(PathBuf),
 }
 
-/// Which one wins where the environment and the file both give a value.
+/// Which source takes precedence where both the environment and the file state a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precedence {
-    /// The environment wins: at the start of the process.
+    /// The environment, used at the start of the process.
     Environment,
-    /// The file wins: on a reload, when the environment is as old as the process.
+    /// The file, used on a reload: the file may have changed, while the environment is that of the start.
     File,
 }
 
 impl Config {
-    /// Reads the configuration again from where it came. The environment is as old as the process, so the
-    /// file as it is now takes precedence.
+    /// Reads the configuration again from the same file. The file takes precedence over the environment, which
+    /// cannot have changed since the start; only `STORAGE_GATEWAY_LOG` always takes precedence over the file.
     ///
     /// # Errors
     ///
@@ -87,8 +87,8 @@
     }
 }
 
-/// Loads the platform's configuration: the file that `ROUTER_CONFIG` names, under the other variables of the
-/// environment.
+/// Loads the platform's configuration: the file that `ROUTER_CONFIG` names. The other environment variables
+/// take precedence over the file.
 ///
 /// # Errors
 ///
@@ -112,7 +112,7 @@
 ) -> Result<Config, ConfigError> {
     let mut file: file::Router = file::decode(text, "ROUTER_CONFIG")?;
     file.settings.has_discovery_agent = true;
-    check(&file.settings, &file.limits, DeadlineRule::Optional)?;
+    check_shared_sections(&file.settings, &file.limits, DeadlineRule::Optional)?;
     let required = |key: &str, in_file: Option<String>| {
         let value = match precedence {
             Precedence::Environment => env(key).or(in_file),
@@ -125,16 +125,16 @@
     Ok(Config {
         source: ConfigSource::RouterConfig(path.to_owned()),
         name: required("ROUTER_NAME", file.name)?,
-        listen: Some(address("ROUTER_LISTEN", &required("ROUTER_LISTEN", file.listen)?)?),
-        discovery: Some(address("ROUTER_DISCOVERY", &required("ROUTER_DISCOVERY", file.discovery)?)?),
+        listen: Some(parse_address("ROUTER_LISTEN", &required("ROUTER_LISTEN", file.listen)?)?),
+        discovery: Some(parse_address("ROUTER_DISCOVERY", &required("ROUTER_DISCOVERY", file.discovery)?)?),
         cached_endpoints: file.known,
-        seed: hexadecimal("seed", seed)?,
+        seed: parse_hexadecimal("seed", seed)?,
         descriptors: file.limits.sockets,
         budget: MemoryBudget::from_memory_mb(file.limits.memory_mb),
         settings: file.settings,
         inventory: None,
         sftp: None,
-        log: log_level("STORAGE_GATEWAY_LOG", log.as_deref())?,
+        log: parse_log_level("STORAGE_GATEWAY_LOG", log.as_deref())?,
     })
 }
 
@@ -153,8 +153,8 @@
     Ok(Config {
         source: ConfigSource::OperatorFile(path.to_owned()),
         name: file.name.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
-        listen: optional_address("listen", file.listen.as_deref())?,
-        discovery: optional_address("discovery", file.discovery.as_deref())?,
+        listen: parse_optional_address("listen", file.listen.as_deref())?,
+        discovery: parse_optional_address("discovery", file.discovery.as_deref())?,
         cached_endpoints: EndpointListUpdate::default(),
         seed: 0,
         descriptors: file.limits.sockets,
@@ -162,11 +162,12 @@
         settings: file.settings,
         inventory: file.inventory.map(|inventory| folder.join(inventory)),
         sftp,
-        log: log_level("log", file.log.as_deref())?,
+        log: parse_log_level("log", file.log.as_deref())?,
     })
 }
 
-/// Reads an operator's file and checks what does not depend on other parts of the configuration.
+/// Reads an operator's file and validates the sections that do not depend on others, and that it states at least
+/// one source of nodes and one listener.
 fn read_operator_file(path: &Path) -> Result<file::Operator, ConfigError> {
     let mut text = file::read(path)?;
     let mut file: file::Operator = file::decode(&mut text, &path.display().to_string())?;
@@ -175,7 +176,7 @@
         Some(_) => DeadlineRule::AtLeastObjective,
         None => DeadlineRule::Optional,
     };
-    check(&file.settings, &file.limits, deadline_rule)?;
+    check_shared_sections(&file.settings, &file.limits, deadline_rule)?;
     if file.inventory.is_none() && file.discovery.is_none() {
         return Err(ConfigError::missing("inventory"));
     }
@@ -185,7 +186,7 @@
     Ok(file)
 }
 
-/// Parses an address that may be left out.
-fn optional_address(key: &str, text: Option<&str>) -> Result<Option<SocketAddr>, ConfigError> {
-    text.map(|text| address(key, text)).transpose()
+/// Parses an address that may be absent.
+fn parse_optional_address(key: &str, text: Option<&str>) -> Result<Option<SocketAddr>, ConfigError> {
+    text.map(|text| parse_address(key, text)).transpose()
 }
--- a/crates/gateway/src/config/sftp.rs
+++ b/crates/gateway/src/config/sftp.rs
@@ -1,8 +1,8 @@
-//! Settings of the SFTP listener, as converted from the operator's file.
+//! Settings of the SFTP listener: validation and conversion of the section `sftp` of the operator's file.
 
 use super::error::{ConfigError, InvalidValue};
 use super::file::{OperatorSftp, OperatorVolume};
-use super::validate::{address, hexadecimal};
+use super::validate::{parse_address, parse_hexadecimal};
 use super::MAX_VALUE_BYTES;
 use deployment_settings::DeploymentSettings;
 use std::net::SocketAddr;
@@ -13,30 +13,30 @@
 /// Settings of the SFTP listener.
 #[derive(Clone, Debug)]
 pub struct SftpSettings {
-    /// Where SFTP clients connect.
+    /// Address on which SFTP clients are accepted.
     pub listen: SocketAddr,
     /// Largest upload that is buffered, in bytes.
-    pub max_upload: usize,
+    pub max_upload_bytes: usize,
     /// Bytes that count as one unit.
     pub unit_bytes: u64,
     /// Class of reads, as an index into the classes of the settings.
-    pub read: usize,
+    pub read_class: usize,
     /// Class of writes, as an index into the classes of the settings.
-    pub write: usize,
+    pub write_class: usize,
     /// Class of listings, as an index into the classes of the settings.
-    pub list: usize,
-    /// Class of reads of objects known to hold at least `large_bytes`, as an index into the classes.
-    pub large_read: usize,
-    /// Size from which on an object is large, in bytes.
+    pub list_class: usize,
+    /// Class of reads of objects known to have at least `large_bytes`, as an index into the classes of the settings.
+    pub large_read_class: usize,
+    /// Smallest size in bytes of an object that counts as large.
     pub large_bytes: u64,
-    /// Volumes that paths may name.
+    /// Volumes that clients may access.
     pub volumes: Vec<SftpVolume>,
 }
 
-/// A volume that paths may name.
+/// A volume that clients may access.
 #[derive(Clone, Debug)]
 pub struct SftpVolume {
-    /// Name of the volume's top folder.
+    /// Name of the volume, which is the first part of the paths of its objects.
     pub name: String,
     /// Id of the volume.
     pub id: u64,
@@ -44,7 +44,7 @@
     pub plan: usize,
 }
 
-/// What the requests of a class do.
+/// Whether the requests of a class read or write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Access {
     /// They read objects or list them.
@@ -54,42 +54,42 @@
 }
 
 impl SftpSettings {
-    /// Checks and converts `sftp` of the operator's file.
+    /// Validates and converts the section `sftp` of the operator's file.
     pub(super) fn from_section(
         section: &OperatorSftp,
         settings: &DeploymentSettings,
     ) -> Result<SftpSettings, ConfigError> {
-        // A path does not name a shard: it follows from the object's name and the number of shards.
+        // A path does not state a shard: it is derived from the object's name and the number of shards.
         if settings.storage.shard_count == 0 {
             return Err(ConfigError::missing("settings.domain.n_shards"));
         }
         let volumes = convert_volumes(&section.volumes, settings)?;
-        let max_upload = max_upload(section)?;
+        let max_upload_bytes = max_upload_bytes(section)?;
         let unit_bytes = unit_bytes(section)?;
         let large_read_class = section.large_read_class.as_ref().unwrap_or(&section.read_class);
         let list_class = section.list_class.as_ref().unwrap_or(&section.read_class);
         Ok(SftpSettings {
-            listen: address("sftp.listen", &section.listen)?,
-            max_upload,
+            listen: parse_address("sftp.listen", &section.listen)?,
+            max_upload_bytes,
             unit_bytes,
-            read: class_index("sftp.read_class", &section.read_class, Access::Read, settings)?,
-            write: class_index("sftp.write_class", &section.write_class, Access::Write, settings)?,
-            large_read: class_index("sftp.large_read_class", large_read_class, Access::Read, settings)?,
+            read_class: class_index("sftp.read_class", &section.read_class, Access::Read, settings)?,
+            write_class: class_index("sftp.write_class", &section.write_class, Access::Write, settings)?,
+            large_read_class: class_index("sftp.large_read_class", large_read_class, Access::Read, settings)?,
             large_bytes: section.large_bytes.unwrap_or(u64::MAX),
-            list: class_index("sftp.list_class", list_class, Access::Read, settings)?,
+            list_class: class_index("sftp.list_class", list_class, Access::Read, settings)?,
             volumes,
         })
     }
 }
 
-/// The limit on uploads; no larger than what is forwarded to a node.
-fn max_upload(section: &OperatorSftp) -> Result<usize, ConfigError> {
-    let max_upload = section.max_upload_bytes.unwrap_or(MAX_VALUE_BYTES);
-    if max_upload > MAX_VALUE_BYTES {
+/// Largest upload in bytes; at most the largest value that is forwarded to a node.
+fn max_upload_bytes(section: &OperatorSftp) -> Result<usize, ConfigError> {
+    let max_upload_bytes = section.max_upload_bytes.unwrap_or(MAX_VALUE_BYTES);
+    if max_upload_bytes > MAX_VALUE_BYTES {
         let cause = InvalidValue::AboveMaximum { max: MAX_VALUE_BYTES };
         return Err(ConfigError::invalid_value("sftp.max_upload_bytes", cause));
     }
-    Ok(max_upload)
+    Ok(max_upload_bytes)
 }
 
 /// Bytes that count as one unit.
@@ -101,7 +101,7 @@
     Ok(unit_bytes)
 }
 
-/// Index of the class of that name, which must have the access given.
+/// Index of the class with this name. Fails unless its requests do what `access` states.
 fn class_index(
     key: &str,
     name: &str,
@@ -119,7 +119,7 @@
     Ok(index)
 }
 
-/// Checks and converts `sftp.volumes`.
+/// Validates and converts `sftp.volumes`.
 fn convert_volumes(
     entries: &[OperatorVolume],
     settings: &DeploymentSettings,
@@ -133,7 +133,7 @@
     Ok(volumes)
 }
 
-/// Checks that a volume's name can stand at the top of a path and is not used by an earlier volume.
+/// Checks that a volume's name is valid as the first part of a path and is not used by an earlier volume.
 fn check_volume_name(key: &str, name: &str, earlier: &[SftpVolume]) -> Result<(), ConfigError> {
     let key = format!("{key}.name");
     if name.is_empty() || name.contains('/') || name.starts_with('.') {
@@ -151,7 +151,7 @@
     entry: &OperatorVolume,
     settings: &DeploymentSettings,
 ) -> Result<SftpVolume, ConfigError> {
-    let id = hexadecimal(&format!("{key}.id"), &entry.id)?;
+    let id = parse_hexadecimal(&format!("{key}.id"), &entry.id)?;
     let Some(plan) = settings.plans.iter().position(|plan| plan.name == entry.plan) else {
         let cause = InvalidValue::UnknownPlan(entry.plan.clone());
         return Err(ConfigError::invalid_value(&format!("{key}.plan"), cause));
--- a/crates/gateway/src/config/validate.rs
+++ b/crates/gateway/src/config/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of values that decode well but cannot be used.
+//! Validation of values that have the right type but may still be unusable.
 
 use super::error::{ConfigError, InvalidValue};
 use super::file::Limits;
@@ -6,24 +6,24 @@
 use log::LevelFilter;
 use std::net::SocketAddr;
 
-/// Fewest file descriptors to work with.
+/// Smallest allowed limit on file descriptors.
 const MIN_DESCRIPTORS: usize = 64;
-/// Least memory to work with, in MiB.
+/// Smallest allowed memory limit, in MiB.
 const MIN_MEMORY_MB: usize = 16;
-/// Most memory, in MiB; a larger number would be no limit.
+/// Largest allowed memory limit, in MiB; a larger one would have no effect.
 const MAX_MEMORY_MB: usize = 1 << 20;
 
-/// What is asked of `deadline_ms` of the classes.
+/// The requirement on `deadline_ms` of the classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DeadlineRule {
-    /// It may be left out: every request states its own deadline.
+    /// It may be absent, because every request over RESP states its own deadline.
     Optional,
-    /// It must be at least the latency objective: requests over SFTP state no deadline.
+    /// It must be at least the latency objective, because requests over SFTP state no deadline and get this one.
     AtLeastObjective,
 }
 
-/// The checks that both kinds of file share.
-pub(super) fn check(
+/// Checks `settings` and `limits`, the sections that both kinds of file contain.
+pub(super) fn check_shared_sections(
     settings: &DeploymentSettings,
     limits: &Limits,
     deadline_rule: DeadlineRule,
@@ -62,7 +62,7 @@
     Ok(())
 }
 
-/// Checks that the process can work within its limits.
+/// Checks that the limits are within their ranges.
 fn check_limits(limits: &Limits) -> Result<(), ConfigError> {
     if !(MIN_MEMORY_MB..=MAX_MEMORY_MB).contains(&limits.memory_mb) {
         let cause = InvalidValue::OutOfRange { min: MIN_MEMORY_MB, max: MAX_MEMORY_MB };
@@ -76,18 +76,18 @@
 }
 
 /// Parses an IP address with a port.
-pub(super) fn address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+pub(super) fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::invalid_value(key, InvalidValue::NotAnAddress(text.to_owned())))
 }
 
 /// Parses a hexadecimal number.
-pub(super) fn hexadecimal(key: &str, text: &str) -> Result<u64, ConfigError> {
+pub(super) fn parse_hexadecimal(key: &str, text: &str) -> Result<u64, ConfigError> {
     u64::from_str_radix(text, 16)
         .map_err(|_| ConfigError::invalid_value(key, InvalidValue::NotHexadecimal(text.to_owned())))
 }
 
-/// Parses the level of the log, `info` if none is given.
-pub(super) fn log_level(key: &str, text: Option<&str>) -> Result<LevelFilter, ConfigError> {
+/// Parses the log level; `info` if none is given.
+pub(super) fn parse_log_level(key: &str, text: Option<&str>) -> Result<LevelFilter, ConfigError> {
     let Some(text) = text else { return Ok(LevelFilter::Info) };
     text.parse().map_err(|_| ConfigError::invalid_value(key, InvalidValue::UnknownLogLevel(text.to_owned())))
 }
--- a/crates/gateway/src/node_protocol/sftp/mod.rs
+++ b/crates/gateway/src/node_protocol/sftp/mod.rs
@@ -1,29 +1,35 @@
-//! SFTP-style file commands towards file servers.
+//! SFTP commands towards file servers, over a plain connection without the SSH transport.
 //!
-//! Objects are at `/VOLUME/OBJECT`, the volume as 16 hex digits. One request is a short sequence of commands,
-//! each sent when the reply to the one before has arrived. A write may have had an effect as soon as a byte of
-//! its OPEN has left, as that creates the file.
+//! The path of an object is `/VOLUME/OBJECT`, with the volume's id as 16 hex digits. One request takes a short
+//! sequence of commands, each sent after the reply to the previous one. A write may have had an effect as soon
+//! as the first byte of its OPEN is sent, because OPEN creates or truncates the file.
 
 mod stage;
 
 use super::{NodeProtocol, ProtocolError};
 use crate::dispatcher::{AttemptResult, Operation, StorageRequest};
-use crate::sftp_packet::{decode_packet, kind, open, DecodedPacket, Malformed, Packet, VERSION};
+use crate::sftp_packet::{
+    decode_packet, open_flags, packet_type, DecodedPacket, MalformedPacket, Packet, VERSION,
+};
 use stage::Stage;
 
+/// Flags of OPEN for a write, which replaces the whole object.
+const REPLACE_FLAGS: u32 = open_flags::WRITE | open_flags::CREAT | open_flags::TRUNC;
+
 /// The protocol state of one connection to a file server.
 pub struct SftpProtocol {
+    /// The reply that the connection waits for.
     stage: Stage,
-    /// The id of the last command; replies to other ids are left over from earlier requests.
+    /// The id of the last command; a reply with another id belongs to an earlier request and is ignored.
     last_id: u32,
-    /// The id of the last CLOSE whose reply is ignored.
+    /// The id of the last CLOSE that was sent after its request was complete; its reply is ignored.
     ignored_id: Option<u32>,
     /// Longest accepted object in bytes.
     max_value_length: usize,
 }
 
-impl From<Malformed> for ProtocolError {
-    fn from(_: Malformed) -> Self {
+impl From<MalformedPacket> for ProtocolError {
+    fn from(_: MalformedPacket) -> Self {
         ProtocolError
     }
 }
@@ -35,20 +41,25 @@
         SftpProtocol { stage: Stage::AwaitingVersion, last_id: 0, ignored_id: None, max_value_length }
     }
 
-    /// Sends a command of a packet type under a new id; `append_fields` adds its fields.
-    fn send_command(&mut self, kind: u8, out: &mut Vec<u8>, append_fields: impl FnOnce(Packet) -> Packet) {
+    /// Appends a command with a new id to `out`; `append_fields` adds the fields after the id.
+    fn send_command(
+        &mut self,
+        type_byte: u8,
+        out: &mut Vec<u8>,
+        append_fields: impl FnOnce(Packet) -> Packet,
+    ) {
         self.last_id = self.last_id.wrapping_add(1);
-        let command = append_fields(Packet::with_id(kind, self.last_id));
-        out.extend(command.done());
+        let command = append_fields(Packet::with_id(type_byte, self.last_id));
+        out.extend(command.finish());
     }
 
-    /// Sends OPEN for a path, with flags of [`open`] and no attributes.
+    /// Appends OPEN for a path, with flags of [`open_flags`] and no attributes.
     fn send_open(&mut self, path: &str, flags: u32, out: &mut Vec<u8>) {
-        self.send_command(kind::OPEN, out, |open| open.string(path).u32(flags).u32(0));
+        self.send_command(packet_type::OPEN, out, |packet| packet.string(path).u32(flags).u32(0));
     }
 
-    /// Decodes the next reply that belongs to the request in flight, with `position` moved past it, and
-    /// passes it to the current stage.
+    /// Decodes the next packet of `input`, moves `position` past it, and handles it if it is the reply that the
+    /// current stage waits for.
     fn decode_next(
         &mut self,
         input: &[u8],
@@ -56,9 +67,9 @@
         out: &mut Vec<u8>,
     ) -> Result<Progress, ProtocolError> {
         let Some(packet) = decode_packet(input, position)? else { return Ok(Progress::InputConsumed) };
-        let DecodedPacket { kind, mut fields } = packet;
+        let DecodedPacket { type_byte, mut fields } = packet;
         if matches!(self.stage, Stage::AwaitingVersion) {
-            if kind != kind::VERSION || fields.u32()? < VERSION {
+            if type_byte != packet_type::VERSION || fields.u32()? < VERSION {
                 return Err(ProtocolError);
             }
             self.stage = Stage::Idle;
@@ -75,16 +86,16 @@
         if id != self.last_id {
             return Ok(Progress::PacketConsumed);
         }
-        let result = self.handle_reply(kind, fields, out)?;
+        let result = self.handle_reply(type_byte, fields, out)?;
         Ok(result.map_or(Progress::PacketConsumed, Progress::RequestCompleted))
     }
 }
 
-/// What decoding one packet came to.
+/// The result of decoding the next packet.
 enum Progress {
     /// The input holds no further complete packet.
     InputConsumed,
-    /// A packet was taken; the request, if any, goes on.
+    /// A packet was consumed; a request in flight is not complete yet.
     PacketConsumed,
     /// The request in flight is complete.
     RequestCompleted(AttemptResult),
@@ -92,7 +103,7 @@
 
 impl NodeProtocol for SftpProtocol {
     fn start_handshake(&mut self, out: &mut Vec<u8>) {
-        out.extend(Packet::new(kind::INIT).u32(VERSION).done());
+        out.extend(Packet::new(packet_type::INIT).u32(VERSION).finish());
     }
 
     fn ready(&self) -> bool {
@@ -107,13 +118,16 @@
             None => format!("{directory}/{:016x}", request.object),
         };
         match request.operation {
-            Operation::Read => self.send_open(&path, open::READ, out),
-            Operation::Write => self.send_open(&path, open::WRITE | open::CREAT | open::TRUNC, out),
-            Operation::Stat => self.send_command(kind::STAT, out, |stat| stat.string(path)),
-            Operation::List => self.send_command(kind::OPENDIR, out, |opendir| opendir.string(directory)),
+            Operation::Read => self.send_open(&path, open_flags::READ, out),
+            Operation::Write => self.send_open(&path, REPLACE_FLAGS, out),
+            Operation::Stat => self.send_command(packet_type::STAT, out, |packet| packet.string(path)),
+            Operation::List => {
+                self.send_command(packet_type::OPENDIR, out, |packet| packet.string(directory));
+            }
         }
         self.stage = Stage::after_first_command(request);
         if request.operation == Operation::Write {
+            // Any byte of OPEN counts, see the module's documentation.
             return 0;
         }
         out.len() - start - 1
@@ -137,7 +151,7 @@
                 Progress::PacketConsumed => {}
                 Progress::InputConsumed => break None,
                 Progress::RequestCompleted(result) => {
-                    // A packet that directly follows the last reply belongs to no request: it is skipped.
+                    // Skips a packet that arrived together with the last reply: it belongs to no request.
                     decode_packet(input, &mut position)?;
                     break Some(result);
                 }
--- a/crates/gateway/src/node_protocol/sftp/stage.rs
+++ b/crates/gateway/src/node_protocol/sftp/stage.rs
@@ -1,37 +1,39 @@
-//! The stages of a request to a file server, and what each reply leads to.
+//! The stages of a request to a file server, and the action on each reply.
 
 use super::{ProtocolError, SftpProtocol};
 use crate::dispatcher::{AttemptResult, ObjectEntry, Operation, ResponseBody, StorageRequest};
-use crate::sftp_packet::{kind, Code, Fields};
+use crate::sftp_packet::{packet_type, Fields, StatusCode};
 use io_scheduler::Outcome;
 use std::collections::VecDeque;
 
-/// Bytes of one READ or WRITE.
+/// Largest number of bytes that one READ or WRITE transfers.
 const CHUNK_BYTES: usize = 32 << 10;
-/// Most names in the listing of one shard.
-const MAX_LISTED_NAMES: usize = 20_000;
+/// Largest number of entries in the listing of one shard.
+const MAX_LISTED_ENTRIES: usize = 20_000;
 
 /// The reply that a connection waits for.
 pub(super) enum Stage {
     /// VERSION, which completes the handshake.
     AwaitingVersion,
-    /// None: no request is in flight.
+    /// No reply: no request is in flight.
     Idle,
     /// The reply to OPEN or OPENDIR.
     Opening {
-        /// What the request does with the handle.
+        /// The request's operation, which states how the handle is used.
         operation: Operation,
-        /// The object to write.
+        /// The bytes of the object to write; empty for other operations.
         body: Vec<u8>,
     },
     /// The reply to READ.
     Reading {
+        /// The server's handle of the open file.
         handle: Vec<u8>,
-        /// The object's bytes so far.
+        /// The bytes of the object received so far.
         value: Vec<u8>,
     },
     /// The reply to WRITE.
     Writing {
+        /// The server's handle of the open file.
         handle: Vec<u8>,
         /// The chunks that are not sent yet.
         remaining: VecDeque<Vec<u8>>,
@@ -47,9 +49,10 @@
     AwaitingAttributes,
     /// The reply to READDIR.
     Listing {
+        /// The server's handle of the open directory.
         handle: Vec<u8>,
-        /// Names and sizes in bytes so far.
-        names: Vec<ObjectEntry>,
+        /// The entries received so far.
+        entries: Vec<ObjectEntry>,
     },
 }
 
@@ -62,7 +65,7 @@
         }
     }
 
-    /// The open handle of this stage, if the server has reported one that nothing else closes.
+    /// The handle that must be closed if the request ends at this stage.
     fn into_handle(self) -> Option<Vec<u8>> {
         match self {
             Stage::Reading { handle, .. } | Stage::Writing { handle, .. } | Stage::Listing { handle, .. } => {
@@ -73,7 +76,7 @@
     }
 }
 
-/// The result of a request that the server completed.
+/// The result of a request that the server has served.
 fn served(body: ResponseBody) -> AttemptResult {
     AttemptResult { body: Some(body), ..AttemptResult::without_body(Outcome::Served) }
 }
@@ -83,56 +86,58 @@
     /// next command is sent.
     pub(super) fn handle_reply(
         &mut self,
-        kind: u8,
+        type_byte: u8,
         mut fields: Fields<'_>,
         out: &mut Vec<u8>,
     ) -> Result<Option<AttemptResult>, ProtocolError> {
         let stage = std::mem::replace(&mut self.stage, Stage::Idle);
-        if kind == kind::STATUS {
+        if type_byte == packet_type::STATUS {
             let code = fields.u32()?;
             return Ok(self.handle_status(stage, code, out));
         }
-        match (stage, kind) {
-            (Stage::Opening { operation, body }, kind::HANDLE) => {
+        match (stage, type_byte) {
+            (Stage::Opening { operation, body }, packet_type::HANDLE) => {
                 self.use_handle(fields.string()?.to_vec(), operation, &body, out);
                 Ok(None)
             }
-            (Stage::Reading { handle, value }, kind::DATA) => {
+            (Stage::Reading { handle, value }, packet_type::DATA) => {
                 Ok(self.append_data(handle, value, fields.string()?, out))
             }
-            (Stage::AwaitingAttributes, kind::ATTRS) => {
-                let size = fields.attrs()?.unwrap_or(0);
+            (Stage::AwaitingAttributes, packet_type::ATTRS) => {
+                let size = fields.attributes()?.unwrap_or(0);
                 Ok(Some(served(ResponseBody::Size(size))))
             }
-            (Stage::Listing { handle, names }, kind::NAME) => self.append_names(handle, names, fields, out),
+            (Stage::Listing { handle, entries }, packet_type::NAME) => {
+                self.append_entries(handle, entries, fields, out)
+            }
             _ => Err(ProtocolError),
         }
     }
 
-    /// Handles a STATUS reply: the regular end of a stage, or a failure of the request.
+    /// Handles a STATUS reply: the regular end of a stage, or an error that fails the request.
     fn handle_status(&mut self, stage: Stage, code: u32, out: &mut Vec<u8>) -> Option<AttemptResult> {
-        let is = |expected: Code| code == expected as u32;
+        let is = |expected: StatusCode| code == expected as u32;
         match stage {
-            Stage::Opening { operation: Operation::List, .. } if is(Code::NoSuchFile) => {
+            Stage::Opening { operation: Operation::List, .. } if is(StatusCode::NoSuchFile) => {
                 Some(served(ResponseBody::Names(Vec::new())))
             }
             Stage::Opening { operation: Operation::Read, .. } | Stage::AwaitingAttributes
-                if is(Code::NoSuchFile) =>
+                if is(StatusCode::NoSuchFile) =>
             {
                 Some(served(ResponseBody::NotFound))
             }
-            Stage::Reading { handle, value } if is(Code::Eof) => {
+            Stage::Reading { handle, value } if is(StatusCode::Eof) => {
                 self.close_ignoring_reply(&handle, out);
                 Some(served(ResponseBody::Value(value)))
             }
-            Stage::Writing { handle, remaining, offset } if is(Code::Ok) => {
+            Stage::Writing { handle, remaining, offset } if is(StatusCode::Ok) => {
                 self.write_next_chunk(handle, remaining, offset, out);
                 None
             }
-            Stage::Closing { size } if is(Code::Ok) => Some(served(ResponseBody::Size(size))),
-            Stage::Listing { handle, names } if is(Code::Eof) => {
+            Stage::Closing { size } if is(StatusCode::Ok) => Some(served(ResponseBody::Size(size))),
+            Stage::Listing { handle, entries } if is(StatusCode::Eof) => {
                 self.close_ignoring_reply(&handle, out);
-                Some(served(ResponseBody::Names(names)))
+                Some(served(ResponseBody::Names(entries)))
             }
             failed_stage => {
                 if let Some(handle) = failed_stage.into_handle() {
@@ -155,8 +160,8 @@
         }
     }
 
-    /// Appends received bytes of an object and reads on. Fails if the server makes no progress, as that could
-    /// go on forever, or if the object is too long.
+    /// Appends the bytes of a DATA reply and requests more. The request fails if the object is too long, or if the
+    /// reply is empty, because a server that keeps sending empty replies would never complete it.
     fn append_data(
         &mut self,
         handle: Vec<u8>,
@@ -173,34 +178,36 @@
         None
     }
 
-    /// Appends received names of a directory and reads on. Fails if there are too many.
-    fn append_names(
+    /// Appends the entries of a NAME reply and requests more. The request fails if there are too many.
+    fn append_entries(
         &mut self,
         handle: Vec<u8>,
-        mut names: Vec<ObjectEntry>,
+        mut entries: Vec<ObjectEntry>,
         mut fields: Fields<'_>,
         out: &mut Vec<u8>,
     ) -> Result<Option<AttemptResult>, ProtocolError> {
         for _ in 0..fields.u32()? {
             let name = fields.string()?.to_vec();
             let _long_name = fields.string()?;
-            let size = fields.attrs()?.unwrap_or(0);
+            let size = fields.attributes()?.unwrap_or(0);
             if name != b"." && name != b".." {
-                names.push(ObjectEntry { name, size });
+                entries.push(ObjectEntry { name, size });
             }
         }
-        if names.len() > MAX_LISTED_NAMES {
+        if entries.len() > MAX_LISTED_ENTRIES {
             self.close_ignoring_reply(&handle, out);
             return Ok(Some(AttemptResult::without_body(Outcome::Error)));
         }
-        self.read_directory(handle, names, out);
+        self.read_directory(handle, entries, out);
         Ok(None)
     }
 
     /// Sends READ for the bytes after `value`.
     fn read_next_chunk(&mut self, handle: Vec<u8>, value: Vec<u8>, out: &mut Vec<u8>) {
         let offset = value.len() as u64;
-        self.send_command(kind::READ, out, |read| read.string(&handle).u64(offset).u32(CHUNK_BYTES as u32));
+        self.send_command(packet_type::READ, out, |packet| {
+            packet.string(&handle).u64(offset).u32(CHUNK_BYTES as u32)
+        });
         self.stage = Stage::Reading { handle, value };
     }
 
@@ -213,23 +220,26 @@
         out: &mut Vec<u8>,
     ) {
         let Some(chunk) = remaining.pop_front() else {
-            self.send_command(kind::CLOSE, out, |close| close.string(&handle));
+            self.send_command(packet_type::CLOSE, out, |packet| packet.string(&handle));
             self.stage = Stage::Closing { size: offset };
             return;
         };
-        self.send_command(kind::WRITE, out, |write| write.string(&handle).u64(offset).string(&chunk));
+        self.send_command(packet_type::WRITE, out, |packet| {
+            packet.string(&handle).u64(offset).string(&chunk)
+        });
         self.stage = Stage::Writing { handle, remaining, offset: offset + chunk.len() as u64 };
     }
 
-    /// Sends READDIR for the names after `names`.
-    fn read_directory(&mut self, handle: Vec<u8>, names: Vec<ObjectEntry>, out: &mut Vec<u8>) {
-        self.send_command(kind::READDIR, out, |readdir| readdir.string(&handle));
-        self.stage = Stage::Listing { handle, names };
+    /// Sends READDIR for the names after `entries`.
+    fn read_directory(&mut self, handle: Vec<u8>, entries: Vec<ObjectEntry>, out: &mut Vec<u8>) {
+        self.send_command(packet_type::READDIR, out, |packet| packet.string(&handle));
+        self.stage = Stage::Listing { handle, entries };
     }
 
-    /// Sends CLOSE for a handle whose request is complete already; the reply is ignored by its id.
+    /// Sends CLOSE for the handle of a request that is already complete. Its reply is recognized by the id and
+    /// ignored.
     fn close_ignoring_reply(&mut self, handle: &[u8], out: &mut Vec<u8>) {
-        self.send_command(kind::CLOSE, out, |close| close.string(handle));
+        self.send_command(packet_type::CLOSE, out, |packet| packet.string(handle));
         self.ignored_id = Some(self.last_id);
         self.last_id = self.last_id.wrapping_add(1);
     }
--- a/crates/gateway/src/sftp_packet/builder.rs
+++ b/crates/gateway/src/sftp_packet/builder.rs
@@ -1,8 +1,8 @@
-//! Encoding: packets built field by field.
+//! Encoding of packets, field by field.
 
-use super::{kind, Code, ATTRIBUTE_PERMISSIONS, ATTRIBUTE_SIZE};
+use super::{packet_type, StatusCode, ATTRIBUTE_PERMISSIONS, ATTRIBUTE_SIZE};
 
-/// A packet under construction: fields are appended in order, [`Packet::done`] sets the length.
+/// A packet under construction: fields are appended in order, [`Packet::finish`] sets the length.
 #[must_use]
 #[derive(Clone, Debug)]
 pub struct Packet {
@@ -11,14 +11,14 @@
 }
 
 impl Packet {
-    /// Starts a packet of a type (see [`kind`]).
-    pub fn new(kind: u8) -> Packet {
-        Packet { bytes: vec![0, 0, 0, 0, kind] }
+    /// Starts a packet of a type (see [`packet_type`]).
+    pub fn new(type_byte: u8) -> Packet {
+        Packet { bytes: vec![0, 0, 0, 0, type_byte] }
     }
 
     /// Starts a packet with a request id, as all types but `INIT` and `VERSION` have one.
-    pub fn with_id(kind: u8, id: u32) -> Packet {
-        Packet::new(kind).u32(id)
+    pub fn with_id(type_byte: u8, id: u32) -> Packet {
+        Packet::new(type_byte).u32(id)
     }
 
     /// Appends a 32-bit number.
@@ -41,8 +41,9 @@
         self
     }
 
-    /// Appends the attributes of a regular file of `size` bytes, or of a directory if `size` is `None`.
-    pub fn attrs(self, size: Option<u64>) -> Packet {
+    /// Appends file attributes: those of a regular file of `size` bytes, or of a directory if `size` is `None`.
+    pub fn attributes(self, size: Option<u64>) -> Packet {
+        // File type and permission bits, as in `st_mode` of POSIX.
         const REGULAR_FILE: u32 = 0o100_644;
         const DIRECTORY: u32 = 0o040_755;
         match size {
@@ -53,7 +54,7 @@
 
     /// Sets the length field and returns the encoded packet.
     #[must_use]
-    pub fn done(mut self) -> Vec<u8> {
+    pub fn finish(mut self) -> Vec<u8> {
         let length = (self.bytes.len() - 4) as u32;
         self.bytes[..4].copy_from_slice(&length.to_be_bytes());
         self.bytes
@@ -62,6 +63,6 @@
 
 /// Encodes a `STATUS` reply to the request `id`, with `message` in the language `en`.
 #[must_use]
-pub fn status(id: u32, code: Code, message: &str) -> Vec<u8> {
-    Packet::with_id(kind::STATUS, id).u32(code as u32).string(message).string("en").done()
+pub fn encode_status(id: u32, code: StatusCode, message: &str) -> Vec<u8> {
+    Packet::with_id(packet_type::STATUS, id).u32(code as u32).string(message).string("en").finish()
 }
--- a/crates/gateway/src/sftp_packet/mod.rs
+++ b/crates/gateway/src/sftp_packet/mod.rs
@@ -1,19 +1,19 @@
 //! Packets of the SSH File Transfer Protocol, version 3 (draft-ietf-secsh-filexfer-02), over a plain
 //! stream without the SSH transport.
 //!
-//! The client protocol and the node protocol share this codec. A packet is a 32-bit length, a type byte
-//! (see [`kind`]) and the fields of that type; all numbers are big-endian. [`decode_packet`] and [`Fields`] decode,
-//! [`Packet`] and [`status`] encode.
+//! The client protocol (this program as the server) and the node protocol (as the client) share this codec. A packet is a 32-bit length, a type byte
+//! (see [`packet_type`]) and the fields of that type; all numbers are big-endian. [`decode_packet`] and [`Fields`] decode,
+//! [`Packet`] and [`encode_status`] encode.
 
 mod builder;
 mod reader;
 
-pub use builder::{status, Packet};
-pub use reader::{decode_packet, DecodedPacket, Fields, Malformed};
+pub use builder::{encode_status, Packet};
+pub use reader::{decode_packet, DecodedPacket, Fields, MalformedPacket};
 
 /// The protocol version that both sides announce.
 pub const VERSION: u32 = 3;
-/// Longest accepted packet in bytes, without its length field: one value and the fields around it.
+/// Longest accepted packet in bytes, without its length field: one object and the fields around it.
 pub const MAX_PACKET_LENGTH: usize = crate::config::MAX_VALUE_BYTES + (4 << 10);
 
 /// Flag bit of file attributes: the size field is present.
@@ -27,8 +27,8 @@
 /// Flag bit of file attributes: a counted list of extension pairs follows.
 const ATTRIBUTE_EXTENDED: u32 = 0x8000_0000;
 
-/// Packet types: the byte after the length.
-pub mod kind {
+/// The type byte of a packet, which follows the length field.
+pub mod packet_type {
     /// `SSH_FXP_INIT`: the client's greeting with its protocol version.
     pub const INIT: u8 = 1;
     /// `SSH_FXP_VERSION`: the server's reply to `INIT`.
@@ -53,7 +53,7 @@
     pub const REALPATH: u8 = 16;
     /// `SSH_FXP_STAT`: attributes of a path.
     pub const STAT: u8 = 17;
-    /// `SSH_FXP_STATUS`: a reply with a [`Code`](super::Code).
+    /// `SSH_FXP_STATUS`: a reply with a [`StatusCode`](super::StatusCode).
     pub const STATUS: u8 = 101;
     /// `SSH_FXP_HANDLE`: a reply with the handle of an open file or directory.
     pub const HANDLE: u8 = 102;
@@ -66,7 +66,7 @@
 }
 
 /// Flag bits of `SSH_FXP_OPEN`.
-pub mod open {
+pub mod open_flags {
     /// `SSH_FXF_READ`: open for reading.
     pub const READ: u32 = 0x01;
     /// `SSH_FXF_WRITE`: open for writing.
@@ -80,7 +80,7 @@
 /// Status codes of `SSH_FXP_STATUS`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u32)]
-pub enum Code {
+pub enum StatusCode {
     /// `SSH_FX_OK`: the command succeeded.
     Ok = 0,
     /// `SSH_FX_EOF`: no more data or directory entries.
--- a/crates/gateway/tests/node_protocols.rs
+++ b/crates/gateway/tests/node_protocols.rs
@@ -9,7 +9,7 @@
 use storage_gateway::node_protocol::resp::RespProtocol;
 use storage_gateway::node_protocol::sftp::SftpProtocol;
 use storage_gateway::node_protocol::{NodeProtocol, ProtocolError};
-use storage_gateway::sftp_packet::{kind, open, Packet};
+use storage_gateway::sftp_packet::{open_flags, packet_type, Packet};
 
 /// What the tests compare of an attempt's result.
 type ComparedResult = (Outcome, Option<ResponseBody>, Option<f64>, f64);
@@ -130,7 +130,7 @@
     let mut output = Vec::new();
     protocol.start_handshake(&mut output);
     assert!(!protocol.ready());
-    let mut input = Packet::new(kind::VERSION).u32(3).done();
+    let mut input = Packet::new(packet_type::VERSION).u32(3).finish();
     assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
     assert!(protocol.ready());
     assert_eq!(
@@ -138,26 +138,26 @@
         0,
         "any byte of a write's OPEN may take effect"
     );
-    let flags = (open::WRITE | open::CREAT | open::TRUNC).to_be_bytes();
+    let flags = (open_flags::WRITE | open_flags::CREAT | open_flags::TRUNC).to_be_bytes();
     assert!(output.windows(4).any(|window| window == flags));
     // The id of no command, then data without end.
-    let mut input = Packet::with_id(kind::HANDLE, 77).string("h").done();
+    let mut input = Packet::with_id(packet_type::HANDLE, 77).string("h").finish();
     assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
     protocol.encode_request(&storage_request(Operation::Read), 1, &mut output);
-    let not_found = Packet::with_id(kind::STATUS, 2).u32(2).string("").string("").done();
+    let not_found = Packet::with_id(packet_type::STATUS, 2).u32(2).string("").string("").finish();
     let result = decode_byte_by_byte(&mut protocol, &not_found);
     assert_eq!(result.expect("a result").body, Some(ResponseBody::NotFound));
     protocol.encode_request(&storage_request(Operation::Read), 1, &mut output);
-    let mut input = Packet::with_id(kind::HANDLE, 3).string("h").done();
+    let mut input = Packet::with_id(packet_type::HANDLE, 3).string("h").finish();
     assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
     for id in 4..7 {
-        let mut input = Packet::with_id(kind::DATA, id).string(vec![0; 30 << 10]).done();
+        let mut input = Packet::with_id(packet_type::DATA, id).string(vec![0; 30 << 10]).finish();
         let result = protocol.decode(&mut input, &mut output).expect("well formed");
         let outcome = result.map(|result| result.outcome);
         assert_eq!(outcome, (id == 6).then_some(Outcome::Error), "packet {id}");
     }
     // The response to the CLOSE that nobody waits for is ignored once; a second copy of it is an error.
-    let closed = Packet::with_id(kind::STATUS, 7).u32(0).string("").string("").done();
+    let closed = Packet::with_id(packet_type::STATUS, 7).u32(0).string("").string("").finish();
     assert!(matches!(protocol.decode(&mut closed.clone(), &mut output), Ok(None)));
     assert!(protocol.decode(&mut closed.clone(), &mut output).is_err());
 }
--- a/crates/gateway/tests/scenario_runner/sftp_message.rs
+++ b/crates/gateway/tests/scenario_runner/sftp_message.rs
@@ -2,7 +2,7 @@
 
 use super::message::{DecodedMessage, Message};
 use std::fmt::Write as _;
-use storage_gateway::sftp_packet::{decode_packet, kind, Fields, Packet};
+use storage_gateway::sftp_packet::{decode_packet, packet_type, Fields, Packet};
 
 /// The first bytes of a packet that is never completed.
 const INCOMPLETE_PACKET: [u8; 5] = [0, 0, 0, 9, 1];
@@ -11,7 +11,7 @@
 pub fn decode(input: &[u8]) -> Option<DecodedMessage> {
     let mut length = 0;
     let packet = decode_packet(input, &mut length).expect("a well-formed packet")?;
-    let message = describe(packet.kind, packet.fields);
+    let message = describe(packet.type_byte, packet.fields);
     Some(DecodedMessage { message, length })
 }
 
@@ -20,20 +20,24 @@
     let request_id = fields.u32().expect("an id or a version");
     let fields = &mut fields;
     let text = match packet_kind {
-        kind::INIT => format!("init {request_id}"),
-        kind::VERSION => format!("version {request_id}"),
-        kind::OPEN => format!("open {} {}", take_text(fields), take_u32(fields)),
-        kind::CLOSE => format!("close {}", take_handle(fields)),
-        kind::READ => format!("read {} {} {}", take_handle(fields), take_u64(fields), take_u32(fields)),
-        kind::WRITE => format!("write {} {} {}", take_handle(fields), take_u64(fields), take_text(fields)),
-        kind::STAT => format!("stat {}", take_text(fields)),
-        kind::OPENDIR => format!("opendir {}", take_text(fields)),
-        kind::READDIR => format!("readdir {}", take_handle(fields)),
-        kind::STATUS => format!("status {} {}", take_u32(fields), take_text(fields)),
-        kind::HANDLE => format!("handle {}", take_handle(fields)),
-        kind::DATA => format!("data {}", take_text(fields)),
-        kind::ATTRS => format!("attrs {:?}", take_size(fields)),
-        kind::NAME => describe_names(fields),
+        packet_type::INIT => format!("init {request_id}"),
+        packet_type::VERSION => format!("version {request_id}"),
+        packet_type::OPEN => format!("open {} {}", take_text(fields), take_u32(fields)),
+        packet_type::CLOSE => format!("close {}", take_handle(fields)),
+        packet_type::READ => {
+            format!("read {} {} {}", take_handle(fields), take_u64(fields), take_u32(fields))
+        }
+        packet_type::WRITE => {
+            format!("write {} {} {}", take_handle(fields), take_u64(fields), take_text(fields))
+        }
+        packet_type::STAT => format!("stat {}", take_text(fields)),
+        packet_type::OPENDIR => format!("opendir {}", take_text(fields)),
+        packet_type::READDIR => format!("readdir {}", take_handle(fields)),
+        packet_type::STATUS => format!("status {} {}", take_u32(fields), take_text(fields)),
+        packet_type::HANDLE => format!("handle {}", take_handle(fields)),
+        packet_type::DATA => format!("data {}", take_text(fields)),
+        packet_type::ATTRS => format!("attrs {:?}", take_size(fields)),
+        packet_type::NAME => describe_names(fields),
         other => format!("type {other}"),
     };
     Message { text, request_id }
@@ -63,7 +67,7 @@
 }
 
 fn take_size(fields: &mut Fields<'_>) -> Option<u64> {
-    fields.attrs().expect("attributes")
+    fields.attributes().expect("attributes")
 }
 
 /// The gateway's handles are numbers in four bytes; those of stand-in nodes are text.
@@ -81,33 +85,33 @@
     let start = |packet_kind| Packet::with_id(packet_kind, request_id);
     let packet = match words[0] {
         "half" => return INCOMPLETE_PACKET.to_vec(),
-        "init" => Packet::new(kind::INIT).u32(3),
-        "version" => Packet::new(kind::VERSION).u32(3),
-        "open" => start(kind::OPEN).string(arguments.text(0)).u32(arguments.number(1)).u32(0),
-        "close" => arguments.append_handle(start(kind::CLOSE)),
+        "init" => Packet::new(packet_type::INIT).u32(3),
+        "version" => Packet::new(packet_type::VERSION).u32(3),
+        "open" => start(packet_type::OPEN).string(arguments.text(0)).u32(arguments.number(1)).u32(0),
+        "close" => arguments.append_handle(start(packet_type::CLOSE)),
         "read" => {
-            let packet = arguments.append_handle(start(kind::READ));
+            let packet = arguments.append_handle(start(packet_type::READ));
             packet.u64(u64::from(arguments.number(1))).u32(arguments.number(2))
         }
         "write" => {
-            let packet = arguments.append_handle(start(kind::WRITE));
+            let packet = arguments.append_handle(start(packet_type::WRITE));
             packet.u64(u64::from(arguments.number(1))).string(arguments.joined_from(2))
         }
-        "fstat" => arguments.append_handle(start(kind::FSTAT)),
-        "stat" => start(kind::STAT).string(arguments.text(0)),
-        "lstat" => start(kind::LSTAT).string(arguments.text(0)),
-        "opendir" => start(kind::OPENDIR).string(arguments.text(0)),
-        "readdir" => arguments.append_handle(start(kind::READDIR)),
-        "realpath" => start(kind::REALPATH).string(arguments.text(0)),
-        "status" => start(kind::STATUS).u32(arguments.number(0)).string("").string(""),
-        "handle" => arguments.append_handle(start(kind::HANDLE)),
-        "data" => start(kind::DATA).string(arguments.joined_from(0)),
-        "attrs" => start(kind::ATTRS).attrs(Some(u64::from(arguments.number(0)))),
+        "fstat" => arguments.append_handle(start(packet_type::FSTAT)),
+        "stat" => start(packet_type::STAT).string(arguments.text(0)),
+        "lstat" => start(packet_type::LSTAT).string(arguments.text(0)),
+        "opendir" => start(packet_type::OPENDIR).string(arguments.text(0)),
+        "readdir" => arguments.append_handle(start(packet_type::READDIR)),
+        "realpath" => start(packet_type::REALPATH).string(arguments.text(0)),
+        "status" => start(packet_type::STATUS).u32(arguments.number(0)).string("").string(""),
+        "handle" => arguments.append_handle(start(packet_type::HANDLE)),
+        "data" => start(packet_type::DATA).string(arguments.joined_from(0)),
+        "attrs" => start(packet_type::ATTRS).attributes(Some(u64::from(arguments.number(0)))),
         "type" => start(u8::try_from(arguments.number(0)).expect("a packet type")),
-        "name" => arguments.append_names(start(kind::NAME)),
+        "name" => arguments.append_names(start(packet_type::NAME)),
         other => panic!("no packet is called {other}"),
     };
-    packet.done()
+    packet.finish()
 }
 
 /// The words after a packet's name.
@@ -140,7 +144,7 @@
         let mut packet = packet.u32(count);
         for entry in self.0 {
             let (name, size) = entry.split_once(':').expect("NAME:SIZE");
-            packet = packet.string(name).string(name).attrs(size.parse().ok());
+            packet = packet.string(name).string(name).attributes(size.parse().ok());
         }
         packet
     }
