--- a/crates/gateway/src/client_protocol/resp/mod.rs
+++ b/crates/gateway/src/client_protocol/resp/mod.rs
@@ -1,4 +1,5 @@
-//! RESP2 towards clients: `IO.IN` reads and `IO.OUT` writes, and the few commands that client libraries send.
+//! RESP2 towards clients: `IO.IN` reads, `IO.OUT` writes, and the few commands that client libraries send on
+//! connecting are answered.
 
 mod names;
 mod parser;
@@ -10,27 +11,31 @@
 
 use super::{ClientProtocol, CommandStep, EncodedReply};
 use crate::dispatcher::{Operation, Response, ResponseBody};
+use crate::resp_bulk_string::append_bulk_string;
+use deployment_settings::milliseconds;
 use io_scheduler::Micros;
 use parser::parse_arguments;
 use request::{build_request, RequestError};
 use std::rc::Rc;
 
-/// A connection without a command for so long is closed; clients open new ones when they need them.
+/// Idle time after which a connection is closed, in microseconds. Clients reconnect when they need to.
 const IDLE_TIMEOUT: Micros = 2_500_000;
 
-/// One client's connection. It has no state of its own, as each command stands alone.
+/// The protocol of one client connection. It keeps no state between commands, as no command depends on earlier
+/// ones.
 pub struct RespProtocol {
+    /// Names and bounds for validating requests.
     names: Rc<RequestNames>,
 }
 
 impl RespProtocol {
-    /// A new connection whose requests may use `names`.
+    /// Creates the protocol of a new connection; its requests are validated against `names`.
     #[must_use]
     pub fn new(names: Rc<RequestNames>) -> RespProtocol {
         RespProtocol { names }
     }
 
-    /// Answers a complete command, or submits its request.
+    /// Runs a complete command: answers it or submits its request.
     fn run_command(&self, arguments: &[&[u8]], ready: bool) -> CommandStep {
         let Some(name) = arguments.first() else { return CommandStep::Reply(Vec::new()) };
         match name.to_ascii_uppercase().as_slice() {
@@ -44,7 +49,7 @@
         }
     }
 
-    /// Submits the request of an `IO.IN` or `IO.OUT` command, or answers why it is invalid.
+    /// Submits the request of an `IO.IN` or `IO.OUT` command, or answers with an error if it is invalid.
     fn submit(&self, operation: Operation, arguments: &[&[u8]]) -> CommandStep {
         match build_request(&self.names, operation, arguments) {
             Ok(request) => CommandStep::Submit(vec![request]),
@@ -53,32 +58,33 @@
     }
 }
 
-/// A reply with fixed bytes.
+/// Answers a command with fixed bytes.
 fn reply(bytes: &[u8]) -> CommandStep {
     CommandStep::Reply(bytes.to_vec())
 }
 
-/// An error line for an invalid request. The text may repeat parts of the request, which must not end the line.
+/// Encodes the error line for an invalid request. Line ends in the text are replaced, as the text may quote parts
+/// of the request.
 fn encode_request_error(error: &RequestError) -> Vec<u8> {
     let text = error.to_string().replace(['\r', '\n'], " ");
     format!("-ERR {text}\r\n").into_bytes()
 }
 
-/// A RESP bulk string.
+/// Encodes a bulk string.
 fn encode_bulk_string(value: &[u8]) -> Vec<u8> {
-    let mut bytes = format!("${}\r\n", value.len()).into_bytes();
-    bytes.extend_from_slice(value);
-    bytes.extend_from_slice(b"\r\n");
+    let mut bytes = Vec::new();
+    append_bulk_string(value, &mut bytes);
     bytes
 }
 
-/// The reply to a rejected request; it states the wait in milliseconds, rounded up, if there is one.
+/// The reply to a rejected request. It states the time after which to retry, in milliseconds rounded up, unless
+/// that is zero.
 fn encode_rejection(retry_after: Micros) -> Vec<u8> {
     if retry_after <= 0 {
         return b"-BUSY\r\n".to_vec();
     }
-    let milliseconds = (retry_after as f64 / 1000.0).ceil();
-    format!("-BUSY {milliseconds}\r\n").into_bytes()
+    let retry_after_ms = milliseconds(retry_after).ceil();
+    format!("-BUSY {retry_after_ms}\r\n").into_bytes()
 }
 
 impl ClientProtocol for RespProtocol {
@@ -93,7 +99,7 @@
     fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>) {
         let bytes = match response {
             Response::Served(ResponseBody::Value(value)) => encode_bulk_string(&value),
-            // A file server's reply to a write carries no value.
+            // A file server's reply to a write has no value; that of a RESP2 node has one.
             Response::Served(ResponseBody::Size(_) | ResponseBody::Names(_)) => encode_bulk_string(b""),
             Response::Served(ResponseBody::NotFound) => b"-ERR not found\r\n".to_vec(),
             Response::Rejected { retry_after } => encode_rejection(retry_after),
--- a/crates/gateway/src/client_protocol/resp/names.rs
+++ b/crates/gateway/src/client_protocol/resp/names.rs
@@ -1,21 +1,23 @@
-//! The names and bounds that the settings give to requests.
+//! The names that requests may refer to and the bounds on their values, taken from the settings.
 
 use super::request::RequestError;
 use deployment_settings::{ClassSettings, DeploymentSettings};
 use std::rc::Rc;
 
-/// Longest wait that a client may state where its class has no deadline, in milliseconds.
+/// Longest waiting time that a client may state if its class has no deadline, in milliseconds.
 const MAX_WAIT_MS: f64 = 600_000.0;
-/// Largest number of units of a request where the settings state none.
+/// Largest size of a request in units if the settings state none.
 const DEFAULT_MAX_UNITS: f64 = 1e6;
 
-/// The names and bounds that all RESP requests share, taken from the settings.
+/// The names that RESP requests may refer to, and the bounds on their values. All connections share it.
 pub struct RequestNames {
+    /// Classes, in the order of the settings.
     classes: Vec<RequestClass>,
+    /// Names of the plans, in the order of the settings.
     plans: Vec<String>,
-    /// Largest number of units of one request.
+    /// Largest size of one request in units; larger values are reduced to it.
     pub(super) max_units: f64,
-    /// Largest number of gateways that a request may state as `hosts`.
+    /// Largest value of the term `hosts`, a number of gateways; larger values are reduced to it.
     pub(super) max_hosts: f64,
 }
 
@@ -23,14 +25,14 @@
 pub(super) struct RequestClass {
     /// The name in the settings.
     pub(super) name: String,
-    /// Whether requests of the class write, where the settings state it.
+    /// Whether requests of the class write; `None` if the settings do not state it.
     pub(super) writes: Option<bool>,
-    /// Longest wait that a client of the class may state, in milliseconds: the class's deadline.
+    /// Longest waiting time that a request of the class may have, in milliseconds: the class's deadline.
     pub(super) max_wait_ms: f64,
 }
 
 impl RequestNames {
-    /// The names of the settings.
+    /// Collects the names and bounds from the settings.
     #[must_use]
     pub fn new(settings: &DeploymentSettings) -> Rc<RequestNames> {
         let storage = &settings.storage;
@@ -42,7 +44,8 @@
         Rc::new(RequestNames {
             classes: settings.classes.iter().enumerate().map(class).collect(),
             plans: settings.plans.iter().map(|plan| plan.name.clone()).collect(),
-            // Larger numbers than the settings know would count against a volume for the rest of the day.
+            // A request with an excessive size would be charged to its volume, which would get no further
+            // service for a long time.
             max_units: if storage.max_units > 0.0 { storage.max_units } else { DEFAULT_MAX_UNITS },
             max_hosts: f64::from(settings.gateway_count.max(1)),
         })
@@ -65,8 +68,8 @@
 }
 
 impl RequestClass {
-    /// Checks that requests of the class may be made by a command that writes or reads. Whether a request may
-    /// run again follows from its class, so a write under a read's class could be repeated.
+    /// Checks that the class fits a command that writes, or that reads if `is_write` is false. Whether a request is
+    /// retried depends on its class, so a write under the class of a read could be executed twice.
     pub(super) fn check_operation(&self, is_write: bool) -> Result<(), RequestError> {
         match self.writes {
             Some(writes) if writes != is_write => Err(RequestError::WrongCommand(self.name.clone())),
--- a/crates/gateway/src/client_protocol/resp/parser.rs
+++ b/crates/gateway/src/client_protocol/resp/parser.rs
@@ -1,15 +1,16 @@
-//! Parsing of RESP2 commands: arrays of bulk strings.
+//! Parsing of RESP2 commands, which are arrays of bulk strings.
 
 use crate::config::MAX_VALUE_BYTES;
+use crate::resp_bulk_string::{read_bulk_content, MissingTerminator};
 
-/// Most arguments in one command, with its name.
+/// Largest number of arguments in one command, including its name.
 const MAX_ARGUMENTS: usize = 64;
-/// Longest line that announces a length, in bytes.
+/// Longest length line, such as `*3` or `$5`, in bytes.
 const MAX_LENGTH_LINE_BYTES: usize = 64;
-/// Bytes of a command's arguments together; it bounds a connection's input buffer.
+/// Largest total size of a command's arguments, in bytes. It also bounds the input buffer of a connection.
 pub const MAX_COMMAND_BYTES: usize = MAX_VALUE_BYTES + (8 << 10);
 
-/// Why the input is not a command. The text goes to the client.
+/// Why the input is not a command. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RespSyntaxError {
     /// The array announces a negative number of arguments, or too many.
@@ -21,13 +22,13 @@
     /// The arguments together exceed [`MAX_COMMAND_BYTES`].
     #[error("command too large")]
     CommandTooLarge,
-    /// A bulk string does not end where it announced.
+    /// No line end follows the announced number of bytes of a bulk string.
     #[error("expected the end of a bulk string")]
     MissingBulkEnd,
     /// The input is of another RESP type.
     #[error("expected an array of bulk strings")]
     UnexpectedType,
-    /// A line that announces a length has no end within its bound.
+    /// A length line exceeds its bound.
     #[error("line too long")]
     LineTooLong,
     /// A line ends in LF alone.
@@ -38,41 +39,50 @@
     InvalidNumber,
 }
 
+impl From<MissingTerminator> for RespSyntaxError {
+    fn from(_: MissingTerminator) -> Self {
+        RespSyntaxError::MissingBulkEnd
+    }
+}
+
 /// Parses the command of `input` that starts at `position` into its arguments, its name first. Moves `position`
 /// past it; returns `None`, with `position` unchanged, until the command is complete.
 pub(super) fn parse_arguments<'a>(
     input: &'a [u8],
     position: &mut usize,
 ) -> Result<Option<Vec<&'a [u8]>>, RespSyntaxError> {
-    let mut parser = Parser { input, position: *position };
-    let Some(count) = parser.read_length(b'*')? else { return Ok(None) };
+    let mut lengths = LengthReader { input, position: *position };
+    let Some(count) = lengths.read_length(b'*')? else { return Ok(None) };
     if !(0..=MAX_ARGUMENTS as i64).contains(&count) {
         return Err(RespSyntaxError::InvalidArrayLength);
     }
     let mut arguments = Vec::with_capacity(count as usize);
     let mut command_bytes = 0;
     for _ in 0..count {
-        let Some(length) = parser.read_length(b'$')? else { return Ok(None) };
+        let Some(length) = lengths.read_length(b'$')? else { return Ok(None) };
         let length = usize::try_from(length).map_err(|_| RespSyntaxError::InvalidBulkLength)?;
         command_bytes += length;
         if command_bytes > MAX_COMMAND_BYTES {
             return Err(RespSyntaxError::CommandTooLarge);
         }
-        let Some(argument) = parser.read_bulk_content(length)? else { return Ok(None) };
+        let Some(argument) = read_bulk_content(input, &mut lengths.position, length)? else {
+            return Ok(None);
+        };
         arguments.push(argument);
     }
-    *position = parser.position;
+    *position = lengths.position;
     Ok(Some(arguments))
 }
 
-/// Reads parts of a command. Each method returns `None` if the input ends before the part does.
-struct Parser<'a> {
+/// Reads the length lines of a command.
+struct LengthReader<'a> {
     input: &'a [u8],
+    /// How many bytes of `input` have been read.
     position: usize,
 }
 
-impl<'a> Parser<'a> {
-    /// Reads a line that consists of `marker` and a length.
+impl LengthReader<'_> {
+    /// Reads a line that consists of `marker` and a length. Returns `None` until the line is complete.
     fn read_length(&mut self, marker: u8) -> Result<Option<i64>, RespSyntaxError> {
         let rest = &self.input[self.position..];
         let Some(first) = rest.first() else { return Ok(None) };
@@ -89,16 +99,4 @@
         self.position += end + 1;
         Ok(Some(length))
     }
-
-    /// Reads the content of a bulk string of a known length, and its end.
-    fn read_bulk_content(&mut self, length: usize) -> Result<Option<&'a [u8]>, RespSyntaxError> {
-        let end = self.position + length;
-        let Some(terminator) = self.input.get(end..end + 2) else { return Ok(None) };
-        if terminator != b"\r\n" {
-            return Err(RespSyntaxError::MissingBulkEnd);
-        }
-        let content = &self.input[self.position..end];
-        self.position = end + 2;
-        Ok(Some(content))
-    }
 }
--- a/crates/gateway/src/client_protocol/resp/request.rs
+++ b/crates/gateway/src/client_protocol/resp/request.rs
@@ -1,11 +1,20 @@
-//! Construction of a request from the arguments of an `IO.IN` or `IO.OUT` command.
+//! Validation of the arguments of an `IO.IN` or `IO.OUT` command, and construction of its request.
 
 use super::names::RequestNames;
 use super::terms::RequestTerms;
 use crate::dispatcher::{Operation, RequestParameters, StorageRequest};
+use crate::hex_id::HexId;
 
 /// Longest client request id in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 64;
+/// Index of the object's id in the arguments of a command; the name of the command has index 0.
+const OBJECT_ARGUMENT: usize = 1;
+/// Index of the client request id.
+const REQUEST_ID_ARGUMENT: usize = 2;
+/// Index of the list of terms.
+const TERMS_ARGUMENT: usize = 3;
+/// Index of the body of a write.
+const BODY_ARGUMENT: usize = 4;
 
 /// Why a request is invalid. The text goes to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -16,7 +25,7 @@
     /// The object is not 16 hex digits.
     #[error("the piece of data is not 16 hex digits")]
     InvalidObject,
-    /// The client request id is empty, too long or contains other than visible ASCII characters.
+    /// The client request id is empty, too long or not made of visible ASCII characters only.
     #[error("the id is missing or no word")]
     InvalidRequestId,
     /// A term has no `=`.
@@ -30,7 +39,7 @@
         /// The value as sent.
         value: String,
     },
-    /// Two terms have the same name; a node might use either.
+    /// Two terms have the same name. As the terms are forwarded, the node might use the other one.
     #[error("{0} stands twice")]
     DuplicateTerm(String),
     /// `c` is missing or names no class.
@@ -48,22 +57,22 @@
     /// `d` is missing.
     #[error("d is missing")]
     MissingWait,
-    /// The class writes and the command reads, or the other way round.
+    /// The class writes and the command reads, or the reverse.
     #[error("requests of class {0} are not asked for this way")]
     WrongCommand(String),
 }
 
-/// Builds the request of a command. Its arguments are the command's name, the object, the client request id,
-/// the terms and, for a write, the body.
+/// Builds the request of a command. Its arguments are the name of the command, the object's id, the client
+/// request id, the terms and, for a write, the body.
 pub(super) fn build_request(
     names: &RequestNames,
     operation: Operation,
     arguments: &[&[u8]],
 ) -> Result<StorageRequest, RequestError> {
-    let object_text = text_argument(arguments, 1)?;
-    let client_request_id = text_argument(arguments, 2)?;
-    let terms_text = text_argument(arguments, 3)?;
-    let object = parse_hex(object_text).ok_or(RequestError::InvalidObject)?;
+    let object_text = text_argument(arguments, OBJECT_ARGUMENT)?;
+    let client_request_id = text_argument(arguments, REQUEST_ID_ARGUMENT)?;
+    let terms_text = text_argument(arguments, TERMS_ARGUMENT)?;
+    let HexId(object) = object_text.parse().map_err(|_| RequestError::InvalidObject)?;
     check_request_id(client_request_id)?;
 
     let terms = RequestTerms::parse(terms_text, names)?;
@@ -88,7 +97,7 @@
         hosts: terms.hosts,
         client_timeout: wait.capped_micros(class.max_wait_ms),
         is_retry: terms.is_retry,
-        body: arguments.get(4).map(|body| body.to_vec()).unwrap_or_default(),
+        body: arguments.get(BODY_ARGUMENT).map(|body| body.to_vec()).unwrap_or_default(),
         parameters: RequestParameters {
             before_timeout: wait.prefix.into(),
             after_timeout: wait.suffix.into(),
@@ -96,21 +105,13 @@
     })
 }
 
-/// The argument at `index` as text; the command's name has index 0.
+/// The argument at `index` as text.
 fn text_argument<'a>(arguments: &[&'a [u8]], index: usize) -> Result<&'a str, RequestError> {
     let argument = arguments.get(index).ok_or(RequestError::NotUtf8)?;
     std::str::from_utf8(argument).map_err(|_| RequestError::NotUtf8)
 }
 
-/// The value of 16 hex digits.
-pub(super) fn parse_hex(text: &str) -> Option<u64> {
-    if text.len() != 16 {
-        return None;
-    }
-    u64::from_str_radix(text, 16).ok()
-}
-
-/// Checks a client request id: one word of bounded length.
+/// Checks that a client request id consists of visible ASCII characters and has a length from 1 to the limit.
 fn check_request_id(id: &str) -> Result<(), RequestError> {
     let valid_length = (1..=MAX_REQUEST_ID_LENGTH).contains(&id.len());
     if valid_length && id.bytes().all(|byte| byte.is_ascii_graphic()) {
--- a/crates/gateway/src/client_protocol/resp/terms.rs
+++ b/crates/gateway/src/client_protocol/resp/terms.rs
@@ -1,34 +1,36 @@
-//! The terms of a request: a list such as `c=read,t=gold,d=480,volume=...,shard=0`.
+//! Parsing of the terms of a request: a list of names and values such as
+//! `c=read,t=gold,d=480,volume=00000000000000a1,shard=0`.
 
 use super::names::RequestNames;
-use super::request::{parse_hex, RequestError};
+use super::request::RequestError;
+use crate::hex_id::HexId;
 use deployment_settings::micros;
 use io_scheduler::Micros;
 
-/// The decoded terms. Fields are `None` if their term is missing; names that are not known are ignored.
+/// The decoded terms. A field is `None` if its term is missing; terms with unknown names are ignored.
 pub(super) struct RequestTerms<'a> {
     /// `c`: the index of the class; `None` also if the settings have no such class.
     pub(super) class: Option<usize>,
     /// `t`: the index of the plan; `None` also if the settings have no such plan.
     pub(super) plan: Option<usize>,
-    /// `d`: how long the client waits.
+    /// `d`: how long the client waits for the reply.
     pub(super) wait: Option<ClientWait<'a>>,
     /// `volume`: the id of the volume.
     pub(super) volume: Option<u64>,
-    /// `shard`: where the data is.
+    /// `shard`: the shard that stores the object.
     pub(super) shard: Option<ShardTerm>,
-    /// `units`: the size of the request in units, 1 if not stated.
+    /// `units`: the size of the request in units; 1 if not stated.
     pub(super) units: f64,
-    /// `hosts`: the number of gateways through which the requests of the volume arrive, 1 if not stated.
+    /// `hosts`: the number of gateways through which the requests of the volume arrive; 1 if not stated.
     pub(super) hosts: f64,
-    /// `r`: whether the client repeats an earlier request.
+    /// `r`: whether the request is a client's retry of an earlier one.
     pub(super) is_retry: bool,
 }
 
-/// The shard that a request states.
+/// The value of the term `shard`.
 #[derive(Clone, Copy)]
 pub(super) enum ShardTerm {
-    /// None yet, stated as -1: any node may take the new object.
+    /// -1: the object is new and has no shard yet, so any node may store it.
     Unassigned,
     /// The shard of this number.
     Number(u64),
@@ -44,10 +46,10 @@
     }
 }
 
-/// The waiting time that a request states, and the terms around it: they are forwarded unchanged, with the
-/// time left in its place.
+/// The value of the term `d`, and the text before and after it. The gateway forwards the list of terms to the
+/// node unchanged, except that the time left replaces this value.
 pub(super) struct ClientWait<'a> {
-    /// The stated time in milliseconds.
+    /// The waiting time in milliseconds.
     milliseconds: f64,
     /// The text before the value.
     pub(super) prefix: &'a str,
@@ -64,14 +66,16 @@
 
 /// One term of the list.
 struct Term<'a> {
+    /// The text before the first `=`.
     name: &'a str,
+    /// The text after it.
     value: &'a str,
     /// Where the value starts in the list, in bytes.
     value_start: usize,
 }
 
 impl<'a> RequestTerms<'a> {
-    /// Decodes the list `text`, with names and bounds of the settings.
+    /// Decodes the list `text`; `names` holds the names and bounds of the settings.
     pub(super) fn parse(text: &'a str, names: &RequestNames) -> Result<RequestTerms<'a>, RequestError> {
         let mut terms = RequestTerms {
             class: None,
@@ -97,13 +101,13 @@
         Ok(terms)
     }
 
-    /// Takes over one term of the list `text`.
+    /// Sets the field that one term of the list `text` states.
     fn apply(&mut self, term: &Term<'a>, text: &'a str, names: &RequestNames) -> Result<(), RequestError> {
         match term.name {
             "c" => self.class = names.class_index(term.value),
             "t" => self.plan = names.plan_index(term.value),
             "d" => self.wait = Some(term.client_wait(text)?),
-            "volume" => self.volume = Some(parse_hex(term.value).ok_or_else(|| term.invalid_value())?),
+            "volume" => self.volume = Some(term.hex_id()?),
             "units" => self.units = term.positive_number()?.min(names.max_units),
             "shard" => self.shard = Some(term.shard()?),
             "hosts" => self.hosts = term.positive_number()?.clamp(1.0, names.max_hosts),
@@ -123,12 +127,12 @@
         Ok(Term { name, value, value_start: start + name.len() + 1 })
     }
 
-    /// The error for a value that its name does not allow.
+    /// The error for a value that is not valid for this name.
     fn invalid_value(&self) -> RequestError {
         RequestError::InvalidTermValue { name: self.name.to_owned(), value: self.value.to_owned() }
     }
 
-    /// The value as a finite number above zero, in digits with at most one point.
+    /// The value as a finite decimal number above zero, without a sign or an exponent.
     fn positive_number(&self) -> Result<f64, RequestError> {
         let is_plain = self.value.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
         match self.value.parse::<f64>() {
@@ -144,6 +148,12 @@
         Ok(ClientWait { milliseconds, prefix: &list[..self.value_start], suffix: &list[value_end..] })
     }
 
+    /// The value as an id.
+    fn hex_id(&self) -> Result<u64, RequestError> {
+        let HexId(id) = self.value.parse().map_err(|_| self.invalid_value())?;
+        Ok(id)
+    }
+
     /// The value as a shard.
     fn shard(&self) -> Result<ShardTerm, RequestError> {
         if self.value == "-1" {
--- a/crates/gateway/src/client_protocol/sftp/path.rs
+++ b/crates/gateway/src/client_protocol/sftp/path.rs
@@ -3,6 +3,7 @@
 
 use super::error::SftpError;
 use super::shared::SftpShared;
+use crate::hex_id::HexId;
 
 /// Longest name of an object in bytes.
 const MAX_NAME_LENGTH: usize = 255;
@@ -84,9 +85,9 @@
 /// The id of the object with a name: the value of 16 lower-case hex digits, or a hash of any other name.
 #[must_use]
 pub fn object_of(name: &str) -> u64 {
-    let is_hex = name.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
-    if name.len() == 16 && is_hex {
-        if let Ok(id) = u64::from_str_radix(name, 16) {
+    let has_hex_digits_only = name.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
+    if has_hex_digits_only {
+        if let Ok(HexId(id)) = name.parse() {
             return id;
         }
     }
--- a/crates/gateway/src/client_protocol/sftp/shared.rs
+++ b/crates/gateway/src/client_protocol/sftp/shared.rs
@@ -5,6 +5,7 @@
 use super::path::Target;
 use crate::config::SftpSettings;
 use crate::dispatcher::{Operation, RequestParameters, StorageRequest};
+use crate::hex_id::HexId;
 use deployment_settings::{micros, DeploymentSettings};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -135,14 +136,14 @@
         self.next_request_id.set(request_id.wrapping_add(1));
         let RequestClass { name: class_name, deadline_ms } = &self.classes[class];
         let prefix = format!("c={class_name},t={},d=", self.plans[target.plan]);
-        let volume_and_units = format!(",volume={:016x},units={units}", target.volume);
+        let volume_and_units = format!(",volume={},units={units}", HexId(target.volume));
         let suffix = format!("{volume_and_units},shard={shard},hosts={}", self.hosts);
         StorageRequest {
             operation,
             object: target.object,
             object_name: target.name.clone(),
             volume: target.volume,
-            client_request_id: format!("{request_id:016x}").into(),
+            client_request_id: HexId(request_id).to_string().into(),
             class,
             plan: target.plan,
             units,
--- a/crates/gateway/src/console.rs
+++ b/crates/gateway/src/console.rs
@@ -1,13 +1,14 @@
-//! The operator's console: parsing of its line commands, and the tables that it prints. The event loop
-//! executes the commands.
+//! The operator's console: parsing of the command lines, and formatting of the tables that it prints. The event
+//! loop executes the commands.
 
 use crate::config::SftpVolume;
 use crate::dispatcher::{NodeState, VolumeCounters};
+use crate::hex_id::HexId;
 use io_scheduler::EndpointStatus;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// A line typed at the console.
+/// A command line of the console.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConsoleCommand {
     /// Print a summary of the gateway's state.
@@ -16,9 +17,9 @@
     Nodes,
     /// Print the table of volumes.
     Volumes,
-    /// Drain the node of that name.
+    /// Drain the node with this name.
     Drain(String),
-    /// End the draining of the node of that name.
+    /// Stop draining the node with this name.
     Undrain(String),
     /// Read the inventory again.
     Reload,
@@ -26,7 +27,7 @@
     Help,
     /// Shut the gateway down gracefully.
     Quit,
-    /// An empty line.
+    /// An empty line: print nothing.
     Nothing,
 }
 
@@ -39,7 +40,7 @@
         /// The command.
         command: String,
     },
-    /// No command of that name exists.
+    /// No command has this name.
     #[error("'{command}' is no command here: try help")]
     UnknownCommand {
         /// The first word of the line.
@@ -47,7 +48,7 @@
     },
 }
 
-/// The list of commands.
+/// The text that the command `help` prints.
 pub const HELP: &str = "\
 status        what the gateway is doing
 nodes         the nodes, their state and service
@@ -59,7 +60,7 @@
 quit          finish what has been taken and end
 ";
 
-/// Parses a line.
+/// Parses a command line.
 ///
 /// # Errors
 ///
@@ -83,7 +84,7 @@
     }
 }
 
-/// The table of nodes.
+/// Formats the table of nodes.
 pub fn nodes<'a>(nodes: impl Iterator<Item = &'a NodeState>) -> String {
     let mut text = format!("{:<24} {:>6} {:<9} {:>5} {:>12}\n", "node", "shard", "state", "out", "units");
     for node in nodes {
@@ -102,17 +103,18 @@
     text
 }
 
-/// The table of volumes. A volume that SFTP paths may name has that name, any other its id.
+/// Formats the table of volumes. A volume is shown by its name if it is one of `named_volumes`, the volumes of
+/// the SFTP listener, and by its id otherwise.
 #[must_use]
-pub fn volumes(volume_counters: &BTreeMap<u64, VolumeCounters>, named: &[SftpVolume]) -> String {
+pub fn volumes(volume_counters: &BTreeMap<u64, VolumeCounters>, named_volumes: &[SftpVolume]) -> String {
     let mut text = format!(
         "{:<24} {:>9} {:>9} {:>9} {:>9} {:>12}\n",
         "volume", "taken", "served", "refused", "failed", "units"
     );
     for (id, counters) in volume_counters {
-        let name = match named.iter().find(|volume| volume.id == *id) {
+        let name = match named_volumes.iter().find(|volume| volume.id == *id) {
             Some(volume) => volume.name.clone(),
-            None => format!("{id:016x}"),
+            None => HexId(*id).to_string(),
         };
         // Writing to a string cannot fail.
         let _ = writeln!(
--- a/crates/gateway/src/node_protocol/resp/mod.rs
+++ b/crates/gateway/src/node_protocol/resp/mod.rs
@@ -4,8 +4,9 @@
 
 use super::{NodeProtocol, ProtocolError};
 use crate::dispatcher::{AttemptResult, Operation, RequestParameters, StorageRequest};
+use crate::hex_id::HexId;
+use crate::resp_bulk_string::append_bulk_string;
 use reply::{announced_value_length, parse_reply, MAX_OVERHEAD_BYTES};
-use std::io::Write;
 
 /// The protocol state of one connection to a RESP2 node.
 pub struct RespProtocol {
@@ -13,18 +14,18 @@
     awaiting_reply: bool,
     /// Longest accepted value in bytes.
     max_value_length: usize,
-    /// Announced length in bytes of the value that is being received.
+    /// Announced length in bytes of the value that is being received; 0 if it is not known.
     announced_length: usize,
 }
 
 impl RespProtocol {
-    /// A new connection that accepts values of up to `max_value_length` bytes.
+    /// Creates the state of a new connection that accepts values of up to `max_value_length` bytes.
     #[must_use]
     pub fn new(max_value_length: usize) -> RespProtocol {
         RespProtocol { awaiting_reply: false, max_value_length, announced_length: 0 }
     }
 
-    /// Whether `buffered` bytes exceed any complete reply.
+    /// Whether `buffered` bytes of an incomplete reply are more than a complete reply can have.
     fn exceeds_longest_reply(&self, buffered: usize) -> bool {
         buffered > self.max_value_length + 2 * MAX_OVERHEAD_BYTES
     }
@@ -44,15 +45,15 @@
         let (array_header, command): (&[u8], &[u8]) =
             if is_write { (b"*5\r\n", b"IO.OUT") } else { (b"*4\r\n", b"IO.IN") };
         out.extend_from_slice(array_header);
-        write_bulk_string(command, out);
-        write_bulk_string(format!("{:016x}", request.object).as_bytes(), out);
-        write_bulk_string(request.client_request_id.as_bytes(), out);
+        append_bulk_string(command, out);
+        append_bulk_string(HexId(request.object).to_string().as_bytes(), out);
+        append_bulk_string(request.client_request_id.as_bytes(), out);
         let RequestParameters { before_timeout, after_timeout } = &request.parameters;
-        write_bulk_string(format!("{before_timeout}{}{after_timeout}", wait_ms.max(1)).as_bytes(), out);
+        append_bulk_string(format!("{before_timeout}{}{after_timeout}", wait_ms.max(1)).as_bytes(), out);
         if is_write {
-            write_bulk_string(&request.body, out);
+            append_bulk_string(&request.body, out);
         }
-        // A node runs a command only once its last byte has arrived.
+        // A node executes a command only after its last byte has arrived.
         out.len() - start - 1
     }
 
@@ -81,11 +82,3 @@
         Ok(Some(reply.result))
     }
 }
-
-/// Appends a RESP bulk string.
-fn write_bulk_string(text: &[u8], out: &mut Vec<u8>) {
-    // Writing to a vector cannot fail.
-    let _ = write!(out, "${}\r\n", text.len());
-    out.extend_from_slice(text);
-    out.extend_from_slice(b"\r\n");
-}
--- a/crates/gateway/src/node_protocol/resp/reply.rs
+++ b/crates/gateway/src/node_protocol/resp/reply.rs
@@ -1,26 +1,35 @@
 //! Decoding of a RESP2 node's reply.
 //!
-//! A reply is an error line, or an array of the value, the usage report and the load report. Its shape is
-//! checked as its bytes arrive, so that an invalid reply is detected at once instead of at the request's
-//! deadline. A usage or load report that cannot be read leaves the value valid.
+//! A reply is an error line, or an array of three elements: the value, the usage report and the load report. Its
+//! syntax is checked as its bytes arrive, so that an invalid reply is detected immediately and not only when the
+//! request times out. A usage or load report with unexpected content does not make the reply invalid.
 
 use super::super::ProtocolError;
 use crate::dispatcher::{AttemptResult, ResponseBody};
+use crate::resp_bulk_string::{read_bulk_content, MissingTerminator};
 use io_scheduler::Outcome;
 
-/// Bytes of a reply besides its value: the bound on an error line and on each report.
+/// Largest size of an error line and of each report, in bytes.
 pub(super) const MAX_OVERHEAD_BYTES: usize = 4 << 10;
-/// Longest line that announces a length, in bytes.
+/// Longest length line, such as `*3` or `$5`, in bytes.
 const MAX_LENGTH_LINE_BYTES: usize = 24;
-/// Deepest nesting of arrays; deeper ones are rejected so that the recursion is bounded.
+/// Deepest accepted nesting of arrays, which bounds the recursion.
 const MAX_ARRAY_DEPTH: u8 = 3;
-/// Most elements of one array.
+/// Largest number of elements of one array.
 const MAX_ARRAY_ELEMENTS: i64 = 8;
-/// Largest accepted utilization, in percent. A larger number is no measurement of a node's and would
-/// count against its volume for the rest of the day.
+/// Largest accepted utilization, in percent. A larger value cannot be a measurement, and would be charged to the
+/// volume for a long time.
 const MAX_UTILIZATION_PERCENT: f64 = 10_000.0;
-/// Largest accepted cost of one request, in units, for the same reason.
+/// Largest accepted number of remote units in one reply, for the same reason.
 const MAX_REMOTE_UNITS: f64 = 10_000.0;
+/// A utilization of 1 as a percentage.
+const PERCENT: f64 = 100.0;
+
+impl From<MissingTerminator> for ProtocolError {
+    fn from(_: MissingTerminator) -> Self {
+        ProtocolError
+    }
+}
 
 /// A complete reply.
 pub(super) struct Reply {
@@ -53,8 +62,8 @@
     std::str::from_utf8(&text[..end]).ok().and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
 
-/// The result of an error line, given without its marker: overload is the error `BUSY`; any other may carry a
-/// usage report.
+/// The result of an error line, given without its leading `-`. The error `BUSY` means that the node is overloaded;
+/// any other may contain a usage report.
 fn error_result(text: &[u8]) -> AttemptResult {
     let error_name = text.split(|byte| *byte == b' ').next();
     if error_name == Some(b"BUSY") {
@@ -65,8 +74,8 @@
     result
 }
 
-/// Takes utilization and cost from a usage report such as `used=37,cost=4`. Unknown names and values that
-/// cannot be read or are out of range are skipped.
+/// Sets the utilization (`used`, in percent) and the remote units (`cost`) from a usage report such as
+/// `used=37,cost=4`. Unknown names are skipped, and so are values that are not numbers or out of range.
 fn apply_usage_report(text: &[u8], result: &mut AttemptResult) {
     let text = String::from_utf8_lossy(text);
     for word in text.split([',', ' ']) {
@@ -76,14 +85,14 @@
             continue;
         }
         match name {
-            "used" if value <= MAX_UTILIZATION_PERCENT => result.utilization = Some(value / 100.0),
+            "used" if value <= MAX_UTILIZATION_PERCENT => result.utilization = Some(value / PERCENT),
             "cost" if value <= MAX_REMOTE_UNITS => result.remote_units = value,
             _ => {}
         }
     }
 }
 
-/// The number after the marker of a `$` or `*` line.
+/// Parses the number of a length line, given without its leading `$` or `*`.
 fn parse_length(text: &[u8]) -> Result<i64, ProtocolError> {
     let text = std::str::from_utf8(text).map_err(|_| ProtocolError)?;
     text.parse().map_err(|_| ProtocolError)
@@ -104,7 +113,7 @@
 }
 
 impl<'a> ReplyReader<'a> {
-    /// Reads the elements of a reply that carries a value: the value, the usage report, the load report.
+    /// Reads the three elements of a reply with a value: the value, the usage report and the load report.
     fn read_served_result(
         &mut self,
         max_value_length: usize,
@@ -124,8 +133,8 @@
         Ok(Some(result))
     }
 
-    /// Reads a line and returns it without its end. A line that cannot become valid is an error by its first
-    /// bytes already: waiting for the rest would cost the request its time.
+    /// Reads a line and returns it without its line end. An incomplete line that cannot become valid is an error
+    /// already, as waiting for its rest would use up the time of the request.
     fn read_line(&mut self) -> Result<Option<&'a [u8]>, ProtocolError> {
         let rest = &self.input[self.position..];
         let max_length = match rest.first() {
@@ -164,14 +173,8 @@
         if !(0..=max_length as i64).contains(&length) {
             return Err(ProtocolError);
         }
-        let end = self.position + length as usize;
-        let Some(terminator) = self.input.get(end..end + 2) else { return Ok(None) };
-        if terminator != b"\r\n" {
-            return Err(ProtocolError);
-        }
-        let content = &self.input[self.position..end];
-        self.position = end + 2;
-        Ok(Some(RespValue::BulkString(Some(content))))
+        let content = read_bulk_content(self.input, &mut self.position, length as usize)?;
+        Ok(content.map(|content| RespValue::BulkString(Some(content))))
     }
 
     /// Reads the elements of an array of an announced length; -1 announces the null array.
--- a/crates/gateway/src/node_protocol/sftp/mod.rs
+++ b/crates/gateway/src/node_protocol/sftp/mod.rs
@@ -8,6 +8,7 @@
 
 use super::{NodeProtocol, ProtocolError};
 use crate::dispatcher::{AttemptResult, Operation, StorageRequest};
+use crate::hex_id::HexId;
 use crate::sftp_packet::{
     decode_packet, open_flags, packet_type, DecodedPacket, MalformedPacket, Packet, VERSION,
 };
@@ -35,7 +36,7 @@
 }
 
 impl SftpProtocol {
-    /// A new connection that accepts objects of up to `max_value_length` bytes.
+    /// Creates the state of a new connection that accepts objects of up to `max_value_length` bytes.
     #[must_use]
     pub fn new(max_value_length: usize) -> SftpProtocol {
         SftpProtocol { stage: Stage::AwaitingVersion, last_id: 0, ignored_id: None, max_value_length }
@@ -112,10 +113,10 @@
 
     fn encode_request(&mut self, request: &StorageRequest, _wait_ms: i64, out: &mut Vec<u8>) -> usize {
         let start = out.len();
-        let directory = format!("/{:016x}", request.volume);
+        let directory = format!("/{}", HexId(request.volume));
         let path = match &request.object_name {
             Some(name) => format!("{directory}/{name}"),
-            None => format!("{directory}/{:016x}", request.object),
+            None => format!("{directory}/{}", HexId(request.object)),
         };
         match request.operation {
             Operation::Read => self.send_open(&path, open_flags::READ, out),
