--- a/crates/gateway/src/client_protocol/mod.rs
+++ b/crates/gateway/src/client_protocol/mod.rs
@@ -1,4 +1,4 @@
-//! The protocols towards clients: commands are parsed into requests, responses encoded into replies.
+//! The protocols towards clients: parsing of commands into requests, and encoding of responses into replies.
 //!
 //! An implementation holds the protocol state of one connection and does no I/O: it reads from the
 //! connection's input buffer and returns the bytes to send.
@@ -9,23 +9,23 @@
 use crate::dispatcher::{Response, StorageRequest};
 use io_scheduler::Micros;
 
-/// What the next command of a client leads to.
+/// The result of parsing the next command of a client.
 #[derive(Debug)]
 pub enum CommandStep {
     /// The command is not complete yet; nothing was consumed.
     Incomplete,
-    /// The command is answered at once, with these bytes.
+    /// The command is answered immediately with these bytes.
     Reply(Vec<u8>),
-    /// The command needs these requests; its one reply follows from their responses.
+    /// The command is answered with one reply after these requests have been responded to.
     Submit(Vec<StorageRequest>),
-    /// The input cannot be understood: the connection is closed after these bytes.
+    /// The input is invalid: the connection is closed after these bytes have been sent.
     Close(Vec<u8>),
 }
 
 /// The reply to one command of a connection.
 #[derive(Debug)]
 pub struct EncodedReply {
-    /// The command's place among the connection's replies.
+    /// Number of the command on its connection; replies are sent in this order.
     pub slot: u64,
     /// The bytes to send.
     pub bytes: Vec<u8>,
@@ -36,21 +36,24 @@
     /// Parses the next command of `input`, which starts at `position`, and moves `position` past it unless it
     /// is incomplete or invalid.
     ///
-    /// `slot` identifies the command's place among the connection's replies; responses to its requests come
-    /// back under the same number. `ready` is whether the gateway can serve requests, for commands that ask.
+    /// `slot` is the number of the command on its connection; responses to its requests are passed to
+    /// [`encode_response`](Self::encode_response) with the same number. `ready` is whether the gateway can serve
+    /// requests, for commands that query it.
     fn parse_command(&mut self, input: &[u8], position: &mut usize, slot: u64, ready: bool) -> CommandStep;
 
-    /// Takes the one response to a request of the command at `slot`. Called once for each submitted request,
-    /// in any order. Once the command has all that it needs, its slot and encoded reply are appended to `out`.
+    /// Handles the response to a request of the command at `slot`. Called exactly once for each submitted request,
+    /// in any order. When the command can be answered, its slot and encoded reply are appended to `out`.
     fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>);
 
-    /// The last bytes to a client whose incomplete command no longer fits in memory; the command did not run.
+    /// The bytes to send before closing a connection whose incomplete command exceeds the available memory. The
+    /// command was not executed.
     fn overloaded_reply(&self) -> Vec<u8>;
 
-    /// The last bytes to a client whose command was not complete in time; the command did not run.
+    /// The bytes to send before closing a connection whose command was not received completely in time. The command
+    /// was not executed.
     fn timeout_reply(&self) -> Vec<u8>;
 
-    /// How long a client that has sent a command may be idle before its connection is closed, in microseconds.
+    /// Idle time after a command until the connection is closed, in microseconds.
     fn idle_timeout(&self) -> Micros;
 
     /// Whether closing the connection now would lose state between commands, such as a buffered upload.
--- a/crates/gateway/src/client_protocol/resp/mod.rs
+++ b/crates/gateway/src/client_protocol/resp/mod.rs
@@ -1,5 +1,5 @@
-//! RESP2 towards clients: `IO.IN` reads, `IO.OUT` writes, and the few commands that client libraries send on
-//! connecting are answered.
+//! RESP2 towards clients: the commands `IO.IN` (read) and `IO.OUT` (write), and fixed answers to the few commands
+//! that client libraries send by themselves.
 
 mod names;
 mod parser;
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, and changes to it, as discovery sends them.
+//! Updates of the endpoint list in the form in which discovery sends them.
 
 use crate::endpoint::EndpointRecord;
 use deployment_settings::micros;
@@ -25,28 +25,38 @@
 pub struct EndpointEntry {
     /// Name of the node.
     pub name: String,
-    /// Its IP address with a port; text that is neither is kept, see [`EndpointListUpdate::records`].
+    /// Its IP address with a port. Other text does not make the update invalid, only this entry; see
+    /// [`EndpointListUpdate::listed_endpoints`].
     pub address: String,
     /// Zone of the node.
     #[serde(default)]
     pub zone: String,
-    /// Shard that the node holds.
+    /// Shard that the node stores.
     #[serde(default)]
     pub group: u64,
     /// Whether the node takes requests.
     pub status: EndpointEntryStatus,
-    /// When its process last started, in milliseconds; 0 if that is not known.
+    /// When its process last started, in milliseconds; 0 if this is not known.
     #[serde(default)]
     pub since_ms: f64,
 }
 
-/// Status of a node, in discovery's words.
+/// A node of an update, with its address.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ListedEndpoint {
+    /// The node as the endpoint list describes it.
+    pub record: EndpointRecord,
+    /// Its address.
+    pub address: SocketAddr,
+}
+
+/// Status of a node, as discovery spells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointEntryStatus {
     /// The node takes requests.
     InService,
-    /// The node drains.
+    /// The node is draining: it completes its requests and takes no new ones.
     Terminating,
     /// The node is removed.
     Terminated,
@@ -67,6 +77,15 @@
 }
 
 impl EndpointEntry {
+    /// The entry with its parsed address; logs a warning and returns `None` if the address cannot be parsed.
+    fn to_listed_endpoint(&self) -> Option<ListedEndpoint> {
+        let Ok(address) = self.address.parse() else {
+            log::warn!("discovery: node {} has no usable address '{}'", self.name, self.address);
+            return None;
+        };
+        Some(ListedEndpoint { record: self.to_record(), address })
+    }
+
     /// The entry without its address.
     fn to_record(&self) -> EndpointRecord {
         EndpointRecord {
@@ -80,7 +99,7 @@
 }
 
 impl EndpointListUpdate {
-    /// Whether the update replaces the list or changes it.
+    /// The scheduler's event for the update, by whether it replaces the list or changes entries of it.
     #[must_use]
     pub fn kind(&self) -> EndpointListEvent {
         if self.snapshot {
@@ -90,14 +109,8 @@
         }
     }
 
-    /// The entries, each with its address. An entry whose address cannot be parsed is logged and left out.
-    pub fn records(&self) -> impl Iterator<Item = (EndpointRecord, SocketAddr)> + '_ {
-        self.endpoints.iter().filter_map(|entry| {
-            let Ok(address) = entry.address.parse() else {
-                log::warn!("discovery: node {} has no usable address '{}'", entry.name, entry.address);
-                return None;
-            };
-            Some((entry.to_record(), address))
-        })
+    /// The entries with their parsed addresses. An entry whose address cannot be parsed is logged and left out.
+    pub fn listed_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> + '_ {
+        self.endpoints.iter().filter_map(EndpointEntry::to_listed_endpoint)
     }
 }
--- a/crates/gateway/src/discovery/error.rs
+++ b/crates/gateway/src/discovery/error.rs
@@ -1,18 +1,18 @@
-//! Errors of a watch.
+//! Errors of a watch on the endpoint list.
 
-/// What can be wrong with discovery's response to a watch.
+/// Why discovery's response to a watch cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// The status is not 200; the status line follows, in lower case.
+    /// The status is not 200. Contains the status line in lower case.
     #[error("discovery responded '{0}'")]
     Status(String),
     /// The response is not well-formed HTTP/1.1.
     #[error("discovery sent invalid HTTP/1.1")]
     Framing,
-    /// An object exceeds the limit on its length or on its depth.
+    /// An object exceeds the limit on its length or on its nesting depth.
     #[error("discovery sent an object that is too long")]
     ObjectTooLong,
-    /// The body contains something besides JSON objects.
+    /// The body contains something other than JSON objects.
     #[error("discovery's list: not a JSON object")]
     NotAnObject,
     /// An object is not an update of the endpoint list.
--- a/crates/gateway/src/discovery/json_stream.rs
+++ b/crates/gateway/src/discovery/json_stream.rs
@@ -1,20 +1,20 @@
-//! Splits a stream of bytes into the JSON objects that it consists of.
+//! Splitting of a byte stream into JSON objects.
 
 use super::endpoint_list::EndpointListUpdate;
 use super::error::WatchError;
 
 /// Longest object that is buffered, in bytes.
 const MAX_OBJECT_BYTES: usize = 1 << 20;
-/// Deepest nesting of objects and arrays; an endpoint list has three levels.
+/// Deepest accepted nesting of objects and arrays; an update of the endpoint list has three levels.
 const MAX_DEPTH: usize = 16;
 
-/// Splits a stream into its JSON objects. White space may stand between objects and indent them, so only the
-/// braces show where an object ends.
+/// Splits a stream into its JSON objects. As objects may contain line breaks and may be separated by any white
+/// space or none, the end of an object is found by counting braces and brackets.
 #[derive(Debug, Default)]
 pub(super) struct JsonStream {
-    /// The object so far.
+    /// The bytes of the current object received so far.
     buffer: Vec<u8>,
-    /// Objects and arrays that are open.
+    /// Number of objects and arrays that are open.
     depth: usize,
     /// Whether the next byte is inside a string.
     in_string: bool,
@@ -23,12 +23,12 @@
 }
 
 impl JsonStream {
-    /// Whether an object has begun and is not complete.
+    /// Whether a part of an object has been received.
     pub(super) fn is_mid_object(&self) -> bool {
         self.depth > 0
     }
 
-    /// Feeds bytes; every object that they complete is decoded and added to `updates`.
+    /// Processes received bytes; every object that they complete is decoded and appended to `updates`.
     pub(super) fn feed(
         &mut self,
         bytes: &[u8],
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Adds one byte to the object and keeps count of the nesting.
+    /// Appends one byte to the current object and updates the nesting depth.
     fn push(&mut self, byte: u8) -> Result<(), WatchError> {
         self.buffer.push(byte);
         match byte {
@@ -66,7 +66,7 @@
         Ok(())
     }
 
-    /// Decodes the object, which is complete, and empties the buffer.
+    /// Decodes the buffered object, which is complete, and empties the buffer.
     fn decode_object(&mut self) -> Result<EndpointListUpdate, WatchError> {
         let mut object = std::mem::take(&mut self.buffer);
         simd_json::serde::from_slice(&mut object).map_err(WatchError::Undecodable)
--- a/crates/gateway/src/discovery/watch_parser.rs
+++ b/crates/gateway/src/discovery/watch_parser.rs
@@ -1,33 +1,33 @@
-//! Parser of the HTTP/1.1 response to a watch, fed in pieces of any size.
+//! Incremental parser of the HTTP/1.1 response to a watch.
 
 use super::endpoint_list::EndpointListUpdate;
 use super::error::WatchError;
 use super::json_stream::JsonStream;
 
-/// Longest head of a response, in bytes.
+/// Longest response head (status line and headers), in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Longest line with the size of a chunk, in bytes.
+/// Longest chunk size line, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 16 << 10;
 /// End of a line.
 const LINE_END: &[u8] = b"\r\n";
 /// End of a head: the last header's line end and an empty line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// What the parser expects next.
+/// The part of the response that the parser expects next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ParserState {
     /// The status line and the headers.
     #[default]
     Head,
-    /// The line with the size of a chunk.
+    /// A chunk size line.
     ChunkSize,
-    /// The data of a chunk, of which `remaining` bytes are still to come.
+    /// The data of a chunk, of which `remaining` bytes have not been received.
     ChunkData { remaining: usize },
     /// The line end after the data of a chunk.
     ChunkEnd,
-    /// A body of stated length, of which `remaining` bytes are still to come.
+    /// A body with a Content-Length, of which `remaining` bytes have not been received.
     FixedLength { remaining: usize },
-    /// A body that lasts as long as its connection.
+    /// A body that ends when the connection is closed.
     UntilClose,
     /// Nothing: the response is complete.
     Complete,
@@ -50,35 +50,36 @@
     }
 }
 
-/// What a step of the parser came to.
+/// The result of one step of the parser.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    /// Input was consumed or the state changed; there may be more to parse.
+    /// Input was consumed or the state changed; the next step may be possible.
     Advanced,
-    /// Nothing can be done before more input comes.
+    /// The next step needs more input.
     NeedsInput,
 }
 
 /// Parses the response to a watch.
 #[derive(Debug, Default)]
 pub struct WatchParser {
-    /// Bytes that are not consumed yet.
+    /// Received bytes that earlier calls have not consumed.
     input: Vec<u8>,
-    /// How many bytes of `input` this call has consumed.
+    /// How many bytes of `input` the current call has consumed.
     position: usize,
-    /// What comes next.
+    /// The part of the response that is expected next.
     state: ParserState,
-    /// The body.
+    /// The body, which is split into JSON objects.
     objects: JsonStream,
 }
 
 impl WatchParser {
-    /// Feeds bytes; every update that they complete is added to `updates`, also before an error.
+    /// Processes received bytes, in pieces of any size. Every update that they complete is appended to `updates`,
+    /// also if an error follows it.
     ///
     /// # Errors
     ///
-    /// Fails if the response is not well formed, if its status is not 200, or if its body holds something
-    /// else than updates of the endpoint list. The parser cannot go on after that.
+    /// Fails if the response is not well formed, if its status is not 200, or if its body contains something other
+    /// than updates of the endpoint list. The parser must not be used after an error.
     pub fn feed(&mut self, bytes: &[u8], updates: &mut Vec<EndpointListUpdate>) -> Result<(), WatchError> {
         self.input.extend_from_slice(bytes);
         let result = self.parse(updates);
@@ -93,13 +94,13 @@
         self.state == ParserState::Complete
     }
 
-    /// Whether an update has begun and is not complete.
+    /// Whether a part of an update has been received.
     #[must_use]
     pub fn is_mid_object(&self) -> bool {
         self.objects.is_mid_object()
     }
 
-    /// Parses as far as the input goes.
+    /// Parses until more input is needed.
     fn parse(&mut self, updates: &mut Vec<EndpointListUpdate>) -> Result<(), WatchError> {
         loop {
             let progress = match self.state {
@@ -129,7 +130,7 @@
         Ok(Progress::Advanced)
     }
 
-    /// Parses the line with the size of a chunk; a size of 0 ends the body.
+    /// Parses a chunk size line; a size of 0 ends the body.
     fn parse_chunk_size(&mut self) -> Result<Progress, WatchError> {
         let Some(length) = self.find(LINE_END, MAX_CHUNK_SIZE_LINE_BYTES)? else {
             return Ok(Progress::NeedsInput);
@@ -143,7 +144,7 @@
         Ok(Progress::Advanced)
     }
 
-    /// Parses body data of which `remaining` bytes are still to come.
+    /// Parses body data, of which `remaining` bytes have not been parsed.
     fn parse_counted_data(
         &mut self,
         remaining: usize,
@@ -170,13 +171,13 @@
         Ok(Progress::Advanced)
     }
 
-    /// Parses data of a body that lasts as long as its connection.
+    /// Parses data of a body that ends when the connection is closed.
     fn parse_until_close(&mut self, updates: &mut Vec<EndpointListUpdate>) -> Result<Progress, WatchError> {
         self.feed_body(usize::MAX, updates)?;
         Ok(Progress::NeedsInput)
     }
 
-    /// Passes up to `limit` bytes of input on to the body; returns how many.
+    /// Passes up to `limit` bytes of input to the body and returns their number.
     fn feed_body(
         &mut self,
         limit: usize,
@@ -195,8 +196,8 @@
         &self.input[self.position..]
     }
 
-    /// How many bytes of input there are before `terminator`, if it has come. Fails if it has not come and
-    /// there are more than `max_bytes` of input.
+    /// Number of bytes of input before `terminator`; `None` if it has not been received. Fails if it has not been
+    /// received within more than `max_bytes` of input.
     fn find(&self, terminator: &[u8], max_bytes: usize) -> Result<Option<usize>, WatchError> {
         let unread = self.unread();
         let found = unread.windows(terminator.len()).position(|window| window == terminator);
@@ -215,7 +216,7 @@
     Ok(size as usize)
 }
 
-/// What follows a head, which is in lower case.
+/// The state after a response head, given in lower case.
 fn state_after_head(head: &str) -> Result<ParserState, WatchError> {
     let mut lines = head.lines();
     let status_line = lines.next().unwrap_or_default();
@@ -229,12 +230,14 @@
     body_framing(lines)
 }
 
-/// Whether the final response follows this one. 101 would switch to a protocol that was never asked for.
+/// Whether this is an interim response (1xx), which the final one follows. 101 is excluded: it would switch to
+/// another protocol, which the request does not ask for.
 fn is_informational(status: &str) -> bool {
     status.len() == 3 && status.starts_with('1') && status != "101"
 }
 
-/// How the headers, which are in lower case, frame the body. A transfer coding overrides a length.
+/// How the body is framed according to the headers, given in lower case. Transfer-Encoding overrides
+/// Content-Length, as RFC 9112 requires.
 fn body_framing<'a>(headers: impl Iterator<Item = &'a str>) -> Result<ParserState, WatchError> {
     let mut state = ParserState::UntilClose;
     for (name, value) in headers.filter_map(|line| line.split_once(':')) {
--- a/crates/gateway/src/event_loop/endpoint_table.rs
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -3,7 +3,7 @@
 
 use super::Context;
 use crate::connections::node::{NodeAddress, NodeConnections};
-use crate::discovery::EndpointListUpdate;
+use crate::discovery::{EndpointListUpdate, ListedEndpoint};
 use crate::endpoint::EndpointRecord;
 use crate::inventory::{self, InventoryError, Protocol};
 use io_scheduler::{EndpointListEvent, EndpointStatus};
@@ -31,7 +31,7 @@
         context: &mut Context,
     ) {
         let mut records = Vec::with_capacity(update.endpoints.len());
-        for (record, address) in update.records() {
+        for ListedEndpoint { record, address } in update.listed_endpoints() {
             let node = context.dispatcher.node_id(&record.name);
             nodes.set_address(node, NodeAddress { address, protocol: Protocol::Resp2 }, context);
             records.push(record);
--- a/crates/gateway/src/inventory/csv_format.rs
+++ b/crates/gateway/src/inventory/csv_format.rs
@@ -1,14 +1,14 @@
-//! Inventories in CSV: a line of headings, then one line a node.
+//! Inventories in CSV: a line of headings, then one line for each node.
 
 use super::error::{InvalidVar, InventoryError, Location};
 use super::vars::{NodeError, VarName, Vars};
 use super::InventoryNode;
 use csv::{ErrorKind, Position, ReaderBuilder, StringRecord, Trim};
 
-/// Headings that must be there; the other vars have defaults.
+/// Headings that are required; the other vars have defaults.
 const REQUIRED_HEADINGS: [&str; 3] = ["name", "address", "shard"];
 
-/// Parses an inventory in CSV. `file` is how errors name the file.
+/// Parses an inventory in CSV. `file` is the file's name in errors.
 ///
 /// # Errors
 ///
@@ -39,12 +39,12 @@
     Ok(nodes)
 }
 
-/// An error of the CSV decoder.
+/// Wraps an error of the CSV decoder.
 fn csv_error(file: &str, location: Location, source: csv::Error) -> InventoryError {
     InventoryError::Csv { file: file.to_owned(), location, source }
 }
 
-/// Checks that every required heading is there.
+/// Checks that every required heading is present.
 fn check_headings(headings: &StringRecord, file: &str) -> Result<(), InventoryError> {
     for heading in REQUIRED_HEADINGS {
         if !headings.iter().any(|present| present == heading) {
@@ -67,14 +67,14 @@
     })
 }
 
-/// Heading of the field that a decoder's error is about, if it is about a single field.
+/// Heading of the field that a decoder's error refers to, if it refers to a single field.
 fn field_at_fault<'a>(error: &csv::Error, headings: &'a StringRecord) -> Option<&'a str> {
     let ErrorKind::Deserialize { err, .. } = error.kind() else { return None };
     let index = usize::try_from(err.field()?).ok()?;
     headings.get(index)
 }
 
-/// The node that a line describes. Two nodes of one name would share an id, so its name must be new.
+/// The node that a line describes. Its name must differ from those of earlier nodes, as the name identifies a node.
 fn to_unique_node(vars: &Vars, earlier: &[InventoryNode]) -> Result<InventoryNode, NodeError> {
     let name = vars.name.as_deref().unwrap_or_default();
     if name.is_empty() {
@@ -86,8 +86,8 @@
     vars.to_node(name)
 }
 
-/// Number of the line with the first record from a byte on: the decoder's own position is before the empty
-/// lines and comments that precede a record.
+/// Number of the line with the first record at or after a byte offset. The decoder's own line number does not
+/// serve, as it is that of the empty lines and comments that precede a record.
 fn line_of(text: &str, byte: u64) -> u64 {
     let (before, rest) = text.split_at_checked(byte as usize).unwrap_or((text, ""));
     let skipped = rest.lines().take_while(|line| line.trim().is_empty() || line.starts_with('#')).count();
--- a/crates/gateway/src/inventory/error.rs
+++ b/crates/gateway/src/inventory/error.rs
@@ -1,4 +1,4 @@
-//! Errors of reading an inventory: each names the file and the place in it.
+//! Errors of reading an inventory. Each names the file and the location in it.
 
 use std::{fmt, io};
 
@@ -32,7 +32,7 @@
     Csv {
         /// Path of the file.
         file: String,
-        /// Place in the file.
+        /// Location in the file.
         location: Location,
         /// The decoder's error.
         source: csv::Error,
@@ -42,7 +42,7 @@
     Yaml {
         /// Path of the file.
         file: String,
-        /// Place in the file.
+        /// Location in the file.
         location: Location,
         /// The decoder's error; its text has several lines, of which only the first is shown.
         source: Box<serde_saphyr::Error>,
@@ -60,7 +60,7 @@
     InvalidVar {
         /// Path of the file.
         file: String,
-        /// Place in the file.
+        /// Location in the file.
         location: Location,
         /// What is wrong with the var.
         source: InvalidVar,
@@ -87,7 +87,7 @@
     Duplicate(String),
 }
 
-/// A place in an inventory.
+/// A location in an inventory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Location {
     /// The file as a whole.
--- a/crates/gateway/src/inventory/mod.rs
+++ b/crates/gateway/src/inventory/mod.rs
@@ -1,4 +1,5 @@
-//! Inventories of nodes as configuration tools keep them: CSV, or YAML with groups, hosts and vars.
+//! Inventories of storage nodes in the formats of configuration tools: CSV, or YAML in the structure of an Ansible
+//! inventory, with groups, hosts and vars (the variables of a host or group).
 
 mod csv_format;
 mod error;
@@ -13,28 +14,28 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Protocol that a node speaks.
+/// Protocol of a storage node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Protocol {
-    /// Redis' protocol, version 2.
+    /// RESP2, the Redis serialization protocol in version 2.
     #[default]
     Resp2,
-    /// SFTP, version 3.
+    /// SFTP in version 3, without the SSH transport.
     Sftp,
 }
 
 /// One node of an inventory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InventoryNode {
-    /// The node as an endpoint list would name it.
+    /// The node in the form of an endpoint list's entry.
     pub record: EndpointRecord,
     /// Its address.
     pub address: SocketAddr,
-    /// Protocol that it speaks.
+    /// Its protocol.
     pub protocol: Protocol,
 }
 
-/// Reads an inventory; the extension of the file's name states the format.
+/// Reads an inventory. The extension of the file name selects the format.
 ///
 /// # Errors
 ///
--- a/crates/gateway/src/inventory/vars.rs
+++ b/crates/gateway/src/inventory/vars.rs
@@ -1,4 +1,4 @@
-//! What an inventory may state about a node, in either format.
+//! The variables that describe a node in an inventory, in either format, and their conversion to a node.
 
 use super::error::InvalidVar;
 use super::{InventoryNode, Protocol};
@@ -9,7 +9,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The vars that this program knows; others are left to the tools that know them.
+/// The vars of a node that this program uses; any others are ignored, as they are meant for other tools.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(super) struct Vars {
     /// Name of the node in CSV; in YAML the host's key names it.
@@ -18,9 +18,9 @@
     address: Option<String>,
     /// Its zone.
     zone: Option<String>,
-    /// Shard that it holds.
+    /// Shard that it stores.
     shard: Option<u64>,
-    /// Name of the protocol that it speaks.
+    /// Name of its protocol.
     protocol: Option<String>,
     /// Name of its status.
     status: Option<String>,
@@ -28,13 +28,18 @@
     since_ms: Option<f64>,
 }
 
-/// A var that is required or has a restricted value.
+/// Names a var in errors: one that is required or has a restricted value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum VarName {
+    /// `name`.
     Name,
+    /// `address`.
     Address,
+    /// `shard`.
     Shard,
+    /// `status`.
     Status,
+    /// `protocol`.
     Protocol,
 }
 
@@ -50,7 +55,7 @@
     }
 }
 
-/// A var of one node that cannot be used; the caller adds the place.
+/// A var of one node that cannot be used; the caller adds the location in the file.
 #[derive(Debug, thiserror::Error)]
 #[error("{var}: {source}")]
 pub(super) struct NodeError {
@@ -61,7 +66,7 @@
 }
 
 impl Vars {
-    /// These vars, completed by `defaults` where they are not set. The name is not inherited.
+    /// A copy of these vars in which unset ones are taken from `defaults`, except the name.
     pub(super) fn with_defaults(&self, defaults: &Vars) -> Vars {
         Vars {
             name: None,
@@ -74,7 +79,7 @@
         }
     }
 
-    /// The node of that name that these vars describe.
+    /// The node that these vars describe, with the given name.
     pub(super) fn to_node(&self, name: &str) -> Result<InventoryNode, NodeError> {
         let address = self.address.as_deref().ok_or(NodeError::not_set(VarName::Address))?;
         let status = self.parse_status()?;
@@ -86,12 +91,12 @@
             zone: self.zone.clone().unwrap_or_default(),
             shard,
             status,
-            started_at: self.since_ms.filter(|ms| *ms > 0.0).map(micros),
+            started_at: self.since_ms.filter(|since_ms| *since_ms > 0.0).map(micros),
         };
         Ok(InventoryNode { record, address, protocol })
     }
 
-    /// The status; in service if none is set.
+    /// Parses the status; in service if it is not set.
     fn parse_status(&self) -> Result<EndpointStatus, NodeError> {
         match self.status.as_deref() {
             None | Some("in_service") => Ok(EndpointStatus::InService),
@@ -103,7 +108,7 @@
         }
     }
 
-    /// The protocol; RESP2 if none is set.
+    /// Parses the protocol; RESP2 if it is not set.
     fn parse_protocol(&self) -> Result<Protocol, NodeError> {
         match self.protocol.as_deref() {
             None | Some("resp2") => Ok(Protocol::Resp2),
@@ -117,7 +122,7 @@
 }
 
 impl NodeError {
-    /// A required var that is not set.
+    /// The error for a required var that is not set.
     pub(super) fn not_set(var: VarName) -> NodeError {
         NodeError { var, source: InvalidVar::NotSet }
     }
--- a/crates/gateway/src/inventory/yaml_format.rs
+++ b/crates/gateway/src/inventory/yaml_format.rs
@@ -1,4 +1,4 @@
-//! Inventories in YAML: groups with `hosts`, `vars` and `children`, as Ansible keeps them.
+//! Inventories in YAML, in the structure of an Ansible inventory: groups with `hosts`, `vars` and `children`.
 
 use super::error::{InventoryError, Location};
 use super::vars::Vars;
@@ -6,40 +6,40 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// Deepest nesting of groups; more is an error, so that the recursion over them is bounded.
+/// Deepest accepted nesting of groups, which bounds the recursion.
 const MAX_DEPTH: usize = 16;
 
 /// A group of hosts.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Group {
-    /// Hosts by name, with vars of their own.
+    /// Hosts by name, with their own vars.
     hosts: Option<BTreeMap<String, Option<Vars>>>,
-    /// Vars of every host in the group and in the groups below it.
+    /// Vars that apply to every host of the group and of its subgroups.
     vars: Option<Vars>,
-    /// Groups below this one, by name.
+    /// Subgroups by name.
     children: Option<BTreeMap<String, Option<Group>>>,
 }
 
-/// A host as collected from all groups that list it.
+/// A host, with the vars from all groups that list it.
 #[derive(Debug, Default)]
 struct Host {
     /// Path of the key where the host was first listed.
     path: String,
-    /// Its vars from all groups.
+    /// Its vars, merged from all groups.
     vars: Vars,
 }
 
 /// Collects the hosts of nested groups.
 #[derive(Debug)]
 struct HostCollector<'a> {
-    /// How errors name the file.
+    /// Name of the file, for errors.
     file: &'a str,
-    /// Hosts so far, by name.
+    /// Hosts collected so far, by name.
     hosts: BTreeMap<String, Host>,
 }
 
-/// Parses an inventory in YAML. `file` is how errors name the file.
+/// Parses an inventory in YAML. `file` is the file's name in errors.
 ///
 /// # Errors
 ///
@@ -66,8 +66,7 @@
 }
 
 impl HostCollector<'_> {
-    /// Collects the hosts of a group and of the groups below it. `inherited` are the vars of the groups above
-    /// it.
+    /// Collects the hosts of a group and of its subgroups. `inherited` holds the vars of the groups that contain it.
     fn collect(
         &mut self,
         path: &str,
@@ -95,8 +94,8 @@
         Ok(())
     }
 
-    /// Adds a host of a group. Several groups may list a host: their vars are merged, and where two set the
-    /// same var the later group wins.
+    /// Adds a host of a group. If several groups list the host, their vars are merged, and the group that comes
+    /// last takes precedence.
     fn add_host(&mut self, group_path: &str, name: &str, host_vars: Option<&Vars>, group_vars: &Vars) {
         let vars = match host_vars {
             Some(vars) => vars.with_defaults(group_vars),
@@ -109,7 +108,7 @@
         host.vars = vars.with_defaults(&host.vars);
     }
 
-    /// The nodes that the hosts' vars describe, in the order of their names.
+    /// Converts the hosts to nodes, in the order of their names.
     fn into_nodes(self) -> Result<Vec<InventoryNode>, InventoryError> {
         let mut nodes = Vec::with_capacity(self.hosts.len());
         for (name, host) in &self.hosts {
--- a/crates/gateway/src/logger.rs
+++ b/crates/gateway/src/logger.rs
@@ -1,4 +1,4 @@
-//! The logger: one line a record on standard error, with the seconds since the start.
+//! The logger: each record becomes one line on standard error, which starts with the seconds since the start.
 
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::Write;
@@ -20,16 +20,16 @@
             return;
         }
         let seconds = self.started_at.elapsed().as_secs_f64();
-        // There is nowhere left to report that the log cannot be written.
+        // If the log cannot be written, there is no other place to report the error.
         let _ = writeln!(std::io::stderr().lock(), "{seconds:10.4} {:5} {}", record.level(), record.args());
     }
 
     fn flush(&self) {}
 }
 
-/// Installs the logger; a second call keeps the first logger and changes its level.
+/// Installs the logger. A further call keeps the installed logger and changes its level.
 pub fn install(level: LevelFilter) {
-    // An error means that a logger is installed already: it stays, and its time of start with it.
+    // An error means that a logger is already installed; it keeps counting the seconds from its own start.
     let _ = log::set_boxed_logger(Box::new(Logger { started_at: Instant::now() }));
     log::set_max_level(level);
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The storage gateway's program: its command line, and the start of the gateway.
+//! The program `storage-gateway`: parses the command line and starts the gateway.
 #![forbid(unsafe_code)]
 
 use std::path::{Path, PathBuf};
@@ -14,10 +14,10 @@
        storage-gateway --config FILE --check    say whether the file and its inventory can be used
 ";
 
-/// Exit code if the command line cannot be parsed.
+/// Exit code for a command line that cannot be parsed.
 const EXIT_USAGE: u8 = 2;
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum CliCommand {
     /// Serve with the platform's configuration, from the environment.
@@ -31,7 +31,7 @@
 }
 
 impl CliCommand {
-    /// Parses the arguments after the program's name; `None` if they are not a command.
+    /// Parses the arguments after the program's name; `None` if they are not valid.
     fn parse(arguments: &[String]) -> Option<CliCommand> {
         let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
         match arguments.as_slice() {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Executes a command; one that serves returns after the gateway has shut down.
+/// Executes a command. The commands that serve return after the gateway has shut down.
 fn run(command: CliCommand) -> Result<(), GatewayError> {
     match command {
         CliCommand::Help => {
@@ -77,13 +77,13 @@
 /// Serves with the platform's configuration.
 fn serve_platform() -> Result<(), GatewayError> {
     let config = config::from_env(|key| std::env::var(key).ok())?;
-    start(config)?.run()?;
+    create_gateway(config)?.run()?;
     Ok(())
 }
 
 /// Serves with an operator's file, with a console.
 fn serve_operator(file: &Path) -> Result<(), GatewayError> {
-    let mut gateway = start(config::from_file(file)?)?;
+    let mut gateway = create_gateway(config::from_file(file)?)?;
     gateway.open_console()?;
     gateway.run()?;
     Ok(())
@@ -100,8 +100,8 @@
     Ok(())
 }
 
-/// Starts the gateway and its log.
-fn start(config: Config) -> Result<Gateway, GatewayError> {
+/// Installs the logger and creates the gateway.
+fn create_gateway(config: Config) -> Result<Gateway, GatewayError> {
     logger::install(config.log);
     log::info!("starting {}", config.name);
     Gateway::new(config)
--- a/crates/gateway/src/node_protocol/mod.rs
+++ b/crates/gateway/src/node_protocol/mod.rs
@@ -1,4 +1,4 @@
-//! The protocols towards storage nodes: requests are encoded, replies decoded.
+//! The protocols towards storage nodes: encoding of requests and decoding of replies.
 //!
 //! An implementation holds the protocol state of one connection and does no I/O: it appends to an output
 //! buffer and consumes an input buffer, both owned by the event loop.
@@ -13,22 +13,23 @@
 #[error("the node violated its protocol")]
 pub struct ProtocolError;
 
-/// A node's protocol on one connection, which carries one request at a time.
+/// A node's protocol on one connection, which has at most one request in flight.
 pub trait NodeProtocol {
-    /// Appends what is sent before the first request. Called once, when the connection is established.
+    /// Appends the bytes to send before the first request. Called once, when the connection is established.
     fn start_handshake(&mut self, out: &mut Vec<u8>);
 
-    /// Whether requests may be started: the handshake is complete.
+    /// Whether requests may be sent, that is, whether the handshake is complete.
     fn ready(&self) -> bool;
 
     /// Appends the first bytes of `request` to `out`, with `wait_ms` milliseconds as the node's time limit
     /// where the protocol states one. Called only while [`ready`](Self::ready) and with no request in flight.
     ///
-    /// Returns how many of the appended bytes may be written without effect: once more than that are
-    /// written, the node may have run the request.
+    /// Returns how many of the appended bytes can be written before the request can take effect: once more than
+    /// that are written, the node may have executed the request.
     fn encode_request(&mut self, request: &StorageRequest, wait_ms: i64, out: &mut Vec<u8>) -> usize;
 
-    /// Bytes that the reply in progress takes, as far as known: its announced length or what arrived so far.
+    /// Size in bytes of the reply that is being received, as far as known: its announced length, or the bytes
+    /// received so far.
     fn buffered_bytes(&self) -> usize;
 
     /// Consumes received bytes from the front of `input`. Returns the result of the request in flight once
@@ -36,8 +37,8 @@
     ///
     /// # Errors
     ///
-    /// [`ProtocolError`] if the bytes are not a reply of this protocol, exceed its bounds, or arrive while no
-    /// request is in flight: they must not be taken for the reply to the next request.
+    /// [`ProtocolError`] if the bytes are not a reply of this protocol or exceed its bounds, or if they arrive while
+    /// no request is in flight, as they would be mistaken for the reply to the next request.
     fn decode(
         &mut self,
         input: &mut Vec<u8>,
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -55,7 +55,7 @@
                 parser.feed(piece, &mut updates).expect("well formed");
             }
             assert_eq!(versions(&updates), [7, 8, 9], "{response}");
-            let names: Vec<_> = updates[0].records().map(|(record, _)| record.name).collect();
+            let names: Vec<_> = updates[0].listed_endpoints().map(|endpoint| endpoint.record.name).collect();
             assert_eq!(names, ["a }\" {"]);
             assert_eq!((parser.is_complete(), parser.is_mid_object()), (complete, false));
         }
@@ -82,6 +82,6 @@
     response += text;
     let mut updates = Vec::new();
     WatchParser::default().feed(response.as_bytes(), &mut updates).expect("well formed");
-    let statuses: Vec<_> = updates[0].records().map(|(record, _)| record.status).collect();
+    let statuses: Vec<_> = updates[0].listed_endpoints().map(|endpoint| endpoint.record.status).collect();
     assert_eq!(statuses, [EndpointStatus::Draining]);
 }
