--- a/crates/gateway/src/client_protocol/resp/request.rs
+++ b/crates/gateway/src/client_protocol/resp/request.rs
@@ -16,7 +16,7 @@
 /// Index of the body of a write.
 const BODY_ARGUMENT: usize = 4;
 
-/// Why a request is invalid. The text goes to the client.
+/// Why a request is invalid. The text is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
     /// An argument other than the body is not text.
--- a/crates/gateway/src/client_protocol/sftp/directory.rs
+++ b/crates/gateway/src/client_protocol/sftp/directory.rs
@@ -58,7 +58,7 @@
     pub(super) handle: u32,
     /// Number of shards that have not answered.
     pub(super) remaining_shards: usize,
-    /// Entries so far.
+    /// Entries received so far.
     pub(super) entries: Vec<DirectoryEntry>,
 }
 
--- a/crates/gateway/src/client_protocol/sftp/mod.rs
+++ b/crates/gateway/src/client_protocol/sftp/mod.rs
@@ -12,7 +12,6 @@
 mod response;
 mod shared;
 
-pub use path::object_of;
 pub use shared::SftpShared;
 
 use super::{ClientProtocol, CommandStep, EncodedReply};
--- a/crates/gateway/src/client_protocol/sftp/path.rs
+++ b/crates/gateway/src/client_protocol/sftp/path.rs
@@ -56,7 +56,7 @@
         if parts.next().is_some() || object_name.len() > MAX_NAME_LENGTH {
             return Err(SftpError::NoSuchFile);
         }
-        target.object = object_of(object_name);
+        target.object = object_id(object_name);
         target.name = Some(object_name.into());
         Ok(PathTarget::Object(target))
     }
@@ -82,9 +82,9 @@
     Some(format!("/{}", parts.join("/")))
 }
 
-/// The id of the object with a name: the value of 16 lower-case hex digits, or a hash of any other name.
-#[must_use]
-pub fn object_of(name: &str) -> u64 {
+/// The id of the object with this name. A name of 16 lower-case hex digits is the text form of the id; for any
+/// other name, the id is a hash of it.
+fn object_id(name: &str) -> u64 {
     let has_hex_digits_only = name.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
     if has_hex_digits_only {
         if let Ok(HexId(id)) = name.parse() {
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -26,7 +26,7 @@
 /// The validated configuration of a gateway.
 #[derive(Debug)]
 pub struct Config {
-    /// Where the configuration came from, for [`Config::reload`].
+    /// The file to read on [`Config::reload`].
     source: ConfigSource,
     /// Name of this gateway.
     pub name: String,
@@ -52,7 +52,7 @@
     pub log: LevelFilter,
 }
 
-/// The file that a configuration came from, and its kind.
+/// The file that a configuration was read from, and its kind.
 #[derive(Clone, Debug)]
 enum ConfigSource {
     /// The file that `ROUTER_CONFIG` named.
--- a/crates/gateway/src/console.rs
+++ b/crates/gateway/src/console.rs
@@ -85,7 +85,7 @@
 }
 
 /// Formats the table of nodes.
-pub fn nodes<'a>(nodes: impl Iterator<Item = &'a NodeState>) -> String {
+pub fn format_nodes<'a>(nodes: impl Iterator<Item = &'a NodeState>) -> String {
     let mut text = format!("{:<24} {:>6} {:<9} {:>5} {:>12}\n", "node", "shard", "state", "out", "units");
     for node in nodes {
         let state = match node.status {
@@ -106,7 +106,10 @@
 /// Formats the table of volumes. A volume is shown by its name if it is one of `named_volumes`, the volumes of
 /// the SFTP listener, and by its id otherwise.
 #[must_use]
-pub fn volumes(volume_counters: &BTreeMap<u64, VolumeCounters>, named_volumes: &[SftpVolume]) -> String {
+pub fn format_volumes(
+    volume_counters: &BTreeMap<u64, VolumeCounters>,
+    named_volumes: &[SftpVolume],
+) -> String {
     let mut text = format!(
         "{:<24} {:>9} {:>9} {:>9} {:>9} {:>12}\n",
         "volume", "taken", "served", "refused", "failed", "units"
--- a/crates/gateway/src/event_loop/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -97,7 +97,7 @@
         match command {
             ConsoleCommand::Nothing => String::new(),
             ConsoleCommand::Help => console::HELP.to_owned(),
-            ConsoleCommand::Nodes => console::nodes(self.context.dispatcher.nodes()),
+            ConsoleCommand::Nodes => console::format_nodes(self.context.dispatcher.nodes()),
             ConsoleCommand::Volumes => self.volumes(),
             ConsoleCommand::Status => self.status(),
             ConsoleCommand::Drain(name) => self.drain_node(&name),
@@ -115,7 +115,7 @@
             Some(sftp) => sftp.volumes.as_slice(),
             None => &[],
         };
-        console::volumes(self.context.dispatcher.volume_counters(), named_volumes)
+        console::format_volumes(self.context.dispatcher.volume_counters(), named_volumes)
     }
 
     fn status(&self) -> String {
--- a/crates/gateway/src/sftp_packet/builder.rs
+++ b/crates/gateway/src/sftp_packet/builder.rs
@@ -6,7 +6,7 @@
 #[must_use]
 #[derive(Clone, Debug)]
 pub struct Packet {
-    /// The length field, still zero, and what follows it.
+    /// The encoded packet; its length field is zero until [`Packet::finish`].
     bytes: Vec<u8>,
 }
 
