--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,7 +1,4 @@
-//! The decision module: every choice of the gateway is made here. Its interface is `src/api`.
-//!
-//! The ordinary path is dmClock: due reservation tags go first, then the least share tag whose limit tag is
-//! due, with a bound on requests in flight at one node. The rest guards the rules of the deployment.
+//! The loop of events and the timers; the decisions are in the modules below. Its interface is `src/api`.
 
 mod admission;
 mod completion;
@@ -13,32 +10,34 @@
 use crate::api::{Action, Event, Micros, Request, Settings, Shard, StateSizes};
 use crate::hash::scatter;
 use crate::node_health::{relative_latency, MAX_IN_FLIGHT};
-use crate::state::{PendingRequest, Position, Seconds, ShardQueue, State, Volume};
+use crate::state::{PendingRequest, Position, RepeatKey, Seconds, State, Volume};
 use crate::volumes::VOLUME_RETENTION;
-use completion::repeat_key;
 use std::collections::BTreeSet;
 
-/// Requests that wait for a tag, a token bucket or a budget are checked again after this.
+/// Interval at which requests that wait for a tag, a token bucket or a budget are checked again.
 const RECHECK_INTERVAL: Micros = 4_000;
 
-/// Decides for one host: feed it events in order, carry out its actions in order.
+/// The scheduler of one host: takes events in order and returns actions to be carried out in order.
 pub struct Scheduler {
     settings: Settings,
+    /// Input of the hashes that stand in for random numbers; differs from host to host.
     seed: u64,
+    /// Origin of the tags' time axis.
     started_at: Micros,
-    /// Time of the events that are handled.
+    /// Time of the events that are being handled.
     now: Micros,
-    /// Actions decided on since the last events.
+    /// Actions for the events that are being handled.
     actions: Vec<Action>,
     state: State,
     /// When the next call of the discovery service is due.
     next_poll_at: Option<Micros>,
+    /// The earliest timer requested that has not fired yet.
     timer_at: Option<Micros>,
-    last_cleanup: Micros,
+    last_cleanup_at: Micros,
 }
 
 impl Scheduler {
-    /// A host that starts at `now`, with what the deployment states and a seed for its random numbers.
+    /// A scheduler that starts at `now`; `seed` replaces random numbers and should differ between hosts.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Scheduler {
@@ -47,21 +46,21 @@
             now,
             actions: Vec::new(),
             state: State::default(),
-            next_poll_at: endpoints::poll_at(&settings, now, scatter(seed), endpoints::MAX_SPREAD),
+            next_poll_at: endpoints::poll_at(&settings, now, scatter(seed), endpoints::MAX_JITTER),
             timer_at: None,
-            last_cleanup: now,
+            last_cleanup_at: now,
             settings,
         }
     }
 
-    /// How much is remembered of nodes, volumes and shards.
+    /// The number of nodes, volumes and shards in the state.
     #[must_use]
     pub fn state_sizes(&self) -> StateSizes {
         let State { nodes, volumes, queues, .. } = &self.state;
         StateSizes { nodes: nodes.len(), volumes: volumes.len(), shards: queues.len() }
     }
 
-    /// Takes in all events of one moment, then decides.
+    /// Handles all events that occurred at `now`, then appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         for event in events {
@@ -82,6 +81,7 @@
         actions.append(&mut self.actions);
     }
 
+    /// Registers a request with its volume and queues it, unless an earlier one of its key has to run first.
     fn on_request(&mut self, request: &Request) {
         let known_shard = request.shard.filter(|shard| self.state.node_of(*shard).is_some());
         let Some(class) = self.settings.classes.get(request.class) else { return };
@@ -93,15 +93,15 @@
         if let Some(budget) = &self.settings.retry_budget {
             self.state.recent_requests.record((), budget.window, self.now);
         }
-        // A client's repeat keeps its first objective: taken for new, it would take slots for nothing.
-        let first_objective = repeat_key(request).and_then(|key| self.state.objectives.remove(&key));
+        // A client's retry keeps the first objective: with a new one it would compete as timely work again.
+        let first_objective = RepeatKey::of(request).and_then(|key| self.state.objectives.remove(&key));
         let objective_at = first_objective.unwrap_or(self.now + class.latency_objective);
-        // A client short of time leaves before the objective: what it can't wait for takes no slot.
+        // The client does not wait longer than its deadline, so a later objective is moved up to it.
         let objective_at = objective_at.min(request.deadline);
         let reject_at = self.now + (request.deadline - self.now).max(0) / 2;
         let relative_latency = relative_latency(request.units, &self.settings);
         let pending = PendingRequest::new(request, class, relative_latency, objective_at, reject_at);
-        let key = request.key.filter(|_| class.ordered);
+        let key = pending.ordering_key();
         self.state.rejections.insert(reject_at, request.id);
         self.state.requests.insert(request.id, pending);
         if key.is_none_or(|key| self.join_sequence(key, request.id)) {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Queues requests that may go on now, and dispatches from the queues.
+    /// Queues requests whose quiesce period is over or whose node is back, then dispatches from the queues.
     fn dispatch_pending(&mut self) {
         while let Some(key) = self.state.quiescing.pop_expired(self.now) {
             self.run_first(key);
@@ -125,23 +125,22 @@
         }
     }
 
-    /// Forgets volumes without requests, their flows, and shards that no node holds and nothing waits for.
+    /// Removes idle volumes with their flows, and shards without a node, a flow or a queued request.
     fn forget_idle(&mut self) {
-        if self.now - self.last_cleanup < VOLUME_RETENTION / 8 {
+        if self.now - self.last_cleanup_at < VOLUME_RETENTION / 8 {
             return;
         }
-        self.last_cleanup = self.now;
+        self.last_cleanup_at = self.now;
         let State { requests, volumes, queues, backlogged, .. } = &mut self.state;
         let in_use: BTreeSet<_> = requests.values().map(|pending| pending.request.volume).collect();
         volumes.retain(|id, volume| in_use.contains(id) || !volume.is_idle(self.now));
         for queue in queues.values_mut() {
             queue.flows.retain(|id, flow| !flow.queue.is_empty() || volumes.contains_key(id));
         }
-        let is_unused = |queue: &ShardQueue| queue.node.is_none() && queue.flows.is_empty();
-        queues.retain(|shard, queue| !is_unused(queue) || backlogged.contains(shard));
+        queues.retain(|shard, queue| !queue.is_unused() || backlogged.contains(shard));
     }
 
-    /// Asks for a timer at the next time at which something may change without an event.
+    /// Requests a timer for the next time at which a decision may change without an event.
     fn set_timer(&mut self) {
         self.timer_at = self.timer_at.filter(|at| *at > self.now);
         let recheck = self.state.backlogged.iter().filter_map(|shard| self.recheck_at(*shard)).min();
@@ -155,14 +154,16 @@
         }
     }
 
-    /// When a request may leave a queue without an event; late ones and those for full nodes await responses.
+    /// When to check a queue again; `None` where only a completed attempt can let a request be dispatched.
     fn recheck_at(&self, shard: Shard) -> Option<Micros> {
         let queue = &self.state.queues[&shard];
         let node = self.state.node_of(shard).filter(|node| node.in_flight < MAX_IN_FLIGHT)?;
-        let may_leave = queue.has_timely() || node.health.is_idle(node.in_flight) && !queue.late.is_empty();
-        may_leave.then_some(node.health.paused_until.max(self.now + RECHECK_INTERVAL))
+        let may_dispatch_late = node.health.is_idle(node.in_flight) && !queue.late.is_empty();
+        (queue.has_timely() || may_dispatch_late)
+            .then_some(node.health.paused_until.max(self.now + RECHECK_INTERVAL))
     }
 
+    /// The current time on the tags' time axis.
     fn now_seconds(&self) -> Seconds {
         (self.now - self.started_at) as f64 / 1e6
     }
--- a/crates/scheduler/src/scheduler/admission.rs
+++ b/crates/scheduler/src/scheduler/admission.rs
@@ -1,24 +1,23 @@
-//! What a node takes while it warms up, and the choice of the node for a new object.
+//! Admission to nodes that warm up (slow start), and the choice of the node for a new object.
 
 use super::Scheduler;
 use crate::api::{Micros, Shard, SlowStart};
 use crate::hash::{scatter, unit_hash};
 use crate::state::{Node, PendingRequest, Volume};
 
-/// A host's quota at a node that warms up goes by the rate its volumes there are provisioned for, times this
-/// as they use their hosts unevenly; the fewer the hosts, the more of it is an even part.
+/// Factor on the provisioned rates in a host's slow-start quota, as volumes use their hosts unevenly.
 const UNEVEN_USE_FACTOR: f64 = 1.25;
-/// Part of the quota that is left for requests beyond a volume's share and for late ones.
+/// Part of the quota that requests beyond a volume's provisioned rate and late requests may use.
 pub(super) const SURPLUS_QUOTA: f64 = 0.5;
 
-/// Error rate from which a node gets no new objects.
+/// Error rate above which a node gets new objects only if there is no other.
 const MAX_ERROR_RATE: f64 = 0.25;
 
-/// What speaks against a node, the first before the second.
+/// Cost of placing an object at a node: faulty or warming-up nodes come last, then the longest wait.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Cost {
     is_impaired: bool,
-    expected_wait: f64,
+    expected_wait_micros: f64,
 }
 
 /// When a node's process started, if that was so recently that it lacks its full capacity.
@@ -27,32 +26,38 @@
 }
 
 impl Scheduler {
-    /// Guards a node that warms up from all hosts together: each keeps to a quota of what the node can take
-    /// for certain at its age, and a request to a part of that. With many hosts the quota may be less than
-    /// one request, which then goes by a random number that the host draws anew for each window.
+    /// Whether slow start allows a dispatch to a node; the request may use `quota_part` of this host's quota.
+    /// A quota can be smaller than one request: a random number per window then admits it now and then.
     pub(super) fn slow_start_admits(&self, units: f64, quota_part: f64, node: &Node) -> bool {
-        let (slow_start, now) = (&self.settings.slow_start, self.now);
-        let Some(started_at) = warming_up_since(node, slow_start, now) else { return true };
-        let age = ((now - started_at - slow_start.window) as f64 / slow_start.duration as f64).max(0.0);
+        let slow_start = &self.settings.slow_start;
+        let Some(started_at) = warming_up_since(node, slow_start, self.now) else { return true };
+        let age = ((self.now - started_at - slow_start.window) as f64 / slow_start.duration as f64).max(0.0);
         let capacity = slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * age;
-        let all_hosts = slow_start.units * capacity / slow_start.initial_capacity.max(1e-9);
-        // Warm nodes do what their volumes are provisioned for; one that warms up, a multiple of its part.
+        let node_quota = slow_start.units * capacity / slow_start.initial_capacity.max(1e-9);
+        let quota = quota_part * self.slow_start_quota(node, capacity, node_quota);
+        let dispatched: f64 = node.health.slow_start_units.within(slow_start.window, self.now).sum();
+        let window = (self.now / slow_start.window.max(1)) as u64;
+        let draw = window ^ scatter(node.endpoint.node.0);
+        let random_part = units * unit_hash(self.seed ^ scatter(draw));
+        let is_within_quota = quota + random_part - dispatched >= units;
+        is_within_quota && (dispatched <= 0.0 || node_quota - dispatched >= units)
+    }
+
+    /// This host's part of `node_quota`, the units that a node at this capacity can take within a window. It
+    /// follows the provisioned rates of the node's volumes; the fewer hosts there are, the more it is even.
+    fn slow_start_quota(&self, node: &Node, capacity: f64, node_quota: f64) -> f64 {
+        let slow_start = &self.settings.slow_start;
         let flows = self.state.queues[&node.endpoint.shard].flows.keys();
-        let nominal_rate: f64 =
-            flows.filter_map(|id| self.state.volumes.get(id)).map(Volume::rate_at_shard).sum();
+        let volumes = flows.filter_map(|id| self.state.volumes.get(id));
+        let nominal_rate: f64 = volumes.map(Volume::rate_at_shard).sum();
         let nominal_units = nominal_rate * slow_start.window as f64 / 1e6;
-        let by_rate = (UNEVEN_USE_FACTOR * nominal_units * slow_start.burst_factor * capacity).min(all_hosts);
+        let rate_quota = UNEVEN_USE_FACTOR * nominal_units * slow_start.burst_factor * capacity;
+        let rate_quota = rate_quota.min(node_quota);
         let hosts = f64::from(self.settings.hosts.max(1));
-        let quota = quota_part * (by_rate + (all_hosts / hosts - by_rate) / hosts.sqrt());
-        let dispatched: f64 = node.health.slow_start_units.within(slow_start.window, now).sum();
-        let window = (now / slow_start.window.max(1)) as u64;
-        let draw = window ^ scatter(node.endpoint.node.0);
-        let random_part = units * unit_hash(self.seed ^ scatter(draw));
-        quota + random_part - dispatched >= units && (dispatched <= 0.0 || all_hosts - dispatched >= units)
+        rate_quota + (node_quota / hosts - rate_quota) / hosts.sqrt()
     }
 
-    /// The shard whose node is likely to respond soonest; nodes that look faulty or that warm up only where
-    /// there is no other.
+    /// The shard whose node has the lowest cost among those that may execute the request.
     pub(super) fn choose_shard(&self, pending: &PendingRequest) -> Option<Shard> {
         let latencies = self.state.nodes_in_service().filter_map(|node| node.health.latency.mean);
         let mean_latency = latencies.clone().sum::<f64>() / latencies.count().max(1) as f64;
@@ -67,8 +72,8 @@
             let is_warming_up = warming_up_since(node, &self.settings.slow_start, self.now).is_some();
             let latency = health.latency.mean.unwrap_or(mean_latency).max(1.0);
             let units_ahead = node.in_flight_units + queue.queued_units + pending.request.units;
-            let expected_wait = latency * units_ahead / health.concurrency_limit;
-            let cost = Cost { is_impaired: is_faulty || is_warming_up, expected_wait };
+            let expected_wait_micros = latency * units_ahead / health.concurrency_limit;
+            let cost = Cost { is_impaired: is_faulty || is_warming_up, expected_wait_micros };
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, *shard));
             }
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -1,18 +1,14 @@
-//! Attempts that completed, and the one final response of each request.
+//! Completed attempts, and the single final response of each request.
 
-use super::{retry::client_may_repeat, Scheduler};
-use crate::api::{Action, CompletedAttempt, Micros, Outcome, Request, RequestId};
+use super::{retry::client_may_retry, Scheduler};
+use crate::api::{Action, CompletedAttempt, Micros, Outcome, RequestId};
 use crate::state::{Attempt, RepeatKey};
 
-/// A client's repeat is recognized for this long after the latency objective.
+/// A request that a client sends again is recognized for this long after the first latency objective.
 const REPEAT_WINDOW: Micros = 1_000_000;
 
-/// What a client's repeat has in common with the request before.
-pub(super) fn repeat_key(request: &Request) -> Option<RepeatKey> {
-    Some(RepeatKey { volume: request.volume, object: request.key?, class: request.class })
-}
-
 impl Scheduler {
+    /// Records how an attempt ended, then closes, retries or rejects its request.
     pub(super) fn on_attempt_completed(&mut self, completed: &CompletedAttempt) {
         let (id, outcome) = (completed.request, completed.outcome);
         let Some(pending) = self.state.requests.get_mut(&id) else { return };
@@ -20,7 +16,7 @@
         if !matches!(outcome, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotDispatched) {
             pending.first_executed.get_or_insert(attempt);
         }
-        let awaits_attempt = pending.open && pending.in_flight.is_empty();
+        let needs_attempt = pending.open && pending.in_flight.is_empty();
         let may_be_executing = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
         let sequence = pending.request.key.and_then(|key| self.state.sequences.get_mut(&key));
         if let Some(sequence) = sequence.filter(|_| may_be_executing) {
@@ -31,34 +27,34 @@
             self.close(id);
         } else if completed.request_closed {
             self.close_unserved(id);
-        } else if awaits_attempt {
+        } else if needs_attempt {
             self.retry_or_reject(id, attempt.node, outcome);
         } else {
-            self.settle(id);
+            self.remove_if_over(id);
         }
     }
 
-    /// Counts an attempt that completed for its node and its volume.
+    /// Updates the usage of the volume and the health of the node after an attempt.
     fn record_attempt(&mut self, attempt: Attempt, completed: &CompletedAttempt) {
         let Some(pending) = self.state.requests.get(&completed.request) else { return };
-        let (request, now) = (&pending.request, self.now);
+        let request = &pending.request;
         let is_served = completed.outcome == Outcome::Served;
         let served_units = if is_served { request.units } else { 0.0 };
         if let Some(volume) = self.state.volumes.get_mut(&request.volume) {
-            volume.record_usage(served_units, completed, 2 * self.settings.usage_report_period, now);
+            volume.record_usage(served_units, completed, 2 * self.settings.usage_report_period, self.now);
         }
         let Some(node) = self.state.nodes.get_mut(&attempt.node) else { return };
-        node.in_flight = node.in_flight.saturating_sub(1);
-        node.in_flight_units -= request.units;
-        node.health.record(pending, attempt, completed, now);
+        node.remove_attempt(request.units);
+        node.health.record(pending, completed, self.now);
+        node.health.adjust_limit(attempt, completed, pending.class.latency_objective, self.now);
         let queue = self.state.queues.get_mut(&node.endpoint.shard).filter(|_| !is_served);
         if let Some(flow) = queue.and_then(|queue| queue.flows.get_mut(&request.volume)) {
             flow.counted_units -= request.units;
         }
     }
 
-    /// What is still not dispatched after half of its time has missed its objective: the client hears of it
-    /// while it can still do something else, rather than wait for a slot that goes to timely work.
+    /// Rejects requests that were not dispatched within half of their time to the deadline, so that their
+    /// clients can still go elsewhere. One that a node may have executed is kept until its deadline.
     pub(super) fn reject_expired(&mut self) {
         while let Some(id) = self.state.rejections.pop_expired(self.now) {
             let Some(pending) = self.state.requests.get_mut(&id) else { return };
@@ -72,10 +68,10 @@
         }
     }
 
-    /// The final response of an open request: a rejection where a repeat does no harm, else a failure.
+    /// Gives an open request its final response: a rejection if the client may safely retry, else a failure.
     pub(super) fn reject(&mut self, id: RequestId) {
         let Some(pending) = self.state.requests.get(&id).filter(|pending| pending.open) else { return };
-        self.actions.push(if client_may_repeat(pending) {
+        self.actions.push(if client_may_retry(pending) {
             Action::Reject { request: id, retry_after: self.retry_after(pending) }
         } else {
             Action::Fail(id)
@@ -83,7 +79,7 @@
         self.close_unserved(id);
     }
 
-    /// Stops the attempts of a request that nobody waits for any more.
+    /// Cancels the attempts of a request whose client is gone, if allowed, and closes the request.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         if let Some(pending) = self.state.requests.get(&id).filter(|_| self.settings.cancellation_allowed) {
             let numbers = pending.in_flight.iter().map(|attempt| attempt.number);
@@ -92,10 +88,10 @@
         self.close_unserved(id);
     }
 
-    /// Closes a request that was not served; a repeat by its client will be recognized.
+    /// Closes a request that was not served, and keeps its objective in case the client sends it again.
     pub(super) fn close_unserved(&mut self, id: RequestId) {
         let pending = self.state.requests.get(&id).filter(|pending| pending.open);
-        let key = pending.and_then(|pending| repeat_key(&pending.request));
+        let key = pending.and_then(|pending| RepeatKey::of(&pending.request));
         if let (Some(pending), Some(key)) = (pending, key) {
             self.state.objectives.retain(|_, objective_at| *objective_at > self.now - REPEAT_WINDOW);
             self.state.objectives.insert(key, pending.objective_at);
@@ -103,7 +99,7 @@
         self.close(id);
     }
 
-    /// Closes a request that may be open, and takes it out of its queue without service.
+    /// Closes a request, if it is open, and removes it from its queue without service.
     fn close(&mut self, id: RequestId) {
         self.state.unroutable.remove(&id);
         let Some(pending) = self.state.requests.get_mut(&id) else { return };
@@ -112,13 +108,13 @@
         }
         pending.open = false;
         self.state.rejections.remove(pending.reject_at, id);
-        self.settle(id);
+        self.remove_if_over(id);
     }
 
-    /// Forgets a request that is closed and has no attempt in flight; the next of its key may go.
-    fn settle(&mut self, id: RequestId) {
+    /// Removes a request that is closed and has no attempt in flight; the next one of its key may then run.
+    fn remove_if_over(&mut self, id: RequestId) {
         let Some(pending) = self.state.requests.get(&id).filter(|pending| pending.is_over()) else { return };
-        let key = pending.request.key.filter(|_| pending.class.ordered);
+        let key = pending.ordering_key();
         self.state.requests.remove(&id);
         if let Some(key) = key {
             self.leave_sequence(key, id);
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -4,13 +4,13 @@
 use super::Scheduler;
 use crate::api::{Action, Micros, NodeId, RequestId, Shard};
 use crate::node_health::MAX_IN_FLIGHT;
-use crate::state::{Attempt, Candidate, Node, PendingRequest, Phase, Position, Seconds};
+use crate::state::{Candidate, Node, PendingRequest, Phase, Position, Seconds};
 
-/// Seconds by which a volume's nominal tag runs ahead when it takes more than its share.
+/// A volume whose nominal tag is ahead of the time by more than this exceeds its provisioned rate.
 const SURPLUS_LEAD: Seconds = 1.0;
 
 impl Scheduler {
-    /// Queues an open request for the node of its shard.
+    /// Queues an open request for the node of its shard; a new object's shard is chosen here.
     pub(super) fn enqueue(&mut self, id: RequestId, position: Position) {
         let now = self.now_seconds();
         let pending = self.state.requests.get(&id).filter(|pending| pending.is_waiting());
@@ -27,7 +27,7 @@
 
     /// Dispatches from a shard's queue for as long as its node takes requests.
     pub(super) fn dispatch_from(&mut self, shard: Shard) {
-        self.set_late_aside(shard);
+        self.set_late_requests_aside(shard);
         while let Some(node) = self.state.node_of(shard) {
             let node_id = node.endpoint.node;
             let is_trial = node.health.is_ejected() && !self.most_are_ejected();
@@ -43,16 +43,17 @@
         }
     }
 
-    /// When most nodes look like outliers, the fault is likely not theirs: then none is treated as ejected.
+    /// Whether most nodes are ejected: the fault is then likely not theirs, and none is treated as ejected.
     fn most_are_ejected(&self) -> bool {
         let ejected = self.state.nodes_in_service().filter(|node| node.health.is_ejected()).count();
         2 * ejected > self.state.nodes_in_service().count()
     }
 
-    /// Moves requests at the front of their flows that can't meet their objective any more to the late ones.
-    fn set_late_aside(&mut self, shard: Shard) {
+    /// Moves requests at the head of flows that can no longer meet their objective to the late requests.
+    fn set_late_requests_aside(&mut self, shard: Shard) {
         let Some(node) = self.state.node_of(shard) else { return };
-        let (latency, now) = (node.health.expected_latency(self.now), self.now);
+        let now = self.now;
+        let latency = node.health.expected_latency(now);
         let completes_at = |pending: &PendingRequest| now + (latency * pending.relative_latency) as Micros;
         let Some(queue) = self.state.queues.get_mut(&shard) else { return };
         let mut late = Vec::new();
@@ -65,7 +66,8 @@
         }
     }
 
-    /// Due reservation tags go first, then the least share tag whose limit tag is due, then late requests.
+    /// Selects the earliest due reservation tag, else the smallest share tag of a flow within its limit, else
+    /// the late request of the earliest deadline, but only at an idle node: it has little value.
     fn select_next(&self, shard: Shard, node: &Node) -> Option<Candidate> {
         let (queue, now) = (&self.state.queues[&shard], self.now_seconds());
         let has_capacity = |value| node.health.has_capacity(node.in_flight, value, self.now);
@@ -78,12 +80,13 @@
             if !self.may_dispatch(head.id, quota_part, node) {
                 continue;
             }
-            // A burst lets the limit tag run ahead; both are split evenly over the volume's hosts.
+            // A limit tag may run ahead by a whole burst; rate and burst are split evenly over the hosts.
             let is_within_limit = plan.limit <= 0.0 || tags.limit <= now + plan.burst_capacity / plan.limit;
-            let (share, surplus) = (self.settings.within_share_value, self.settings.surplus_value);
+            let settings = &self.settings;
+            let value = if is_surplus { settings.surplus_value } else { settings.within_share_value };
             let (phase, tag) = if is_reserved && has_capacity(1.0) {
                 (Phase::Reservation, tags.reservation)
-            } else if is_within_limit && has_capacity(if is_surplus { surplus } else { share }) {
+            } else if is_within_limit && has_capacity(value) {
                 (Phase::Weight, tags.share)
             } else {
                 continue;
@@ -95,12 +98,11 @@
         if best.is_some() || !node.health.is_idle(node.in_flight) {
             return best;
         }
-        // Late requests earn little: they go only where they take nothing from others.
         let request = queue.late.iter().find(|id| self.may_dispatch(*id, SURPLUS_QUOTA, node))?;
         Some(Candidate { request, phase: Phase::Late, tag: f64::MAX })
     }
 
-    /// Whether the rules of the deployment let a request go to a node now.
+    /// Whether limit, retry rules and slow start allow the dispatch of a request to a node now.
     fn may_dispatch(&self, id: RequestId, quota_part: f64, node: &Node) -> bool {
         let Some(pending) = self.state.requests.get(&id) else { return false };
         let request = &pending.request;
@@ -114,10 +116,11 @@
         is_allowed && self.slow_start_admits(request.units, quota_part, node)
     }
 
-    /// Starts an attempt of the request selected.
+    /// Starts an attempt of the selected request.
     fn dispatch(&mut self, selected: &Candidate, node_id: NodeId) {
-        let (state, now, id) = (&mut self.state, self.now, selected.request);
-        let pending = state.requests.get_mut(&id).expect("invariant: queued requests are pending");
+        let (state, now) = (&mut self.state, self.now);
+        let pending =
+            state.requests.get_mut(&selected.request).expect("invariant: queued requests are pending");
         let request = &pending.request;
         let volume = state.volumes.get_mut(&request.volume).expect("invariant: volumes of requests are kept");
         let node = state.nodes.get_mut(&node_id).expect("invariant: the node of a shard is listed");
@@ -129,15 +132,13 @@
         } else if let Some(budget) = &self.settings.retry_budget {
             state.recent_retries.record((), budget.window, now);
         }
-        node.in_flight += 1;
-        node.in_flight_units += request.units;
+        node.add_attempt(request.units);
         let slow_start = &self.settings.slow_start;
         if warming_up_since(node, slow_start, now).is_some() {
             node.health.slow_start_units.record(request.units, slow_start.window, now);
         }
         let deadline = node.health.attempt_deadline(pending, now).min(request.deadline);
-        pending.in_flight.push(Attempt { number: pending.attempts, node: node_id, dispatched_at: now });
-        pending.attempts += 1;
-        self.actions.push(Action::Dispatch { request: id, node: node_id, deadline });
+        pending.start_attempt(node_id, now);
+        self.actions.push(Action::Dispatch { request: selected.request, node: node_id, deadline });
     }
 }
--- a/crates/scheduler/src/scheduler/ordering.rs
+++ b/crates/scheduler/src/scheduler/ordering.rs
@@ -1,11 +1,11 @@
-//! Requests of one key run one after the other, in the order of their receipt.
+//! Per-key ordering: requests of one key run one after the other, in the order of their receipt.
 
 use super::Scheduler;
 use crate::api::{ObjectKey, RequestId};
 use crate::state::Position;
 
 impl Scheduler {
-    /// Adds a request to its key's sequence; tells whether it may run at once.
+    /// Adds a request to its key's sequence; returns whether it may run at once.
     pub(super) fn join_sequence(&mut self, key: ObjectKey, id: RequestId) -> bool {
         let sequence = self.state.sequences.entry(key).or_default();
         sequence.requests.push_back(id);
@@ -24,8 +24,7 @@
         }
     }
 
-    /// Queues the first request of a key unless its quiesce period lasts or it was dispatched before; a key
-    /// without requests is forgotten.
+    /// Queues the first request of a key if the quiesce period is over and it was not dispatched before.
     pub(super) fn run_first(&mut self, key: ObjectKey) {
         let sequence = self.state.sequences.get(&key);
         let Some(sequence) = sequence.filter(|sequence| sequence.quiesced_until <= self.now) else { return };
--- a/crates/scheduler/src/state/mod.rs
+++ b/crates/scheduler/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! What the scheduler remembers: plain records and containers.
+//! The scheduler's state: plain records and containers.
 //!
-//! No decision is made here: no file in this folder reads the settings or defines a constant of the policy, so
-//! these files don't count as decision logic.
+//! No decision is made here: no file in this folder reads the settings or defines a constant of the policy,
+//! so these files don't count as decision logic.
 
 mod deadline_queue;
 mod latency_estimate;
@@ -28,32 +28,32 @@
 pub use sliding_window::SlidingWindow;
 pub use volume::Volume;
 
-/// All that the scheduler remembers of nodes, volumes and requests.
+/// The scheduler's state of nodes, volumes and requests.
 #[derive(Default)]
 pub struct State {
     /// Nodes listed, and those removed with attempts still in flight.
     pub nodes: BTreeMap<NodeId, Node>,
-    /// What waits for the node of each shard.
+    /// The queue of requests for the node of each shard.
     pub queues: BTreeMap<Shard, ShardQueue>,
-    /// Shards for which something is queued: only these are checked, however large the fleet.
+    /// Shards with queued requests: only these are checked at each event, however many shards there are.
     pub backlogged: BTreeSet<Shard>,
-    /// Volumes with requests of late.
+    /// Volumes with recent requests.
     pub volumes: BTreeMap<VolumeId, Volume>,
     /// Requests that are open or have attempts in flight.
     pub requests: BTreeMap<RequestId, PendingRequest>,
     /// Open requests by the time at which they are rejected.
     pub rejections: DeadlineQueue<RequestId>,
-    /// Open requests that no node can take at present.
+    /// Open requests that name no shard and for which there is no node at present.
     pub unroutable: BTreeSet<RequestId>,
-    /// Ordered requests by their key.
+    /// Requests of classes whose requests of one key are executed in order.
     pub sequences: BTreeMap<ObjectKey, Sequence>,
-    /// Keys whose next request waits for the end of the quiesce period.
+    /// Keys whose next request waits for the end of the quiesce period, by that time.
     pub quiescing: DeadlineQueue<ObjectKey>,
-    /// Latency objectives of requests closed unserved, for the client's repeats of them.
+    /// When the latency objectives of unserved requests end, in case the client sends them again.
     pub objectives: BTreeMap<RepeatKey, Micros>,
-    /// Requests received of late, for the retry budget.
+    /// Requests received recently, for the retry budget.
     pub recent_requests: SlidingWindow<()>,
-    /// Retries of late, for the retry budget.
+    /// Retries dispatched recently, for the retry budget.
     pub recent_retries: SlidingWindow<()>,
 }
 
@@ -63,7 +63,12 @@
         self.nodes.get(&self.queues.get(&shard)?.node?)
     }
 
-    /// The nodes that the list has in service.
+    /// The node in service that holds the same shard as a node, which may have been replaced by it.
+    pub fn successor_of(&self, node: NodeId) -> Option<&Node> {
+        self.node_of(self.nodes.get(&node)?.endpoint.shard)
+    }
+
+    /// The nodes that the endpoint list has in service.
     pub fn nodes_in_service(&self) -> impl Iterator<Item = &Node> + Clone {
         self.nodes.values().filter(|node| node.is_in_service())
     }
--- a/crates/scheduler/src/state/pending_request.rs
+++ b/crates/scheduler/src/state/pending_request.rs
@@ -1,6 +1,6 @@
 //! A request that a client waits for, or that still has attempts in flight.
 
-use crate::api::{Micros, NodeId, Request, RequestClass, Shard};
+use crate::api::{Micros, NodeId, ObjectKey, Request, RequestClass, Shard};
 
 /// One dispatch of a request to a node.
 #[derive(Clone, Copy)]
@@ -19,9 +19,9 @@
     pub request: Request,
     /// Its class.
     pub class: RequestClass,
-    /// Latency that its size lets expect, as a multiple of that of mean size.
+    /// Expected latency for its size, as a multiple of the latency of a request of mean size.
     pub relative_latency: f64,
-    /// When its latency objective passes.
+    /// When its latency objective ends; at most its deadline.
     pub objective_at: Micros,
     /// When it is rejected, if it is still open then.
     pub reject_at: Micros,
@@ -31,7 +31,7 @@
     pub attempts: u32,
     /// Attempts that have not completed.
     pub in_flight: Vec<Attempt>,
-    /// The first attempt that may have been executed.
+    /// The earliest completed attempt that the node may have executed or may still be executing.
     pub first_executed: Option<Attempt>,
     /// The shard whose queue holds it.
     pub queued_at: Option<Shard>,
@@ -60,13 +60,24 @@
         }
     }
 
+    /// Counts an attempt and adds it to those in flight.
+    pub fn start_attempt(&mut self, node: NodeId, now: Micros) {
+        self.in_flight.push(Attempt { number: self.attempts, node, dispatched_at: now });
+        self.attempts += 1;
+    }
+
     /// Removes an attempt from those in flight.
     pub fn take_attempt(&mut self, number: u32) -> Option<Attempt> {
         let index = self.in_flight.iter().position(|attempt| attempt.number == number)?;
         Some(self.in_flight.remove(index))
     }
 
-    /// Whether it is open and in no queue.
+    /// The key by which it is ordered; `None` if its class is not ordered or it has no key.
+    pub fn ordering_key(&self) -> Option<ObjectKey> {
+        self.request.key.filter(|_| self.class.ordered)
+    }
+
+    /// Whether it is open and not queued.
     pub fn is_waiting(&self) -> bool {
         self.open && self.queued_at.is_none()
     }
@@ -76,7 +87,7 @@
         !self.open && self.in_flight.is_empty()
     }
 
-    /// Whether a node has executed it, or may have done so or be about to.
+    /// Whether an attempt may have been executed, or is in flight and may still be.
     pub fn may_have_executed(&self) -> bool {
         self.first_executed.is_some() || !self.in_flight.is_empty()
     }
--- a/crates/scheduler/src/state/shard_queue.rs
+++ b/crates/scheduler/src/state/shard_queue.rs
@@ -34,6 +34,11 @@
     pub fn is_empty(&self) -> bool {
         !self.has_timely() && self.late.is_empty()
     }
+
+    /// Whether no node in service holds the shard and no volume has a flow.
+    pub fn is_unused(&self) -> bool {
+        self.node.is_none() && self.flows.is_empty()
+    }
 }
 
 /// A volume's queue at one shard.
--- a/crates/scheduler/src/tags.rs
+++ b/crates/scheduler/src/tags.rs
@@ -1,19 +1,17 @@
-//! dmClock tags: how the requests of a shard are ordered when they are queued, removed and dispatched.
+//! dmClock tags: how they are set when requests of a shard are queued, removed and dispatched.
 
 use crate::api::Request;
 use crate::state::{Flow, PendingRequest, Phase, Position, QueuedRequest, Seconds, ShardQueue, Volume};
 
 impl ShardQueue {
-    /// Queues a request and tags it. The volume's turn goes to its request of most priority weight; among
-    /// equals, to the one that came first.
+    /// Queues a request and tags it. Within a flow, higher priority weights go first, then earlier requests.
     pub fn insert(&mut self, pending: &PendingRequest, position: Position, volume: &Volume, now: Seconds) {
         let request = &pending.request;
         self.queued_units += request.units;
         let least_share = self.heads().map(|(_, head)| head.tags.share).reduce(f64::min);
-        let new_flow = || Flow::new(volume.served_units, now);
-        let flow = self.flows.entry(request.volume).or_insert_with(new_flow);
+        let flow = self.flows.entry(request.volume).or_insert_with(|| Flow::new(volume.served_units, now));
         if flow.queue.is_empty() {
-            // An idle volume wakes up: share tags shift so that the least of those queued equals now.
+            // A volume that was idle: share tags shift so that the smallest of those queued equals now.
             let idle_share = flow.last_tags.share.max(now + self.share_shift);
             self.share_shift = least_share.unwrap_or(idle_share) - now;
         }
@@ -24,7 +22,7 @@
         flow.retag(index, volume, self.share_shift);
     }
 
-    /// Removes a request without service: those behind it move up, its units are not counted.
+    /// Removes a request that is not dispatched; the tags of those behind it no longer count its units.
     pub fn remove(&mut self, request: &Request, volume: &Volume) {
         self.queued_units -= request.units;
         self.late.remove(request.deadline, request.id);
@@ -35,15 +33,15 @@
         flow.retag(index, volume, self.share_shift);
     }
 
-    /// Moves a request from its flow to the late ones.
+    /// Moves a request from its flow to the late requests.
     pub fn set_aside(&mut self, request: &Request, volume: &Volume) {
         self.remove(request, volume);
         self.queued_units += request.units;
         self.late.insert(request.deadline, request.id);
     }
 
-    /// Removes a request for its dispatch. One that goes by weight leaves the reservation untouched: the
-    /// volume's reservation tags are set back by its units.
+    /// Removes a request for its dispatch. Service in the weight phase does not count towards the
+    /// reservation: the volume's reservation tags are set back by the request's units.
     pub fn take(&mut self, request: &Request, phase: Phase, reservation: f64) {
         self.queued_units -= request.units;
         if self.late.remove(request.deadline, request.id) {
@@ -61,19 +59,20 @@
 }
 
 impl Flow {
-    /// Counts a request's units and the service elsewhere since the last tag here, no unit twice.
-    pub fn count_units(&mut self, pending: &PendingRequest, volume: &Volume, now: Seconds) -> QueuedRequest {
-        let (id, units) = (pending.request.id, pending.request.units.max(0.0));
+    /// Computes rho and delta: the request's units or, if more, the volume's service since the last tag here.
+    fn count_units(&mut self, pending: &PendingRequest, volume: &Volume, now: Seconds) -> QueuedRequest {
+        let units = pending.request.units.max(0.0);
         let new_units = (volume.served_units - self.counted_units).max(0.0);
         let rho = new_units.min(volume.plan.reservation * (now - self.tagged_at)).max(units);
         let delta = new_units.max(units);
         self.counted_units += delta;
         self.tagged_at = now;
         let priority_weight = pending.class.priority_weight;
+        let id = pending.request.id;
         QueuedRequest { id, tags: self.last_tags, queued_at: now, priority_weight, rho, delta }
     }
 
-    /// Sets the tags of the requests from `start` on, each from the one before it.
+    /// Recomputes the tags from index `start` on, each from its predecessor; `shift` applies to share tags.
     fn retag(&mut self, start: usize, volume: &Volume, shift: Seconds) {
         let plan = &volume.plan;
         let weight = plan.weight.max(1e-9);
--- a/crates/scheduler/src/volumes.rs
+++ b/crates/scheduler/src/volumes.rs
@@ -1,13 +1,13 @@
-//! What is known of a volume over all nodes: its service, its token bucket, the shards of its data.
+//! A volume's token bucket, its usage over all nodes and hosts, and its provisioned rates.
 
 use crate::api::{CompletedAttempt, Micros, Settings, VolumePlan};
 use crate::state::Volume;
 
-/// A volume without requests for this long is forgotten: clients may name ever new ones.
+/// Time without requests after which a volume is removed, as clients may name an unbounded number of them.
 pub const VOLUME_RETENTION: Micros = 60_000_000;
 
 impl Volume {
-    /// What was spent before the scheduler started is not known: the token bucket starts empty.
+    /// The token bucket starts empty, as the units spent before the scheduler started are not known.
     pub fn new(plan: &VolumePlan, settings: &Settings, started_at: Micros) -> Self {
         Volume {
             plan: plan.clone(),
@@ -19,24 +19,25 @@
         }
     }
 
-    /// Takes in the plan and the number of hosts that a new request names.
+    /// Refills the token bucket under the plan that a new request names, and takes over its number of hosts.
     pub fn record_request(&mut self, plan: &VolumePlan, hosts: f64, now: Micros) {
         self.tokens = self.tokens_under(plan, now);
         self.refilled_at = now;
         self.hosts = hosts.max(1.0);
     }
 
+    /// Level of the token bucket at a time if it is refilled and capped by `plan`, in units.
     fn tokens_under(&self, plan: &VolumePlan, now: Micros) -> f64 {
         let refilled = self.tokens + plan.limit / self.hosts * (now - self.refilled_at) as f64 / 1e6;
         refilled.min(plan.burst_capacity / self.hosts)
     }
 
-    /// Whether its limit, if it has one, lets so many units go now.
+    /// Whether the token bucket holds so many units, or the volume has no limit.
     pub fn has_tokens(&self, units: f64, now: Micros) -> bool {
         self.plan.limit <= 0.0 || self.tokens_under(&self.plan, now) >= units
     }
 
-    /// Takes the units of a request's first attempt out of the token bucket.
+    /// Takes the units of a request's first attempt from the token bucket.
     pub fn spend_tokens(&mut self, units: f64, now: Micros) {
         if self.plan.limit > 0.0 {
             self.tokens = self.tokens_under(&self.plan, now) - units;
@@ -44,14 +45,14 @@
         }
     }
 
-    /// Whether it may be forgotten: a new one may spend a whole bucket, so this one has to be full.
+    /// Whether it may be removed: only with a full token bucket, so that nothing of its state is lost.
     pub fn is_idle(&self, now: Micros) -> bool {
         let is_full = self.has_tokens(self.plan.burst_capacity / self.hosts, now);
         is_full && now - self.refilled_at >= VOLUME_RETENTION
     }
 
-    /// Counts the units of a response and those served for other hosts, and what a usage report shows beyond
-    /// both. A report tells the utilization since the one before; where that is too old, it tells nothing.
+    /// Counts units served through this host and others, and those that a usage report shows beyond them. A
+    /// report covers the time since the last one; if that is older than `max_age`, the report is ignored.
     pub fn record_usage(&mut self, units: f64, completed: &CompletedAttempt, max_age: Micros, now: Micros) {
         self.unreported_units += units + completed.remote_units;
         self.served_units += units + completed.remote_units;
@@ -69,13 +70,13 @@
         self.unreported_units = 0.0;
     }
 
-    /// Units a second for which it is provisioned, as far as its service is known here.
+    /// Provisioned rate in units a second: of all hosts if their service is known here, else of this host.
     pub fn nominal_rate(&self) -> f64 {
         let hosts = if self.sees_other_hosts { 1.0 } else { self.hosts };
         (self.plan.provisioned_rate / hosts).max(1e-9)
     }
 
-    /// Units a second for which it is provisioned at one of its shards through this host.
+    /// Provisioned rate in units a second at each of its shards through this host.
     pub fn rate_at_shard(&self) -> f64 {
         self.plan.provisioned_rate / self.hosts / self.shards.len().max(1) as f64
     }
