--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -1,8 +1,8 @@
-//! What the scheduler tells its caller to do.
+//! Actions: what the scheduler asks its caller to do.
 
 use super::{Micros, NodeId, RequestId};
 
-/// What the caller has to do.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -11,14 +11,14 @@
         request: RequestId,
         /// The node it goes to.
         node: NodeId,
-        /// When the attempt is given up.
+        /// When the attempt times out.
         deadline: Micros,
     },
-    /// Final response: rejected; the client may try again without harm.
+    /// Final response: rejected; the client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// Time in microseconds for which the client should wait before it tries again; 0 for no advice.
+        /// Time in microseconds after which the client should retry (Retry-After); 0 for none given.
         retry_after: Micros,
     },
     /// Final response: failed; the request may have been executed.
@@ -34,6 +34,6 @@
     OpenWatch,
     /// Send a health check to a node.
     HealthCheck(NodeId),
-    /// Hand in [`Event::TimerFired`](super::Event::TimerFired) at this time or after.
+    /// Deliver [`Event::TimerFired`](super::Event::TimerFired) at this time or later.
     SetTimer(Micros),
 }
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -1,19 +1,19 @@
-//! What the caller tells the scheduler.
+//! Events: what the caller reports to the scheduler.
 
 use super::{Micros, NodeId, ObjectKey, RequestId, Shard, VolumeId, Zone};
 
 /// State of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It takes requests.
+    /// It accepts requests.
     InService,
-    /// It finishes its requests and takes no new ones.
+    /// It completes its requests and accepts no new ones.
     Draining,
     /// It was removed from the list.
     Removed,
 }
 
-/// One line of the endpoint list.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// The node.
@@ -24,18 +24,18 @@
     pub shard: Shard,
     /// Its state.
     pub status: EndpointStatus,
-    /// When its process last started, if that is known.
+    /// When its process last started, if known.
     pub started_at: Option<Micros>,
 }
 
-/// News of the endpoint list, or of the calls that fetch it.
+/// An update of the endpoint list, or the failure of a poll or watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListEvent {
     /// The list that the host cached before it started; it may be out of date.
     Cached,
     /// The complete list.
     Snapshot,
-    /// The lines that changed.
+    /// The entries that changed.
     Delta,
     /// A poll of the list failed.
     PollFailed,
@@ -50,21 +50,21 @@
     pub id: RequestId,
     /// Its volume.
     pub volume: VolumeId,
-    /// The volume's plan, an index into the settings.
+    /// The volume's plan, an index into [`Settings::plans`](super::Settings::plans).
     pub plan: usize,
-    /// Its class, an index into the settings.
+    /// Its class, an index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
     /// The object that it reads or writes, if it names one.
     pub key: Option<ObjectKey>,
-    /// The shard that holds the object; `None` for a new object, which any node may take.
+    /// The shard that holds the object; `None` for a new object, which may be placed on any node.
     pub shard: Option<Shard>,
     /// Its size in units.
     pub units: f64,
-    /// Number of hosts through which the volume's requests come.
+    /// Number of hosts that receive the volume's requests.
     pub hosts: f64,
     /// When the client stops waiting.
     pub deadline: Micros,
-    /// The client has marked it as a retry.
+    /// Whether the client has marked it as a retry.
     pub is_retry: bool,
 }
 
@@ -100,18 +100,19 @@
     pub node: NodeId,
     /// How it ended.
     pub outcome: Outcome,
-    /// The request has its final response.
+    /// Whether the request already has its final response.
     pub request_closed: bool,
     /// Time since its dispatch, in microseconds.
     pub elapsed: Micros,
-    /// Units that the node served for the volume through other hosts since its last response, if reported.
+    /// Units that the node served for the volume through other hosts since its last response; 0 if not
+    /// reported.
     pub remote_units: f64,
-    /// Usage report, if there is one: the service of the volume at all nodes in a past period, as a part of
+    /// Usage report, if there is one: the volume's service at all nodes in a past period, as a fraction of
     /// its provisioned rate.
     pub utilization: Option<f64>,
 }
 
-/// What happened at a host.
+/// An event at a host.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The endpoint list, changes to it, or a failure to fetch it.
@@ -120,7 +121,7 @@
     RequestReceived(Request),
     /// The time of [`Action::SetTimer`](super::Action::SetTimer) has come.
     TimerFired,
-    /// The response of an attempt has started and is passed on to the client.
+    /// The response of an attempt has started and is being forwarded to the client.
     ResponseStarted(RequestId),
     /// The client has disconnected, or the request was closed.
     ClientDisconnected(RequestId),
@@ -134,7 +135,7 @@
         healthy: bool,
         /// Time since the health check was sent, in microseconds.
         elapsed: Micros,
-        /// Load report: requests queued or in service at the node, if it tells either.
+        /// Load report: requests queued or in service at the node, if it reports them.
         load: Option<f64>,
     },
 }
--- a/crates/scheduler/src/api/mod.rs
+++ b/crates/scheduler/src/api/mod.rs
@@ -28,19 +28,19 @@
     VolumeId,
     /// The object that a request reads or writes.
     ObjectKey,
-    /// The part of the data that a node holds; the node's successor holds the same.
+    /// The part of the data that a node holds; a node that replaces it holds the same shard.
     Shard,
     /// A zone of nodes.
     Zone
 }
 
-/// How much a host remembers.
+/// Number of entries in a scheduler's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateSizes {
-    /// Nodes listed, or removed with attempts still in flight.
+    /// Nodes in the endpoint list, and removed nodes with attempts still in flight.
     pub nodes: usize,
-    /// Volumes with requests of late.
+    /// Volumes with recent requests.
     pub volumes: usize,
-    /// Shards that a node holds, or that something waits for.
+    /// Shards that a node holds or that have queued requests.
     pub shards: usize,
 }
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -1,24 +1,24 @@
-//! What the deployment states at start-up.
+//! Settings of the deployment, fixed at start-up.
 
 use super::Micros;
 
-/// Whether a request that may have been executed can be executed again.
+/// Whether a request that may have been executed can safely be executed again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Executing it again does no harm.
+    /// Executing it again is safe.
     Idempotent,
-    /// It carries an idempotency key: the nodes of a scope drop repeats for some time.
+    /// It carries an idempotency key: the nodes of a scope drop duplicates for some time.
     Keyed {
-        /// The nodes that drop repeats.
+        /// The nodes that recognize duplicates of each other's requests.
         scope: DeduplicationScope,
-        /// For how long after the first dispatch they do, in microseconds.
+        /// Time after the first dispatch for which they do, in microseconds.
         window: Micros,
     },
     /// Executing it again would take effect twice.
     NonIdempotent,
 }
 
-/// Nodes that remember each other's keyed requests.
+/// Nodes that share the record of keyed requests by which duplicates are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every node.
@@ -32,26 +32,27 @@
 /// A class of request.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Latency objective: a response within this time (microseconds) earns the full value.
+    /// Latency objective in microseconds: a response within this time has its full value.
     pub latency_objective: Micros,
     /// Value of one request of mean size, relative to other classes.
     pub priority_weight: f64,
-    /// Part of the value that a response after the objective still earns, from 0 to 1.
+    /// Fraction of the value that a response after the objective still has, from 0 to 1.
     pub late_value: f64,
     /// Whether a request may be executed again.
     pub idempotency: Idempotency,
-    /// Requests of one key are executed one after the other, in the order of their receipt.
+    /// Whether requests of one key are executed one after the other, in the order of their receipt.
     pub ordered: bool,
 }
 
-/// What a volume is entitled to; rates are in units a second over all hosts and nodes.
+/// Reservation, weight, limit and provisioned rate of a volume; rates are in units a second over all hosts
+/// and nodes.
 #[derive(Clone, Debug, Default)]
 pub struct VolumePlan {
     /// Reserved rate; 0 where there is none.
     pub reservation: f64,
-    /// Weight of the volume's share in what the reservations leave over.
+    /// dmClock weight: the volume's share of the capacity that remains after the reservations.
     pub weight: f64,
-    /// Rate that must not be exceeded; 0 where there is none.
+    /// Maximum rate; 0 where there is none.
     pub limit: f64,
     /// Capacity of the limit's token bucket, in units.
     pub burst_capacity: f64,
@@ -59,11 +60,11 @@
     pub overdraft: f64,
     /// Multiplies the value of the volume's requests.
     pub tenant_weight: f64,
-    /// Rate that such a volume is provisioned for.
+    /// Provisioned rate.
     pub provisioned_rate: f64,
 }
 
-/// Bound on retries within a sliding window: `allowance` and `ratio` times the requests received.
+/// Limit on retries within a sliding window: `allowance` plus `ratio` times the requests received.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     /// Length of the window, in microseconds.
@@ -77,21 +78,21 @@
 /// How the capacity of a node grows after the start of its process.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
-    /// Part of its full capacity that a node has at its start; above 0, at most 1.
+    /// Fraction of its full capacity that a node has at its start; above 0, at most 1.
     pub initial_capacity: f64,
-    /// Time after which it has its full capacity at the latest, in microseconds.
+    /// Time after the start by which it has its full capacity at the latest, in microseconds.
     pub duration: Micros,
-    /// Window within which the units dispatched to such a node are counted, in microseconds.
+    /// Length of the window in which the units dispatched to the node are limited, in microseconds.
     pub window: Micros,
-    /// Units that a node can take within a window, as a multiple of its capacity at the time.
+    /// Burst that a node can take within a window, as a multiple of its capacity at that time.
     pub burst_factor: f64,
     /// Units that a node can take within a window at its start, from all hosts together.
     pub units: f64,
 }
 
-/// What the deployment states at start-up.
+/// Settings of the deployment, fixed at start-up.
 #[derive(Clone, Debug)]
-#[allow(clippy::struct_excessive_bools)] // each is one independent statement of the deployment
+#[allow(clippy::struct_excessive_bools)] // each is one independent setting of the deployment
 pub struct Settings {
     /// Classes of requests, by index.
     pub classes: Vec<RequestClass>,
@@ -99,27 +100,28 @@
     pub plans: Vec<VolumePlan>,
     /// Number of hosts that share the nodes, this one included.
     pub hosts: u32,
-    /// Attempts allowed for one request, the first included.
+    /// Maximum number of attempts of one request, the first included.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub hedging_allowed: bool,
-    /// Attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancellation_allowed: bool,
-    /// Nodes may be sent health checks.
+    /// Whether health checks may be sent to nodes.
     pub health_checks_allowed: bool,
-    /// Number of hosts that poll the same discovery service, this one included; 0 where the list comes by
-    /// itself.
+    /// Number of hosts that poll the same discovery service, this one included; 0 where the endpoint list is
+    /// delivered without polls.
     pub discovery_clients: u32,
-    /// Longest time between two polls of the list without a watch, in microseconds; 0 for no bound.
+    /// Maximum time between two polls of the list without a watch, in microseconds; 0 for no maximum.
     pub max_poll_interval: Micros,
-    /// Time after the news that a node drains or is removed from which nothing may be dispatched to it, in
-    /// microseconds.
+    /// Time after the notification that a node is draining or removed from which on nothing may be dispatched
+    /// to it, in microseconds.
     pub drain_grace: Micros,
-    /// How much a node takes while it warms up.
+    /// Capacity of nodes that warm up.
     pub slow_start: SlowStart,
-    /// Pause of a key after an attempt that may still be executing, in microseconds.
+    /// Time in microseconds for which no request of a key is dispatched after an attempt of that key ended
+    /// while it may still be executing.
     pub quiesce_period: Micros,
-    /// The budget of retries, where there is one.
+    /// Limit on retries, if there is one.
     pub retry_budget: Option<RetryBudget>,
     /// Mean size of a request, in units.
     pub mean_units: f64,
@@ -127,10 +129,10 @@
     pub max_units: f64,
     /// Period of usage reports, in microseconds; 0 where responses carry none.
     pub usage_report_period: Micros,
-    /// Responses report the units that the node served for the volume through other hosts.
+    /// Whether responses report the units that the node served for the volume through other hosts.
     pub reports_remote_units: bool,
-    /// Part of the value that units within the share earn.
+    /// Fraction of the value of units within the volume's provisioned rate, but beyond its reservation.
     pub within_share_value: f64,
-    /// Part of the value that units beyond the share earn.
+    /// Fraction of the value of units beyond the volume's provisioned rate.
     pub surplus_value: f64,
 }
--- a/crates/scheduler/src/hash.rs
+++ b/crates/scheduler/src/hash.rs
@@ -1,6 +1,6 @@
-//! A hash in place of random numbers, so that decisions can be reproduced.
+//! Hashes in place of random numbers, so that decisions are reproducible.
 
-/// Moves numbers that are close to each other far apart (the golden ratio in 64 bits).
+/// Maps numbers that are close to each other to distant ones (Fibonacci hashing).
 pub fn scatter(number: u64) -> u64 {
     number.wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
--- a/crates/scheduler/src/node_health.rs
+++ b/crates/scheduler/src/node_health.rs
@@ -3,7 +3,7 @@
 use crate::api::{CompletedAttempt, Micros, Outcome, Settings};
 use crate::state::{Attempt, NodeHealth, PendingRequest};
 
-/// Most requests that one host has in flight at one node: enough to keep the node busy, and few enough that
+/// Maximum of requests that one host has in flight at a node: enough to keep it busy, and few enough that
 /// the order is decided by dmClock here rather than by the node's own queue, which is first in, first out.
 pub const MAX_IN_FLIGHT: usize = 5;
 /// Time (microseconds) without a response that halves the expected latency, so that a slow node is retried.
@@ -60,8 +60,8 @@
         in_flight == 0 && self.concurrency_limit >= MAX_IN_FLIGHT as f64
     }
 
-    /// Whether the concurrency limit allows one more request in flight. Below its maximum it is scaled down
-    /// for a request with `value` below 1, so that all hosts, unknown to each other, prefer reserved work.
+    /// Whether the concurrency limit allows one more request; a limit below 1 spaces dispatches out instead.
+    /// `value` below 1 scales a reduced limit down, so that hosts prefer reserved work without coordination.
     pub fn has_capacity(&self, in_flight: usize, value: f64, now: Micros) -> bool {
         let scale = value + (1.0 - value) * self.concurrency_limit / MAX_IN_FLIGHT as f64;
         let limit = self.concurrency_limit * scale;
@@ -92,7 +92,7 @@
     /// Updates the moving averages, the count of failures and the pause after an attempt.
     pub fn record(&mut self, pending: &PendingRequest, completed: &CompletedAttempt, now: Micros) {
         match completed.outcome {
-            Outcome::Served => self.record_latency(completed.elapsed as f64 / pending.relative_latency, now),
+            Outcome::Served => self.record_served(completed.elapsed as f64 / pending.relative_latency, now),
             Outcome::Error => self.error_rate += LATENCY_GAIN * (1.0 - self.error_rate),
             Outcome::Overloaded => self.paused_until = self.paused_until.max(now + OVERLOAD_PAUSE),
             Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
@@ -115,7 +115,7 @@
         self.paced_since = now;
     }
 
-    fn record_latency(&mut self, latency: f64, now: Micros) {
+    fn record_served(&mut self, latency: f64, now: Micros) {
         // A served trial attempt ends the ejection and with it the half-open interval.
         if self.is_ejected() {
             self.paused_until = now;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -76,7 +76,7 @@
         self.reject_expired();
         self.dispatch_pending();
         self.poll_if_due();
-        self.forget_idle();
+        self.remove_idle();
         self.set_timer();
         actions.append(&mut self.actions);
     }
@@ -126,14 +126,14 @@
     }
 
     /// Removes idle volumes with their flows, and shards without a node, a flow or a queued request.
-    fn forget_idle(&mut self) {
+    fn remove_idle(&mut self) {
         if self.now - self.last_cleanup_at < VOLUME_RETENTION / 8 {
             return;
         }
         self.last_cleanup_at = self.now;
         let State { requests, volumes, queues, backlogged, .. } = &mut self.state;
         let in_use: BTreeSet<_> = requests.values().map(|pending| pending.request.volume).collect();
-        volumes.retain(|id, volume| in_use.contains(id) || !volume.is_idle(self.now));
+        volumes.retain(|id, volume| in_use.contains(id) || !volume.is_removable(self.now));
         for queue in queues.values_mut() {
             queue.flows.retain(|id, flow| !flow.queue.is_empty() || volumes.contains_key(id));
         }
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -54,7 +54,7 @@
     }
 
     /// Rejects requests that were not dispatched within half of their time to the deadline, so that their
-    /// clients can still go elsewhere. One that a node may have executed is kept until its deadline.
+    /// clients have time to retry. One that a node may have executed is kept until its deadline.
     pub(super) fn reject_expired(&mut self) {
         while let Some(id) = self.state.rejections.pop_expired(self.now) {
             let Some(pending) = self.state.requests.get_mut(&id) else { return };
@@ -88,7 +88,7 @@
         self.close_unserved(id);
     }
 
-    /// Closes a request that was not served, and keeps its objective in case the client sends it again.
+    /// Closes a request before any attempt was served; keeps its objective in case the client sends it again.
     pub(super) fn close_unserved(&mut self, id: RequestId) {
         let pending = self.state.requests.get(&id).filter(|pending| pending.open);
         let key = pending.and_then(|pending| RepeatKey::of(&pending.request));
--- a/crates/scheduler/src/state/deadline_queue.rs
+++ b/crates/scheduler/src/state/deadline_queue.rs
@@ -1,9 +1,9 @@
-//! A queue of entries that each have a deadline.
+//! A queue of entries ordered by deadline.
 
 use crate::api::Micros;
 use std::collections::BTreeSet;
 
-/// Entries in the order of their deadlines; entries of one deadline are in their own order.
+/// Entries in the order of their deadlines, and by `Ord` within one deadline.
 pub struct DeadlineQueue<T> {
     entries: BTreeSet<(Micros, T)>,
 }
@@ -20,7 +20,7 @@
         self.entries.insert((deadline, entry));
     }
 
-    /// Removes an entry; tells whether it was there.
+    /// Removes an entry; returns whether it was present.
     pub fn remove(&mut self, deadline: Micros, entry: T) -> bool {
         self.entries.remove(&(deadline, entry))
     }
--- a/crates/scheduler/src/state/latency_estimate.rs
+++ b/crates/scheduler/src/state/latency_estimate.rs
@@ -10,7 +10,7 @@
 }
 
 impl LatencyEstimate {
-    /// Takes in a sample that counts with the weight `gain`.
+    /// Adds a sample with the weight `gain`, from 0 to 1.
     pub fn record(&mut self, latency: f64, gain: f64) {
         let deviation = self.mean.map_or(latency / 2.0, |mean| (latency - mean).abs());
         self.deviation += gain * (deviation - self.deviation);
--- a/crates/scheduler/src/state/queued_request.rs
+++ b/crates/scheduler/src/state/queued_request.rs
@@ -2,28 +2,28 @@
 
 use crate::api::RequestId;
 
-/// Time since the scheduler started, the unit of all tags.
+/// Time in seconds since the scheduler started, the unit of all tags.
 pub type Seconds = f64;
 
-/// The virtual clocks of a request.
+/// The dmClock tags of a request: its position on a virtual clock for each rate of its volume.
 #[derive(Clone, Copy)]
 pub struct Tags {
-    /// Clock of the reserved rate.
+    /// Reservation tag: advances by units over the reserved rate.
     pub reservation: Seconds,
-    /// Clock of the rate that must not be passed.
+    /// Limit tag: advances by units over the maximum rate.
     pub limit: Seconds,
-    /// Clock of the weight, relative to that of other volumes.
+    /// Share tag: advances by units over the weight; compared with that of other volumes.
     pub share: Seconds,
-    /// Clock of the rate that the volume is provisioned for.
+    /// Nominal tag: advances by units over the provisioned rate; ahead of the time for surplus work.
     pub nominal: Seconds,
 }
 
 impl Tags {
-    /// Before all others.
+    /// Tags before all others, for a flow without any dispatch yet.
     pub const MIN: Tags = Tags { reservation: f64::MIN, limit: f64::MIN, share: f64::MIN, nominal: f64::MIN };
 }
 
-/// A request in a flow, with the service that its tags count.
+/// A request in a flow, with its tags and the service that they account for.
 pub struct QueuedRequest {
     /// The request.
     pub id: RequestId,
@@ -42,11 +42,11 @@
 /// dmClock's phase in which a request is dispatched; an earlier one goes before a later one.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 pub enum Phase {
-    /// Its reservation tag is due.
+    /// Constraint-based: its reservation tag is due.
     Reservation,
-    /// It has the least share tag of those within their limits.
+    /// Weight-based: it has the smallest share tag of the flows within their limits.
     Weight,
-    /// It can't meet its latency objective any more.
+    /// It can no longer meet its latency objective.
     Late,
 }
 
@@ -60,7 +60,7 @@
     pub tag: Seconds,
 }
 
-/// Where a request joins its flow.
+/// Where a request is inserted into its flow.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Position {
     /// Before all others.
--- a/crates/scheduler/src/state/sequence.rs
+++ b/crates/scheduler/src/state/sequence.rs
@@ -1,13 +1,13 @@
-//! The requests of one key.
+//! The ordered requests of one key.
 
 use crate::api::{Micros, RequestId};
 use std::collections::VecDeque;
 
-/// Requests of one key in the order of their receipt; the first may run when the quiesce period is over.
+/// Requests of one key in the order of their receipt; the first may run once the quiesce period is over.
 #[derive(Default)]
 pub struct Sequence {
-    /// Those that are not over.
+    /// Requests that are open or have attempts in flight.
     pub requests: VecDeque<RequestId>,
-    /// Until then an attempt that ended without a response may still be executing.
+    /// End of the quiesce period, in which an attempt without a response may still be executing.
     pub quiesced_until: Micros,
 }
--- a/crates/scheduler/src/state/sliding_window.rs
+++ b/crates/scheduler/src/state/sliding_window.rs
@@ -1,9 +1,9 @@
-//! A log of what happened within a span of time up to now.
+//! Values recorded within a span of time up to now.
 
 use crate::api::Micros;
 use std::collections::VecDeque;
 
-/// Values in the order of their times; those that are too old are dropped when new ones come.
+/// Values in the order of their times; those that are too old are dropped when a new one is recorded.
 #[derive(Default)]
 pub struct SlidingWindow<T> {
     entries: VecDeque<(Micros, T)>,
--- a/crates/scheduler/src/state/volume.rs
+++ b/crates/scheduler/src/state/volume.rs
@@ -1,4 +1,4 @@
-//! A volume: its plan, its service and the level of its token bucket.
+//! A volume: its plan, its usage and its token bucket.
 
 use crate::api::{Micros, Shard, VolumePlan};
 use std::collections::BTreeSet;
@@ -6,26 +6,26 @@
 /// One volume.
 #[derive(Default)]
 pub struct Volume {
-    /// What it is entitled to.
+    /// Its reservation, weight, limit and provisioned rate.
     pub plan: VolumePlan,
-    /// Hosts through which its requests come.
+    /// Number of hosts that receive its requests, at least 1.
     pub hosts: f64,
-    /// Where its data was asked for.
+    /// Shards to which its requests went.
     pub shards: BTreeSet<Shard>,
-    /// Idle credit (sigma) when it wakes up, in units: one request of the largest size.
+    /// Idle credit (dmClock's sigma) after an idle time, in units: one request of the largest size.
     pub idle_credit: f64,
-    /// Whether its service through other hosts is known here.
+    /// Whether its service through other hosts is reported to this host.
     pub sees_other_hosts: bool,
     /// Level of the limit's token bucket, in units, when it was last set.
     pub tokens: f64,
     /// When that level was set.
     pub refilled_at: Micros,
-    /// Units served at all nodes, as far as known.
+    /// Units served at all nodes, as far as reported.
     pub served_units: f64,
-    /// Units in usage reports beyond those known otherwise; below zero the reports lag.
+    /// Units in usage reports beyond those counted by responses; negative while the reports lag behind.
     pub surplus_units: f64,
     /// Units served since the last usage report.
     pub unreported_units: f64,
-    /// When the last usage report came.
+    /// When the last usage report was received.
     pub reported_at: Option<Micros>,
 }
--- a/crates/scheduler/src/tags.rs
+++ b/crates/scheduler/src/tags.rs
@@ -59,7 +59,7 @@
 }
 
 impl Flow {
-    /// Computes rho and delta: the request's units or, if more, the volume's service since the last tag here.
+    /// Sets rho and delta to the service not counted yet (rho: as far as reserved), at least to the units.
     fn count_units(&mut self, pending: &PendingRequest, volume: &Volume, now: Seconds) -> QueuedRequest {
         let units = pending.request.units.max(0.0);
         let new_units = (volume.served_units - self.counted_units).max(0.0);
--- a/crates/scheduler/src/volumes.rs
+++ b/crates/scheduler/src/volumes.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether it may be removed: only with a full token bucket, so that nothing of its state is lost.
-    pub fn is_idle(&self, now: Micros) -> bool {
+    pub fn is_removable(&self, now: Micros) -> bool {
         let is_full = self.has_tokens(self.plan.burst_capacity / self.hosts, now);
         is_full && now - self.refilled_at >= VOLUME_RETENTION
     }
