--- a/crates/scheduler/src/scheduler/admission.rs
+++ b/crates/scheduler/src/scheduler/admission.rs
@@ -7,9 +7,6 @@
 
 /// Factor on the provisioned rates in a host's slow-start quota, as volumes use their hosts unevenly.
 const UNEVEN_USE_FACTOR: f64 = 1.25;
-/// Part of the quota that requests beyond a volume's provisioned rate and late requests may use.
-pub(super) const SURPLUS_QUOTA: f64 = 0.5;
-
 /// Error rate above which a node gets new objects only if there is no other.
 const MAX_ERROR_RATE: f64 = 0.25;
 
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -1,13 +1,14 @@
 //! Which request is dispatched next, and to which node.
 
-use super::admission::{warming_up_since, SURPLUS_QUOTA};
-use super::Scheduler;
+use super::{admission::warming_up_since, Scheduler};
 use crate::api::{Action, Micros, NodeId, RequestId, Shard};
 use crate::node_health::MAX_IN_FLIGHT;
 use crate::state::{Candidate, Node, PendingRequest, Phase, Position, Seconds};
 
 /// A volume whose nominal tag is ahead of the time by more than this exceeds its provisioned rate.
 const SURPLUS_LEAD: Seconds = 1.0;
+/// Part of a slow-start quota that such surplus requests and late ones may use.
+const SURPLUS_QUOTA: f64 = 0.5;
 
 impl Scheduler {
     /// Queues an open request for the node of its shard; a new object's shard is chosen here.
@@ -69,7 +70,8 @@
     /// Selects the earliest due reservation tag, else the smallest share tag of a flow within its limit, else
     /// the late request of the earliest deadline, but only at an idle node: it has little value.
     fn select_next(&self, shard: Shard, node: &Node) -> Option<Candidate> {
-        let (queue, now) = (&self.state.queues[&shard], self.now_seconds());
+        let queue = &self.state.queues[&shard];
+        let now = self.now_seconds();
         let has_capacity = |value| node.health.has_capacity(node.in_flight, value, self.now);
         let mut best: Option<Candidate> = None;
         for (volume, head) in queue.heads() {
