--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -3,6 +3,7 @@
 use super::connection::Lifecycle;
 use super::{ClientConnection, ClientConnections, EvictionPriority, MAX_INPUT};
 use crate::connections::socket::{Interest, StreamStatus};
+use crate::connections::ConnectionToken;
 use crate::event_loop::{Connection, Context};
 use crate::timer_queue::Timer;
 use io_scheduler::Micros;
@@ -26,7 +27,7 @@
     }
 
     /// Closes an idle connection; see [`Self::close_unless_active`].
-    pub(super) fn close_idle(&mut self, token: u64, context: &mut Context) {
+    pub(super) fn close_idle(&mut self, token: ConnectionToken, context: &mut Context) {
         if let Some(client) = self.take(token, context) {
             self.close_unless_active(token, client, context);
         }
@@ -35,7 +36,7 @@
     /// Closes a connection that has been idle, unless a command has arrived meanwhile.
     pub(super) fn close_unless_active(
         &mut self,
-        token: u64,
+        token: ConnectionToken,
         mut client: ClientConnection,
         context: &mut Context,
     ) {
@@ -54,7 +55,12 @@
     /// Closing it at once while bytes arrive would reset it, and the last reply might be lost with them. So
     /// the client is notified of the end first, and what it still sends is read and dropped until it has closed
     /// its side too. No request of that is submitted: the client sends it again elsewhere.
-    pub(super) fn linger(&mut self, token: u64, mut client: ClientConnection, context: &mut Context) {
+    pub(super) fn linger(
+        &mut self,
+        token: ConnectionToken,
+        mut client: ClientConnection,
+        context: &mut Context,
+    ) {
         if !client.is_lingering() {
             if client.socket.shutdown_write().is_err() {
                 return self.drop_connection(token, client, context);
@@ -73,7 +79,7 @@
     /// Closes a connection at once. The requests that it has open are abandoned.
     pub(super) fn drop_connection(
         &mut self,
-        token: u64,
+        token: ConnectionToken,
         mut client: ClientConnection,
         context: &mut Context,
     ) {
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -4,6 +4,7 @@
 use super::{ClientConnection, ClientConnections, EvictionPriority, MAX_INPUT};
 use crate::client_protocol::CommandStep;
 use crate::connections::socket::Interest;
+use crate::connections::ConnectionToken;
 use crate::dispatcher::{ReplySlot, StorageRequest};
 use crate::event_loop::Context;
 use io_scheduler::Micros;
@@ -11,7 +12,12 @@
 
 impl ClientConnections {
     /// Runs the commands that have arrived, writes what is ready, and then closes the connection or keeps it.
-    pub(super) fn advance(&mut self, token: u64, mut client: ClientConnection, context: &mut Context) {
+    pub(super) fn advance(
+        &mut self,
+        token: ConnectionToken,
+        mut client: ClientConnection,
+        context: &mut Context,
+    ) {
         let parsed = self.run_commands(token, &mut client, context);
         self.consume_input(&mut client, parsed, context);
         let input_is_full = client.socket.input.len() >= MAX_INPUT;
@@ -34,7 +40,12 @@
     }
 
     /// Parses and runs as many commands as may wait for a reply; returns the length of their input.
-    fn run_commands(&mut self, token: u64, client: &mut ClientConnection, context: &mut Context) -> usize {
+    fn run_commands(
+        &mut self,
+        token: ConnectionToken,
+        client: &mut ClientConnection,
+        context: &mut Context,
+    ) -> usize {
         let mut position = 0;
         let over_budget = self.unsent_bytes >= context.config.budget.unsent_reply_bytes;
         while client.may_parse_command() {
@@ -67,7 +78,7 @@
     /// Hands the requests of the next command to the dispatcher.
     fn submit(
         &mut self,
-        token: u64,
+        token: ConnectionToken,
         client: &mut ClientConnection,
         requests: Vec<StorageRequest>,
         context: &mut Context,
--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -2,6 +2,7 @@
 
 use super::{ClientConnection, ClientConnections, MAX_INPUT};
 use crate::connections::socket::StreamStatus;
+use crate::connections::ConnectionToken;
 use crate::event_loop::Context;
 use io_scheduler::Micros;
 use std::collections::BTreeSet;
@@ -30,13 +31,13 @@
     /// When the client was last active.
     pub(super) last_active_at: Micros,
     /// The connection's token.
-    pub(super) token: u64,
+    pub(super) token: ConnectionToken,
 }
 
 impl EvictionCandidate {
     /// Sorts before every connection of this priority.
     fn lowest_of(priority: EvictionPriority) -> EvictionCandidate {
-        EvictionCandidate { priority, last_active_at: Micros::MIN, token: 0 }
+        EvictionCandidate { priority, last_active_at: Micros::MIN, token: ConnectionToken::MIN }
     }
 }
 
@@ -60,7 +61,7 @@
 
     /// The connection to close for another one: the longest silent one of those that never sent a command,
     /// unless that has only just connected, else the longest idle one of the lowest priority above.
-    fn next_to_evict(&self, now: Micros) -> Option<u64> {
+    fn next_to_evict(&self, now: Micros) -> Option<ConnectionToken> {
         let first = self.candidates.first()?;
         if now - first.last_active_at >= FIRST_COMMAND_GRACE {
             return Some(first.token);
@@ -71,7 +72,7 @@
     }
 
     /// The longest idle connection of those that have sent a request.
-    fn longest_idle_requester(&self) -> Option<u64> {
+    fn longest_idle_requester(&self) -> Option<ConnectionToken> {
         let first = EvictionCandidate::lowest_of(EvictionPriority::Requests);
         let end = EvictionCandidate::lowest_of(EvictionPriority::MidCommand);
         self.candidates.range(first..end).next().map(|candidate| candidate.token)
@@ -90,7 +91,7 @@
     }
 
     /// Closes a connection whose descriptor is needed at once, unless a command has arrived meanwhile.
-    fn evict(&mut self, token: u64, context: &mut Context) {
+    fn evict(&mut self, token: ConnectionToken, context: &mut Context) {
         let Some(mut client) = self.take(token, context) else { return };
         let length_before = client.socket.input.len();
         match client.socket.read_available(MAX_INPUT) {
--- a/crates/gateway/src/connections/client/mod.rs
+++ b/crates/gateway/src/connections/client/mod.rs
@@ -16,6 +16,7 @@
 use crate::config::Config;
 use crate::connections::descriptors::ConnectionLimits;
 use crate::connections::socket::StreamStatus;
+use crate::connections::ConnectionToken;
 use crate::dispatcher::{ReplySlot, Response};
 use crate::event_loop::{Connection, Context};
 use crate::timer_queue::Timer;
@@ -72,7 +73,7 @@
     /// Handles a connection that the poller reported.
     pub(crate) fn handle_ready(
         &mut self,
-        token: u64,
+        token: ConnectionToken,
         mut client: ClientConnection,
         flags: EventFlags,
         context: &mut Context,
@@ -97,7 +98,12 @@
 
     /// Handles the timer of a connection: it was idle for too long, its command does not become complete, or
     /// its client does not take the replies.
-    pub(crate) fn handle_timeout(&mut self, token: u64, mut client: ClientConnection, context: &mut Context) {
+    pub(crate) fn handle_timeout(
+        &mut self,
+        token: ConnectionToken,
+        mut client: ClientConnection,
+        context: &mut Context,
+    ) {
         client.deadline = None;
         self.eviction_queue.remove(&mut client);
         let reply = client.protocol.timeout_reply();
@@ -126,7 +132,7 @@
     }
 
     /// Takes a connection out of the table and of the eviction queue.
-    fn take(&mut self, token: u64, context: &mut Context) -> Option<ClientConnection> {
+    fn take(&mut self, token: ConnectionToken, context: &mut Context) -> Option<ClientConnection> {
         let Some(Connection::Client(mut client)) = context.connections.take(token) else { return None };
         self.eviction_queue.remove(&mut client);
         Some(client)
@@ -134,7 +140,7 @@
 
     /// Puts a connection back into the table, with its timer, and into the eviction queue if it may be closed
     /// for others.
-    fn store(&mut self, token: u64, mut client: ClientConnection, context: &mut Context) {
+    fn store(&mut self, token: ConnectionToken, mut client: ClientConnection, context: &mut Context) {
         let close_at = client.close_at();
         if close_at != client.deadline {
             context.timers.reschedule(&mut client.deadline, close_at, Timer::Connection(token));
--- a/crates/gateway/src/connections/mod.rs
+++ b/crates/gateway/src/connections/mod.rs
@@ -1,10 +1,14 @@
-//! Connections of clients and to storage nodes, and what they are made of.
+//! Connections of clients and to storage nodes, and what they are built from.
 //!
-//! `client::ClientConnections` and `node::NodeConnections` own the state of their side. The connections
-//! themselves stand in one table, the slab of the event loop's context, which knows each by its token.
+//! `client::ClientConnections` and `node::NodeConnections` own the state of all connections of their kind
+//! together. The connections themselves are in one table, the slab of the event loop's context, which finds
+//! each by its [`ConnectionToken`].
 
 pub(crate) mod client;
 pub(crate) mod descriptors;
 pub mod node;
 pub mod slab;
 pub(crate) mod socket;
+mod token;
+
+pub use token::ConnectionToken;
--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -2,6 +2,7 @@
 
 use super::pool::ConnectionPool;
 use super::{NodeConnection, NodeConnections};
+use crate::connections::ConnectionToken;
 use crate::event_loop::{Connection, Context};
 use crate::timer_queue::Timer;
 use io_scheduler::Outcome;
@@ -11,7 +12,7 @@
     /// another process may listen at its previous address.
     pub(super) fn return_to_pool(
         &mut self,
-        token: u64,
+        token: ConnectionToken,
         mut connection: NodeConnection,
         context: &mut Context,
     ) {
@@ -41,7 +42,7 @@
     }
 
     /// Closes an idle connection.
-    pub(super) fn close_token(&mut self, token: u64, context: &mut Context) {
+    pub(super) fn close_token(&mut self, token: ConnectionToken, context: &mut Context) {
         if let Some(Connection::Node(connection)) = context.connections.free(token) {
             self.drop_connection(token, connection, context);
         }
@@ -50,7 +51,7 @@
     /// Closes a connection at once; it carries no attempt any more.
     pub(super) fn drop_connection(
         &mut self,
-        token: u64,
+        token: ConnectionToken,
         mut connection: NodeConnection,
         context: &mut Context,
     ) {
@@ -68,7 +69,7 @@
     /// Closes a connection that failed. The attempt in flight ends with `outcome`, or as one that never ran.
     pub(super) fn fail_connection(
         &mut self,
-        token: u64,
+        token: ConnectionToken,
         mut connection: NodeConnection,
         outcome: Outcome,
         context: &mut Context,
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -2,6 +2,7 @@
 
 use super::pool::NodeAddress;
 use crate::connections::socket::{Interest, Socket, StreamStatus};
+use crate::connections::ConnectionToken;
 use crate::dispatcher::StorageRequest;
 use crate::event_loop::Context;
 use crate::inventory::Protocol;
@@ -109,7 +110,7 @@
 
     /// Encodes the request in flight. Its time limit ends the attempt from here on, not the connection's
     /// timer.
-    pub(super) fn encode_request(&mut self, token: u64, context: &mut Context) {
+    pub(super) fn encode_request(&mut self, token: ConnectionToken, context: &mut Context) {
         let Some(in_flight) = &mut self.in_flight else { return };
         let wait_ms = (in_flight.deadline - context.now) / 1000;
         let start = self.socket.bytes_sent + self.socket.unsent_bytes() as u64;
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -13,6 +13,7 @@
 pub(crate) use pool::NodeAddress;
 
 use crate::connections::socket::StreamStatus;
+use crate::connections::ConnectionToken;
 use crate::dispatcher::AttemptResult;
 use crate::event_loop::{Connection, Context};
 use crate::node_protocol::ProtocolError;
@@ -29,7 +30,7 @@
 pub(crate) struct NodeConnections {
     pools: HashMap<NodeId, ConnectionPool>,
     /// The token of the connection that carries an attempt.
-    attempt_connections: HashMap<AttemptId, u64>,
+    attempt_connections: HashMap<AttemptId, ConnectionToken>,
     /// Open connections.
     count: usize,
     /// How many connections may be open.
@@ -102,7 +103,7 @@
     /// Handles the timer of a connection: it was not established in time, or has been idle for long enough.
     pub(crate) fn handle_timeout(
         &mut self,
-        token: u64,
+        token: ConnectionToken,
         mut connection: NodeConnection,
         context: &mut Context,
     ) {
@@ -111,7 +112,12 @@
     }
 
     /// Handles a connection that the poller reported.
-    pub(crate) fn handle_ready(&mut self, token: u64, mut connection: NodeConnection, context: &mut Context) {
+    pub(crate) fn handle_ready(
+        &mut self,
+        token: ConnectionToken,
+        mut connection: NodeConnection,
+        context: &mut Context,
+    ) {
         match connection.finish_connecting() {
             Ok(true) => {}
             Ok(false) => return context.connections.put(token, Connection::Node(connection)),
@@ -188,7 +194,7 @@
 
     /// Writes the request of a connection once that is possible, and returns the connection to its pool if it
     /// has none.
-    fn advance(&mut self, token: u64, mut connection: NodeConnection, context: &mut Context) {
+    fn advance(&mut self, token: ConnectionToken, mut connection: NodeConnection, context: &mut Context) {
         if connection.is_ready() {
             self.write_request(token, &mut connection, context);
         }
@@ -207,7 +213,12 @@
 
     /// Encodes the request in flight if that has not been done. If the node may get no new request by now,
     /// the attempt fails instead.
-    fn write_request(&mut self, token: u64, connection: &mut NodeConnection, context: &mut Context) {
+    fn write_request(
+        &mut self,
+        token: ConnectionToken,
+        connection: &mut NodeConnection,
+        context: &mut Context,
+    ) {
         let Some(in_flight) = &connection.in_flight else { return };
         if in_flight.may_run_after.is_some() {
             return;
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -4,6 +4,7 @@
 use super::NodeConnections;
 use crate::connections::descriptors::is_out_of_descriptors;
 use crate::connections::socket::{Interest, Socket};
+use crate::connections::ConnectionToken;
 use crate::dispatcher::{Operation, StorageRequest};
 use crate::event_loop::{Connection, Context};
 use crate::timer_queue::{AttemptId, Timer};
@@ -70,7 +71,7 @@
         node: NodeId,
         operation: Operation,
         context: &mut Context,
-    ) -> Result<u64, OpenError> {
+    ) -> Result<ConnectionToken, OpenError> {
         match self.take_idle(node, operation, context) {
             Some(token) => Ok(token),
             None => self.open(node, context),
@@ -79,7 +80,12 @@
 
     /// Takes an idle connection out of a pool. It must be quiet: what came without a request would be taken
     /// for the next response.
-    fn take_idle(&mut self, node: NodeId, operation: Operation, context: &mut Context) -> Option<u64> {
+    fn take_idle(
+        &mut self,
+        node: NodeId,
+        operation: Operation,
+        context: &mut Context,
+    ) -> Option<ConnectionToken> {
         loop {
             let pool = self.pools.get_mut(&node)?;
             let idle_timeout = pool.idle_timeout;
@@ -108,7 +114,7 @@
     }
 
     /// Opens a connection to a node; it gets its request before it is established.
-    fn open(&mut self, node: NodeId, context: &mut Context) -> Result<u64, OpenError> {
+    fn open(&mut self, node: NodeId, context: &mut Context) -> Result<ConnectionToken, OpenError> {
         self.close_idle_for_new(node, context);
         let pool = self.pools.get(&node).ok_or(OpenError::NotListed)?;
         let address = pool.address.ok_or(OpenError::NoAddress)?;
--- a/crates/gateway/src/connections/node/pool.rs
+++ b/crates/gateway/src/connections/node/pool.rs
@@ -1,6 +1,7 @@
 //! The connections to one node.
 
 use super::idle_timeout::IdleTimeoutEstimate;
+use crate::connections::ConnectionToken;
 use crate::inventory::Protocol;
 use deployment_settings::{micros, DeploymentSettings};
 use io_scheduler::Micros;
@@ -28,7 +29,7 @@
     pub(super) address: Option<NodeAddress>,
     pub(super) idle_timeout: IdleTimeoutEstimate,
     /// Tokens of connections that carry no request; the last used is used next.
-    pub(super) idle: Vec<u64>,
+    pub(super) idle: Vec<ConnectionToken>,
     /// All connections, idle or not.
     pub(super) count: usize,
 }
--- a/crates/gateway/src/connections/slab.rs
+++ b/crates/gateway/src/connections/slab.rs
@@ -1,7 +1,9 @@
-//! A table of connections by token. A token is never used twice, so that an event for a connection that was
-//! closed in the same turn finds nothing.
+//! A table of connections by token. A token is never used twice: an event for a connection that was closed
+//! earlier in the same turn finds nothing, even if its slot has been taken by another connection.
 
-/// Values by token. The low half of a token is the index of its slot, the high half the slot's generation.
+use super::ConnectionToken;
+
+/// Values by token. The slots of freed tokens are used again in a new generation.
 #[derive(Debug)]
 pub struct Slab<T> {
     slots: Vec<Slot<T>>,
@@ -14,6 +16,7 @@
 struct Slot<T> {
     /// How often a token of this slot has been freed.
     generation: u32,
+    /// The value, unless it is taken out or no token of this slot is reserved.
     value: Option<T>,
 }
 
@@ -24,60 +27,54 @@
 }
 
 impl<T> Slab<T> {
-    /// Reserves a token; [`Slab::put`] fills it.
-    pub fn reserve(&mut self) -> u64 {
+    /// Reserves a token; [`Slab::put`] stores its value.
+    pub fn reserve(&mut self) -> ConnectionToken {
         let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push(Slot { generation: 0, value: None });
             (self.slots.len() - 1) as u32
         });
-        token(self.slots[index as usize].generation, index)
+        ConnectionToken::new(self.slots[index as usize].generation, index)
     }
 
-    fn value_mut(&mut self, token: u64) -> Option<&mut Option<T>> {
-        let slot = self.slots.get_mut(index(token))?;
-        (u64::from(slot.generation) == token >> 32).then_some(&mut slot.value)
+    /// The place of a token's value; `None` if the token is freed.
+    fn value_mut(&mut self, token: ConnectionToken) -> Option<&mut Option<T>> {
+        let slot = self.slots.get_mut(token.index())?;
+        (slot.generation == token.generation()).then_some(&mut slot.value)
     }
 
-    /// Takes a value out for a while; its token stays reserved until [`Slab::free`].
-    pub fn take(&mut self, token: u64) -> Option<T> {
+    /// Takes a value out of the table; its token stays reserved until [`Slab::free`].
+    pub fn take(&mut self, token: ConnectionToken) -> Option<T> {
         self.value_mut(token)?.take()
     }
 
-    /// Stores the value of a reserved token. With a freed token the value is dropped.
-    pub fn put(&mut self, token: u64, value: T) {
+    /// Stores the value of a reserved token. If the token is freed, the value is dropped.
+    pub fn put(&mut self, token: ConnectionToken, value: T) {
         if let Some(slot) = self.value_mut(token) {
             *slot = Some(value);
         }
     }
 
     /// The value of a token, unless it is taken out or the token is freed.
-    pub fn get(&mut self, token: u64) -> Option<&mut T> {
+    pub fn get(&mut self, token: ConnectionToken) -> Option<&mut T> {
         self.value_mut(token)?.as_mut()
     }
 
-    /// Frees a token for good and returns its value, unless that is taken out.
-    pub fn free(&mut self, token: u64) -> Option<T> {
+    /// Frees a token for good and returns its value, unless that is taken out. Has no effect on a token that
+    /// is freed already.
+    pub fn free(&mut self, token: ConnectionToken) -> Option<T> {
         let value = self.value_mut(token)?.take();
-        let index = index(token);
+        let index = token.index();
         self.slots[index].generation = self.slots[index].generation.wrapping_add(1);
         self.free.push(index as u32);
         value
     }
 
     /// The tokens and values that are present, in the order of their slots.
-    pub fn iter(&self) -> impl Iterator<Item = (u64, &T)> {
+    pub fn iter(&self) -> impl Iterator<Item = (ConnectionToken, &T)> {
         let slots = self.slots.iter().enumerate();
         slots.filter_map(|(index, slot)| {
             let value = slot.value.as_ref()?;
-            Some((token(slot.generation, index as u32), value))
+            Some((ConnectionToken::new(slot.generation, index as u32), value))
         })
     }
 }
-
-fn token(generation: u32, index: u32) -> u64 {
-    u64::from(generation) << 32 | u64::from(index)
-}
-
-fn index(token: u64) -> usize {
-    token as u32 as usize
-}
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -1,5 +1,6 @@
 //! A non-blocking TCP stream with its input and output buffers.
 
+use crate::connections::ConnectionToken;
 use crate::event_loop::Poller;
 use rustix::event::epoll::EventFlags;
 use rustix::fd::OwnedFd;
@@ -87,7 +88,12 @@
     }
 
     /// Registers with the poller what this socket waits for, if that has changed.
-    pub(crate) fn set_interest(&mut self, poller: &Poller, token: u64, interest: Interest) -> io::Result<()> {
+    pub(crate) fn set_interest(
+        &mut self,
+        poller: &Poller,
+        token: ConnectionToken,
+        interest: Interest,
+    ) -> io::Result<()> {
         let mut wanted = EventFlags::RDHUP;
         wanted.set(EventFlags::IN, interest != Interest::Paused);
         wanted.set(EventFlags::OUT, interest == Interest::Connect || self.unsent_bytes() > 0);
--- a/crates/gateway/src/dispatcher/request.rs
+++ b/crates/gateway/src/dispatcher/request.rs
@@ -1,6 +1,7 @@
 //! Requests and responses as the client protocols and the node protocols exchange them with the dispatcher,
 //! independent of any wire format.
 
+use crate::connections::ConnectionToken;
 use io_scheduler::{Micros, Outcome};
 use thiserror::Error;
 
@@ -136,7 +137,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplySlot {
     /// Token of the client's connection.
-    pub connection: u64,
+    pub connection: ConnectionToken,
     /// Position among the replies of that connection.
     pub slot: u64,
 }
--- a/crates/gateway/src/event_loop/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -3,6 +3,7 @@
 //! A thread reads standard input and passes it on through a pipe, so that the event loop never blocks on it.
 
 use super::{Connection, Context, Gateway};
+use crate::connections::ConnectionToken;
 use crate::console::{self, ConsoleCommand};
 use io_scheduler::EndpointStatus;
 use rustix::event::epoll::EventFlags;
@@ -74,7 +75,7 @@
         ConsoleInput::open(&mut self.context)
     }
 
-    pub(super) fn handle_console_ready(&mut self, token: u64, mut console: ConsoleInput) {
+    pub(super) fn handle_console_ready(&mut self, token: ConnectionToken, mut console: ConsoleInput) {
         if console.read_available().is_err() {
             self.context.connections.free(token);
             return;
--- a/crates/gateway/src/event_loop/discovery_watch.rs
+++ b/crates/gateway/src/event_loop/discovery_watch.rs
@@ -4,6 +4,7 @@
 use super::{Connection, Context};
 use crate::connections::node::NodeConnections;
 use crate::connections::socket::{Interest, Socket, StreamStatus};
+use crate::connections::ConnectionToken;
 use crate::discovery::{watch_request, EndpointListUpdate, WatchError, WatchParser};
 use crate::timer_queue::Timer;
 use io_scheduler::{EndpointListEvent, Micros};
@@ -91,7 +92,7 @@
 #[derive(Debug)]
 pub(super) struct DiscoveryWatch {
     /// The token of its connection, while there is one.
-    token: Option<u64>,
+    token: Option<ConnectionToken>,
     /// When its timer fires, if it is set.
     deadline: Option<Micros>,
     /// When its connection was opened.
@@ -145,7 +146,7 @@
     /// Handles a connection that the poller reported.
     pub(super) fn handle_ready(
         &mut self,
-        token: u64,
+        token: ConnectionToken,
         mut connection: WatchConnection,
         endpoints: &mut EndpointTable,
         nodes: &mut NodeConnections,
@@ -162,7 +163,7 @@
 
     fn advance(
         &mut self,
-        token: u64,
+        token: ConnectionToken,
         connection: &mut WatchConnection,
         endpoints: &mut EndpointTable,
         nodes: &mut NodeConnections,
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -11,6 +11,7 @@
 use crate::connections::client::ClientConnections;
 use crate::connections::descriptors::ConnectionLimits;
 use crate::connections::node::NodeConnections;
+use crate::connections::ConnectionToken;
 use crate::dispatcher::Command;
 use crate::timer_queue::Timer;
 use io_scheduler::{EndpointListEvent, Micros};
@@ -102,7 +103,7 @@
     fn run_turn(&mut self, events: &[Event], commands: &mut Vec<Command>) {
         for event in events {
             let (flags, data) = (event.flags, event.data);
-            self.handle_ready(data.u64(), flags);
+            self.handle_ready(ConnectionToken::from(data.u64()), flags);
         }
         while let Some(timer) = self.context.timers.pop_expired(self.context.now) {
             self.handle_timer(timer);
@@ -115,7 +116,7 @@
     }
 
     /// Handles a connection that the poller reported; it may have been closed earlier in the turn.
-    fn handle_ready(&mut self, token: u64, flags: EventFlags) {
+    fn handle_ready(&mut self, token: ConnectionToken, flags: EventFlags) {
         let context = &mut self.context;
         match context.connections.take(token) {
             None => {}
@@ -133,7 +134,7 @@
         }
     }
 
-    fn handle_signal(&mut self, token: u64, mut pipe: SignalPipe) {
+    fn handle_signal(&mut self, token: ConnectionToken, mut pipe: SignalPipe) {
         pipe.drain();
         let kind = pipe.kind;
         self.context.connections.put(token, Connection::Signal(pipe));
@@ -156,7 +157,7 @@
         }
     }
 
-    fn handle_connection_timer(&mut self, token: u64) {
+    fn handle_connection_timer(&mut self, token: ConnectionToken) {
         let context = &mut self.context;
         match context.connections.take(token) {
             Some(Connection::Node(connection)) => self.nodes.handle_timeout(token, connection, context),
--- a/crates/gateway/src/event_loop/poller.rs
+++ b/crates/gateway/src/event_loop/poller.rs
@@ -1,5 +1,6 @@
 //! Readiness of descriptors, by epoll.
 
+use crate::connections::ConnectionToken;
 use io_scheduler::Micros;
 use rustix::event::epoll::{self, Event, EventData, EventFlags};
 use rustix::event::Timespec;
@@ -21,14 +22,24 @@
     }
 
     /// Reports `events` of a descriptor from here on, until it is closed.
-    pub(crate) fn register(&self, descriptor: impl AsFd, token: u64, events: EventFlags) -> io::Result<()> {
-        epoll::add(&self.epoll, descriptor, EventData::new_u64(token), events)?;
+    pub(crate) fn register(
+        &self,
+        descriptor: impl AsFd,
+        token: ConnectionToken,
+        events: EventFlags,
+    ) -> io::Result<()> {
+        epoll::add(&self.epoll, descriptor, EventData::new_u64(token.into()), events)?;
         Ok(())
     }
 
     /// Changes which events of a registered descriptor are reported.
-    pub(crate) fn modify(&self, descriptor: impl AsFd, token: u64, events: EventFlags) -> io::Result<()> {
-        epoll::modify(&self.epoll, descriptor, EventData::new_u64(token), events)?;
+    pub(crate) fn modify(
+        &self,
+        descriptor: impl AsFd,
+        token: ConnectionToken,
+        events: EventFlags,
+    ) -> io::Result<()> {
+        epoll::modify(&self.epoll, descriptor, EventData::new_u64(token.into()), events)?;
         Ok(())
     }
 
--- a/crates/gateway/src/timer_queue.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -1,5 +1,6 @@
 //! The timers of the whole program, sorted by time; the event loop takes the expired ones in every turn.
 
+use crate::connections::ConnectionToken;
 use io_scheduler::{Micros, RequestId};
 use std::collections::BTreeSet;
 
@@ -24,9 +25,8 @@
     Scheduler,
     /// Fail a request that has no final response although its deadline has passed.
     RequestOverdue(RequestId),
-    /// Close a connection that has not been established in time or has been idle for too long. The number
-    /// is the event loop's token of the connection.
-    Connection(u64),
+    /// Close a connection that has not been established in time or has been idle for too long.
+    Connection(ConnectionToken),
     /// End the watch on the discovery service, which has been silent for too long.
     DiscoveryWatch,
     /// Take the next step of the graceful shutdown.
--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -3,6 +3,7 @@
 use deployment_settings::DeploymentSettings;
 use io_scheduler::{EndpointListEvent, EndpointStatus, Micros, NodeId, Outcome, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
+use storage_gateway::connections::ConnectionToken;
 use storage_gateway::dispatcher::{
     AttemptResult, Command, Dispatcher, InvalidRequest, Operation, ReplySlot, Response, ResponseBody,
     StorageRequest,
@@ -105,7 +106,7 @@
     fn submit_request(&mut self, request: StorageRequest) -> Submitted {
         self.submitted += 1;
         let slot = self.submitted;
-        let reply_slot = ReplySlot { connection: 0, slot };
+        let reply_slot = ReplySlot { connection: ConnectionToken::from(0), slot };
         let id = self.dispatcher.submit(request, reply_slot, self.now, &mut self.timers);
         Submitted { slot, id }
     }
--- a/crates/gateway/tests/timer_queue.rs
+++ b/crates/gateway/tests/timer_queue.rs
@@ -1,6 +1,7 @@
 //! The timer queue.
 
 use io_scheduler::RequestId;
+use storage_gateway::connections::ConnectionToken;
 use storage_gateway::timer_queue::{AttemptId, Timer, TimerQueue};
 
 #[test]
@@ -12,8 +13,8 @@
     timers.reschedule(&mut scheduler_timer, Some(5), Timer::Scheduler);
     timers.set(5, attempt);
     timers.set(4, Timer::DiscoveryWatch);
-    timers.set(3, Timer::Connection(7));
-    timers.cancel(3, Timer::Connection(7));
+    timers.set(3, Timer::Connection(ConnectionToken::from(7)));
+    timers.cancel(3, Timer::Connection(ConnectionToken::from(7)));
     assert_eq!(timers.next(), Some(4));
     let expired: Vec<Timer> = std::iter::from_fn(|| timers.pop_expired(5)).collect();
     assert_eq!(expired, [Timer::DiscoveryWatch, attempt, Timer::Scheduler]);
