--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -1,4 +1,4 @@
-//! What becomes of a connection that carries no request, or is lost.
+//! Connections that no longer carry a request: returned to their pool, or closed.
 
 use super::pool::ConnectionPool;
 use super::{NodeConnection, NodeConnections};
@@ -8,8 +8,8 @@
 use io_scheduler::Outcome;
 
 impl NodeConnections {
-    /// Puts an idle connection into its pool. It is closed if the node has moved or is no longer listed:
-    /// another process may listen at its previous address.
+    /// Puts a connection that carries no request into its pool. It is closed instead if its node has another
+    /// address by now or is no longer listed: another process may listen at the previous address.
     pub(super) fn return_to_pool(
         &mut self,
         token: ConnectionToken,
@@ -24,8 +24,12 @@
             connection.idle_since = Some(context.now);
         }
         if connection.is_ready() {
-            let close_at = context.now + pool.idle_timeout.idle_timeout();
-            context.timers.reschedule(&mut connection.deadline, Some(close_at), Timer::Connection(token));
+            let close_at = context.now + pool.idle_timeout_estimate.max_idle_time();
+            context.timers.reschedule(
+                &mut connection.timer_deadline,
+                Some(close_at),
+                Timer::Connection(token),
+            );
         }
         context.connections.put(token, Connection::Node(connection));
     }
@@ -41,14 +45,14 @@
         (is_listed && pool.address == Some(connection.address)).then_some(pool)
     }
 
-    /// Closes an idle connection.
-    pub(super) fn close_token(&mut self, token: ConnectionToken, context: &mut Context) {
+    /// Closes an idle connection by its token.
+    pub(super) fn close_idle_connection(&mut self, token: ConnectionToken, context: &mut Context) {
         if let Some(Connection::Node(connection)) = context.connections.free(token) {
             self.drop_connection(token, connection, context);
         }
     }
 
-    /// Closes a connection at once; it carries no attempt any more.
+    /// Closes a connection that carries no attempt, and removes it from its pool.
     pub(super) fn drop_connection(
         &mut self,
         token: ConnectionToken,
@@ -56,7 +60,7 @@
         context: &mut Context,
     ) {
         context.connections.free(token);
-        context.timers.reschedule(&mut connection.deadline, None, Timer::Connection(token));
+        context.timers.reschedule(&mut connection.timer_deadline, None, Timer::Connection(token));
         self.count -= 1;
         self.large_response_bytes -= connection.counted_large_response_bytes;
         if let Some(pool) = self.pools.get_mut(&connection.node) {
@@ -66,7 +70,8 @@
         self.remove_pool_if_unused(connection.node, context);
     }
 
-    /// Closes a connection that failed. The attempt in flight ends with `outcome`, or as one that never ran.
+    /// Closes a connection that failed and aborts the attempt in flight, if there is one. Its outcome is
+    /// `outcome` if the request may have run; see [`crate::dispatcher::Dispatcher::abort_attempt`].
     pub(super) fn fail_connection(
         &mut self,
         token: ConnectionToken,
@@ -75,12 +80,14 @@
         context: &mut Context,
     ) {
         let in_flight = connection.in_flight.take();
-        let (node, idle) = (connection.node, connection.idle_before_request);
+        let node = connection.node;
+        let idle_before_request = connection.idle_before_request;
         self.drop_connection(token, connection, context);
         let Some(in_flight) = in_flight else { return };
-        if outcome == Outcome::Reset && in_flight.is_reported_written {
+        if outcome == Outcome::Reset && in_flight.is_marked_written {
             if let Some(pool) = self.pools.get_mut(&node) {
-                pool.idle_timeout.record_reset(idle, context.now - in_flight.started_at);
+                let reset_after = context.now - in_flight.started_at;
+                pool.idle_timeout_estimate.record_reset(idle_before_request, reset_after);
             }
         }
         self.attempt_connections.remove(&in_flight.attempt);
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -12,45 +12,61 @@
 use std::io;
 use std::sync::Arc;
 
-/// Bytes of a node's response buffered at once, unless the response is known to be larger.
+/// Bytes of input buffered for a connection, besides the announced length of a large response.
 pub(super) const MAX_BUFFERED_INPUT: usize = 80 << 10;
 
-/// A connection to a node. It carries one request at a time, so that closing it to give up its request
-/// affects no other.
+/// A connection to a node. It carries one request at a time, so that a request can be abandoned by closing its
+/// connection without effect on any other.
 pub(crate) struct NodeConnection {
+    /// The TCP stream with its buffers.
     pub(super) socket: Socket,
+    /// The node at the other end.
     pub(super) node: NodeId,
-    /// Where it goes; the node may have moved since.
+    /// The address it was opened to. The pool's address differs if the node has moved since.
     pub(super) address: NodeAddress,
+    /// Encodes the requests and decodes the responses.
     pub(super) protocol: Box<dyn NodeProtocol>,
     /// Whether the TCP connection is established; the protocol's handshake may still be under way.
     pub(super) is_connected: bool,
+    /// The attempt that it carries, if any.
     pub(super) in_flight: Option<InFlight>,
-    /// When its timer fires, if it is set.
-    pub(super) deadline: Option<Micros>,
-    /// What it adds to [`super::NodeConnections::large_response_bytes`].
+    /// When its [`Timer::Connection`] expires, if it is set: the connect timeout or the idle timeout.
+    pub(super) timer_deadline: Option<Micros>,
+    /// Its part of [`super::NodeConnections::large_response_bytes`].
     pub(super) counted_large_response_bytes: usize,
-    /// Since when it carries no request.
+    /// When it was last put into its pool; `None` before the first time.
     pub(super) idle_since: Option<Micros>,
-    /// How long it was idle before the request in flight.
+    /// How long it was idle before the request in flight, in microseconds.
     pub(super) idle_before_request: Micros,
 }
 
 /// The attempt that a connection carries.
 pub(super) struct InFlight {
+    /// Id of the attempt.
     pub(super) attempt: AttemptId,
+    /// The request to encode.
     pub(super) request: Arc<StorageRequest>,
     /// When the attempt times out.
     pub(super) deadline: Micros,
-    /// Once more than this many bytes are sent, the request may have run. None before it is encoded.
-    pub(super) may_run_after: Option<u64>,
-    /// Whether the dispatcher knows that the request may have run.
-    pub(super) is_reported_written: bool,
+    /// Position in the connection's output stream, in bytes, beyond which the request may take effect at the
+    /// node; compared with [`Socket::bytes_sent`]. `None` before the request is encoded.
+    pub(super) effect_offset: Option<u64>,
+    /// Whether [`crate::dispatcher::Dispatcher::mark_written`] was called for the attempt.
+    pub(super) is_marked_written: bool,
+    /// When the connection was assigned to the attempt.
     pub(super) started_at: Micros,
 }
 
+impl InFlight {
+    /// Whether the request is in the output buffer or was sent from there, at least in part.
+    pub(super) fn is_encoded(&self) -> bool {
+        self.effect_offset.is_some()
+    }
+}
+
 impl NodeConnection {
-    /// A connection that is being established; values larger than `max_value` bytes are not taken from it.
+    /// A connection that is being established. Values of more than `max_value` bytes in its responses are
+    /// protocol errors.
     pub(super) fn new(
         socket: Socket,
         node: NodeId,
@@ -68,19 +84,19 @@
             protocol,
             is_connected: false,
             in_flight: None,
-            deadline: None,
+            timer_deadline: None,
             counted_large_response_bytes: 0,
             idle_since: None,
             idle_before_request: 0,
         }
     }
 
-    /// Whether requests may be written.
+    /// Whether requests may be written: the TCP connection and the protocol's handshake are complete.
     pub(super) fn is_ready(&self) -> bool {
         self.is_connected && self.protocol.ready()
     }
 
-    /// What the poller must report.
+    /// The events that the poller is to report.
     pub(super) fn interest(&self) -> Interest {
         if self.is_connected {
             Interest::Read
@@ -89,7 +105,8 @@
         }
     }
 
-    /// Completes the TCP connection if that is possible by now, and starts the handshake; false if it is not.
+    /// Checks whether the TCP connection is established, and starts the protocol's handshake when it is for the
+    /// first time. Returns false while it is still being established.
     pub(super) fn finish_connecting(&mut self) -> io::Result<bool> {
         if !self.is_connected {
             if !self.socket.is_connected()? {
@@ -101,33 +118,36 @@
         Ok(true)
     }
 
-    /// Whether the node has neither sent anything that belongs to no request nor closed the connection.
-    pub(super) fn is_quiet(&mut self) -> bool {
+    /// Whether an idle connection can carry another request. Reads what has arrived: the node must neither have
+    /// closed the connection nor sent data without a request, which would be taken for the next response.
+    pub(super) fn is_reusable(&mut self) -> bool {
         let Ok(StreamStatus::Open) = self.socket.read_available(MAX_BUFFERED_INPUT) else { return false };
         self.socket.input.is_empty()
             || matches!(self.protocol.decode(&mut self.socket.input, &mut Vec::new()), Ok(None))
     }
 
-    /// Encodes the request in flight. Its time limit ends the attempt from here on, not the connection's
-    /// timer.
+    /// Encodes the request in flight into the output buffer. Cancels the connection's timer (connect timeout or
+    /// idle timeout), as the timeout of the attempt applies from here on.
     pub(super) fn encode_request(&mut self, token: ConnectionToken, context: &mut Context) {
         let Some(in_flight) = &mut self.in_flight else { return };
         let wait_ms = (in_flight.deadline - context.now) / 1000;
-        let start = self.socket.bytes_sent + self.socket.unsent_bytes() as u64;
-        let harmless = self.protocol.encode_request(&in_flight.request, wait_ms, self.socket.output());
-        in_flight.may_run_after = Some(start + harmless as u64);
-        context.timers.reschedule(&mut self.deadline, None, Timer::Connection(token));
+        let start_offset = self.socket.bytes_sent + self.socket.unsent_bytes() as u64;
+        let bytes_without_effect =
+            self.protocol.encode_request(&in_flight.request, wait_ms, self.socket.output());
+        in_flight.effect_offset = Some(start_offset + bytes_without_effect as u64);
+        context.timers.reschedule(&mut self.timer_deadline, None, Timer::Connection(token));
     }
 
-    /// Tells the dispatcher, once, that so much of the request was sent that it may have run.
-    pub(super) fn report_written(&mut self, context: &mut Context) {
+    /// Notifies the dispatcher, once for each attempt, when enough of the request has been sent for it to take
+    /// effect at the node.
+    pub(super) fn mark_written(&mut self, context: &mut Context) {
         let bytes_sent = self.socket.bytes_sent;
         let Some(in_flight) = &mut self.in_flight else { return };
-        if in_flight.is_reported_written {
+        if in_flight.is_marked_written {
             return;
         }
-        if in_flight.may_run_after.is_some_and(|limit| bytes_sent > limit) {
-            in_flight.is_reported_written = true;
+        if in_flight.effect_offset.is_some_and(|offset| bytes_sent > offset) {
+            in_flight.is_marked_written = true;
             context.dispatcher.mark_written(in_flight.attempt);
         }
     }
--- a/crates/gateway/src/connections/node/idle_timeout.rs
+++ b/crates/gateway/src/connections/node/idle_timeout.rs
@@ -1,23 +1,24 @@
-//! An estimate of how long a node keeps an idle connection, learned from resets and answers.
+//! An estimate of how long a node keeps an idle connection open, learned from resets and responses.
 //!
-//! The settings state when a node closes such a connection at the latest. Some nodes forget it sooner and
-//! reset the next request, which may then have run. A request that would follow a longer idle time goes out
-//! on a new connection.
+//! The settings state the node's idle timeout. Some nodes drop the state of a connection earlier and answer
+//! the next request with a TCP reset, after which the gateway cannot know whether the request has run. So a
+//! connection that was idle for longer than the estimate is not used again: a new one is opened instead.
 
 use io_scheduler::Micros;
 
-/// The estimate never falls below this: a reset after so short an idle time has another cause.
+/// Lower bound of the estimate. A reset after a shorter idle time is put down to another cause.
 const MIN_IDLE_TIMEOUT: Micros = 20_000;
-/// A reset later than this after a request was written is not caused by the idle time before the request.
+/// A reset that comes later than this after the start of a request is not caused by the idle time before it.
 const MAX_RESET_DELAY: Micros = 10_000;
 
-/// The estimated idle timeout of one node; see the module.
+/// The estimated idle timeout of one node; see the [module](self). All times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleTimeoutEstimate {
+    /// The current estimate.
     estimate: Micros,
-    /// The longest idle time that the settings allow.
+    /// Upper bound of the estimate, from the settings.
     maximum: Micros,
-    /// The longest recent idle time after which a request was answered.
+    /// The longest idle time after which a request got its response; halved after a reset that contradicts it.
     longest_answered: Micros,
 }
 
@@ -28,31 +29,32 @@
         IdleTimeoutEstimate { estimate: maximum, maximum, longest_answered: 0 }
     }
 
-    /// How long an idle connection is kept open by the gateway.
+    /// The estimate: for how long a connection may be idle before the gateway closes it.
     #[must_use]
-    pub fn idle_timeout(&self) -> Micros {
+    pub fn max_idle_time(&self) -> Micros {
         self.estimate
     }
 
-    /// Whether a request that may run twice can use a connection that was idle for this long.
+    /// Whether an idempotent request can use a connection that was idle for this long.
     #[must_use]
-    pub fn allows_repeatable(&self, idle: Micros) -> bool {
+    pub fn allows_idempotent(&self, idle: Micros) -> bool {
         idle <= self.estimate
     }
 
-    /// Whether a request that must not run twice can use a connection that was idle for this long: half of the
-    /// estimate, for safety.
+    /// Whether a non-idempotent request can use a connection that was idle for this long. The bound is half of
+    /// the estimate, as such a request cannot be retried after a reset.
     #[must_use]
-    pub fn allows_non_repeatable(&self, idle: Micros) -> bool {
+    pub fn allows_non_idempotent(&self, idle: Micros) -> bool {
         idle <= self.estimate / 2
     }
 
-    /// The connection was reset `after` a request was started on it that followed `idle` time.
+    /// Records a reset: it came `after` the start of a request on a connection that had been idle for `idle`.
     pub fn record_reset(&mut self, idle: Micros, after: Micros) {
         if idle <= MIN_IDLE_TIMEOUT || after > MAX_RESET_DELAY {
             return;
         }
-        // Longer idle times did no harm: a single reset has another cause, repeated ones have not.
+        // A request got its response after a longer idle time, so a single reset is put down to another cause.
+        // Each such reset halves the contrary evidence: repeated resets lower the estimate in the end.
         if idle < self.longest_answered {
             self.longest_answered /= 2;
         } else {
@@ -60,7 +62,8 @@
         }
     }
 
-    /// A request that followed `idle` time was answered: the estimate rises a little if that was near it.
+    /// Records a response to a request on a connection that had been idle for `idle`. The estimate rises by an
+    /// eighth if that was more than half of it.
     pub fn record_response(&mut self, idle: Micros) {
         self.longest_answered = self.longest_answered.max(idle);
         if idle > self.estimate / 2 {
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -1,7 +1,7 @@
 //! Connections to storage nodes, pooled by node.
 //!
-//! A method that is given a connection by value has taken it out of the table. It ends by storing it again or
-//! by dropping it.
+//! A method that takes a connection by value expects that the caller has taken it out of the table
+//! ([`Slab::take`](crate::connections::slab::Slab::take)). The method puts it back or drops it before it returns.
 
 mod closing;
 mod connection;
@@ -28,19 +28,21 @@
 
 /// The state of all connections to nodes together.
 pub(crate) struct NodeConnections {
+    /// The pools of the listed nodes, and of removed nodes that still have open connections.
     pools: HashMap<NodeId, ConnectionPool>,
     /// The token of the connection that carries an attempt.
     attempt_connections: HashMap<AttemptId, ConnectionToken>,
-    /// Open connections.
+    /// Number of open connections.
     count: usize,
-    /// How many connections may be open.
+    /// How many connections may be open at once.
     max_count: usize,
-    /// Bytes of large responses that are being received.
+    /// Bytes of large responses that are being received; see
+    /// [`crate::memory_budget::MemoryBudget::large_response_bytes`].
     large_response_bytes: usize,
 }
 
 impl NodeConnections {
-    /// No nodes yet; at most `max_count` connections will be open.
+    /// Without nodes at first; at most `max_count` connections are open at once.
     pub(crate) fn new(max_count: usize) -> NodeConnections {
         NodeConnections {
             pools: HashMap::new(),
@@ -51,18 +53,19 @@
         }
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub(crate) fn count(&self) -> usize {
         self.count
     }
 
-    /// Sets where a node listens from now on. Connections to its previous address carry no new request.
+    /// Sets the address of a node. Idle connections to a previous address are closed; others are closed as soon
+    /// as their request has ended.
     pub(crate) fn set_address(&mut self, node: NodeId, address: NodeAddress, context: &mut Context) {
         let settings = &context.config.settings;
         let pool = self.pools.entry(node).or_insert_with(|| ConnectionPool::new(settings));
         if pool.address.replace(address).is_some_and(|previous| previous != address) {
             for token in std::mem::take(&mut pool.idle) {
-                self.close_token(token, context);
+                self.close_idle_connection(token, context);
             }
         }
     }
@@ -74,12 +77,13 @@
         for node in unlisted {
             let idle = self.pools.get_mut(&node).map(|pool| std::mem::take(&mut pool.idle));
             for token in idle.unwrap_or_default() {
-                self.close_token(token, context);
+                self.close_idle_connection(token, context);
             }
             self.remove_pool_if_unused(node, context);
         }
     }
 
+    /// Removes the pool of a node that is no longer listed once it has no connection left.
     fn remove_pool_if_unused(&mut self, node: NodeId, context: &Context) {
         let is_empty = self.pools.get(&node).is_some_and(|pool| pool.count == 0);
         if is_empty && !context.dispatcher.knows_node(node) {
@@ -87,27 +91,27 @@
         }
     }
 
-    /// Gives up an attempt: its connection is closed, which tells the node. A connection to which no byte of
-    /// the request was written is kept for the next one.
+    /// Stops an attempt whose result is no longer awaited. Its connection is closed, which cancels the request at
+    /// the node. If the request has not been encoded yet, the connection is returned to its pool instead.
     pub(crate) fn abandon_attempt(&mut self, attempt: AttemptId, context: &mut Context) {
         let Some(token) = self.attempt_connections.remove(&attempt) else { return };
         let Some(Connection::Node(mut connection)) = context.connections.take(token) else { return };
         let in_flight = connection.in_flight.take();
-        if in_flight.is_some_and(|in_flight| in_flight.may_run_after.is_none()) {
+        if in_flight.is_some_and(|in_flight| !in_flight.is_encoded()) {
             self.advance(token, connection, context);
         } else {
             self.drop_connection(token, connection, context);
         }
     }
 
-    /// Handles the timer of a connection: it was not established in time, or has been idle for long enough.
+    /// Handles the timer of a connection: it was not established in time or has reached its idle timeout.
     pub(crate) fn handle_timeout(
         &mut self,
         token: ConnectionToken,
         mut connection: NodeConnection,
         context: &mut Context,
     ) {
-        connection.deadline = None;
+        connection.timer_deadline = None;
         self.fail_connection(token, connection, Outcome::Reset, context);
     }
 
@@ -128,17 +132,17 @@
             return self.fail_connection(token, connection, Outcome::Reset, context);
         };
         match self.decode(&mut connection, context) {
-            // An invalid response is the node's own error: the node is reachable.
+            // The node is reachable, so an invalid response counts as an error response, not as a lost connection.
             Err(ProtocolError) => {
                 log_invalid_response(&connection);
                 return self.fail_connection(token, connection, Outcome::Error, context);
             }
             Ok(Some(result)) => {
                 self.complete_attempt(&mut connection, result, context);
-                if !connection.is_quiet() {
+                if !connection.is_reusable() {
                     return self.drop_connection(token, connection, context);
                 }
-                // Releases the memory of a large response.
+                // Consuming nothing has an effect here: it shrinks the empty input buffer after a large response.
                 connection.socket.consume(0);
             }
             Ok(None) => {}
@@ -149,8 +153,8 @@
         self.advance(token, connection, context);
     }
 
-    /// Decodes what has arrived; the result of the attempt if its response is complete. It is an error, too,
-    /// if large responses together exceed their budget.
+    /// Decodes the buffered input. Returns the result of the attempt once its response is complete, and an error
+    /// for an invalid response or when all large responses together exceed their memory budget.
     fn decode(
         &mut self,
         connection: &mut NodeConnection,
@@ -162,7 +166,7 @@
         } else {
             connection.protocol.decode(&mut connection.socket.input, &mut output)
         };
-        // Memory for ordinary responses is always there; large ones share a budget.
+        // The first part of each response, half an input buffer, is not counted against the budget.
         let buffered = connection.protocol.buffered_bytes();
         let large = buffered.saturating_sub(MAX_BUFFERED_INPUT / 2);
         self.large_response_bytes =
@@ -176,7 +180,7 @@
         result
     }
 
-    /// The response to the attempt in flight is complete.
+    /// Reports the result of the attempt in flight, whose response is complete, to the dispatcher.
     fn complete_attempt(
         &mut self,
         connection: &mut NodeConnection,
@@ -188,18 +192,18 @@
         context.dispatcher.mark_written(in_flight.attempt);
         context.complete_attempt(in_flight.attempt, result);
         if let Some(pool) = self.pools.get_mut(&connection.node) {
-            pool.idle_timeout.record_response(connection.idle_before_request);
+            pool.idle_timeout_estimate.record_response(connection.idle_before_request);
         }
     }
 
-    /// Writes the request of a connection once that is possible, and returns the connection to its pool if it
-    /// has none.
+    /// Takes the next steps on a connection: encodes the request in flight if the connection is ready, writes
+    /// pending output, and returns the connection to its pool if it carries no request.
     fn advance(&mut self, token: ConnectionToken, mut connection: NodeConnection, context: &mut Context) {
         if connection.is_ready() {
             self.write_request(token, &mut connection, context);
         }
         let flushed = if connection.is_connected { connection.socket.flush() } else { Ok(()) };
-        connection.report_written(context);
+        connection.mark_written(context);
         let interest = connection.interest();
         let result = flushed.and_then(|()| connection.socket.set_interest(&context.poller, token, interest));
         if result.is_err() {
@@ -211,8 +215,8 @@
         self.return_to_pool(token, connection, context);
     }
 
-    /// Encodes the request in flight if that has not been done. If the node may get no new request by now,
-    /// the attempt fails instead.
+    /// Encodes the request in flight, once. If the node has been draining for too long to start writing to it,
+    /// the attempt is aborted instead and the connection is left without a request.
     fn write_request(
         &mut self,
         token: ConnectionToken,
@@ -220,7 +224,7 @@
         context: &mut Context,
     ) {
         let Some(in_flight) = &connection.in_flight else { return };
-        if in_flight.may_run_after.is_some() {
+        if in_flight.is_encoded() {
             return;
         }
         if context.dispatcher.may_write(connection.node, context.now) {
@@ -233,6 +237,7 @@
     }
 }
 
+/// Logs the first bytes of the input that could not be decoded.
 fn log_invalid_response(connection: &NodeConnection) {
     let input = &connection.socket.input;
     let head = &input[..input.len().min(MAX_LOGGED_BYTES)];
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -1,4 +1,4 @@
-//! Which connection carries an attempt: an idle one, or a new one.
+//! Starting attempts: choosing an idle connection of the node's pool or opening a new one.
 
 use super::connection::{InFlight, NodeConnection};
 use super::NodeConnections;
@@ -14,18 +14,22 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Connections to one node; the scheduler's concurrency limit lies far below.
+/// How many connections to one node may be open at once. The scheduler's concurrency limit is usually far lower.
 const MAX_CONNECTIONS_PER_NODE: usize = 24;
 
-/// Why there is no new connection to a node.
+/// Why a new connection to a node can't be opened.
 #[derive(Debug, thiserror::Error)]
 enum OpenError {
+    /// The node has no connection pool: it is not listed, or no longer.
     #[error("not listed")]
     NotListed,
+    /// The node's pool has no address.
     #[error("no address")]
     NoAddress,
+    /// The limit for the node or for all nodes together is reached, and no connection is idle.
     #[error("too many connections")]
     TooManyConnections,
+    /// A system call failed.
     #[error(transparent)]
     System(#[from] io::Error),
 }
@@ -40,7 +44,7 @@
         request: Arc<StorageRequest>,
         context: &mut Context,
     ) {
-        // Its client may have disconnected in this very turn.
+        // The client may have disconnected earlier in this turn.
         if !context.dispatcher.is_awaiting(attempt) {
             return;
         }
@@ -59,13 +63,14 @@
             attempt,
             request,
             deadline,
-            may_run_after: None,
-            is_reported_written: false,
+            effect_offset: None,
+            is_marked_written: false,
             started_at: context.now,
         });
         self.advance(token, connection, context);
     }
 
+    /// The token of a connection for a new request: an idle one if the pool has a suitable one, else a new one.
     fn connection_for(
         &mut self,
         node: NodeId,
@@ -78,8 +83,10 @@
         }
     }
 
-    /// Takes an idle connection out of a pool. It must be quiet: what came without a request would be taken
-    /// for the next response.
+    /// Takes an idle connection out of a node's pool, the last used one first.
+    ///
+    /// Connections that have been idle for too long for any request, or that are not reusable, are closed on the
+    /// way. A connection that is still being established needs no such check, as it never was idle at the node.
     fn take_idle(
         &mut self,
         node: NodeId,
@@ -88,23 +95,21 @@
     ) -> Option<ConnectionToken> {
         loop {
             let pool = self.pools.get_mut(&node)?;
-            let idle_timeout = pool.idle_timeout;
+            let estimate = pool.idle_timeout_estimate;
             let token = pool.idle.pop()?;
             let Some(Connection::Node(mut connection)) = context.connections.take(token) else { continue };
             let idle_for = connection.idle_since.map_or(0, |since| context.now - since);
             let is_allowed = match operation {
-                Operation::Write => idle_timeout.allows_non_repeatable(idle_for),
-                Operation::Read | Operation::Stat | Operation::List => {
-                    idle_timeout.allows_repeatable(idle_for)
-                }
+                Operation::Write => estimate.allows_non_idempotent(idle_for),
+                Operation::Read | Operation::Stat | Operation::List => estimate.allows_idempotent(idle_for),
             };
-            if !is_allowed && idle_timeout.allows_repeatable(idle_for) {
-                // Good enough for repeatable requests. Those before it have been idle for longer.
+            if !is_allowed && estimate.allows_idempotent(idle_for) {
+                // It stays in the pool for idempotent requests. All others have been idle for longer still.
                 pool.idle.push(token);
                 context.connections.put(token, Connection::Node(connection));
                 return None;
             }
-            if !connection.is_connected || is_allowed && connection.is_quiet() {
+            if !connection.is_connected || is_allowed && connection.is_reusable() {
                 connection.idle_before_request = idle_for;
                 context.connections.put(token, Connection::Node(connection));
                 return Some(token);
@@ -113,7 +118,8 @@
         }
     }
 
-    /// Opens a connection to a node; it gets its request before it is established.
+    /// Starts to open a connection to a node and returns its token. The caller assigns an attempt to it before
+    /// it is established.
     fn open(&mut self, node: NodeId, context: &mut Context) -> Result<ConnectionToken, OpenError> {
         self.close_idle_for_new(node, context);
         let pool = self.pools.get(&node).ok_or(OpenError::NotListed)?;
@@ -135,7 +141,7 @@
             NodeConnection::new(socket, node, address, context.config.budget.max_value_bytes);
         let connect_timeout = micros(context.config.settings.allowed.connect_timeout_ms.max(1.0));
         context.timers.reschedule(
-            &mut connection.deadline,
+            &mut connection.timer_deadline,
             Some(context.now + connect_timeout),
             Timer::Connection(token),
         );
@@ -143,20 +149,21 @@
         Ok(token)
     }
 
-    /// Closes idle connections where a new one would exceed a limit.
+    /// Closes an idle connection where a new one would exceed a limit.
     fn close_idle_for_new(&mut self, node: NodeId, context: &mut Context) {
         if self.count >= self.max_count {
             self.close_longest_idle(context);
         }
-        // Idle ones that only repeatable requests may use are closed for a request that is not.
+        // A pool may still have idle connections here: ones that only an idempotent request may use.
         let Some(pool) = self.pools.get_mut(&node) else { return };
         if pool.count >= MAX_CONNECTIONS_PER_NODE && !pool.idle.is_empty() {
             let longest_idle = pool.idle.remove(0);
-            self.close_token(longest_idle, context);
+            self.close_idle_connection(longest_idle, context);
         }
     }
 
-    /// Connects. Descriptors may run out for other reasons: then one idle connection is closed, once.
+    /// Starts to connect. Descriptors may run out below the limit on connections, as other parts of the system
+    /// use them too: then the longest idle connection is closed and the call repeated once.
     fn connect(&mut self, address: SocketAddr, context: &mut Context) -> io::Result<Socket> {
         match Socket::connect(address) {
             Err(error) if is_out_of_descriptors(&error) => {
@@ -167,13 +174,13 @@
         }
     }
 
-    /// Closes the longest idle connection of the node that has the most idle ones.
+    /// Closes the longest idle connection of the node with the most idle connections.
     fn close_longest_idle(&mut self, context: &mut Context) {
         let pool = self.pools.iter_mut().max_by_key(|(node, pool)| (pool.idle.len(), **node));
         let Some((_, pool)) = pool else { return };
         if !pool.idle.is_empty() {
             let longest_idle = pool.idle.remove(0);
-            self.close_token(longest_idle, context);
+            self.close_idle_connection(longest_idle, context);
         }
     }
 }
--- a/crates/gateway/src/connections/node/pool.rs
+++ b/crates/gateway/src/connections/node/pool.rs
@@ -7,41 +7,44 @@
 use io_scheduler::Micros;
 use std::net::SocketAddr;
 
-/// An idle connection is closed after this part of the node's idle timeout: a request written to a connection
-/// that the node closes just then would count as one that may have run.
+/// Part of the node's idle timeout after which the gateway closes an idle connection. It must do so before the
+/// node does: a request that crosses the node's close on the wire would count as one that may have run.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
-/// The idle timeout where the settings state none.
+/// Upper bound of the idle time, in microseconds, where the settings state no idle timeout.
 const DEFAULT_IDLE_TIMEOUT: Micros = 20_000_000;
 
-/// Where a node listens, and for what.
+/// Address and protocol of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NodeAddress {
-    /// Where connections go.
+    /// The address to connect to.
     pub(crate) address: SocketAddr,
-    /// What is spoken there.
+    /// The protocol that the node speaks there.
     pub(crate) protocol: Protocol,
 }
 
 /// The connections to one node.
 #[derive(Debug)]
 pub(super) struct ConnectionPool {
-    /// Where new connections go, once that is known.
+    /// Address for new connections; `None` until [`super::NodeConnections::set_address`].
     pub(super) address: Option<NodeAddress>,
-    pub(super) idle_timeout: IdleTimeoutEstimate,
-    /// Tokens of connections that carry no request; the last used is used next.
+    /// How long a connection to the node may be idle.
+    pub(super) idle_timeout_estimate: IdleTimeoutEstimate,
+    /// Tokens of the connections that carry no request, sorted by when they became idle: the first one has been
+    /// idle for longest, the last one is used next.
     pub(super) idle: Vec<ConnectionToken>,
-    /// All connections, idle or not.
+    /// Number of open connections, idle or not.
     pub(super) count: usize,
 }
 
 impl ConnectionPool {
+    /// An empty pool without an address.
     pub(super) fn new(settings: &DeploymentSettings) -> ConnectionPool {
         let stated_ms = settings.allowed.conn_idle_ms;
         let max_idle =
             if stated_ms > 0.0 { micros(stated_ms * IDLE_TIMEOUT_FRACTION) } else { DEFAULT_IDLE_TIMEOUT };
         ConnectionPool {
             address: None,
-            idle_timeout: IdleTimeoutEstimate::new(max_idle),
+            idle_timeout_estimate: IdleTimeoutEstimate::new(max_idle),
             idle: Vec::new(),
             count: 0,
         }
