--- a/crates/gateway/src/connections/client/accept.rs
+++ b/crates/gateway/src/connections/client/accept.rs
@@ -1,4 +1,4 @@
-//! New client connections.
+//! Accepting client connections.
 
 use super::{ClientConnection, ClientConnections};
 use crate::client_protocol::resp::RespProtocol;
@@ -12,14 +12,17 @@
 use std::net::TcpStream;
 use std::ops::ControlFlow;
 
-/// Connections accepted in one turn: requests that have arrived must not wait for hundreds of them.
+/// How many connections are accepted from a listener in one turn, so that a burst of new connections does not
+/// delay the requests that have arrived on others.
 const MAX_ACCEPTED_PER_TURN: usize = 64;
 
 impl ClientConnections {
-    /// Accepts the connections that wait at a listener, and closes idle ones for them where that is needed.
+    /// Accepts the connections that wait at a listener, which the poller has reported as ready. Idle
+    /// connections are closed for them if the limit is reached.
     pub(crate) fn accept(&mut self, listener: &Listener, context: &mut Context) {
         for accepted in 0..MAX_ACCEPTED_PER_TURN {
-            // Only the first is known to wait: nobody is closed for one that may not come.
+            // The poller's report proves only that the first one waits: no connection is closed for a further
+            // one that may not exist.
             if self.is_full() && accepted > 0 {
                 return;
             }
@@ -39,19 +42,20 @@
         }
     }
 
+    /// Whether the limit on client connections is reached.
     fn is_full(&self) -> bool {
         self.count >= self.limits.clients
     }
 
-    /// Decides whether accepting goes on after an error.
+    /// Handles an error of `accept`; returns whether to go on accepting in this turn.
     fn handle_accept_error(&mut self, error: &io::Error, context: &mut Context) -> ControlFlow<()> {
         match error.kind() {
             io::ErrorKind::WouldBlock => return ControlFlow::Break(()),
             io::ErrorKind::ConnectionAborted => return ControlFlow::Continue(()),
             _ => log::warn!("accept: {error}"),
         }
-        // Without a descriptor the waiting connection stays ready: an idle one is closed for it, or else the
-        // loop would turn on it without end.
+        // The listener stays ready while a connection waits that cannot be accepted. Closing an idle
+        // connection frees a descriptor for it. Failing that, accepting pauses, or the event loop would spin.
         if is_out_of_descriptors(error) && self.evict_one(context) {
             return ControlFlow::Continue(());
         }
@@ -59,6 +63,7 @@
         ControlFlow::Break(())
     }
 
+    /// Adds an accepted connection to the table; it is dropped if its socket can't be set up.
     fn add(&mut self, stream: TcpStream, protocol: ListenerProtocol, context: &mut Context) {
         let protocol: Box<dyn ClientProtocol> = match (protocol, &self.sftp) {
             (ListenerProtocol::Sftp, Some(shared)) => Box::new(SftpProtocol::new(shared.clone())),
--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -1,23 +1,23 @@
-//! The end of client connections.
+//! Closing client connections: idle ones, after a last reply, or at once.
 
 use super::connection::Lifecycle;
-use super::{ClientConnection, ClientConnections, EvictionPriority, MAX_INPUT};
+use super::{ClientConnection, ClientConnections, EvictionPriority, MAX_INPUT_BYTES};
 use crate::connections::socket::{Interest, StreamStatus};
 use crate::connections::ConnectionToken;
 use crate::event_loop::{Connection, Context};
 use crate::timer_queue::Timer;
 use io_scheduler::Micros;
 
-/// Bytes that a lingering close reads and drops at most.
+/// How many bytes a lingering close reads and drops before it closes the connection.
 const MAX_LINGERING_BYTES: usize = 256 << 10;
 
 impl ClientConnections {
-    /// Closes the connections that have been idle for at least `idle_for`.
-    pub(crate) fn close_idle_for(&mut self, idle_for: Micros, context: &mut Context) {
+    /// Closes the connections that have been idle for at least `min_idle_time` microseconds.
+    pub(crate) fn close_idle_for(&mut self, min_idle_time: Micros, context: &mut Context) {
         let mut tokens = Vec::new();
         for (token, connection) in context.connections.iter() {
             let Connection::Client(client) = connection else { continue };
-            if client.is_idle() && context.now - client.last_active_at >= idle_for {
+            if client.is_idle() && context.now - client.last_active_at >= min_idle_time {
                 tokens.push(token);
             }
         }
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Closes a connection that has been idle, unless a command has arrived meanwhile.
+    /// Starts the lingering close of an idle connection, unless input has arrived that was not read yet.
     pub(super) fn close_unless_active(
         &mut self,
         token: ConnectionToken,
@@ -41,7 +41,7 @@
         context: &mut Context,
     ) {
         let length_before = client.socket.input.len();
-        match client.socket.read_available(MAX_INPUT) {
+        match client.socket.read_available(MAX_INPUT_BYTES) {
             Ok(StreamStatus::Open) if client.socket.input.len() > length_before => {
                 self.advance(token, client, context);
             }
@@ -52,9 +52,10 @@
 
     /// Starts or continues the lingering close of a connection on which every reply is written.
     ///
-    /// Closing it at once while bytes arrive would reset it, and the last reply might be lost with them. So
-    /// the client is notified of the end first, and what it still sends is read and dropped until it has closed
-    /// its side too. No request of that is submitted: the client sends it again elsewhere.
+    /// If the gateway closed the socket while the client still sends, TCP would reset the connection, and the
+    /// client might lose the last reply. So the gateway closes its sending side first, and reads and drops
+    /// what the client still sends until the client has closed its side too. The dropped bytes may contain
+    /// requests: they have not run, and the client sends them again on another connection.
     pub(super) fn linger(
         &mut self,
         token: ConnectionToken,
@@ -76,7 +77,7 @@
         self.store(token, client, context);
     }
 
-    /// Closes a connection at once. The requests that it has open are abandoned.
+    /// Closes a connection at once. Its requests without a final response are cancelled.
     pub(super) fn drop_connection(
         &mut self,
         token: ConnectionToken,
@@ -84,7 +85,7 @@
         context: &mut Context,
     ) {
         context.connections.free(token);
-        context.timers.reschedule(&mut client.deadline, None, Timer::Connection(token));
+        context.timers.reschedule(&mut client.timer_deadline, None, Timer::Connection(token));
         self.count -= 1;
         self.uncount_requester(&mut client);
         self.unsent_bytes -= client.counted_unsent_bytes;
@@ -94,7 +95,7 @@
         }
     }
 
-    /// No longer counts a connection among those that have sent a request.
+    /// Removes a connection from the count of those that have sent a request.
     fn uncount_requester(&mut self, client: &mut ClientConnection) {
         if client.eviction_priority == EvictionPriority::Requests {
             client.eviction_priority = EvictionPriority::Commands;
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -1,7 +1,7 @@
-//! From a client's input to its replies: commands are parsed and submitted, and what is ready is written.
+//! Parsing and submitting the commands of a client, and writing its replies.
 
 use super::connection::{PendingReply, MAX_UNSENT_BYTES};
-use super::{ClientConnection, ClientConnections, EvictionPriority, MAX_INPUT};
+use super::{ClientConnection, ClientConnections, EvictionPriority, MAX_INPUT_BYTES};
 use crate::client_protocol::CommandStep;
 use crate::connections::socket::Interest;
 use crate::connections::ConnectionToken;
@@ -11,25 +11,24 @@
 use std::io;
 
 impl ClientConnections {
-    /// Runs the commands that have arrived, writes what is ready, and then closes the connection or keeps it.
+    /// Takes the next steps on a connection: runs the commands that have arrived, writes the replies that are
+    /// ready, and then stores the connection, starts its lingering close or drops it.
     pub(super) fn advance(
         &mut self,
         token: ConnectionToken,
         mut client: ClientConnection,
         context: &mut Context,
     ) {
-        let parsed = self.run_commands(token, &mut client, context);
-        self.consume_input(&mut client, parsed, context);
-        let input_is_full = client.socket.input.len() >= MAX_INPUT;
-        let is_finished = client.is_closing()
-            || context.shutdown.is_draining()
-                && client.socket.input.is_empty()
-                && !client.protocol.is_mid_command();
+        let parsed_bytes = self.run_commands(token, &mut client, context);
+        self.consume_input(&mut client, parsed_bytes, context);
+        let input_is_full = client.socket.input.len() >= MAX_INPUT_BYTES;
+        let may_close =
+            client.is_closing() || context.shutdown.is_draining() && !client.has_partial_command();
         let flushed = self.flush(&mut client, context.now);
         if flushed.is_err() || self.has_excessive_backlog(&client, context) {
             return self.drop_connection(token, client, context);
         }
-        if is_finished && client.is_fully_replied() {
+        if may_close && client.is_fully_replied() {
             return self.linger(token, client, context);
         }
         let interest = if input_is_full || client.is_closing() { Interest::Paused } else { Interest::Read };
@@ -39,7 +38,8 @@
         self.store(token, client, context);
     }
 
-    /// Parses and runs as many commands as may wait for a reply; returns the length of their input.
+    /// Parses and runs commands until a limit on pending replies is reached; returns the length of their
+    /// input in bytes.
     fn run_commands(
         &mut self,
         token: ConnectionToken,
@@ -49,7 +49,8 @@
         let mut position = 0;
         let over_budget = self.unsent_bytes >= context.config.budget.unsent_reply_bytes;
         while client.may_parse_command() {
-            // While all clients together leave too much unsent, each gets one reply at a time.
+            // While the unsent replies of all clients exceed their budget, each client gets one reply at a
+            // time.
             if over_budget && !client.replies.is_empty() {
                 break;
             }
@@ -75,7 +76,8 @@
         position
     }
 
-    /// Hands the requests of the next command to the dispatcher.
+    /// Submits the requests of the next command to the dispatcher; its reply is pending until they have their
+    /// responses.
     fn submit(
         &mut self,
         token: ConnectionToken,
@@ -97,10 +99,11 @@
         client.open_requests.insert(slot, ids);
     }
 
-    /// Drops the input that was parsed. If the partial commands of all clients take too much memory, this one
-    /// is rejected.
-    fn consume_input(&mut self, client: &mut ClientConnection, parsed: usize, context: &Context) {
-        let consumed = if client.is_closing() { client.socket.input.len() } else { parsed };
+    /// Drops the input that was parsed, or all of it on a connection that is closing, and updates the count
+    /// of buffered bytes. If the partial commands of all clients exceed their budget, a partial command of
+    /// this client is rejected and its connection closes.
+    fn consume_input(&mut self, client: &mut ClientConnection, parsed_bytes: usize, context: &Context) {
+        let consumed = if client.is_closing() { client.socket.input.len() } else { parsed_bytes };
         client.socket.consume(consumed);
         if consumed > 0 || client.socket.input.is_empty() {
             client.partial_command_since = None;
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Writes what the client takes now, and counts what it leaves.
+    /// Writes pending replies as far as the socket accepts them, and updates the count of unsent bytes.
     fn flush(&mut self, client: &mut ClientConnection, now: Micros) -> io::Result<()> {
         let unsent_before = client.socket.unsent_bytes();
         let result = client.socket.flush();
@@ -132,9 +135,10 @@
         result
     }
 
-    /// Whether a client takes too little of its replies while all clients together leave far too much unsent.
-    /// Replies may come faster than the limits on commands foresee: the connection is given up before the
-    /// process runs out of memory.
+    /// Whether a client is to be disconnected because it reads its replies too slowly: it has a lot of unsent
+    /// output, and the unsent replies of all clients exceed twice their budget. The limits on parsing
+    /// commands do not bound the replies to commands already in flight; this does, before the process runs
+    /// out of memory.
     fn has_excessive_backlog(&self, client: &ClientConnection, context: &Context) -> bool {
         self.unsent_bytes > 2 * context.config.budget.unsent_reply_bytes
             && client.socket.unsent_bytes() > MAX_UNSENT_BYTES
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -6,69 +6,76 @@
 use io_scheduler::{Micros, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Commands of one connection that wait for a reply; no more are parsed before.
+/// How many commands of one connection may wait for a reply; further ones are not parsed until then.
 const MAX_PIPELINED_COMMANDS: usize = 32;
-/// Unsent bytes of one connection; beyond them no further command of it is parsed.
+/// How many unsent bytes of replies one connection may have; beyond them no further command is parsed.
 pub(super) const MAX_UNSENT_BYTES: usize = 64 << 10;
-/// Within this time a connection must send its first complete command, and a command that has begun must be
-/// complete. Clients that connect and stay silent, or never end a command, would hold descriptors that others
-/// need.
+/// Time limit for the first complete command of a connection, and for completing any command whose first
+/// bytes have arrived. Without it, clients that stay silent would keep descriptors that other clients need.
 const COMMAND_TIMEOUT: Micros = 2_300_000;
-/// A client that takes nothing of its replies for this long is disconnected.
+/// A client that has read none of its pending output for this long is disconnected.
 const WRITE_TIMEOUT: Micros = 10_000_000;
 /// How long a lingering close waits for the client to close its side.
 const LINGERING_CLOSE_TIMEOUT: Micros = 300_000;
 
 /// A client's connection.
 pub(crate) struct ClientConnection {
+    /// The TCP stream with its buffers.
     pub(super) socket: Socket,
+    /// Parses the commands and encodes the replies.
     pub(super) protocol: Box<dyn ClientProtocol>,
-    /// Replies in the order of the commands; one that is not there yet holds back those behind it.
+    /// Replies that are not in the output buffer yet, in the order of their commands. Replies must leave in
+    /// that order, so those that are ready wait for earlier ones.
     pub(super) replies: VecDeque<PendingReply>,
-    /// The number of the next command.
+    /// The slot of the next command's reply. Slots number the commands of a connection from 0.
     pub(super) next_slot: u64,
-    /// The requests of each command that has no reply yet.
+    /// The requests of each command that waits for its reply, by slot.
     pub(super) open_requests: BTreeMap<u64, Vec<RequestId>>,
+    /// Whether it takes commands or is closing.
     pub(super) lifecycle: Lifecycle,
-    /// What the client has sent so far.
+    /// What the client has sent so far, which decides how soon the connection is evicted.
     pub(super) eviction_priority: EvictionPriority,
-    /// When it connected, or last sent a complete command or took some of its replies.
+    /// When the connection last made progress: the client connected, sent a complete command or read some of
+    /// its output, a response to one of its requests came, or the lingering close started.
     pub(super) last_active_at: Micros,
-    /// When the command that is not complete yet began.
+    /// Since when an incomplete command has been the only thing pending on the connection; `None` without
+    /// one, and while replies are pending.
     pub(super) partial_command_since: Option<Micros>,
-    /// When its timer fires, if it is set.
-    pub(super) deadline: Option<Micros>,
-    /// Its entry in the eviction queue, while it is there.
+    /// When its [`crate::timer_queue::Timer::Connection`] expires, if it is set.
+    pub(super) timer_deadline: Option<Micros>,
+    /// Its entry in the eviction queue, if it is in the queue.
     pub(super) eviction_candidate: Option<EvictionCandidate>,
-    /// What it adds to [`super::ClientConnections::unsent_bytes`].
+    /// Its part of [`super::ClientConnections::unsent_bytes`].
     pub(super) counted_unsent_bytes: usize,
-    /// What it adds to [`super::ClientConnections::partial_command_bytes`].
+    /// Its part of [`super::ClientConnections::partial_command_bytes`].
     pub(super) counted_partial_command_bytes: usize,
 }
 
 /// The reply to one command.
 pub(super) struct PendingReply {
+    /// Position among the replies of the connection.
     pub(super) slot: u64,
-    /// The encoded reply, once it is there.
+    /// The encoded reply; `None` while responses to the command's requests are awaited.
     pub(super) bytes: Option<Vec<u8>>,
 }
 
-/// How far a connection is on the way to its end.
+/// The stages of a connection, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lifecycle {
-    /// Commands are taken.
+    /// Commands are parsed and run.
     Open,
-    /// No further command is taken; the connection closes once all replies are written.
+    /// No further command is run; the lingering close starts once all replies are written.
     CloseAfterReplies,
-    /// Everything is written and the client knows that this was the end. What it still sends is read and
-    /// dropped.
+    /// Lingering close: all replies are written and the sending side is closed. What the client still sends
+    /// is read and dropped until it closes its side.
     Lingering {
-        /// Bytes that are still read.
+        /// How many more bytes are read before the connection is dropped.
         remaining: usize,
     },
 }
 
 impl ClientConnection {
+    /// A connection accepted at the time `now`.
     pub(super) fn new(socket: Socket, protocol: Box<dyn ClientProtocol>, now: Micros) -> ClientConnection {
         ClientConnection {
             socket,
@@ -80,47 +87,54 @@
             eviction_priority: EvictionPriority::Silent,
             last_active_at: now,
             partial_command_since: None,
-            deadline: None,
+            timer_deadline: None,
             eviction_candidate: None,
             counted_unsent_bytes: 0,
             counted_partial_command_bytes: 0,
         }
     }
 
-    /// Whether no further command is taken.
+    /// Whether no further command is run.
     pub(super) fn is_closing(&self) -> bool {
         self.lifecycle != Lifecycle::Open
     }
 
-    /// Whether only the client's end of the connection is waited for.
+    /// Whether the lingering close has started.
     pub(super) fn is_lingering(&self) -> bool {
         matches!(self.lifecycle, Lifecycle::Lingering { .. })
     }
 
-    /// Bytes of replies that the client has not taken yet.
+    /// Bytes of encoded replies that are not written yet, those that wait for earlier ones included.
     pub(super) fn unsent_bytes(&self) -> usize {
         let encoded: usize = self.replies.iter().filter_map(|reply| reply.bytes.as_ref()).map(Vec::len).sum();
         self.socket.unsent_bytes() + encoded
     }
 
-    /// Whether every command has its reply, and all of them are written.
+    /// Whether every command that was run has its reply, and all replies are written.
     pub(super) fn is_fully_replied(&self) -> bool {
         self.replies.is_empty() && self.socket.unsent_bytes() == 0
     }
 
-    /// Whether nothing is under way: no reply is pending and no command or upload has begun.
+    /// Whether a command has arrived in part, or a sequence of commands such as an upload is incomplete.
+    pub(super) fn has_partial_command(&self) -> bool {
+        !self.socket.input.is_empty() || self.protocol.is_mid_command()
+    }
+
+    /// Whether the connection can be closed without loss: no reply is pending and no command has begun.
     pub(super) fn is_idle(&self) -> bool {
-        self.is_fully_replied() && !self.protocol.is_mid_command() && self.socket.input.is_empty()
+        self.is_fully_replied() && !self.has_partial_command()
     }
 
-    /// Whether the next command may be parsed, as far as this connection alone decides.
+    /// Whether the limits of this connection allow the next command to be parsed. Limits on all connections
+    /// together are checked elsewhere.
     pub(super) fn may_parse_command(&self) -> bool {
         !self.is_closing()
             && self.replies.len() < MAX_PIPELINED_COMMANDS
             && self.socket.unsent_bytes() < MAX_UNSENT_BYTES
     }
 
-    /// When the connection is closed if nothing happens on it until then.
+    /// When the connection is to be closed if nothing happens on it before; `None` while the client waits for
+    /// a reply.
     pub(super) fn close_at(&self) -> Option<Micros> {
         if self.is_lingering() {
             return Some(self.last_active_at + LINGERING_CLOSE_TIMEOUT);
@@ -143,7 +157,7 @@
         }
     }
 
-    /// Sends a last reply; what has arrived and is not answered yet is dropped.
+    /// Queues a last reply and stops running commands. Replies to earlier commands are still sent before it.
     pub(super) fn close_after_reply(&mut self, reply: Vec<u8>) {
         self.lifecycle = Lifecycle::CloseAfterReplies;
         self.replies.push_back(PendingReply { slot: self.next_slot, bytes: Some(reply) });
@@ -151,8 +165,8 @@
         self.queue_ready_replies();
     }
 
-    /// Stores encoded replies and queues those whose turn it is. Returns the requests of their commands, as
-    /// some may still be open.
+    /// Stores encoded replies and queues those that are next in order. Returns the requests of their
+    /// commands, some of which may still be without a response.
     pub(super) fn complete_replies(&mut self, encoded: Vec<EncodedReply>) -> Vec<RequestId> {
         let mut requests = Vec::new();
         for EncodedReply { slot, bytes } in encoded {
@@ -165,7 +179,7 @@
         requests
     }
 
-    /// Moves the replies to the output that no earlier one holds back.
+    /// Moves encoded replies to the output buffer, up to the first that is not encoded yet.
     pub(super) fn queue_ready_replies(&mut self) {
         while let Some(PendingReply { bytes: Some(bytes), .. }) = self.replies.front_mut() {
             self.socket.output().append(bytes);
--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -1,29 +1,30 @@
-//! Which client connections are closed when descriptors run short.
+//! Eviction: which idle client connections are closed when descriptors run short.
 
-use super::{ClientConnection, ClientConnections, MAX_INPUT};
+use super::{ClientConnection, ClientConnections, MAX_INPUT_BYTES};
 use crate::connections::socket::StreamStatus;
 use crate::connections::ConnectionToken;
 use crate::event_loop::Context;
 use io_scheduler::Micros;
 use std::collections::BTreeSet;
 
-/// A connection younger than this may have its first command on the way.
+/// The first command of a connection that was accepted less than this long ago may still be in transit.
 const FIRST_COMMAND_GRACE: Micros = 50_000;
 
-/// What a client has sent so far; the lowest is closed first.
+/// What a client has sent so far. Connections of the lowest priority are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionPriority {
-    /// No complete command.
+    /// No complete command yet.
     Silent,
-    /// Commands, but no request.
+    /// Complete commands, but none with a request to a storage node.
     Commands,
-    /// Requests.
+    /// Commands with requests to storage nodes.
     Requests,
-    /// Part of a command that may still become complete.
+    /// Part of a command that may still become complete. Used in the eviction queue only.
     MidCommand,
 }
 
-/// A connection that may be closed, in the order in which they are. The order of the fields counts.
+/// A connection that may be evicted. Candidates are evicted in their order, which compares the fields in the
+/// order of their declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionCandidate {
     /// What the client has sent so far.
@@ -35,52 +36,55 @@
 }
 
 impl EvictionCandidate {
-    /// Sorts before every connection of this priority.
-    fn lowest_of(priority: EvictionPriority) -> EvictionCandidate {
+    /// Start of the range of this priority: it sorts before every connection of it.
+    fn first_of(priority: EvictionPriority) -> EvictionCandidate {
         EvictionCandidate { priority, last_active_at: Micros::MIN, token: ConnectionToken::MIN }
     }
 }
 
-/// The connections that have no reply pending and may be closed.
+/// The connections that have no reply pending and may be evicted.
 #[derive(Debug, Default)]
 pub(super) struct EvictionQueue {
     candidates: BTreeSet<EvictionCandidate>,
 }
 
 impl EvictionQueue {
+    /// Adds a connection.
     pub(super) fn insert(&mut self, candidate: EvictionCandidate) {
         self.candidates.insert(candidate);
     }
 
-    /// Takes a connection out of the queue while it is worked on.
+    /// Removes a connection, if it is in the queue. Done before any change to the fields that order the
+    /// queue.
     pub(super) fn remove(&mut self, client: &mut ClientConnection) {
         if let Some(candidate) = client.eviction_candidate.take() {
             self.candidates.remove(&candidate);
         }
     }
 
-    /// The connection to close for another one: the longest silent one of those that never sent a command,
-    /// unless that has only just connected, else the longest idle one of the lowest priority above.
+    /// The connection to evict for a new one: the first candidate, unless it was active within
+    /// [`FIRST_COMMAND_GRACE`]. In that case the first candidate that has sent a command is preferred, if
+    /// there is one.
     fn next_to_evict(&self, now: Micros) -> Option<ConnectionToken> {
         let first = self.candidates.first()?;
         if now - first.last_active_at >= FIRST_COMMAND_GRACE {
             return Some(first.token);
         }
-        let with_commands = EvictionCandidate::lowest_of(EvictionPriority::Commands);
+        let with_commands = EvictionCandidate::first_of(EvictionPriority::Commands);
         let first_with_commands = self.candidates.range(with_commands..).next();
         Some(first_with_commands.unwrap_or(first).token)
     }
 
-    /// The longest idle connection of those that have sent a request.
+    /// The connection that has been idle for longest among those that have sent a request.
     fn longest_idle_requester(&self) -> Option<ConnectionToken> {
-        let first = EvictionCandidate::lowest_of(EvictionPriority::Requests);
-        let end = EvictionCandidate::lowest_of(EvictionPriority::MidCommand);
+        let first = EvictionCandidate::first_of(EvictionPriority::Requests);
+        let end = EvictionCandidate::first_of(EvictionPriority::MidCommand);
         self.candidates.range(first..end).next().map(|candidate| candidate.token)
     }
 }
 
 impl ClientConnections {
-    /// Closes a connection without pending replies; false if there is none.
+    /// Evicts a connection without pending replies; returns false if there is none.
     pub(super) fn evict_one(&mut self, context: &mut Context) -> bool {
         let Some(token) = self.eviction_queue.next_to_evict(context.now) else {
             return false;
@@ -90,11 +94,12 @@
         true
     }
 
-    /// Closes a connection whose descriptor is needed at once, unless a command has arrived meanwhile.
+    /// Closes a connection at once, without a lingering close, as its descriptor is needed now. It stays open
+    /// if input has arrived that was not read yet.
     fn evict(&mut self, token: ConnectionToken, context: &mut Context) {
         let Some(mut client) = self.take(token, context) else { return };
         let length_before = client.socket.input.len();
-        match client.socket.read_available(MAX_INPUT) {
+        match client.socket.read_available(MAX_INPUT_BYTES) {
             Ok(StreamStatus::Open) if client.socket.input.len() > length_before && !client.is_lingering() => {
                 self.advance(token, client, context);
             }
@@ -102,8 +107,9 @@
         }
     }
 
-    /// Closes the longest idle connections of clients that have sent a request while there are too many of
-    /// them. Some clients keep a connection for good after a single request, and others could not connect.
+    /// Closes idle connections of clients that have sent a request, those idle for longest first, until their
+    /// number is within its limit. Some clients never close a connection after a single request, and would
+    /// leave no descriptors for new connections.
     pub(crate) fn close_excess_requesters(&mut self, context: &mut Context) {
         while self.requesters > self.limits.requesters {
             let Some(token) = self.eviction_queue.longest_idle_requester() else { return };
--- a/crates/gateway/src/connections/client/mod.rs
+++ b/crates/gateway/src/connections/client/mod.rs
@@ -1,7 +1,7 @@
-//! Client connections: their counters and limits, and what happens to them.
+//! Client connections: accepting, commands and replies, limits, eviction and closing.
 //!
-//! A method that is given a connection by value has taken it out of the table. It ends by storing it again or
-//! by dropping it.
+//! A method that takes a connection by value expects that the caller has taken it out of the table and out of
+//! the eviction queue. The method stores it again or drops it before it returns.
 
 mod accept;
 mod closing;
@@ -26,29 +26,33 @@
 use rustix::event::epoll::EventFlags;
 use std::rc::Rc;
 
-/// Input buffered for a connection: one complete command with the lengths of its words.
-const MAX_INPUT: usize = MAX_COMMAND_BYTES + (2 << 10);
+/// Bytes of input buffered for a connection: enough for the largest command with the length prefixes of its
+/// words.
+const MAX_INPUT_BYTES: usize = MAX_COMMAND_BYTES + (2 << 10);
 
 /// The state of all client connections together.
 pub(crate) struct ClientConnections {
-    /// What RESP2 clients may name in their requests.
+    /// The names of classes and plans, and the bounds, that all RESP2 requests share.
     request_names: Rc<RequestNames>,
-    /// What the SFTP connections share, if the SFTP side is configured.
+    /// State shared by all SFTP connections, if SFTP is configured.
     sftp: Option<Rc<SftpShared>>,
+    /// Limits on the numbers of connections.
     limits: ConnectionLimits,
-    /// Open connections.
+    /// Number of open connections.
     count: usize,
-    /// Connections that have sent a request.
+    /// Number of connections that have sent a request.
     requesters: usize,
-    /// Bytes of replies that clients have not taken yet.
+    /// Bytes of encoded replies that are not written yet.
     unsent_bytes: usize,
-    /// Capacity in bytes of all input buffers; they hold commands that are not complete yet.
+    /// Capacity in bytes of all input buffers: between turns they hold mostly incomplete commands.
     partial_command_bytes: usize,
+    /// The connections that may be closed to free descriptors.
     eviction_queue: EvictionQueue,
 }
 
 impl ClientConnections {
-    /// No connections yet; `now` makes the handles of SFTP clients differ from those of an earlier run.
+    /// Without connections at first. `now` is a seed that makes the SFTP handles differ from those of an
+    /// earlier run of the gateway.
     pub(crate) fn new(config: &Config, limits: ConnectionLimits, now: Micros) -> ClientConnections {
         let sftp = config.sftp.clone().map(|settings| {
             SftpShared::new(settings, &config.settings, config.budget.sftp_file_bytes, now as u64)
@@ -65,7 +69,7 @@
         }
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub(crate) fn count(&self) -> usize {
         self.count
     }
@@ -82,29 +86,30 @@
         let status = if let Lifecycle::Lingering { remaining } = &mut client.lifecycle {
             client.socket.discard_available(remaining)
         } else if flags.intersects(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR) {
-            // The end may stand behind more input than is read here, and the requests must not wait for that.
+            // The end of the stream may be behind more input than one call reads. The client's open requests
+            // are cancelled now rather than once all of that input has been read.
             Ok(StreamStatus::Ended)
         } else if flags.contains(EventFlags::IN) {
-            client.socket.read_available(MAX_INPUT)
+            client.socket.read_available(MAX_INPUT_BYTES)
         } else {
             Ok(StreamStatus::Open)
         };
         match status {
             Ok(StreamStatus::Open) => self.advance(token, client, context),
-            // The client has disconnected, whatever else it has sent.
+            // The client has disconnected: commands that it sent before are not run.
             Ok(StreamStatus::Ended) | Err(_) => self.drop_connection(token, client, context),
         }
     }
 
-    /// Handles the timer of a connection: it was idle for too long, its command does not become complete, or
-    /// its client does not take the replies.
+    /// Handles the timer of a connection: it has been idle for too long, its command was not completed in
+    /// time, or its client does not read the replies.
     pub(crate) fn handle_timeout(
         &mut self,
         token: ConnectionToken,
         mut client: ClientConnection,
         context: &mut Context,
     ) {
-        client.deadline = None;
+        client.timer_deadline = None;
         self.eviction_queue.remove(&mut client);
         let reply = client.protocol.timeout_reply();
         if client.is_closing() || !client.is_fully_replied() {
@@ -117,13 +122,15 @@
         self.advance(token, client, context);
     }
 
-    /// Replies to a command with the response to one of its requests.
+    /// Passes the response to a request on to the command that it belongs to, and sends the command's reply
+    /// once it is complete.
     pub(crate) fn respond(&mut self, reply_slot: ReplySlot, response: Response, context: &mut Context) {
         let token = reply_slot.connection;
         let Some(mut client) = self.take(token, context) else { return };
         let mut encoded = Vec::new();
         client.protocol.encode_response(reply_slot.slot, response, &mut encoded);
-        // Once one part of a listing has failed, the others need not go on.
+        // A reply may be complete before all requests of its command are: once one part of a listing has
+        // failed, the other parts are cancelled.
         for id in client.complete_replies(encoded) {
             context.client_disconnected(id);
         }
@@ -138,12 +145,12 @@
         Some(client)
     }
 
-    /// Puts a connection back into the table, with its timer, and into the eviction queue if it may be closed
-    /// for others.
+    /// Puts a connection back into the table, updates its timer, and adds it to the eviction queue if it has
+    /// reply pending and no sequence of commands such as an upload has begun.
     fn store(&mut self, token: ConnectionToken, mut client: ClientConnection, context: &mut Context) {
         let close_at = client.close_at();
-        if close_at != client.deadline {
-            context.timers.reschedule(&mut client.deadline, close_at, Timer::Connection(token));
+        if close_at != client.timer_deadline {
+            context.timers.reschedule(&mut client.timer_deadline, close_at, Timer::Connection(token));
         }
         if client.is_fully_replied() && !client.protocol.is_mid_command() {
             let priority = if client.socket.input.is_empty() {
--- a/crates/gateway/src/connections/descriptors.rs
+++ b/crates/gateway/src/connections/descriptors.rs
@@ -1,12 +1,14 @@
-//! How the file descriptors of the process are divided.
+//! How the file descriptors of the process are divided among connections.
 
 use rustix::io::Errno;
 use std::io;
 
-/// Descriptors that are neither of clients nor of nodes.
+/// Descriptors reserved for everything but connections of clients and to nodes: listeners, files, pipes, the
+/// poller and the watch on discovery.
 const OTHER_DESCRIPTORS: usize = 24;
-/// One in so many descriptors may belong to a client that has sent a request. Clients use a third of the
-/// descriptors for requests: with a fourth, some can always connect.
+/// At most one in this many descriptors may be used by client connections that have sent a request. Clients
+/// are expected to use up to a third of the descriptors for requests; a limit of a quarter leaves descriptors
+/// for new connections.
 const DESCRIPTORS_PER_REQUESTER: usize = 4;
 
 /// How many connections may be open at once.
@@ -14,14 +16,15 @@
 pub(crate) struct ConnectionLimits {
     /// Client connections.
     pub(crate) clients: usize,
-    /// Client connections that have sent a request. More of them are closed while they are idle.
+    /// Client connections that have sent a request. Beyond this number idle ones of them are closed.
     pub(crate) requesters: usize,
     /// Connections to nodes.
     pub(crate) nodes: usize,
 }
 
 impl ConnectionLimits {
-    /// Divides the descriptors that the process may use.
+    /// Divides the descriptors that the process may use: two fifths of those that are not reserved are for
+    /// connections to nodes. `descriptors` must not be below the minimum that the configuration enforces.
     pub(crate) fn for_descriptors(descriptors: usize) -> ConnectionLimits {
         let usable = descriptors - OTHER_DESCRIPTORS;
         let nodes = usable * 2 / 5;
@@ -33,7 +36,7 @@
     }
 }
 
-/// Whether a call failed because the process or the system has no descriptor left.
+/// Whether a system call failed because the process or the whole system has no file descriptor left.
 pub(crate) fn is_out_of_descriptors(error: &io::Error) -> bool {
     let code = error.raw_os_error();
     [Errno::MFILE, Errno::NFILE].iter().any(|errno| Some(errno.raw_os_error()) == code)
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -15,8 +15,8 @@
 /// Bytes of input buffered for a connection, besides the announced length of a large response.
 pub(super) const MAX_BUFFERED_INPUT: usize = 80 << 10;
 
-/// A connection to a node. It carries one request at a time, so that a request can be abandoned by closing its
-/// connection without effect on any other.
+/// A connection to a node. It carries one request at a time, so that a request can be abandoned by closing
+/// its connection without effect on any other.
 pub(crate) struct NodeConnection {
     /// The TCP stream with its buffers.
     pub(super) socket: Socket,
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Checks whether the TCP connection is established, and starts the protocol's handshake when it is for the
-    /// first time. Returns false while it is still being established.
+    /// Checks whether the TCP connection is established, and starts the protocol's handshake when it is for
+    /// the first time. Returns false while it is still being established.
     pub(super) fn finish_connecting(&mut self) -> io::Result<bool> {
         if !self.is_connected {
             if !self.socket.is_connected()? {
@@ -118,16 +118,17 @@
         Ok(true)
     }
 
-    /// Whether an idle connection can carry another request. Reads what has arrived: the node must neither have
-    /// closed the connection nor sent data without a request, which would be taken for the next response.
+    /// Whether an idle connection can carry another request. Reads what has arrived: the node must neither
+    /// have closed the connection nor sent data without a request, which would be taken for the next
+    /// response.
     pub(super) fn is_reusable(&mut self) -> bool {
         let Ok(StreamStatus::Open) = self.socket.read_available(MAX_BUFFERED_INPUT) else { return false };
         self.socket.input.is_empty()
             || matches!(self.protocol.decode(&mut self.socket.input, &mut Vec::new()), Ok(None))
     }
 
-    /// Encodes the request in flight into the output buffer. Cancels the connection's timer (connect timeout or
-    /// idle timeout), as the timeout of the attempt applies from here on.
+    /// Encodes the request in flight into the output buffer. Cancels the connection's timer (connect timeout
+    /// or idle timeout), as the timeout of the attempt applies from here on.
     pub(super) fn encode_request(&mut self, token: ConnectionToken, context: &mut Context) {
         let Some(in_flight) = &mut self.in_flight else { return };
         let wait_ms = (in_flight.deadline - context.now) / 1000;
@@ -138,8 +139,8 @@
         context.timers.reschedule(&mut self.timer_deadline, None, Timer::Connection(token));
     }
 
-    /// Notifies the dispatcher, once for each attempt, when enough of the request has been sent for it to take
-    /// effect at the node.
+    /// Notifies the dispatcher, once for each attempt, when enough of the request has been sent for it to
+    /// take effect at the node.
     pub(super) fn mark_written(&mut self, context: &mut Context) {
         let bytes_sent = self.socket.bytes_sent;
         let Some(in_flight) = &mut self.in_flight else { return };
--- a/crates/gateway/src/connections/node/idle_timeout.rs
+++ b/crates/gateway/src/connections/node/idle_timeout.rs
@@ -18,7 +18,8 @@
     estimate: Micros,
     /// Upper bound of the estimate, from the settings.
     maximum: Micros,
-    /// The longest idle time after which a request got its response; halved after a reset that contradicts it.
+    /// The longest idle time after which a request got its response; halved after a reset that contradicts
+    /// it.
     longest_answered: Micros,
 }
 
@@ -41,8 +42,8 @@
         idle <= self.estimate
     }
 
-    /// Whether a non-idempotent request can use a connection that was idle for this long. The bound is half of
-    /// the estimate, as such a request cannot be retried after a reset.
+    /// Whether a non-idempotent request can use a connection that was idle for this long. The bound is half
+    /// of the estimate, as such a request cannot be retried after a reset.
     #[must_use]
     pub fn allows_non_idempotent(&self, idle: Micros) -> bool {
         idle <= self.estimate / 2
@@ -53,8 +54,8 @@
         if idle <= MIN_IDLE_TIMEOUT || after > MAX_RESET_DELAY {
             return;
         }
-        // A request got its response after a longer idle time, so a single reset is put down to another cause.
-        // Each such reset halves the contrary evidence: repeated resets lower the estimate in the end.
+        // A request got its response after a longer idle time, so a single reset is put down to another
+        // cause. Each such reset halves the contrary evidence: repeated resets lower the estimate in the end.
         if idle < self.longest_answered {
             self.longest_answered /= 2;
         } else {
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Records a response to a request on a connection that had been idle for `idle`. The estimate rises by an
-    /// eighth if that was more than half of it.
+    /// Records a response to a request on a connection that had been idle for `idle`. The estimate rises by
+    /// an eighth if that was more than half of it.
     pub fn record_response(&mut self, idle: Micros) {
         self.longest_answered = self.longest_answered.max(idle);
         if idle > self.estimate / 2 {
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -1,7 +1,8 @@
 //! Connections to storage nodes, pooled by node.
 //!
 //! A method that takes a connection by value expects that the caller has taken it out of the table
-//! ([`Slab::take`](crate::connections::slab::Slab::take)). The method puts it back or drops it before it returns.
+//! ([`Slab::take`](crate::connections::slab::Slab::take)). The method puts it back or drops it before it
+//! returns.
 
 mod closing;
 mod connection;
@@ -58,8 +59,8 @@
         self.count
     }
 
-    /// Sets the address of a node. Idle connections to a previous address are closed; others are closed as soon
-    /// as their request has ended.
+    /// Sets the address of a node. Idle connections to a previous address are closed; others are closed as
+    /// soon as their request has ended.
     pub(crate) fn set_address(&mut self, node: NodeId, address: NodeAddress, context: &mut Context) {
         let settings = &context.config.settings;
         let pool = self.pools.entry(node).or_insert_with(|| ConnectionPool::new(settings));
@@ -91,8 +92,9 @@
         }
     }
 
-    /// Stops an attempt whose result is no longer awaited. Its connection is closed, which cancels the request at
-    /// the node. If the request has not been encoded yet, the connection is returned to its pool instead.
+    /// Stops an attempt whose result is no longer awaited. Its connection is closed, which cancels the
+    /// request at the node. If the request has not been encoded yet, the connection is returned to its pool
+    /// instead.
     pub(crate) fn abandon_attempt(&mut self, attempt: AttemptId, context: &mut Context) {
         let Some(token) = self.attempt_connections.remove(&attempt) else { return };
         let Some(Connection::Node(mut connection)) = context.connections.take(token) else { return };
@@ -132,7 +134,8 @@
             return self.fail_connection(token, connection, Outcome::Reset, context);
         };
         match self.decode(&mut connection, context) {
-            // The node is reachable, so an invalid response counts as an error response, not as a lost connection.
+            // The node is reachable, so an invalid response counts as an error response, not as a lost
+            // connection.
             Err(ProtocolError) => {
                 log_invalid_response(&connection);
                 return self.fail_connection(token, connection, Outcome::Error, context);
@@ -142,7 +145,8 @@
                 if !connection.is_reusable() {
                     return self.drop_connection(token, connection, context);
                 }
-                // Consuming nothing has an effect here: it shrinks the empty input buffer after a large response.
+                // Consuming nothing has an effect here: it shrinks the empty input buffer after a large
+                // response.
                 connection.socket.consume(0);
             }
             Ok(None) => {}
@@ -153,8 +157,8 @@
         self.advance(token, connection, context);
     }
 
-    /// Decodes the buffered input. Returns the result of the attempt once its response is complete, and an error
-    /// for an invalid response or when all large responses together exceed their memory budget.
+    /// Decodes the buffered input. Returns the result of the attempt once its response is complete, and an
+    /// error for an invalid response or when all large responses together exceed their memory budget.
     fn decode(
         &mut self,
         connection: &mut NodeConnection,
@@ -215,8 +219,8 @@
         self.return_to_pool(token, connection, context);
     }
 
-    /// Encodes the request in flight, once. If the node has been draining for too long to start writing to it,
-    /// the attempt is aborted instead and the connection is left without a request.
+    /// Encodes the request in flight, once. If the node has been draining for too long to start writing to
+    /// it, the attempt is aborted instead and the connection is left without a request.
     fn write_request(
         &mut self,
         token: ConnectionToken,
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -14,7 +14,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How many connections to one node may be open at once. The scheduler's concurrency limit is usually far lower.
+/// How many connections to one node may be open at once. The scheduler's concurrency limit is usually far
+/// lower.
 const MAX_CONNECTIONS_PER_NODE: usize = 24;
 
 /// Why a new connection to a node can't be opened.
@@ -70,7 +71,8 @@
         self.advance(token, connection, context);
     }
 
-    /// The token of a connection for a new request: an idle one if the pool has a suitable one, else a new one.
+    /// The token of a connection for a new request: an idle one if the pool has a suitable one, else a new
+    /// one.
     fn connection_for(
         &mut self,
         node: NodeId,
@@ -85,8 +87,9 @@
 
     /// Takes an idle connection out of a node's pool, the last used one first.
     ///
-    /// Connections that have been idle for too long for any request, or that are not reusable, are closed on the
-    /// way. A connection that is still being established needs no such check, as it never was idle at the node.
+    /// Connections that have been idle for too long for any request, or that are not reusable, are closed on
+    /// the way. A connection that is still being established needs no such check, as it never was idle at the
+    /// node.
     fn take_idle(
         &mut self,
         node: NodeId,
@@ -118,8 +121,8 @@
         }
     }
 
-    /// Starts to open a connection to a node and returns its token. The caller assigns an attempt to it before
-    /// it is established.
+    /// Starts to open a connection to a node and returns its token. The caller assigns an attempt to it
+    /// before it is established.
     fn open(&mut self, node: NodeId, context: &mut Context) -> Result<ConnectionToken, OpenError> {
         self.close_idle_for_new(node, context);
         let pool = self.pools.get(&node).ok_or(OpenError::NotListed)?;
@@ -162,8 +165,8 @@
         }
     }
 
-    /// Starts to connect. Descriptors may run out below the limit on connections, as other parts of the system
-    /// use them too: then the longest idle connection is closed and the call repeated once.
+    /// Starts to connect. Descriptors may run out below the limit on connections, as other parts of the
+    /// system use them too: then the longest idle connection is closed and the call repeated once.
     fn connect(&mut self, address: SocketAddr, context: &mut Context) -> io::Result<Socket> {
         match Socket::connect(address) {
             Err(error) if is_out_of_descriptors(&error) => {
--- a/crates/gateway/src/connections/node/pool.rs
+++ b/crates/gateway/src/connections/node/pool.rs
@@ -7,8 +7,8 @@
 use io_scheduler::Micros;
 use std::net::SocketAddr;
 
-/// Part of the node's idle timeout after which the gateway closes an idle connection. It must do so before the
-/// node does: a request that crosses the node's close on the wire would count as one that may have run.
+/// Part of the node's idle timeout after which the gateway closes an idle connection. It must do so before
+/// the node does: a request that crosses the node's close on the wire would count as one that may have run.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 /// Upper bound of the idle time, in microseconds, where the settings state no idle timeout.
 const DEFAULT_IDLE_TIMEOUT: Micros = 20_000_000;
@@ -29,8 +29,8 @@
     pub(super) address: Option<NodeAddress>,
     /// How long a connection to the node may be idle.
     pub(super) idle_timeout_estimate: IdleTimeoutEstimate,
-    /// Tokens of the connections that carry no request, sorted by when they became idle: the first one has been
-    /// idle for longest, the last one is used next.
+    /// Tokens of the connections that carry no request, sorted by when they became idle: the first one has
+    /// been idle for longest, the last one is used next.
     pub(super) idle: Vec<ConnectionToken>,
     /// Number of open connections, idle or not.
     pub(super) count: usize,
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -8,29 +8,29 @@
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-/// Bytes read at a time.
-const READ_CHUNK: usize = 16 << 10;
-/// Capacity that an empty buffer keeps. Idle connections are many, so it is small.
-const RETAINED_CAPACITY: usize = 1 << 10;
+/// Most bytes that one call of `read` returns.
+const READ_CHUNK_BYTES: usize = 16 << 10;
+/// Bytes of capacity that an empty buffer keeps; small, as there are many idle connections.
+const RETAINED_CAPACITY_BYTES: usize = 1 << 10;
 
-/// What a socket waits for. The peer's end of the stream is always reported, and so is being writable while
-/// there is unsent output.
+/// The events that a socket waits for. Two more are always included: that the peer has closed its side
+/// (`RDHUP`), and that the socket is writable while there is unsent output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Interest {
-    /// The connection to be established, and input.
+    /// The connection is established (the socket becomes writable), or input arrives.
     Connect,
-    /// Input.
+    /// Input arrives.
     Read,
-    /// No input for now.
+    /// No further event: input is not read for now.
     Paused,
 }
 
-/// What a read says about the stream.
+/// State of the receiving side of the stream after a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StreamStatus {
-    /// More input may come.
+    /// More input may arrive.
     Open,
-    /// There is nothing more to read.
+    /// The peer has closed its side, and all input has been read.
     Ended,
 }
 
@@ -40,17 +40,19 @@
     stream: TcpStream,
     /// Bytes that were read and not consumed yet.
     pub(crate) input: Vec<u8>,
+    /// Bytes to write; emptied once all of them are written.
     output: Vec<u8>,
-    /// Bytes of `output` that are written already.
+    /// How many bytes at the front of `output` are written already.
     flushed: usize,
-    /// Bytes handed to the system since the socket was opened.
+    /// Bytes written to the socket since it was opened.
     pub(crate) bytes_sent: u64,
-    /// What the poller reports; empty before the socket is registered.
+    /// The events registered with the poller; empty before the first registration.
     registered: EventFlags,
 }
 
 impl Socket {
-    /// Takes over an accepted or connecting stream.
+    /// Wraps an accepted or connecting stream, which becomes non-blocking and sends without delay
+    /// (`TCP_NODELAY`).
     pub(crate) fn new(stream: TcpStream) -> io::Result<Socket> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
@@ -64,7 +66,8 @@
         })
     }
 
-    /// Starts to connect; the socket becomes writable when it is connected.
+    /// Starts to connect. The socket becomes writable once the connection is established or has failed; see
+    /// [`Socket::is_connected`].
     pub(crate) fn connect(address: SocketAddr) -> io::Result<Socket> {
         let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Whether the connection is established; an error if that has failed.
+    /// Whether the connection is established. Returns the error if connecting has failed.
     pub(crate) fn is_connected(&self) -> io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Registers with the poller what this socket waits for, if that has changed.
+    /// Sets the events that the poller reports. Calls the system only if they have changed.
     pub(crate) fn set_interest(
         &mut self,
         poller: &Poller,
@@ -106,13 +109,15 @@
         Ok(())
     }
 
-    /// Reads what has arrived until `input` holds `max_buffered` bytes. A reset is an error only if nothing
-    /// arrived before it: otherwise what arrived counts first.
+    /// Reads what has arrived, until `input` holds `max_buffered` bytes.
+    ///
+    /// An error such as a reset is returned only if this call has read nothing before it. Otherwise the
+    /// result is [`StreamStatus::Ended`], and the caller handles the bytes that arrived before the error.
     pub(crate) fn read_available(&mut self, max_buffered: usize) -> io::Result<StreamStatus> {
-        let mut chunk = [0; READ_CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         let length_before = self.input.len();
         while self.input.len() < max_buffered {
-            let wanted = READ_CHUNK.min(max_buffered - self.input.len());
+            let wanted = READ_CHUNK_BYTES.min(max_buffered - self.input.len());
             match self.stream.read(&mut chunk[..wanted]) {
                 Ok(0) => return Ok(StreamStatus::Ended),
                 Ok(count) => {
@@ -130,10 +135,10 @@
         Ok(StreamStatus::Open)
     }
 
-    /// Reads and drops what has arrived, at most `remaining` bytes over all calls. Beyond them the stream
-    /// counts as ended.
+    /// Reads and drops what has arrived. `remaining` is lowered by the bytes dropped; the stream counts as
+    /// ended once they reach it.
     pub(crate) fn discard_available(&mut self, remaining: &mut usize) -> io::Result<StreamStatus> {
-        let mut chunk = [0; READ_CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         loop {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Ok(StreamStatus::Ended),
@@ -146,12 +151,12 @@
         }
     }
 
-    /// Tells the peer that nothing more will be sent.
+    /// Closes the sending side of the connection; the peer reads the end of the stream.
     pub(crate) fn shutdown_write(&self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
 
-    /// The buffer to which output is appended; [`Socket::flush`] writes it.
+    /// The output buffer. Append to it; [`Socket::flush`] writes it.
     pub(crate) fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
@@ -161,7 +166,7 @@
         self.output.len() - self.flushed
     }
 
-    /// Writes as much of the output as the system takes now.
+    /// Writes as much of the output as the socket accepts without blocking.
     pub(crate) fn flush(&mut self) -> io::Result<()> {
         while self.flushed < self.output.len() {
             match self.stream.write(&self.output[self.flushed..]) {
@@ -177,16 +182,16 @@
         }
         self.output.clear();
         self.flushed = 0;
-        // The memory of a large value must not stay with an idle connection.
-        self.output.shrink_to(RETAINED_CAPACITY);
+        // An idle connection must not keep the memory of a large value.
+        self.output.shrink_to(RETAINED_CAPACITY_BYTES);
         Ok(())
     }
 
-    /// Drops the first `count` bytes of the input.
+    /// Drops the first `count` bytes of the input, and shrinks the input buffer once it is empty.
     pub(crate) fn consume(&mut self, count: usize) {
         self.input.drain(..count);
         if self.input.is_empty() {
-            self.input.shrink_to(RETAINED_CAPACITY);
+            self.input.shrink_to(RETAINED_CAPACITY_BYTES);
         }
     }
 }
