--- a/crates/gateway/src/event_loop/clock.rs
+++ b/crates/gateway/src/event_loop/clock.rs
@@ -1,13 +1,15 @@
-//! The time that the program goes by.
+//! The clock of the gateway.
 
 use io_scheduler::Micros;
 use std::time::{Duration, Instant, SystemTime};
 
-/// The system's clock as it was at the start, continued by a monotonic clock: it never jumps.
+/// A clock that starts at the system's time and continues by a monotonic clock: later changes of the system's
+/// time have no effect.
 #[derive(Debug)]
 pub(crate) struct Clock {
-    /// Microseconds since the Unix epoch at the start.
+    /// The system's time at the start, in microseconds since the Unix epoch.
     started_at: Micros,
+    /// The monotonic time at the start.
     start: Instant,
 }
 
--- a/crates/gateway/src/event_loop/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -2,6 +2,7 @@
 //!
 //! A thread reads standard input and passes it on through a pipe, so that the event loop never blocks on it.
 
+use super::endpoint_table::OperatorOverride;
 use super::{Connection, Context, Gateway};
 use crate::connections::ConnectionToken;
 use crate::console::{self, ConsoleCommand};
@@ -10,21 +11,22 @@
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// Bytes of a line that is not ended yet.
-const MAX_LINE: usize = 4096;
+/// Longest line in bytes; a longer one is dropped.
+const MAX_LINE_BYTES: usize = 4096;
 
 /// Lines typed at the console.
 pub(crate) struct ConsoleInput {
+    /// The end of the pipe from the thread that reads standard input.
     stream: UnixStream,
-    /// The line that is not ended yet.
+    /// The bytes of a line whose end has not arrived yet.
     buffer: Vec<u8>,
 }
 
-/// The console's input is at its end, or can't be read.
+/// The console's input has ended or can't be read.
 struct InputClosed;
 
 impl ConsoleInput {
-    /// Reads the console from here on.
+    /// Starts the thread that reads standard input, and registers its pipe with the poller.
     fn open(context: &mut Context) -> io::Result<()> {
         let (stream, mut writer) = UnixStream::pair()?;
         stream.set_nonblocking(true)?;
@@ -32,12 +34,13 @@
         context.poller.register(&stream, token, EventFlags::IN)?;
         context.connections.put(token, Connection::Console(ConsoleInput { stream, buffer: Vec::new() }));
         std::thread::Builder::new().name("console".into()).spawn(move || {
-            // Once the event loop is gone, there is nothing left to read for.
+            // An error means that standard input failed or the event loop has ended: the thread ends too.
             let _ = io::copy(&mut io::stdin().lock(), &mut writer);
         })?;
         Ok(())
     }
 
+    /// Reads what has arrived into the buffer.
     fn read_available(&mut self) -> Result<(), InputClosed> {
         let mut bytes = [0; 1024];
         loop {
@@ -51,14 +54,14 @@
         }
     }
 
-    /// Takes the complete lines out of the buffer. What is left is dropped if it is too long for a line.
+    /// Takes the complete lines out of the buffer. An incomplete line is dropped if it is too long.
     fn take_lines(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
         while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = self.buffer.drain(..=end).collect();
             lines.push(String::from_utf8_lossy(&line).into_owned());
         }
-        if self.buffer.len() > MAX_LINE {
+        if self.buffer.len() > MAX_LINE_BYTES {
             self.buffer.clear();
         }
         lines
@@ -75,6 +78,7 @@
         ConsoleInput::open(&mut self.context)
     }
 
+    /// Runs the commands that were entered, and prints their output.
     pub(super) fn handle_console_ready(&mut self, token: ConnectionToken, mut console: ConsoleInput) {
         if console.read_available().is_err() {
             self.context.connections.free(token);
@@ -88,7 +92,7 @@
                 Err(error) => format!("{error}\n"),
             };
             let mut stdout = io::stdout().lock();
-            // A terminal that is gone reads nothing any more.
+            // An error means that nobody reads the output any more, which must not end the gateway.
             let _ = stdout.write_all(output.as_bytes()).and_then(|()| stdout.flush());
         }
     }
@@ -101,8 +105,8 @@
             ConsoleCommand::Nodes => console::nodes(self.context.dispatcher.nodes()),
             ConsoleCommand::Volumes => self.volumes(),
             ConsoleCommand::Status => self.status(),
-            ConsoleCommand::Drain(name) => self.drain_node(&name),
-            ConsoleCommand::Undrain(name) => self.undrain_node(&name),
+            ConsoleCommand::Drain(name) => self.override_node(&name, OperatorOverride::Drain),
+            ConsoleCommand::Undrain(name) => self.override_node(&name, OperatorOverride::None),
             ConsoleCommand::Reload => self.reload_from_console(),
             ConsoleCommand::Quit => {
                 self.request_shutdown();
@@ -111,6 +115,7 @@
         }
     }
 
+    /// The counters of the volumes.
     fn volumes(&self) -> String {
         let named_volumes = match &self.context.config.sftp {
             Some(sftp) => sftp.volumes.as_slice(),
@@ -119,6 +124,7 @@
         console::volumes(self.context.dispatcher.volume_counters(), named_volumes)
     }
 
+    /// A summary of the gateway in one line.
     fn status(&self) -> String {
         let nodes = self.context.dispatcher.nodes();
         let in_service = nodes.filter(|node| node.status == EndpointStatus::InService).count();
@@ -132,20 +138,17 @@
         )
     }
 
-    fn drain_node(&mut self, name: &str) -> String {
-        match self.endpoints.drain(name, &mut self.nodes, &mut self.context) {
-            Ok(()) => format!("{name} drains\n"),
-            Err(error) => format!("{error}\n"),
-        }
-    }
-
-    fn undrain_node(&mut self, name: &str) -> String {
-        match self.endpoints.undrain(name, &mut self.nodes, &mut self.context) {
-            Ok(()) => format!("{name} serves as listed\n"),
-            Err(error) => format!("{error}\n"),
+    /// Drains a node or ends its draining by the operator; returns the output.
+    fn override_node(&mut self, name: &str, operator_override: OperatorOverride) -> String {
+        let result = self.endpoints.set_override(name, operator_override, &mut self.nodes, &mut self.context);
+        match (result, operator_override) {
+            (Ok(()), OperatorOverride::Drain) => format!("{name} drains\n"),
+            (Ok(()), OperatorOverride::None) => format!("{name} serves as listed\n"),
+            (Err(error), _) => format!("{error}\n"),
         }
     }
 
+    /// Reads the inventory again; returns the output.
     fn reload_from_console(&mut self) -> String {
         if self.context.config.inventory.is_none() {
             return "there is no inventory to read\n".to_owned();
--- a/crates/gateway/src/event_loop/context.rs
+++ b/crates/gateway/src/event_loop/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of the event loop share.
+//! The state that all parts of the event loop share.
 
 use super::clock::Clock;
 use super::console::ConsoleInput;
@@ -16,7 +16,7 @@
 use crate::timer_queue::{AttemptId, TimerQueue};
 use io_scheduler::{Micros, Outcome, RequestId};
 
-/// Everything that is registered with the poller, by kind.
+/// An entry of the connection table. Everything that is registered with the poller has one.
 pub(crate) enum Connection {
     /// Accepts client connections.
     Listener(Listener),
@@ -26,18 +26,19 @@
     Node(NodeConnection),
     /// The connection to discovery.
     Watch(WatchConnection),
-    /// Reports signals.
+    /// A pipe that becomes readable when a signal arrives.
     Signal(SignalPipe),
     /// The operator's console.
     Console(ConsoleInput),
 }
 
-/// What all parts of the event loop share.
+/// The state that all parts of the event loop share; passed to the owners of the other state.
 pub(crate) struct Context {
     /// The configuration; some of it can be reloaded.
     pub(crate) config: Config,
     clock: Clock,
-    /// The time of this turn.
+    /// The time of this turn, in microseconds since the Unix epoch. Read once a turn, so that everything in a
+    /// turn happens at the same time.
     pub(crate) now: Micros,
     /// Reports which connections are ready.
     pub(crate) poller: Poller,
@@ -69,27 +70,27 @@
         })
     }
 
-    /// Reads the clock: what follows happens at this time.
+    /// Sets [`Context::now`] to the current time.
     pub(crate) fn update_now(&mut self) {
         self.now = self.clock.now();
     }
 
-    /// The time until a timer fires, 0 if it should have by now. The clock is read anew.
+    /// Microseconds from the current time, not [`Context::now`], to `at`; 0 if that has passed.
     pub(crate) fn time_until(&self, at: Micros) -> Micros {
         (at - self.clock.now()).max(0)
     }
 
-    /// Tells the dispatcher that a client no longer waits for a request.
+    /// Notifies the dispatcher that the client of a request has disconnected or no longer needs its response.
     pub(crate) fn client_disconnected(&mut self, id: RequestId) {
         self.dispatcher.client_disconnected(id, self.now, &mut self.timers);
     }
 
-    /// Tells the dispatcher how an attempt ended.
+    /// Notifies the dispatcher that the response to an attempt is complete.
     pub(crate) fn complete_attempt(&mut self, attempt: AttemptId, result: AttemptResult) {
         self.dispatcher.complete_attempt(attempt, result, self.now, &mut self.timers);
     }
 
-    /// Tells the dispatcher that an attempt failed without a response.
+    /// Notifies the dispatcher that an attempt failed without a response.
     pub(crate) fn abort_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
         self.dispatcher.abort_attempt(attempt, outcome, self.now, &mut self.timers);
     }
--- a/crates/gateway/src/event_loop/discovery_watch.rs
+++ b/crates/gateway/src/event_loop/discovery_watch.rs
@@ -1,4 +1,7 @@
-//! The watch on discovery's endpoint list.
+//! The watch on the endpoint list of the discovery service.
+//!
+//! A watch is one HTTP request whose response never ends: discovery sends the changes of the list as they
+//! happen. The scheduler decides when to open a watch; this module owns its connection and detects its end.
 
 use super::endpoint_table::EndpointTable;
 use super::{Connection, Context};
@@ -11,25 +14,26 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A watch that has not begun to answer by then is given up; discovery itself gives up after 2 s.
+/// A watch is closed if it has delivered nothing this long after it was opened. Discovery itself ends a
+/// request that it cannot serve after 2 s.
 const FIRST_RESPONSE_TIMEOUT: Micros = 2_500_000;
-/// Discovery sends an empty line every 2 s: a longer silence means that the connection is cut off. Every
-/// update must have arrived after 6 s all the same, so there must be time to open another watch, and for that
-/// to fail.
+/// A watch is closed if nothing arrives on it for this long. Discovery sends an empty line as a heartbeat
+/// every 2 s, so a longer silence means that the connection is broken. Every update must take effect within 6
+/// s even then, which leaves time for one failed attempt to open another watch.
 const SILENCE_TIMEOUT: Micros = 2_800_000;
-/// Bytes read in one turn.
-const MAX_READ_PER_TURN: usize = 256 << 10;
+/// How many bytes of a watch are read in one turn.
+const MAX_BYTES_PER_TURN: usize = 256 << 10;
 
-/// Why a watch is over.
+/// Why a watch has ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchFailure {
-    /// Nothing complete has arrived in time.
+    /// Neither an update nor a heartbeat has arrived in time.
     #[error("no data received in time")]
     TimedOut,
     /// Discovery has closed the connection or completed its response.
     #[error("the watch was closed")]
     Ended,
-    /// Discovery sent something invalid.
+    /// Discovery sent an invalid response.
     #[error(transparent)]
     InvalidResponse(#[from] WatchError),
     /// The connection failed.
@@ -40,24 +44,28 @@
 /// The connection of a watch.
 pub(crate) struct WatchConnection {
     socket: Socket,
+    /// Decodes the response.
     parser: WatchParser,
-    /// Whether the request is queued or sent.
+    /// Whether the request was put into the output buffer.
     is_requested: bool,
 }
 
-/// What one read of a watch brought.
+/// The result of one read of a watch.
 struct WatchInput {
+    /// The updates that are complete, in their order.
     updates: Vec<EndpointListUpdate>,
-    /// Whether what followed the updates is valid.
+    /// The error in the input after the updates, if it is invalid.
     parsed: Result<(), WatchError>,
+    /// Whether discovery has closed the connection or completed its response.
     is_ended: bool,
-    /// Whether it proves that the connection works. An incomplete object does not: it must become complete in
-    /// time.
-    is_sign_of_life: bool,
+    /// Whether the input restarts [`SILENCE_TIMEOUT`]. Parts of an object that was incomplete before do not:
+    /// the object must become complete in time.
+    extends_deadline: bool,
 }
 
 impl WatchConnection {
-    /// Sends the request for changes from a version on; false while the connection is not established.
+    /// Sends the request for the changes after version `list_index`, once the connection is established;
+    /// returns false until then.
     fn send_request(&mut self, address: Option<SocketAddr>, list_index: u64) -> io::Result<bool> {
         if !self.is_requested {
             if !self.socket.is_connected()? {
@@ -73,8 +81,9 @@
         Ok(true)
     }
 
+    /// Reads and decodes what has arrived.
     fn receive(&mut self) -> io::Result<WatchInput> {
-        let status = self.socket.read_available(MAX_READ_PER_TURN)?;
+        let status = self.socket.read_available(MAX_BYTES_PER_TURN)?;
         let bytes = std::mem::take(&mut self.socket.input);
         let mut updates = Vec::new();
         let was_mid_object = self.parser.is_mid_object();
@@ -82,44 +91,45 @@
         Ok(WatchInput {
             parsed,
             is_ended: status == StreamStatus::Ended || self.parser.is_complete(),
-            is_sign_of_life: !bytes.is_empty() && (!was_mid_object || !updates.is_empty()),
+            extends_deadline: !bytes.is_empty() && (!was_mid_object || !updates.is_empty()),
             updates,
         })
     }
 }
 
-/// The watch on discovery, over all its connections.
+/// The state of the watch on discovery, which continues over its successive connections.
 #[derive(Debug)]
 pub(super) struct DiscoveryWatch {
-    /// The token of its connection, while there is one.
+    /// The token of its connection, if it is open.
     token: Option<ConnectionToken>,
-    /// When its timer fires, if it is set.
-    deadline: Option<Micros>,
+    /// When [`Timer::DiscoveryWatch`] expires, if it is set.
+    timer_deadline: Option<Micros>,
     /// When its connection was opened.
     opened_at: Micros,
-    /// Whether its connection has delivered an update.
+    /// Whether the current connection has delivered an update.
     has_delivered: bool,
-    /// The version of the endpoint list that is known.
+    /// The version of the endpoint list that was received last; 0 if none is known.
     list_index: u64,
 }
 
 impl DiscoveryWatch {
-    /// No watch yet; it will ask for what follows version `list_index`.
+    /// A watch without a connection; the first request asks for the changes after version `list_index`.
     pub(super) fn new(list_index: u64) -> DiscoveryWatch {
-        DiscoveryWatch { token: None, deadline: None, opened_at: 0, has_delivered: false, list_index }
+        DiscoveryWatch { token: None, timer_deadline: None, opened_at: 0, has_delivered: false, list_index }
     }
 
-    /// Whether there is a connection.
+    /// Whether a connection is open or being established.
     pub(super) fn is_open(&self) -> bool {
         self.token.is_some()
     }
 
-    /// Forgets which version of the list is known: another service may count its versions anew.
+    /// Makes the next request ask for the complete list: another discovery service numbers its versions on
+    /// its own.
     pub(super) fn reset_list_index(&mut self) {
         self.list_index = 0;
     }
 
-    /// Opens a watch, in place of one that is still open.
+    /// Opens a watch, if an address of discovery is configured. A watch that is still open is closed first.
     pub(super) fn open(&mut self, context: &mut Context) {
         let Some(address) = context.config.discovery else { return };
         if let Some(previous) = self.token.take() {
@@ -128,11 +138,12 @@
         self.has_delivered = false;
         self.opened_at = context.now;
         match self.connect(address, context) {
-            Ok(()) => self.set_deadline(Some(context.now + FIRST_RESPONSE_TIMEOUT), context),
+            Ok(()) => self.set_timer(Some(context.now + FIRST_RESPONSE_TIMEOUT), context),
             Err(error) => self.fail(&error.into(), context),
         }
     }
 
+    /// Starts to connect and registers the connection with the poller.
     fn connect(&mut self, address: SocketAddr, context: &mut Context) -> io::Result<()> {
         let mut socket = Socket::connect(address)?;
         let token = context.connections.reserve();
@@ -161,6 +172,7 @@
         }
     }
 
+    /// Takes the next steps on the connection: sends the request, reads updates and applies them.
     fn advance(
         &mut self,
         token: ConnectionToken,
@@ -181,13 +193,14 @@
         if input.is_ended {
             return Err(WatchFailure::Ended);
         }
-        if input.is_sign_of_life {
-            self.set_deadline(Some(context.now + SILENCE_TIMEOUT), context);
+        if input.extends_deadline {
+            self.set_timer(Some(context.now + SILENCE_TIMEOUT), context);
         }
         connection.socket.set_interest(&context.poller, token, Interest::Read)?;
         Ok(())
     }
 
+    /// Records the version of an update, and logs the first update of a connection.
     fn note_update(&mut self, update: &EndpointListUpdate, now: Micros) {
         if !self.has_delivered {
             self.has_delivered = true;
@@ -199,11 +212,11 @@
 
     /// Handles the watch's timer.
     pub(super) fn handle_timeout(&mut self, context: &mut Context) {
-        self.deadline = None;
+        self.timer_deadline = None;
         self.fail(&WatchFailure::TimedOut, context);
     }
 
-    /// The watch has failed; the scheduler says when to open another one.
+    /// Closes a watch that has failed or ended. The scheduler decides when to open another one.
     fn fail(&mut self, failure: &WatchFailure, context: &mut Context) {
         log::info!("discovery: {failure}, {} ms after the call", self.elapsed_ms(context.now));
         let event =
@@ -211,20 +224,21 @@
         self.close(event, context);
     }
 
-    /// Closes the watch, if there is one, and reports it to the dispatcher as `event`.
+    /// Closes the connection, if it is open, and reports `event` to the dispatcher.
     pub(super) fn close(&mut self, event: EndpointListEvent, context: &mut Context) {
         if let Some(token) = self.token.take() {
             context.connections.free(token);
         }
         self.has_delivered = false;
-        self.set_deadline(None, context);
+        self.set_timer(None, context);
         context.dispatcher.update_endpoints(event, &[], context.now);
     }
 
-    fn set_deadline(&mut self, at: Option<Micros>, context: &mut Context) {
-        context.timers.reschedule(&mut self.deadline, at, Timer::DiscoveryWatch);
+    fn set_timer(&mut self, at: Option<Micros>, context: &mut Context) {
+        context.timers.reschedule(&mut self.timer_deadline, at, Timer::DiscoveryWatch);
     }
 
+    /// Milliseconds since the connection was opened.
     fn elapsed_ms(&self, now: Micros) -> Micros {
         (now - self.opened_at) / 1000
     }
--- a/crates/gateway/src/event_loop/endpoint_table.rs
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as the gateway uses it: what discovery or the inventory lists, and what the operator
-//! drains.
+//! The endpoint list as the gateway uses it: the nodes that discovery or the inventory lists, with the
+//! operator's overrides.
 
 use super::Context;
 use crate::connections::node::{NodeAddress, NodeConnections};
@@ -14,15 +14,27 @@
 #[error("no node is named '{0}'")]
 pub(super) struct UnknownNode(String);
 
+/// What the operator has set for a node at the console.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum OperatorOverride {
+    /// The node has the status that the endpoint list states.
+    None,
+    /// The node is draining if the endpoint list states that it is in service.
+    Drain,
+}
+
 /// The nodes as last listed, and those that the operator drains.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
+    /// The records as listed, without overrides, by the name of the node.
     records: BTreeMap<String, EndpointRecord>,
+    /// Names of the nodes with [`OperatorOverride::Drain`]; they stay over changes of the list.
     drained_by_operator: BTreeSet<String>,
 }
 
 impl EndpointTable {
-    /// Applies a list from discovery: addresses go to the connection pools, the rest to the dispatcher.
+    /// Applies a list or a delta from discovery: addresses go to the connection pools, records to the
+    /// dispatcher.
     pub(super) fn apply_update(
         &mut self,
         update: &EndpointListUpdate,
@@ -59,37 +71,30 @@
         Ok(count)
     }
 
-    /// Drains a node until [`EndpointTable::undrain`].
-    pub(super) fn drain(
-        &mut self,
-        name: &str,
-        nodes: &mut NodeConnections,
-        context: &mut Context,
-    ) -> Result<(), UnknownNode> {
-        let record = self.record(name)?;
-        self.drained_by_operator.insert(name.to_owned());
-        self.apply(EndpointListEvent::Delta, vec![record], nodes, context);
-        Ok(())
-    }
-
-    /// Uses a node again as it is listed.
-    pub(super) fn undrain(
+    /// Sets the operator's override of a listed node and applies the node's record with it.
+    pub(super) fn set_override(
         &mut self,
         name: &str,
+        operator_override: OperatorOverride,
         nodes: &mut NodeConnections,
         context: &mut Context,
     ) -> Result<(), UnknownNode> {
         let record = self.record(name)?;
-        self.drained_by_operator.remove(name);
+        match operator_override {
+            OperatorOverride::Drain => self.drained_by_operator.insert(name.to_owned()),
+            OperatorOverride::None => self.drained_by_operator.remove(name),
+        };
         self.apply(EndpointListEvent::Delta, vec![record], nodes, context);
         Ok(())
     }
 
+    /// The record of a node as listed.
     fn record(&self, name: &str) -> Result<EndpointRecord, UnknownNode> {
         self.records.get(name).cloned().ok_or_else(|| UnknownNode(name.to_owned()))
     }
 
-    /// Hands records to the dispatcher; those in service that the operator drains are shown as draining.
+    /// Stores records as listed and passes them to the dispatcher with the operator's overrides. Any event
+    /// but a delta replaces the whole list.
     fn apply(
         &mut self,
         kind: EndpointListEvent,
--- a/crates/gateway/src/event_loop/error.rs
+++ b/crates/gateway/src/event_loop/error.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What can go wrong at the start or in the event loop itself.
+/// An error at the start of the gateway or in the event loop itself.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
     /// The configuration can't be used.
@@ -25,7 +25,7 @@
         /// The system's error.
         error: io::Error,
     },
-    /// A call of the system failed that the gateway can't do without.
+    /// A system call failed without which the gateway can't run.
     #[error("{0}")]
     System(#[from] io::Error),
 }
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -17,20 +17,25 @@
 use io_scheduler::{EndpointListEvent, Micros};
 use rustix::event::epoll::{Event, EventFlags};
 
-/// Ready events handled in one turn.
+/// How many events of the poller are handled in one turn.
 const MAX_EVENTS_PER_TURN: usize = 256;
 
-/// The running gateway.
+/// The running gateway: the owners of its state, joined by the event loop.
 pub struct Gateway {
+    /// The state that the others share.
     pub(super) context: Context,
+    /// The client connections.
     pub(super) clients: ClientConnections,
+    /// The connections to storage nodes.
     pub(super) nodes: NodeConnections,
+    /// The endpoint list.
     pub(super) endpoints: EndpointTable,
+    /// The watch on discovery.
     pub(super) watch: DiscoveryWatch,
 }
 
 impl Gateway {
-    /// Applies the cached endpoint list or the inventory, and listens.
+    /// Starts the gateway: applies the cached endpoint list or the inventory, and listens for clients.
     ///
     /// # Errors
     ///
@@ -79,7 +84,7 @@
         let mut events: Vec<Event> = Vec::with_capacity(MAX_EVENTS_PER_TURN);
         let mut commands = Vec::new();
         loop {
-            self.context.poller.wait(&mut events, self.time_to_wait())?;
+            self.context.poller.wait(&mut events, self.poll_timeout())?;
             self.context.update_now();
             self.run_turn(&events, &mut commands);
             if self.is_shutdown_complete(&events) {
@@ -89,8 +94,9 @@
         }
     }
 
-    /// How long the poller may wait; no limit if nothing is scheduled.
-    fn time_to_wait(&self) -> Option<Micros> {
+    /// How long the poller may wait for events, in microseconds; `None` for no limit if no timer is set. It
+    /// does not wait while the dispatcher has events or commands left from this turn.
+    fn poll_timeout(&self) -> Option<Micros> {
         if self.context.dispatcher.has_work() {
             return Some(0);
         }
@@ -99,7 +105,8 @@
         next.map(|at| self.context.time_until(at))
     }
 
-    /// Handles what is ready, then what is due, then what the scheduler decides on all of it.
+    /// Runs one turn: handles the connections that are ready and the timers that have expired, calls the
+    /// scheduler with all events that came of it, carries out the commands, and closes excess connections.
     fn run_turn(&mut self, events: &[Event], commands: &mut Vec<Command>) {
         for event in events {
             let (flags, data) = (event.flags, event.data);
@@ -134,6 +141,7 @@
         }
     }
 
+    /// Starts what a signal asks for.
     fn handle_signal(&mut self, token: ConnectionToken, mut pipe: SignalPipe) {
         pipe.drain();
         let kind = pipe.kind;
@@ -144,6 +152,7 @@
         }
     }
 
+    /// Passes an expired timer to its owner.
     fn handle_timer(&mut self, timer: Timer) {
         let context = &mut self.context;
         match timer {
@@ -157,6 +166,7 @@
         }
     }
 
+    /// Handles the timer of a client's or node's connection.
     fn handle_connection_timer(&mut self, token: ConnectionToken) {
         let context = &mut self.context;
         match context.connections.take(token) {
@@ -167,6 +177,7 @@
         }
     }
 
+    /// Carries out a command of the dispatcher.
     fn run_command(&mut self, command: Command) {
         let context = &mut self.context;
         match command {
@@ -175,25 +186,26 @@
             }
             Command::AbandonAttempt(attempt) => self.nodes.abandon_attempt(attempt, context),
             Command::Respond { reply_slot, response } => self.clients.respond(reply_slot, response, context),
-            // A watch that was opened meanwhile has its own time to answer.
+            // A watch that is open already keeps its own timeout.
             Command::OpenWatch if self.watch.is_open() => {}
             Command::OpenWatch => self.watch.open(context),
         }
     }
 
+    /// Requests a graceful shutdown.
     pub(super) fn request_shutdown(&mut self) {
         self.context.shutdown.request(self.context.now, &mut self.context.timers);
     }
 
-    /// Closes idle client connections, now and again until the shutdown is complete.
+    /// Closes idle client connections, and sets the timer to do so again until the shutdown is complete.
     fn drain_clients(&mut self) {
         let min_idle_time = self.context.shutdown.drain();
         self.clients.close_idle_for(min_idle_time, &mut self.context);
         self.context.timers.set(self.context.now + DRAIN_GRACE, Timer::Shutdown);
     }
 
-    /// Whether the gateway is draining, has been idle for long enough, and had nothing to handle in this
-    /// turn.
+    /// Updates the idle state of the shutdown after a turn. Returns whether the gateway can end: it is
+    /// draining, has been idle for long enough, and the poller reported no event in this turn.
     fn is_shutdown_complete(&mut self, events: &[Event]) -> bool {
         if !(self.context.shutdown.is_draining() && self.is_idle()) {
             self.context.shutdown.note_busy();
--- a/crates/gateway/src/event_loop/listener.rs
+++ b/crates/gateway/src/event_loop/listener.rs
@@ -7,9 +7,11 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Connections that may wait to be accepted.
+/// Length of the system's queue of connections that wait to be accepted. It is long, as hundreds of clients
+/// may connect at once: the system drops what exceeds the queue, and a client repeats that only after a
+/// second.
 const ACCEPT_BACKLOG: i32 = 1024;
-/// How long accepting pauses when no descriptor is left and no connection can be closed.
+/// How long accepting pauses when a connection cannot be accepted and no idle one can be closed for it.
 const ACCEPT_PAUSE: Micros = 20_000;
 
 /// Which protocol the clients of a listener speak.
@@ -23,20 +25,20 @@
 
 /// A socket that accepts client connections.
 pub(crate) struct Listener {
-    /// The listening socket, not blocking.
+    /// The listening socket, in non-blocking mode.
     pub(crate) socket: TcpListener,
-    /// What its clients speak.
+    /// The protocol of its clients.
     pub(crate) protocol: ListenerProtocol,
 }
 
-/// Listens on an address.
+/// Listens on an address and registers the listener with the poller.
 pub(super) fn listen(
     address: SocketAddr,
     protocol: ListenerProtocol,
     context: &mut Context,
 ) -> Result<(), GatewayError> {
     let socket = TcpListener::bind(address).map_err(|error| GatewayError::Listen { address, error })?;
-    // Clients connect by the hundreds at times; what a short queue drops is tried again only a second later.
+    // The standard library listens with a shorter queue; listening again only changes its length.
     rustix::net::listen(&socket, ACCEPT_BACKLOG).map_err(io::Error::from)?;
     socket.set_nonblocking(true)?;
     let protocol_name = match protocol {
@@ -50,18 +52,19 @@
     Ok(())
 }
 
-/// Stops accepting for a short time.
+/// Stops accepting on all listeners for [`ACCEPT_PAUSE`].
 pub(crate) fn pause_accepting(context: &mut Context) {
     set_listener_events(EventFlags::empty(), context);
     context.timers.set(context.now + ACCEPT_PAUSE, Timer::ResumeAccepting);
 }
 
-/// Accepts connections again.
+/// Accepts connections again on all listeners.
 pub(super) fn resume_accepting(context: &Context) {
     set_listener_events(EventFlags::IN, context);
 }
 
-/// Changes what the poller reports of every listener in the table.
+/// Changes which events the poller reports for every listener. A listener that is just being handled is not
+/// in the table and so keeps its events.
 fn set_listener_events(events: EventFlags, context: &Context) {
     for (token, connection) in context.connections.iter() {
         let Connection::Listener(listener) = connection else { continue };
--- a/crates/gateway/src/event_loop/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -1,10 +1,11 @@
 //! The event loop: one thread that never blocks.
 //!
-//! Each turn handles the connections that are ready, then the timers that have expired, and hands all of it
-//! to the scheduler in one call. Then it carries out the commands that come back.
+//! Each turn handles the connections that are ready, then the timers that have expired. Then it calls the
+//! scheduler once with all events that these have caused, carries out the commands that follow from the
+//! scheduler's actions, and closes excess client connections.
 //!
 //! [`Gateway`] joins the owners of the state: client connections, node connections, the endpoint table and
-//! the discovery watch. What they share is in `Context`, which is passed to each of them.
+//! the discovery watch. The state that they share is in `Context`, which is passed to each of them.
 
 mod clock;
 mod console;
--- a/crates/gateway/src/event_loop/poller.rs
+++ b/crates/gateway/src/event_loop/poller.rs
@@ -1,4 +1,4 @@
-//! Readiness of descriptors, by epoll.
+//! Waits until file descriptors are ready, by epoll (level-triggered).
 
 use crate::connections::ConnectionToken;
 use io_scheduler::Micros;
@@ -8,7 +8,7 @@
 use rustix::io::Errno;
 use std::io;
 
-/// An epoll instance. It reports each descriptor by the token under which it was registered.
+/// An epoll instance. It reports each descriptor with the token that was given at its registration.
 #[derive(Debug)]
 pub(crate) struct Poller {
     epoll: OwnedFd,
@@ -21,7 +21,7 @@
         Ok(Poller { epoll })
     }
 
-    /// Reports `events` of a descriptor from here on, until it is closed.
+    /// Registers a descriptor: `events` of it are reported until it is closed.
     pub(crate) fn register(
         &self,
         descriptor: impl AsFd,
@@ -43,8 +43,11 @@
         Ok(())
     }
 
-    /// Waits until a descriptor is ready, or for `timeout` microseconds if there is one. `events` holds what
-    /// is ready then, at most as much as its capacity; a signal may end the wait with nothing.
+    /// Waits until a descriptor is ready or `timeout` microseconds have passed; without a timeout, for any
+    /// time.
+    ///
+    /// `events` is replaced by the events that are ready, at most as many as its capacity. It is empty after
+    /// a timeout, and if a signal has interrupted the wait.
     pub(crate) fn wait(&self, events: &mut Vec<Event>, timeout: Option<Micros>) -> io::Result<()> {
         let timeout = timeout
             .map(|micros| Timespec { tv_sec: micros / 1_000_000, tv_nsec: (micros % 1_000_000) * 1_000 });
--- a/crates/gateway/src/event_loop/reload.rs
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 
 impl Gateway {
-    /// Reads the configuration again and applies what can change while the gateway runs. An invalid one
-    /// changes nothing. Requests go on meanwhile.
+    /// Reads the configuration again and applies the parts that can change while the gateway runs. An invalid
+    /// configuration changes nothing. Requests in flight are not affected.
     pub(super) fn reload_config(&mut self) {
         let new = match self.context.config.reload(|key| std::env::var(key).ok()) {
             Ok(new) => new,
@@ -19,6 +19,7 @@
         self.apply_config(new);
     }
 
+    /// Applies the log level, the inventory and the address of discovery of a new configuration.
     fn apply_config(&mut self, new: Config) {
         let current = &mut self.context.config;
         if new.settings != current.settings || new.listen != current.listen {
@@ -30,18 +31,19 @@
             log::warn!("inventory not reloaded: {error}");
         }
         if new.discovery != self.context.config.discovery {
-            self.move_discovery(new.discovery);
+            self.set_discovery_address(new.discovery);
         }
     }
 
-    /// Goes over to another discovery service. The watch at the previous address is closed, even if it works.
-    fn move_discovery(&mut self, address: Option<SocketAddr>) {
+    /// Changes the address of the discovery service. The watch at the previous address is closed; the
+    /// scheduler then asks for one at the new address.
+    fn set_discovery_address(&mut self, address: Option<SocketAddr>) {
         self.context.config.discovery = address;
         self.watch.reset_list_index();
         self.watch.close(EndpointListEvent::WatchLost, &mut self.context);
     }
 
-    /// Reads the inventory again; returns how many nodes it lists. An invalid one changes nothing.
+    /// Reads the inventory again; returns how many nodes it lists. An invalid inventory changes nothing.
     pub(super) fn reload_inventory(&mut self) -> Result<usize, InventoryError> {
         self.endpoints.reload_inventory(&mut self.nodes, &mut self.context)
     }
--- a/crates/gateway/src/event_loop/shutdown.rs
+++ b/crates/gateway/src/event_loop/shutdown.rs
@@ -1,15 +1,16 @@
 //! Graceful shutdown.
 //!
-//! After the request everything goes on unchanged for a grace period, as clients may still connect. Then the
-//! gateway drains: idle connections are closed, and it ends once it has been idle for a while.
+//! After the request the gateway serves unchanged for a grace period, [`SHUTDOWN_GRACE`], as clients may
+//! still connect. Then it drains: client connections are closed as soon as they are idle, and the gateway
+//! ends once it has been idle for [`DRAIN_GRACE`].
 
 use crate::timer_queue::{Timer, TimerQueue};
 use io_scheduler::Micros;
 
-/// How long everything goes on unchanged after SIGTERM: new connections may still come.
+/// How long the gateway serves unchanged after the request: clients may not know yet that it ends.
 const SHUTDOWN_GRACE: Micros = 750_000;
-/// How long the gateway must have been idle before it ends. A request that crossed the closing of its
-/// connection is sent again on a new one, and would be lost in the listener's queue.
+/// How long the gateway must be idle before it ends. A client whose request crossed the close of its
+/// connection on the wire repeats it on a new connection, which the gateway must still accept.
 pub(super) const DRAIN_GRACE: Micros = 100_000;
 
 /// Progress of a graceful shutdown.
@@ -42,25 +43,26 @@
         self.is_draining
     }
 
-    /// Begins or goes on to drain. Returns how long a connection must have been idle to be closed now: the
-    /// first time every idle one is, later those that were opened since and stay idle.
+    /// Starts or continues draining. Returns for how many microseconds a connection must have been idle to be
+    /// closed now: 0 at the first call, later [`DRAIN_GRACE`], so that new connections have time to send a
+    /// request.
     pub(super) fn drain(&mut self) -> Micros {
         let min_idle_time = if self.is_draining { DRAIN_GRACE } else { 0 };
         self.is_draining = true;
         min_idle_time
     }
 
-    /// When the gateway has been idle for long enough, if it is idle.
+    /// When the gateway will have been idle for long enough to end; `None` if it is not idle.
     pub(super) fn completes_at(&self) -> Option<Micros> {
         self.idle_since.map(|since| since + DRAIN_GRACE)
     }
 
-    /// The gateway is not idle.
+    /// Records that the gateway is not idle.
     pub(super) fn note_busy(&mut self) {
         self.idle_since = None;
     }
 
-    /// The gateway is idle; returns whether it has been so for long enough.
+    /// Records that the gateway is idle; returns whether it has been so for long enough to end.
     pub(super) fn note_idle(&mut self, now: Micros) -> bool {
         let idle_since = *self.idle_since.get_or_insert(now);
         now - idle_since >= DRAIN_GRACE
--- a/crates/gateway/src/event_loop/signals.rs
+++ b/crates/gateway/src/event_loop/signals.rs
@@ -1,4 +1,4 @@
-//! Signals, brought to the event loop by pipes.
+//! Signals, which reach the event loop through pipes.
 
 use super::{Connection, Context};
 use rustix::event::epoll::EventFlags;
@@ -19,11 +19,12 @@
 /// The end of a pipe that becomes readable when a signal arrives.
 pub(crate) struct SignalPipe {
     stream: UnixStream,
+    /// The meaning of the signals that this pipe reports.
     pub(super) kind: SignalKind,
 }
 
 impl SignalPipe {
-    /// Reads all bytes that stand for signals.
+    /// Reads all bytes out of the pipe; each stands for one signal.
     pub(super) fn drain(&mut self) {
         while self.stream.read(&mut [0; 64]).is_ok_and(|count| count > 0) {}
     }
@@ -35,6 +36,7 @@
     register(SignalKind::Reload, &[SIGHUP], context)
 }
 
+/// Creates the pipe for signals of one kind, and registers it with the poller.
 fn register(kind: SignalKind, signals: &[c_int], context: &mut Context) -> io::Result<()> {
     let (stream, writer) = UnixStream::pair()?;
     stream.set_nonblocking(true)?;
