--- a/crates/gateway/src/dispatcher/command.rs
+++ b/crates/gateway/src/dispatcher/command.rs
@@ -1,11 +1,11 @@
-//! What the dispatcher tells the event loop to do.
+//! The commands that the dispatcher gives to the event loop.
 
 use super::{ReplySlot, Response, StorageRequest};
 use crate::timer_queue::AttemptId;
 use io_scheduler::{Micros, NodeId};
 use std::sync::Arc;
 
-/// One step for the event loop. Commands are carried out in the order in which they are given.
+/// A command for the event loop. Commands are carried out in the order in which they are given.
 #[derive(Debug)]
 pub enum Command {
     /// Forward a request to a node.
@@ -14,9 +14,9 @@
         attempt: AttemptId,
         /// The node to forward to.
         node: NodeId,
-        /// When the attempt is given up.
+        /// When the attempt times out.
         deadline: Micros,
-        /// What is forwarded.
+        /// The request to forward.
         request: Arc<StorageRequest>,
     },
     /// Stop an attempt: its result is no longer awaited.
--- a/crates/gateway/src/dispatcher/in_flight.rs
+++ b/crates/gateway/src/dispatcher/in_flight.rs
@@ -10,37 +10,41 @@
 /// An attempt whose result is awaited.
 #[derive(Debug)]
 pub(super) struct InFlightAttempt {
+    /// Number of the attempt within its request, from 0.
     number: u32,
     /// The node it was dispatched to.
     pub(super) node: NodeId,
     /// When it was dispatched.
     pub(super) dispatched_at: Micros,
-    /// When it is given up.
+    /// When it times out.
     pub(super) deadline: Micros,
-    /// A byte that may take effect at the node has been written.
+    /// Whether enough of the request was written for it to take effect at the node.
     pub(super) may_have_run: bool,
 }
 
 /// A request that awaits its final response or the result of an attempt.
 #[derive(Debug)]
 pub(super) struct InFlightRequest {
-    request: Arc<StorageRequest>,
+    storage_request: Arc<StorageRequest>,
     /// Where the final response goes; `None` once it was sent or the client has disconnected.
     reply_slot: Option<ReplySlot>,
+    /// See [`InFlightRequest::deadline`].
     deadline: Micros,
-    /// In the order in which they started.
+    /// The attempts whose results are awaited, in the order in which they started.
     attempts: Vec<InFlightAttempt>,
+    /// Number of attempts started so far, and so the number of the next attempt.
     attempts_started: u32,
+    /// Whether the attempt that ended last has timed out.
     last_attempt_timed_out: bool,
 }
 
 impl InFlightRequest {
-    /// What the client sent.
-    pub(super) fn request(&self) -> &Arc<StorageRequest> {
-        &self.request
+    /// The request as the client sent it.
+    pub(super) fn storage_request(&self) -> &Arc<StorageRequest> {
+        &self.storage_request
     }
 
-    /// When the response has to be on its way to the client.
+    /// The latest time to send the final response, so that it reaches the client in time.
     pub(super) fn deadline(&self) -> Micros {
         self.deadline
     }
@@ -50,12 +54,12 @@
         self.reply_slot.is_some()
     }
 
-    /// Hands out the place of the final response, once only.
+    /// Takes the reply slot for the final response. Returns it once only, so that there is only one response.
     pub(super) fn take_reply_slot(&mut self) -> Option<ReplySlot> {
         self.reply_slot.take()
     }
 
-    /// Whether a failure now is due to a timeout.
+    /// Whether a failure at the time `now` is reported to the client as a timeout.
     pub(super) fn has_timed_out(&self, now: Micros) -> bool {
         self.last_attempt_timed_out || self.deadline <= now
     }
@@ -81,12 +85,13 @@
         Some(self.attempts.remove(position))
     }
 
-    /// Numbers of the attempts that have not begun at their node.
+    /// Numbers of the attempts of which not enough was written to take effect at their node.
     pub(super) fn unwritten_attempts(&self) -> Vec<u32> {
         let unwritten = self.attempts.iter().filter(|attempt| !attempt.may_have_run);
         unwritten.map(|attempt| attempt.number).collect()
     }
 
+    /// Whether neither the client nor an attempt needs the request any more.
     fn is_finished(&self) -> bool {
         !self.awaits_response() && self.attempts.is_empty()
     }
@@ -98,9 +103,11 @@
     requests: HashMap<RequestId, InFlightRequest>,
     /// The client request ids of `requests`.
     client_request_ids: HashSet<Box<str>>,
+    /// Number of the next request id.
     next_id: u64,
-    /// Total size of the bodies of `requests`.
+    /// Total size of the bodies of `requests`, in bytes.
     buffered_body_bytes: usize,
+    /// Bounds the number of `requests` and the size of their bodies.
     budget: MemoryBudget,
 }
 
@@ -145,7 +152,7 @@
         self.buffered_body_bytes += request.body.len();
         self.client_request_ids.insert(request.client_request_id.clone());
         let in_flight = InFlightRequest {
-            request: Arc::new(request),
+            storage_request: Arc::new(request),
             reply_slot: Some(reply_slot),
             deadline,
             attempts: Vec::new(),
@@ -183,8 +190,8 @@
             return None;
         }
         let removed = self.requests.remove(&id)?;
-        self.buffered_body_bytes -= removed.request.body.len();
-        self.client_request_ids.remove(&removed.request.client_request_id);
+        self.buffered_body_bytes -= removed.storage_request.body.len();
+        self.client_request_ids.remove(&removed.storage_request.client_request_id);
         Some(removed)
     }
 
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,8 +1,8 @@
 //! The dispatcher joins clients, nodes and the scheduler, independent of sockets and wire formats.
 //!
-//! It reports what happens to the scheduler as events, turns the scheduler's actions into commands for the
-//! event loop, makes sure that each request gets exactly one final response, keeps requests away from
-//! draining nodes and counts the service that each volume gets.
+//! It reports requests, attempts and endpoint lists to the scheduler as events, and turns the scheduler's
+//! actions into commands for the event loop. It makes sure that each request gets exactly one final response,
+//! prevents new attempts from being written to draining nodes, and counts the service that each volume gets.
 
 mod command;
 mod in_flight;
@@ -32,12 +32,12 @@
 use std::sync::Arc;
 use volume_counters::VolumeCounterTable;
 
-/// A response has to be on its way this long before its client gives up, or a quarter of the client's waiting
-/// time before, whichever is shorter.
+/// Time reserved for the final response to reach the client before the client's timeout; at most a quarter of
+/// that timeout.
 const RESPONSE_DELIVERY_MARGIN: Micros = 6_000;
-/// The dispatcher fails a request this long after its deadline if the scheduler has not ended it.
+/// How long after its deadline the dispatcher itself fails a request that the scheduler has not ended.
 const OVERDUE_GRACE: Micros = 3_000;
-/// How long a client should wait before a retry when the memory budget is exhausted.
+/// Retry-After of requests that are rejected because the memory budget is exhausted.
 const OVERLOADED_RETRY_AFTER: Micros = 250_000;
 
 /// Joins clients, nodes and the scheduler; see the [module](self).
@@ -46,18 +46,18 @@
     in_flight: InFlightTable,
     nodes: NodeTable,
     volume_counters: VolumeCounterTable,
-    /// Events for the next call of the scheduler.
+    /// Events to pass to the next call of the scheduler.
     events: Vec<Event>,
-    /// Buffer for the scheduler's actions, empty between its calls.
+    /// Buffer for the scheduler's actions, kept to reuse its memory; empty between calls.
     actions: Vec<Action>,
     /// Commands that the event loop has not taken yet.
     commands: Vec<Command>,
-    /// When [`Timer::Scheduler`] is set for.
+    /// The time for which [`Timer::Scheduler`] is set, if it is set.
     scheduler_timer: Option<Micros>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without nodes and requests. `seed` is for the scheduler's random choices.
+    /// A dispatcher without nodes and requests. `seed` seeds the scheduler's random choices.
     ///
     /// # Errors
     ///
@@ -81,12 +81,14 @@
         })
     }
 
-    /// The id of a node. A name keeps its id until the node is removed and its last attempt has ended.
+    /// The id of a node, allocated if the name has none. A name keeps its id until the node is removed and
+    /// its last attempt has ended.
     pub fn node_id(&mut self, name: &str) -> NodeId {
         self.nodes.id_of(name)
     }
 
-    /// Applies an endpoint list, or changes to it.
+    /// Applies an endpoint list or a delta, and reports it to the scheduler. `kind` may also be the failure
+    /// of a poll or watch, without records.
     pub fn update_endpoints(&mut self, kind: EndpointListEvent, records: &[EndpointRecord], now: Micros) {
         let endpoints = self.nodes.apply(kind, records, now);
         self.events.push(Event::EndpointList(kind, endpoints));
@@ -98,8 +100,9 @@
         self.nodes.contains(node)
     }
 
-    /// Whether the first byte of an attempt may still go to a node. The scheduler dispatches nothing to a
-    /// node that it knows to drain, but an attempt may have waited for its connection since.
+    /// Whether an attempt may start to be written to a node at the time `now`. The scheduler dispatches
+    /// nothing to a draining node, but the node may have started to drain while an attempt waited for its
+    /// connection.
     #[must_use]
     pub fn may_write(&self, node: NodeId, now: Micros) -> bool {
         self.nodes.may_write(node, now)
@@ -116,7 +119,7 @@
         self.nodes.iter()
     }
 
-    /// The counters of the volumes that are asked for most, by volume.
+    /// The counters of the volumes with the most requests, by volume.
     #[must_use]
     pub fn volume_counters(&self) -> &BTreeMap<u64, VolumeCounters> {
         self.volume_counters.by_volume()
@@ -162,14 +165,14 @@
         id
     }
 
-    /// The client has disconnected. Attempts that have not begun at their node never do, even where attempts
-    /// cannot be cancelled.
+    /// Records that the client of a request has disconnected. Attempts that cannot have taken effect yet are
+    /// aborted at once, whether or not the scheduler cancels attempts that may have run.
     pub fn client_disconnected(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
-        let Some(request) = self.in_flight.get_mut(id) else { return };
-        if request.take_reply_slot().is_none() {
+        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
+        if in_flight.take_reply_slot().is_none() {
             return;
         }
-        let unwritten = request.unwritten_attempts();
+        let unwritten = in_flight.unwritten_attempts();
         self.events.push(Event::ClientDisconnected(id));
         for number in unwritten {
             let attempt = AttemptId { request: id, number };
@@ -183,14 +186,15 @@
         self.in_flight.attempt(attempt).is_some()
     }
 
-    /// A byte of this attempt that may take effect has been written to the node.
+    /// Records that enough of an attempt was written to its node for the request to take effect.
     pub fn mark_written(&mut self, attempt: AttemptId) {
         if let Some(attempt) = self.in_flight.attempt_mut(attempt) {
             attempt.may_have_run = true;
         }
     }
 
-    /// An attempt has ended. Results of attempts that are not awaited are ignored.
+    /// Records the end of an attempt, responds to the client if the request was served, and reports the
+    /// result to the scheduler. Results of attempts that are not awaited are ignored.
     pub fn complete_attempt(
         &mut self,
         attempt: AttemptId,
@@ -199,11 +203,11 @@
         timers: &mut TimerQueue,
     ) {
         let AttemptResult { outcome, body, remote_units, utilization } = result;
-        let Some(request) = self.in_flight.get_mut(attempt.request) else { return };
+        let Some(in_flight) = self.in_flight.get_mut(attempt.request) else { return };
         let timed_out = outcome == Outcome::TimedOut;
-        let Some(completed) = request.remove_attempt(attempt.number, timed_out) else { return };
+        let Some(completed) = in_flight.remove_attempt(attempt.number, timed_out) else { return };
         timers.cancel(completed.deadline, Timer::AttemptTimeout(attempt));
-        let served_units = if outcome == Outcome::Served { request.request().units } else { 0.0 };
+        let served_units = if outcome == Outcome::Served { in_flight.storage_request().units } else { 0.0 };
         self.nodes.attempt_completed(completed.node, served_units);
         if let (Outcome::Served, Some(body)) = (outcome, body) {
             self.respond(attempt.request, Response::Served(body));
@@ -221,10 +225,11 @@
         self.remove_if_finished(attempt.request, timers);
     }
 
-    /// Ends an attempt that was given up or lost its connection; `outcome` applies if it may have run.
+    /// Ends an attempt that has no result: it was cancelled, has timed out or lost its connection.
     ///
-    /// If no byte that may take effect was written, the outcome is [`Outcome::ConnectFailed`], or
-    /// [`Outcome::NotDispatched`] for a cancelled attempt, which says nothing about its node.
+    /// `outcome` is reported to the scheduler if the request may have run. Otherwise the outcome is
+    /// [`Outcome::NotDispatched`] for a cancelled attempt, which says nothing about its node, and
+    /// [`Outcome::ConnectFailed`] for all others.
     pub fn abort_attempt(
         &mut self,
         attempt: AttemptId,
@@ -261,7 +266,8 @@
         !self.events.is_empty() || !self.commands.is_empty()
     }
 
-    /// Calls the scheduler once with all pending events, and appends what is to be done to `commands`.
+    /// Calls the scheduler once with all pending events, if there are any, and moves the pending commands to
+    /// `commands`.
     pub fn run_scheduler(&mut self, now: Micros, timers: &mut TimerQueue, commands: &mut Vec<Command>) {
         if !self.events.is_empty() {
             self.call_scheduler(now, timers);
@@ -269,6 +275,7 @@
         commands.append(&mut self.commands);
     }
 
+    /// Passes the pending events to the scheduler and applies its actions.
     fn call_scheduler(&mut self, now: Micros, timers: &mut TimerQueue) {
         let events = std::mem::take(&mut self.events);
         let mut actions = std::mem::take(&mut self.actions);
@@ -284,6 +291,7 @@
         self.actions = actions;
     }
 
+    /// Applies an action of the scheduler.
     fn apply_action(&mut self, action: &Action, now: Micros, timers: &mut TimerQueue) {
         match *action {
             Action::Dispatch { request, node, deadline } => {
@@ -315,7 +323,7 @@
     ) {
         let Some(in_flight) = self.in_flight.get_mut(id) else { return };
         let number = in_flight.start_attempt(node, now, deadline);
-        let request = Arc::clone(in_flight.request());
+        let request = Arc::clone(in_flight.storage_request());
         let attempt = AttemptId { request: id, number };
         timers.set(deadline, Timer::AttemptTimeout(attempt));
         self.nodes.attempt_started(node);
@@ -323,7 +331,8 @@
         self.commands.push(Command::StartAttempt { attempt, node, deadline, request });
     }
 
-    /// Gateways send no health checks. Should the scheduler ask for one, it gets a failed one.
+    /// Reports a failed health check: the gateway sends none, and the scheduler must get a result if it asks
+    /// for one.
     fn fail_health_check(&mut self, node: NodeId) {
         self.events.push(Event::HealthCheckCompleted { node, healthy: false, elapsed: 0, load: None });
     }
@@ -337,11 +346,12 @@
 
     /// Ends a request that the scheduler has left without a final response past its deadline.
     fn fail_overdue(&mut self, id: RequestId) {
-        let Some(request) = self.in_flight.get(id) else { return };
-        if !request.awaits_response() {
+        let Some(in_flight) = self.in_flight.get(id) else { return };
+        if !in_flight.awaits_response() {
             return;
         }
-        log::warn!("request {} had no response at its deadline", request.request().client_request_id);
+        let client_request_id = &in_flight.storage_request().client_request_id;
+        log::warn!("request {client_request_id} had no response at its deadline");
         self.respond(id, Response::TimedOut);
         self.events.push(Event::ClientDisconnected(id));
     }
@@ -352,19 +362,21 @@
         self.remove_if_finished(id, timers);
     }
 
-    /// Sends the final response, unless the request has got one or its client has disconnected.
+    /// Sends the final response, unless one was sent already or the client has disconnected.
     fn respond(&mut self, id: RequestId, response: Response) {
         let Some(in_flight) = self.in_flight.get_mut(id) else { return };
         let Some(reply_slot) = in_flight.take_reply_slot() else { return };
-        let request = in_flight.request();
+        let request = in_flight.storage_request();
         self.volume_counters.record_response(request.volume, request.units, &response);
         self.commands.push(Command::Respond { reply_slot, response });
     }
 
+    /// Whether the client still waits for the final response.
     fn awaits_response(&self, id: RequestId) -> bool {
         self.in_flight.get(id).is_some_and(InFlightRequest::awaits_response)
     }
 
+    /// Removes a request that needs neither a final response nor the result of an attempt.
     fn remove_if_finished(&mut self, id: RequestId, timers: &mut TimerQueue) {
         if let Some(removed) = self.in_flight.remove_finished(id) {
             timers.cancel(removed.deadline() + OVERDUE_GRACE, Timer::RequestOverdue(id));
@@ -372,13 +384,13 @@
     }
 }
 
-/// When the response to a client that waits for `client_timeout` has to be on its way.
+/// The latest time to send the final response to a client that waits for `client_timeout` from `now` on.
 fn response_deadline(now: Micros, client_timeout: Micros) -> Micros {
     let margin = RESPONSE_DELIVERY_MARGIN.min(client_timeout / 4);
     now + (client_timeout - margin).max(0)
 }
 
-/// A client's request in the scheduler's terms.
+/// A client's request in the scheduler's form.
 fn scheduler_request(id: RequestId, request: &StorageRequest, deadline: Micros) -> Request {
     Request {
         id,
--- a/crates/gateway/src/dispatcher/nodes.rs
+++ b/crates/gateway/src/dispatcher/nodes.rs
@@ -1,14 +1,15 @@
-//! The storage nodes of the endpoint list: their ids, their state and the guard against writing to a node
-//! that drains.
+//! The storage nodes of the endpoint list: their ids, their state and the drain guard, which stops new
+//! attempts from being written to a draining node.
 
 use crate::endpoint::EndpointRecord;
 use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, Micros, NodeId, Shard, Zone};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Writing to a draining node stops this long before the drain grace ends, or after half of a shorter grace.
+/// No attempt is started at a draining node in the last part of its drain grace. That part is this long, or
+/// half of the drain grace if that is shorter.
 const DRAIN_SAFETY_MARGIN: Micros = 30_000;
 
-/// What is known of a node.
+/// The state of a node.
 #[derive(Clone, Debug)]
 pub struct NodeState {
     /// Name in the endpoint list.
@@ -17,16 +18,16 @@
     pub shard: u64,
     /// Status in the endpoint list.
     pub status: EndpointStatus,
-    /// Units of service that this gateway got from the node.
+    /// Units of service that the node has served to this gateway.
     pub units: f64,
     /// Attempts in flight at the node.
     pub attempts_in_flight: usize,
-    /// No attempt may begin to be written from this time on.
+    /// From this time on no attempt may start to be written to the node; `None` while it is in service.
     write_deadline: Option<Micros>,
 }
 
 impl NodeState {
-    /// A node that no endpoint list has stated yet.
+    /// A node that no endpoint list has named yet.
     fn unlisted(name: &str) -> NodeState {
         NodeState {
             name: name.to_owned(),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// A removed node stays known while attempts are in flight at it.
+    /// Whether the node can be forgotten: it is removed and no attempt is in flight at it.
     fn is_obsolete(&self) -> bool {
         self.status == EndpointStatus::Removed && self.attempts_in_flight == 0
     }
@@ -48,11 +49,13 @@
 #[derive(Debug)]
 pub(super) struct NodeTable {
     nodes: BTreeMap<NodeId, NodeState>,
+    /// The ids of `nodes` by the name of the node.
     ids_by_name: HashMap<String, NodeId>,
+    /// Number of the next node id; ids are not used again.
     next_id: u64,
     /// Names of the zones; a zone's number is its position.
     zones: Vec<String>,
-    /// How long after its removal from service a node may still be written to.
+    /// How long a node still serves after an endpoint list has taken it out of service.
     drain_grace: Micros,
 }
 
@@ -62,7 +65,7 @@
         NodeTable { nodes: BTreeMap::new(), ids_by_name: HashMap::new(), next_id: 0, zones, drain_grace }
     }
 
-    /// The id of a node, which gets one if it has none.
+    /// The id of a node. A node that is not in the table yet is added to it.
     pub(super) fn id_of(&mut self, name: &str) -> NodeId {
         if let Some(id) = self.ids_by_name.get(name) {
             return *id;
@@ -89,13 +92,13 @@
         self.nodes.values().any(|node| node.status == EndpointStatus::InService)
     }
 
-    /// Whether an attempt may begin to be written to a node.
+    /// Whether an attempt may start to be written to a node at the time `now`.
     pub(super) fn may_write(&self, node: NodeId, now: Micros) -> bool {
         let Some(node) = self.nodes.get(&node) else { return false };
         node.write_deadline.is_none_or(|deadline| now < deadline)
     }
 
-    /// Applies an endpoint list, or changes to it, and returns it in the scheduler's terms.
+    /// Applies an endpoint list or a delta, and returns its records in the scheduler's form.
     pub(super) fn apply(
         &mut self,
         kind: EndpointListEvent,
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Counts an attempt that ended at a node after `served_units` of service.
+    /// Counts an attempt that ended at a node, with the units of service that the node has served for it.
     pub(super) fn attempt_completed(&mut self, id: NodeId, served_units: f64) {
         let Some(node) = self.nodes.get_mut(&id) else { return };
         node.attempts_in_flight = node.attempts_in_flight.saturating_sub(1);
@@ -129,6 +132,7 @@
         }
     }
 
+    /// Applies a record and returns it in the scheduler's form.
     fn apply_record(&mut self, record: &EndpointRecord) -> Endpoint {
         let zone = self.zone_number(&record.zone);
         let id = self.id_of(&record.name);
@@ -145,6 +149,7 @@
         }
     }
 
+    /// The number of a zone; a zone that no settings or record have named yet gets the next number.
     fn zone_number(&mut self, name: &str) -> Zone {
         let known = self.zones.iter().position(|zone| zone == name);
         let position = known.unwrap_or(self.zones.len());
@@ -154,6 +159,7 @@
         Zone(position as u64)
     }
 
+    /// Sets the status of all nodes that a complete endpoint list does not name.
     fn mark_unlisted_as_removed(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<NodeId> = endpoints.iter().map(|endpoint| endpoint.node).collect();
         for (id, node) in &mut self.nodes {
@@ -163,7 +169,8 @@
         }
     }
 
-    /// A node's first list entry out of service starts its drain grace; later ones leave it as it is.
+    /// Sets the write deadline of nodes that have just gone out of service, keeps that of nodes that were out
+    /// of service before, and clears that of nodes in service.
     fn update_write_deadlines(&mut self, now: Micros) {
         let margin = DRAIN_SAFETY_MARGIN.min(self.drain_grace / 2);
         let deadline = now + self.drain_grace - margin;
@@ -175,7 +182,8 @@
         }
     }
 
-    /// Without this the table would grow without bound where replaced nodes get new names.
+    /// Removes nodes that can be forgotten. The table would grow without bound otherwise, as nodes that
+    /// replace others may have new names.
     fn forget_obsolete(&mut self) {
         let ids_by_name = &mut self.ids_by_name;
         self.nodes.retain(|_, node| {
--- a/crates/gateway/src/dispatcher/request.rs
+++ b/crates/gateway/src/dispatcher/request.rs
@@ -21,15 +21,15 @@
 /// One request of a client.
 #[derive(Clone, Debug)]
 pub struct StorageRequest {
-    /// What the node is to do.
+    /// The operation to run.
     pub operation: Operation,
     /// The object, by its number.
     pub object: u64,
-    /// Name of the object, where the client's protocol has names.
+    /// Name of the object, if the client's protocol names objects.
     pub object_name: Option<Box<str>>,
     /// The volume that the object belongs to.
     pub volume: u64,
-    /// The client's own id of the request, which the nodes get as well. Unique among the requests in flight.
+    /// The client's id of the request, which is also sent to the nodes. Unique among the requests in flight.
     pub client_request_id: Box<str>,
     /// Class of the request, an index into the deployment settings.
     pub class: usize,
@@ -51,13 +51,13 @@
     pub parameters: RequestParameters,
 }
 
-/// The client's list of parameters, split around the value of its waiting time. A node gets both parts
-/// unchanged, with the remaining time between them.
+/// The client's list of parameters, split around the value of its timeout. A node gets both parts unchanged,
+/// with the remaining time as the value between them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestParameters {
-    /// The list up to the value of the waiting time.
+    /// The list up to the value of the timeout.
     pub before_timeout: Box<str>,
-    /// The list after the value of the waiting time.
+    /// The list after the value of the timeout.
     pub after_timeout: Box<str>,
 }
 
@@ -83,10 +83,10 @@
     NotFound,
 }
 
-/// Why a request was not accepted. The client gets the text.
+/// Why a request was not accepted. The error text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidRequest {
-    /// A request with the same client request id is in flight. A node could not tell the two apart and would
+    /// A request with the same client request id is in flight. A node could not distinguish the two and would
     /// run only one of them.
     #[error("the id is that of an open request")]
     DuplicateClientRequestId,
@@ -97,31 +97,31 @@
 pub enum Response {
     /// A node has run the request.
     Served(ResponseBody),
-    /// The request was rejected. A retry does no harm after a wait.
+    /// The request was rejected and has not run: the client may retry it.
     Rejected {
-        /// Microseconds to wait; 0 stands for no advice.
+        /// Retry-After: how many microseconds the client should wait before a retry; 0 if there is no advice.
         retry_after: Micros,
     },
     /// The request was not accepted because of an error of the client.
     Invalid(InvalidRequest),
     /// The request failed and may have run.
     Failed,
-    /// As [`Response::Failed`], because there was no result in time.
+    /// The request failed because there was no result in time; it may have run.
     TimedOut,
 }
 
 /// How an attempt at a node ended.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The outcome, as the scheduler counts it.
+    /// The outcome that is reported to the scheduler.
     pub outcome: Outcome,
     /// The node's result, if the node has served the request.
     pub body: Option<ResponseBody>,
-    /// Units that the node served for the volume through other gateways since its last response to this
-    /// one, 0 if not reported.
+    /// Units of service that the volume got from the node through other gateways since the node's last
+    /// response to this gateway; 0 if not reported.
     pub remote_units: f64,
-    /// Part of the volume's provisioned rate that was served everywhere in the last report period, if
-    /// reported.
+    /// Part of the volume's provisioned rate that was served in the last report period, over all gateways and
+    /// nodes; `None` if not reported.
     pub utilization: Option<f64>,
 }
 
@@ -133,7 +133,7 @@
     }
 }
 
-/// Where a response goes.
+/// The destination of a response: a place among the replies of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplySlot {
     /// Token of the client's connection.
--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -1,15 +1,15 @@
-//! Counters of the service that each volume got, for the console.
+//! Counters of the requests and the service of each volume, for the console.
 
 use super::Response;
 use std::collections::BTreeMap;
 
-/// Most volumes with counters.
+/// How many volumes may have counters at once.
 const MAX_VOLUME_COUNTERS: usize = 2_000;
 
 /// Requests and service of one volume since its counters were created.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VolumeCounters {
-    /// Requests received with a client request id of their own.
+    /// Requests received, without those whose client request id was in flight already.
     pub received: u64,
     /// Requests served.
     pub served: u64,
@@ -23,7 +23,7 @@
     pub attempts: u64,
 }
 
-/// The counters of the volumes that are asked for most.
+/// The counters of the volumes with the most requests.
 #[derive(Debug, Default)]
 pub(super) struct VolumeCounterTable {
     by_volume: BTreeMap<u64, VolumeCounters>,
@@ -66,7 +66,8 @@
         self.by_volume.entry(volume).or_default()
     }
 
-    /// Drops the half of the volumes with the fewest requests: clients may name any number of volumes.
+    /// Removes the counters of the half of the volumes with the fewest requests. This bounds the table, as
+    /// clients may name any number of volumes.
     fn evict_less_used_half(&mut self) {
         let mut received: Vec<u64> = self.by_volume.values().map(|counters| counters.received).collect();
         let middle = received.len() / 2;
--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -1,11 +1,12 @@
-//! One entry of the endpoint list, as discovery, the inventory and the dispatcher share it.
+//! An entry of the endpoint list, in the form that discovery, the inventory and the dispatcher share.
 
 use io_scheduler::{EndpointStatus, Micros};
 
-/// A storage node as an endpoint list states it, without its address.
+/// A storage node as an endpoint list states it, without its address: connections are not the dispatcher's
+/// concern.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Name of the node, unchanged over restarts.
+    /// Name of the node; it stays the same when the node restarts.
     pub name: String,
     /// Name of the node's zone.
     pub zone: String,
@@ -13,6 +14,7 @@
     pub shard: u64,
     /// Whether the node is in service, draining or removed.
     pub status: EndpointStatus,
-    /// When the node's process last started, if the list states it; in microseconds of the gateway's clock.
+    /// When the node's process last started, in microseconds since the Unix epoch; `None` if the list does
+    /// not state it.
     pub started_at: Option<Micros>,
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,4 +1,7 @@
 //! A storage gateway that shares storage nodes fairly among volumes.
+//!
+//! [`event_loop::Gateway`] runs the program. `docs/architecture.md` describes its parts, the owners of its
+//! state and the path of a request.
 #![forbid(unsafe_code)]
 
 pub mod client_protocol;
--- a/crates/gateway/src/timer_queue.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -1,4 +1,4 @@
-//! The timers of the whole program, sorted by time; the event loop takes the expired ones in every turn.
+//! The timers of the gateway, sorted by time. The event loop handles the expired ones in every turn.
 
 use crate::connections::ConnectionToken;
 use io_scheduler::{Micros, RequestId};
@@ -15,19 +15,18 @@
 
 /// What to do when a timer expires.
 ///
-/// Timers that expire at the same time are taken in the order of the variants.
+/// Timers that are set for the same time expire in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// Give an attempt up. Sorts before [`Timer::Scheduler`]: the scheduler learns of the timeout in the
-    /// same turn.
+    /// Abort an attempt that has timed out.
     AttemptTimeout(AttemptId),
-    /// Call the scheduler, which asked for it with [`io_scheduler::Action::SetTimer`].
+    /// Call the scheduler, which has set this timer by [`io_scheduler::Action::SetTimer`].
     Scheduler,
-    /// Fail a request that has no final response although its deadline has passed.
+    /// Fail a request that has no final response some time after its deadline.
     RequestOverdue(RequestId),
-    /// Close a connection that has not been established in time or has been idle for too long.
+    /// Close a connection that has not been established in time or has made no progress for too long.
     Connection(ConnectionToken),
-    /// End the watch on the discovery service, which has been silent for too long.
+    /// Close the watch on the discovery service, on which nothing has arrived for too long.
     DiscoveryWatch,
     /// Take the next step of the graceful shutdown.
     Shutdown,
@@ -35,7 +34,7 @@
     ResumeAccepting,
 }
 
-/// Pending timers in the order of their time.
+/// The pending timers in the order of their times, in microseconds.
 #[derive(Debug, Default)]
 pub struct TimerQueue {
     pending: BTreeSet<(Micros, Timer)>,
@@ -47,13 +46,15 @@
         self.pending.insert((at, timer));
     }
 
-    /// Cancels a timer that was set for the time `at`; without effect if it is not pending.
+    /// Cancels a timer that was set for the time `at`. Has no effect if it is not pending.
     pub fn cancel(&mut self, at: Micros, timer: Timer) {
         self.pending.remove(&(at, timer));
     }
 
-    /// Moves a timer from the time in `set_for`, if it is set, to `new_time`, and notes the new time there.
-    /// Without a `new_time` the timer is only cancelled.
+    /// Moves a timer to `new_time`, or cancels it if that is `None`.
+    ///
+    /// `set_for` is where the caller keeps the time for which the timer is set, `None` if it is not set. The
+    /// call replaces it by `new_time`.
     pub fn reschedule(&mut self, set_for: &mut Option<Micros>, new_time: Option<Micros>, timer: Timer) {
         if let Some(at) = set_for.take() {
             self.cancel(at, timer);
@@ -70,7 +71,7 @@
         self.pending.first().map(|(at, _)| *at)
     }
 
-    /// Removes and returns the first timer whose time has come.
+    /// Removes and returns the first timer if it has expired at the time `now`.
     pub fn pop_expired(&mut self, now: Micros) -> Option<Timer> {
         let (at, _) = self.pending.first()?;
         if *at > now {
