--- /dev/null
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -0,0 +1,109 @@
+//! The attempts of requests at nodes: their start, their progress and their end.
+
+use super::{AttemptResult, Command, Dispatcher, Response};
+use crate::timer_queue::{AttemptId, Timer, TimerQueue};
+use io_scheduler::{CompletedAttempt, Event, Micros, NodeId, Outcome, RequestId};
+use std::sync::Arc;
+
+impl Dispatcher {
+    /// Starts an attempt at a node.
+    pub(super) fn dispatch(
+        &mut self,
+        id: RequestId,
+        node: NodeId,
+        deadline: Micros,
+        now: Micros,
+        timers: &mut TimerQueue,
+    ) {
+        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
+        let number = in_flight.start_attempt(node, now, deadline);
+        let request = Arc::clone(in_flight.storage_request());
+        let attempt = AttemptId { request: id, number };
+        timers.set(deadline, Timer::AttemptTimeout(attempt));
+        self.nodes.attempt_started(node);
+        self.volume_counters.record_attempt(request.volume);
+        self.commands.push(Command::StartAttempt { attempt, node, deadline, request });
+    }
+
+    /// Whether the result of an attempt is awaited.
+    #[must_use]
+    pub fn is_awaiting(&self, attempt: AttemptId) -> bool {
+        self.in_flight.attempt(attempt).is_some()
+    }
+
+    /// Records that enough of an attempt was written to its node for the request to take effect.
+    pub fn mark_written(&mut self, attempt: AttemptId) {
+        if let Some(attempt) = self.in_flight.attempt_mut(attempt) {
+            attempt.may_have_run = true;
+        }
+    }
+
+    /// Records the end of an attempt, responds to the client if the request was served, and reports the
+    /// result to the scheduler. Results of attempts that are not awaited are ignored.
+    pub fn complete_attempt(
+        &mut self,
+        attempt: AttemptId,
+        result: AttemptResult,
+        now: Micros,
+        timers: &mut TimerQueue,
+    ) {
+        let AttemptResult { outcome, body, remote_units, utilization } = result;
+        let Some(in_flight) = self.in_flight.get_mut(attempt.request) else { return };
+        let timed_out = outcome == Outcome::TimedOut;
+        let Some(completed) = in_flight.remove_attempt(attempt.number, timed_out) else { return };
+        timers.cancel(completed.deadline, Timer::AttemptTimeout(attempt));
+        let served_units = if outcome == Outcome::Served { in_flight.storage_request().units } else { 0.0 };
+        self.nodes.attempt_completed(completed.node, served_units);
+        if let (Outcome::Served, Some(body)) = (outcome, body) {
+            self.respond(attempt.request, Response::Served(body));
+        }
+        self.events.push(Event::AttemptCompleted(CompletedAttempt {
+            request: attempt.request,
+            number: attempt.number,
+            node: completed.node,
+            outcome,
+            request_closed: !self.awaits_response(attempt.request),
+            elapsed: now - completed.dispatched_at,
+            remote_units,
+            utilization,
+        }));
+        self.remove_if_finished(attempt.request, timers);
+    }
+
+    /// Ends an attempt that has no result: it was cancelled, has timed out or lost its connection.
+    ///
+    /// `outcome` is reported to the scheduler if the request may have run. Otherwise the outcome is
+    /// [`Outcome::NotDispatched`] for a cancelled attempt, which says nothing about its node, and
+    /// [`Outcome::ConnectFailed`] for all others.
+    pub fn abort_attempt(
+        &mut self,
+        attempt: AttemptId,
+        outcome: Outcome,
+        now: Micros,
+        timers: &mut TimerQueue,
+    ) {
+        let Some(in_flight) = self.in_flight.attempt(attempt) else { return };
+        let outcome = match outcome {
+            _ if in_flight.may_have_run => outcome,
+            Outcome::Cancelled => Outcome::NotDispatched,
+            _ => Outcome::ConnectFailed,
+        };
+        self.commands.push(Command::AbandonAttempt(attempt));
+        self.complete_attempt(attempt, AttemptResult::without_body(outcome), now, timers);
+    }
+
+    /// Records that the client of a request has disconnected. Attempts that cannot have taken effect yet are
+    /// aborted at once, whether or not the scheduler cancels attempts that may have run.
+    pub fn client_disconnected(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
+        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
+        if in_flight.take_reply_slot().is_none() {
+            return;
+        }
+        let unwritten = in_flight.unwritten_attempts();
+        self.events.push(Event::ClientDisconnected(id));
+        for number in unwritten {
+            let attempt = AttemptId { request: id, number };
+            self.abort_attempt(attempt, Outcome::Cancelled, now, timers);
+        }
+    }
+}
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -4,10 +4,13 @@
 //! actions into commands for the event loop. It makes sure that each request gets exactly one final response,
 //! prevents new attempts from being written to draining nodes, and counts the service that each volume gets.
 
+mod attempts;
 mod command;
 mod in_flight;
 mod nodes;
 mod request;
+mod responses;
+mod scheduling;
 mod volume_counters;
 
 pub use command::Command;
@@ -20,16 +23,15 @@
 
 use crate::endpoint::EndpointRecord;
 use crate::memory_budget::MemoryBudget;
-use crate::timer_queue::{AttemptId, Timer, TimerQueue};
+use crate::timer_queue::{Timer, TimerQueue};
 use deployment_settings::{micros, DeploymentSettings, UnknownValue};
-use in_flight::{InFlightRequest, InFlightTable};
+use in_flight::InFlightTable;
 use io_scheduler::{
-    Action, CompletedAttempt, EndpointListEvent, Event, Micros, NodeId, ObjectKey, Outcome, Request,
-    RequestId, Scheduler, Shard, StateSizes, VolumeId,
+    Action, EndpointListEvent, Event, Micros, NodeId, ObjectKey, Request, RequestId, Scheduler, Shard,
+    StateSizes, VolumeId,
 };
 use nodes::NodeTable;
 use std::collections::BTreeMap;
-use std::sync::Arc;
 use volume_counters::VolumeCounterTable;
 
 /// Time reserved for the final response to reach the client before the client's timeout; at most a quarter of
@@ -164,224 +166,6 @@
         self.in_flight.insert(id, request, reply_slot, deadline);
         id
     }
-
-    /// Records that the client of a request has disconnected. Attempts that cannot have taken effect yet are
-    /// aborted at once, whether or not the scheduler cancels attempts that may have run.
-    pub fn client_disconnected(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
-        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
-        if in_flight.take_reply_slot().is_none() {
-            return;
-        }
-        let unwritten = in_flight.unwritten_attempts();
-        self.events.push(Event::ClientDisconnected(id));
-        for number in unwritten {
-            let attempt = AttemptId { request: id, number };
-            self.abort_attempt(attempt, Outcome::Cancelled, now, timers);
-        }
-    }
-
-    /// Whether the result of an attempt is awaited.
-    #[must_use]
-    pub fn is_awaiting(&self, attempt: AttemptId) -> bool {
-        self.in_flight.attempt(attempt).is_some()
-    }
-
-    /// Records that enough of an attempt was written to its node for the request to take effect.
-    pub fn mark_written(&mut self, attempt: AttemptId) {
-        if let Some(attempt) = self.in_flight.attempt_mut(attempt) {
-            attempt.may_have_run = true;
-        }
-    }
-
-    /// Records the end of an attempt, responds to the client if the request was served, and reports the
-    /// result to the scheduler. Results of attempts that are not awaited are ignored.
-    pub fn complete_attempt(
-        &mut self,
-        attempt: AttemptId,
-        result: AttemptResult,
-        now: Micros,
-        timers: &mut TimerQueue,
-    ) {
-        let AttemptResult { outcome, body, remote_units, utilization } = result;
-        let Some(in_flight) = self.in_flight.get_mut(attempt.request) else { return };
-        let timed_out = outcome == Outcome::TimedOut;
-        let Some(completed) = in_flight.remove_attempt(attempt.number, timed_out) else { return };
-        timers.cancel(completed.deadline, Timer::AttemptTimeout(attempt));
-        let served_units = if outcome == Outcome::Served { in_flight.storage_request().units } else { 0.0 };
-        self.nodes.attempt_completed(completed.node, served_units);
-        if let (Outcome::Served, Some(body)) = (outcome, body) {
-            self.respond(attempt.request, Response::Served(body));
-        }
-        self.events.push(Event::AttemptCompleted(CompletedAttempt {
-            request: attempt.request,
-            number: attempt.number,
-            node: completed.node,
-            outcome,
-            request_closed: !self.awaits_response(attempt.request),
-            elapsed: now - completed.dispatched_at,
-            remote_units,
-            utilization,
-        }));
-        self.remove_if_finished(attempt.request, timers);
-    }
-
-    /// Ends an attempt that has no result: it was cancelled, has timed out or lost its connection.
-    ///
-    /// `outcome` is reported to the scheduler if the request may have run. Otherwise the outcome is
-    /// [`Outcome::NotDispatched`] for a cancelled attempt, which says nothing about its node, and
-    /// [`Outcome::ConnectFailed`] for all others.
-    pub fn abort_attempt(
-        &mut self,
-        attempt: AttemptId,
-        outcome: Outcome,
-        now: Micros,
-        timers: &mut TimerQueue,
-    ) {
-        let Some(in_flight) = self.in_flight.attempt(attempt) else { return };
-        let outcome = match outcome {
-            _ if in_flight.may_have_run => outcome,
-            Outcome::Cancelled => Outcome::NotDispatched,
-            _ => Outcome::ConnectFailed,
-        };
-        self.commands.push(Command::AbandonAttempt(attempt));
-        self.complete_attempt(attempt, AttemptResult::without_body(outcome), now, timers);
-    }
-
-    /// Handles an expired timer of the dispatcher; other timers are ignored.
-    pub fn handle_timer(&mut self, timer: Timer, now: Micros, timers: &mut TimerQueue) {
-        match timer {
-            Timer::AttemptTimeout(attempt) => self.abort_attempt(attempt, Outcome::TimedOut, now, timers),
-            Timer::Scheduler => {
-                self.scheduler_timer = None;
-                self.events.push(Event::TimerFired);
-            }
-            Timer::RequestOverdue(id) => self.fail_overdue(id),
-            Timer::Connection(_) | Timer::DiscoveryWatch | Timer::Shutdown | Timer::ResumeAccepting => {}
-        }
-    }
-
-    /// Whether there are events for the scheduler or commands for the event loop.
-    #[must_use]
-    pub fn has_work(&self) -> bool {
-        !self.events.is_empty() || !self.commands.is_empty()
-    }
-
-    /// Calls the scheduler once with all pending events, if there are any, and moves the pending commands to
-    /// `commands`.
-    pub fn run_scheduler(&mut self, now: Micros, timers: &mut TimerQueue, commands: &mut Vec<Command>) {
-        if !self.events.is_empty() {
-            self.call_scheduler(now, timers);
-        }
-        commands.append(&mut self.commands);
-    }
-
-    /// Passes the pending events to the scheduler and applies its actions.
-    fn call_scheduler(&mut self, now: Micros, timers: &mut TimerQueue) {
-        let events = std::mem::take(&mut self.events);
-        let mut actions = std::mem::take(&mut self.actions);
-        self.scheduler.handle(now, &events, &mut actions);
-        for event in events {
-            if let Event::ClientDisconnected(id) = event {
-                self.remove_if_finished(id, timers);
-            }
-        }
-        for action in actions.drain(..) {
-            self.apply_action(&action, now, timers);
-        }
-        self.actions = actions;
-    }
-
-    /// Applies an action of the scheduler.
-    fn apply_action(&mut self, action: &Action, now: Micros, timers: &mut TimerQueue) {
-        match *action {
-            Action::Dispatch { request, node, deadline } => {
-                self.dispatch(request, node, deadline, now, timers);
-            }
-            Action::Reject { request, retry_after } => {
-                self.finish(request, Response::Rejected { retry_after }, timers);
-            }
-            Action::Fail(request) => self.fail(request, now, timers),
-            Action::Cancel { request, attempt: number } => {
-                self.abort_attempt(AttemptId { request, number }, Outcome::Cancelled, now, timers);
-            }
-            Action::OpenWatch => self.commands.push(Command::OpenWatch),
-            Action::HealthCheck(node) => self.fail_health_check(node),
-            Action::SetTimer(at) => {
-                timers.reschedule(&mut self.scheduler_timer, Some(at), Timer::Scheduler);
-            }
-        }
-    }
-
-    /// Starts an attempt at a node.
-    fn dispatch(
-        &mut self,
-        id: RequestId,
-        node: NodeId,
-        deadline: Micros,
-        now: Micros,
-        timers: &mut TimerQueue,
-    ) {
-        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
-        let number = in_flight.start_attempt(node, now, deadline);
-        let request = Arc::clone(in_flight.storage_request());
-        let attempt = AttemptId { request: id, number };
-        timers.set(deadline, Timer::AttemptTimeout(attempt));
-        self.nodes.attempt_started(node);
-        self.volume_counters.record_attempt(request.volume);
-        self.commands.push(Command::StartAttempt { attempt, node, deadline, request });
-    }
-
-    /// Reports a failed health check: the gateway sends none, and the scheduler must get a result if it asks
-    /// for one.
-    fn fail_health_check(&mut self, node: NodeId) {
-        self.events.push(Event::HealthCheckCompleted { node, healthy: false, elapsed: 0, load: None });
-    }
-
-    /// Ends a request that the scheduler has failed.
-    fn fail(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
-        let timed_out = self.in_flight.get(id).is_some_and(|request| request.has_timed_out(now));
-        let response = if timed_out { Response::TimedOut } else { Response::Failed };
-        self.finish(id, response, timers);
-    }
-
-    /// Ends a request that the scheduler has left without a final response past its deadline.
-    fn fail_overdue(&mut self, id: RequestId) {
-        let Some(in_flight) = self.in_flight.get(id) else { return };
-        if !in_flight.awaits_response() {
-            return;
-        }
-        let client_request_id = &in_flight.storage_request().client_request_id;
-        log::warn!("request {client_request_id} had no response at its deadline");
-        self.respond(id, Response::TimedOut);
-        self.events.push(Event::ClientDisconnected(id));
-    }
-
-    /// Sends the final response and removes the request if no attempt is in flight.
-    fn finish(&mut self, id: RequestId, response: Response, timers: &mut TimerQueue) {
-        self.respond(id, response);
-        self.remove_if_finished(id, timers);
-    }
-
-    /// Sends the final response, unless one was sent already or the client has disconnected.
-    fn respond(&mut self, id: RequestId, response: Response) {
-        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
-        let Some(reply_slot) = in_flight.take_reply_slot() else { return };
-        let request = in_flight.storage_request();
-        self.volume_counters.record_response(request.volume, request.units, &response);
-        self.commands.push(Command::Respond { reply_slot, response });
-    }
-
-    /// Whether the client still waits for the final response.
-    fn awaits_response(&self, id: RequestId) -> bool {
-        self.in_flight.get(id).is_some_and(InFlightRequest::awaits_response)
-    }
-
-    /// Removes a request that needs neither a final response nor the result of an attempt.
-    fn remove_if_finished(&mut self, id: RequestId, timers: &mut TimerQueue) {
-        if let Some(removed) = self.in_flight.remove_finished(id) {
-            timers.cancel(removed.deadline() + OVERDUE_GRACE, Timer::RequestOverdue(id));
-        }
-    }
 }
 
 /// The latest time to send the final response to a client that waits for `client_timeout` from `now` on.
--- /dev/null
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -0,0 +1,78 @@
+//! Calls of the scheduler: pending events go in, and its actions are applied.
+
+use super::{Command, Dispatcher, Response};
+use crate::timer_queue::{AttemptId, Timer, TimerQueue};
+use io_scheduler::{Action, Event, Micros, NodeId, Outcome};
+
+impl Dispatcher {
+    /// Handles an expired timer of the dispatcher; other timers are ignored.
+    pub fn handle_timer(&mut self, timer: Timer, now: Micros, timers: &mut TimerQueue) {
+        match timer {
+            Timer::AttemptTimeout(attempt) => self.abort_attempt(attempt, Outcome::TimedOut, now, timers),
+            Timer::Scheduler => {
+                self.scheduler_timer = None;
+                self.events.push(Event::TimerFired);
+            }
+            Timer::RequestOverdue(id) => self.fail_overdue(id),
+            Timer::Connection(_) | Timer::DiscoveryWatch | Timer::Shutdown | Timer::ResumeAccepting => {}
+        }
+    }
+
+    /// Whether there are events for the scheduler or commands for the event loop.
+    #[must_use]
+    pub fn has_work(&self) -> bool {
+        !self.events.is_empty() || !self.commands.is_empty()
+    }
+
+    /// Calls the scheduler once with all pending events, if there are any, and moves the pending commands to
+    /// `commands`.
+    pub fn run_scheduler(&mut self, now: Micros, timers: &mut TimerQueue, commands: &mut Vec<Command>) {
+        if !self.events.is_empty() {
+            self.call_scheduler(now, timers);
+        }
+        commands.append(&mut self.commands);
+    }
+
+    /// Passes the pending events to the scheduler and applies its actions.
+    fn call_scheduler(&mut self, now: Micros, timers: &mut TimerQueue) {
+        let events = std::mem::take(&mut self.events);
+        let mut actions = std::mem::take(&mut self.actions);
+        self.scheduler.handle(now, &events, &mut actions);
+        for event in events {
+            if let Event::ClientDisconnected(id) = event {
+                self.remove_if_finished(id, timers);
+            }
+        }
+        for action in actions.drain(..) {
+            self.apply_action(&action, now, timers);
+        }
+        self.actions = actions;
+    }
+
+    /// Applies an action of the scheduler.
+    fn apply_action(&mut self, action: &Action, now: Micros, timers: &mut TimerQueue) {
+        match *action {
+            Action::Dispatch { request, node, deadline } => {
+                self.dispatch(request, node, deadline, now, timers);
+            }
+            Action::Reject { request, retry_after } => {
+                self.finish(request, Response::Rejected { retry_after }, timers);
+            }
+            Action::Fail(request) => self.fail(request, now, timers),
+            Action::Cancel { request, attempt: number } => {
+                self.abort_attempt(AttemptId { request, number }, Outcome::Cancelled, now, timers);
+            }
+            Action::OpenWatch => self.commands.push(Command::OpenWatch),
+            Action::HealthCheck(node) => self.fail_health_check(node),
+            Action::SetTimer(at) => {
+                timers.reschedule(&mut self.scheduler_timer, Some(at), Timer::Scheduler);
+            }
+        }
+    }
+
+    /// Reports a failed health check: the gateway sends none, and the scheduler must get a result if it asks
+    /// for one.
+    fn fail_health_check(&mut self, node: NodeId) {
+        self.events.push(Event::HealthCheckCompleted { node, healthy: false, elapsed: 0, load: None });
+    }
+}
