--- a/crates/gateway/src/event_loop/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -20,8 +20,6 @@
 mod shutdown;
 mod signals;
 
-pub use crate::connections::node::idle_timeout;
-pub use crate::connections::slab;
 pub(crate) use context::{Connection, Context};
 pub use error::GatewayError;
 pub use gateway::Gateway;
--- a/crates/gateway/tests/idle_timeout.rs
+++ b/crates/gateway/tests/idle_timeout.rs
@@ -1,7 +1,7 @@
 //! The estimate of how long a node keeps an idle connection.
 
 use io_scheduler::Micros;
-use storage_gateway::event_loop::idle_timeout::IdleTimeoutEstimate;
+use storage_gateway::connections::node::idle_timeout::IdleTimeoutEstimate;
 
 const MS: Micros = 1_000;
 /// The longest idle timeout that the settings allow.
