--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -88,8 +88,8 @@
         context.timers.reschedule(&mut client.timer_deadline, None, Timer::Connection(token));
         self.count -= 1;
         self.uncount_requester(&mut client);
-        self.unsent_bytes -= client.counted_unsent_bytes;
-        self.partial_command_bytes -= client.counted_partial_command_bytes;
+        client.counted_unsent_bytes.set(0, &mut self.unsent_bytes);
+        client.counted_partial_command_bytes.set(0, &mut self.partial_command_bytes);
         for id in client.open_requests.into_values().flatten() {
             context.client_disconnected(id);
         }
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -111,10 +111,8 @@
         if !client.socket.input.is_empty() && client.replies.is_empty() {
             client.partial_command_since.get_or_insert(context.now);
         }
-        let bytes = client.socket.input.capacity();
-        self.partial_command_bytes =
-            self.partial_command_bytes + bytes - client.counted_partial_command_bytes;
-        client.counted_partial_command_bytes = bytes;
+        let buffered_bytes = client.socket.input.capacity();
+        client.counted_partial_command_bytes.set(buffered_bytes, &mut self.partial_command_bytes);
         let over_budget = self.partial_command_bytes > context.config.budget.partial_command_bytes;
         if over_budget && client.partial_command_since.is_some() && !client.is_closing() {
             client.close_after_reply(client.protocol.overloaded_reply());
@@ -129,9 +127,8 @@
         if client.socket.unsent_bytes() < unsent_before {
             client.last_active_at = now;
         }
-        let bytes = client.unsent_bytes();
-        self.unsent_bytes = self.unsent_bytes + bytes - client.counted_unsent_bytes;
-        client.counted_unsent_bytes = bytes;
+        let unsent_bytes = client.unsent_bytes();
+        client.counted_unsent_bytes.set(unsent_bytes, &mut self.unsent_bytes);
         result
     }
 
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -3,6 +3,7 @@
 use super::eviction::{EvictionCandidate, EvictionPriority};
 use crate::client_protocol::{ClientProtocol, EncodedReply};
 use crate::connections::socket::Socket;
+use crate::connections::CountedBytes;
 use io_scheduler::{Micros, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -46,9 +47,9 @@
     /// Its entry in the eviction queue, if it is in the queue.
     pub(super) eviction_candidate: Option<EvictionCandidate>,
     /// Its part of [`super::ClientConnections::unsent_bytes`].
-    pub(super) counted_unsent_bytes: usize,
+    pub(super) counted_unsent_bytes: CountedBytes,
     /// Its part of [`super::ClientConnections::partial_command_bytes`].
-    pub(super) counted_partial_command_bytes: usize,
+    pub(super) counted_partial_command_bytes: CountedBytes,
 }
 
 /// The reply to one command.
@@ -89,8 +90,8 @@
             partial_command_since: None,
             timer_deadline: None,
             eviction_candidate: None,
-            counted_unsent_bytes: 0,
-            counted_partial_command_bytes: 0,
+            counted_unsent_bytes: CountedBytes::default(),
+            counted_partial_command_bytes: CountedBytes::default(),
         }
     }
 
--- a/crates/gateway/src/connections/client/mod.rs
+++ b/crates/gateway/src/connections/client/mod.rs
@@ -145,8 +145,8 @@
         Some(client)
     }
 
-    /// Puts a connection back into the table, updates its timer, and adds it to the eviction queue if it has
-    /// reply pending and no sequence of commands such as an upload has begun.
+    /// Puts a connection back into the table, updates its timer, and adds it to the eviction queue if no
+    /// reply is pending and no sequence of commands such as an upload has begun.
     fn store(&mut self, token: ConnectionToken, mut client: ClientConnection, context: &mut Context) {
         let close_at = client.close_at();
         if close_at != client.timer_deadline {
--- a/crates/gateway/src/connections/mod.rs
+++ b/crates/gateway/src/connections/mod.rs
@@ -5,10 +5,12 @@
 //! each by its [`ConnectionToken`].
 
 pub(crate) mod client;
+mod counted_bytes;
 pub(crate) mod descriptors;
 pub mod node;
 pub mod slab;
 pub(crate) mod socket;
 mod token;
 
+use counted_bytes::CountedBytes;
 pub use token::ConnectionToken;
--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -62,7 +62,7 @@
         context.connections.free(token);
         context.timers.reschedule(&mut connection.timer_deadline, None, Timer::Connection(token));
         self.count -= 1;
-        self.large_response_bytes -= connection.counted_large_response_bytes;
+        connection.counted_large_response_bytes.set(0, &mut self.large_response_bytes);
         if let Some(pool) = self.pools.get_mut(&connection.node) {
             pool.count -= 1;
             pool.idle.retain(|idle| *idle != token);
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -3,6 +3,7 @@
 use super::pool::NodeAddress;
 use crate::connections::socket::{Interest, Socket, StreamStatus};
 use crate::connections::ConnectionToken;
+use crate::connections::CountedBytes;
 use crate::dispatcher::StorageRequest;
 use crate::event_loop::Context;
 use crate::inventory::Protocol;
@@ -13,7 +14,7 @@
 use std::sync::Arc;
 
 /// Bytes of input buffered for a connection, besides the announced length of a large response.
-pub(super) const MAX_BUFFERED_INPUT: usize = 80 << 10;
+pub(super) const MAX_BUFFERED_INPUT_BYTES: usize = 80 << 10;
 
 /// A connection to a node. It carries one request at a time, so that a request can be abandoned by closing
 /// its connection without effect on any other.
@@ -33,7 +34,7 @@
     /// When its [`Timer::Connection`] expires, if it is set: the connect timeout or the idle timeout.
     pub(super) timer_deadline: Option<Micros>,
     /// Its part of [`super::NodeConnections::large_response_bytes`].
-    pub(super) counted_large_response_bytes: usize,
+    pub(super) counted_large_response_bytes: CountedBytes,
     /// When it was last put into its pool; `None` before the first time.
     pub(super) idle_since: Option<Micros>,
     /// How long it was idle before the request in flight, in microseconds.
@@ -85,7 +86,7 @@
             is_connected: false,
             in_flight: None,
             timer_deadline: None,
-            counted_large_response_bytes: 0,
+            counted_large_response_bytes: CountedBytes::default(),
             idle_since: None,
             idle_before_request: 0,
         }
@@ -122,7 +123,9 @@
     /// have closed the connection nor sent data without a request, which would be taken for the next
     /// response.
     pub(super) fn is_reusable(&mut self) -> bool {
-        let Ok(StreamStatus::Open) = self.socket.read_available(MAX_BUFFERED_INPUT) else { return false };
+        let Ok(StreamStatus::Open) = self.socket.read_available(MAX_BUFFERED_INPUT_BYTES) else {
+            return false;
+        };
         self.socket.input.is_empty()
             || matches!(self.protocol.decode(&mut self.socket.input, &mut Vec::new()), Ok(None))
     }
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -19,7 +19,7 @@
 use crate::event_loop::{Connection, Context};
 use crate::node_protocol::ProtocolError;
 use crate::timer_queue::AttemptId;
-use connection::MAX_BUFFERED_INPUT;
+use connection::MAX_BUFFERED_INPUT_BYTES;
 use io_scheduler::{NodeId, Outcome};
 use pool::ConnectionPool;
 use std::collections::HashMap;
@@ -129,7 +129,7 @@
             Ok(false) => return context.connections.put(token, Connection::Node(connection)),
             Err(_) => return self.fail_connection(token, connection, Outcome::Reset, context),
         }
-        let max_buffered = MAX_BUFFERED_INPUT + connection.counted_large_response_bytes;
+        let max_buffered = MAX_BUFFERED_INPUT_BYTES + connection.counted_large_response_bytes.get();
         let Ok(status) = connection.socket.read_available(max_buffered) else {
             return self.fail_connection(token, connection, Outcome::Reset, context);
         };
@@ -172,10 +172,8 @@
         };
         // The first part of each response, half an input buffer, is not counted against the budget.
         let buffered = connection.protocol.buffered_bytes();
-        let large = buffered.saturating_sub(MAX_BUFFERED_INPUT / 2);
-        self.large_response_bytes =
-            self.large_response_bytes - connection.counted_large_response_bytes + large;
-        connection.counted_large_response_bytes = large;
+        let large_bytes = buffered.saturating_sub(MAX_BUFFERED_INPUT_BYTES / 2);
+        connection.counted_large_response_bytes.set(large_bytes, &mut self.large_response_bytes);
         if self.large_response_bytes > context.config.budget.large_response_bytes {
             log::warn!("node {}: no memory for a response of {buffered} bytes", connection.node.0);
             result = Err(ProtocolError);
