--- a/crates/gateway/src/dispatcher/responses.rs
+++ b/crates/gateway/src/dispatcher/responses.rs
@@ -22,6 +22,7 @@
         let client_request_id = &in_flight.storage_request().client_request_id;
         log::warn!("request {client_request_id} had no response at its deadline");
         self.respond(id, Response::TimedOut);
+        // For the scheduler, a request whose client needs no response any more has ended.
         self.events.push(Event::ClientDisconnected(id));
     }
 
--- a/crates/gateway/src/event_loop/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -131,8 +131,8 @@
         format!(
             "{}: {in_service} nodes serving, {} client connections, {} node connections, {} requests open{}\n",
             self.context.config.name,
-            self.clients.count(),
-            self.nodes.count(),
+            self.client_connections.count(),
+            self.node_connections.count(),
             self.context.dispatcher.open_requests(),
             if self.context.shutdown.is_requested() { ", ending" } else { "" }
         )
@@ -140,7 +140,12 @@
 
     /// Drains a node or ends its draining by the operator; returns the output.
     fn override_node(&mut self, name: &str, operator_override: OperatorOverride) -> String {
-        let result = self.endpoints.set_override(name, operator_override, &mut self.nodes, &mut self.context);
+        let result = self.endpoints.set_override(
+            name,
+            operator_override,
+            &mut self.node_connections,
+            &mut self.context,
+        );
         match (result, operator_override) {
             (Ok(()), OperatorOverride::Drain) => format!("{name} drains\n"),
             (Ok(()), OperatorOverride::None) => format!("{name} serves as listed\n"),
--- a/crates/gateway/src/event_loop/discovery_watch.rs
+++ b/crates/gateway/src/event_loop/discovery_watch.rs
@@ -160,10 +160,10 @@
         token: ConnectionToken,
         mut connection: WatchConnection,
         endpoints: &mut EndpointTable,
-        nodes: &mut NodeConnections,
+        node_connections: &mut NodeConnections,
         context: &mut Context,
     ) {
-        let result = self.advance(token, &mut connection, endpoints, nodes, context);
+        let result = self.advance(token, &mut connection, endpoints, node_connections, context);
         if self.token == Some(token) {
             context.connections.put(token, Connection::Watch(connection));
         }
@@ -178,7 +178,7 @@
         token: ConnectionToken,
         connection: &mut WatchConnection,
         endpoints: &mut EndpointTable,
-        nodes: &mut NodeConnections,
+        node_connections: &mut NodeConnections,
         context: &mut Context,
     ) -> Result<(), WatchFailure> {
         if !connection.send_request(context.config.discovery, self.list_index)? {
@@ -187,7 +187,7 @@
         let input = connection.receive()?;
         for update in &input.updates {
             self.note_update(update, context.now);
-            endpoints.apply_update(update, update.kind(), nodes, context);
+            endpoints.apply_update(update, update.kind(), node_connections, context);
         }
         input.parsed?;
         if input.is_ended {
--- a/crates/gateway/src/event_loop/endpoint_table.rs
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -39,23 +39,23 @@
         &mut self,
         update: &EndpointListUpdate,
         kind: EndpointListEvent,
-        nodes: &mut NodeConnections,
+        node_connections: &mut NodeConnections,
         context: &mut Context,
     ) {
         let mut records = Vec::with_capacity(update.endpoints.len());
         for (record, address) in update.records() {
             let node = context.dispatcher.node_id(&record.name);
-            nodes.set_address(node, NodeAddress { address, protocol: Protocol::Resp2 }, context);
+            node_connections.set_address(node, NodeAddress { address, protocol: Protocol::Resp2 }, context);
             records.push(record);
         }
-        self.apply(kind, records, nodes, context);
+        self.apply(kind, records, node_connections, context);
     }
 
     /// Reads the inventory again and applies it as the complete list; returns how many nodes it lists. An
     /// invalid one changes nothing.
     pub(super) fn reload_inventory(
         &mut self,
-        nodes: &mut NodeConnections,
+        node_connections: &mut NodeConnections,
         context: &mut Context,
     ) -> Result<usize, InventoryError> {
         let Some(path) = context.config.inventory.clone() else { return Ok(self.records.len()) };
@@ -63,11 +63,11 @@
         for entry in &entries {
             let node = context.dispatcher.node_id(&entry.record.name);
             let address = NodeAddress { address: entry.address, protocol: entry.protocol };
-            nodes.set_address(node, address, context);
+            node_connections.set_address(node, address, context);
         }
         let count = entries.len();
         let records = entries.into_iter().map(|entry| entry.record).collect();
-        self.apply(EndpointListEvent::Snapshot, records, nodes, context);
+        self.apply(EndpointListEvent::Snapshot, records, node_connections, context);
         Ok(count)
     }
 
@@ -76,7 +76,7 @@
         &mut self,
         name: &str,
         operator_override: OperatorOverride,
-        nodes: &mut NodeConnections,
+        node_connections: &mut NodeConnections,
         context: &mut Context,
     ) -> Result<(), UnknownNode> {
         let record = self.record(name)?;
@@ -84,7 +84,7 @@
             OperatorOverride::Drain => self.drained_by_operator.insert(name.to_owned()),
             OperatorOverride::None => self.drained_by_operator.remove(name),
         };
-        self.apply(EndpointListEvent::Delta, vec![record], nodes, context);
+        self.apply(EndpointListEvent::Delta, vec![record], node_connections, context);
         Ok(())
     }
 
@@ -99,7 +99,7 @@
         &mut self,
         kind: EndpointListEvent,
         mut records: Vec<EndpointRecord>,
-        nodes: &mut NodeConnections,
+        node_connections: &mut NodeConnections,
         context: &mut Context,
     ) {
         if kind != EndpointListEvent::Delta {
@@ -114,6 +114,6 @@
         }
         context.dispatcher.update_endpoints(kind, &records, context.now);
         self.records.retain(|_, record| record.status != EndpointStatus::Removed);
-        nodes.remove_unlisted(context);
+        node_connections.remove_unlisted(context);
     }
 }
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -25,9 +25,9 @@
     /// The state that the others share.
     pub(super) context: Context,
     /// The client connections.
-    pub(super) clients: ClientConnections,
+    pub(super) client_connections: ClientConnections,
     /// The connections to storage nodes.
-    pub(super) nodes: NodeConnections,
+    pub(super) node_connections: NodeConnections,
     /// The endpoint list.
     pub(super) endpoints: EndpointTable,
     /// The watch on discovery.
@@ -46,15 +46,20 @@
         let mut context = Context::new(config)?;
         context.update_now();
         let mut gateway = Gateway {
-            clients: ClientConnections::new(&context.config, limits, context.now),
-            nodes: NodeConnections::new(limits.nodes),
+            client_connections: ClientConnections::new(&context.config, limits, context.now),
+            node_connections: NodeConnections::new(limits.nodes),
             endpoints: EndpointTable::default(),
             watch: DiscoveryWatch::new(cached.index),
             context,
         };
         gateway.context.update_now();
         let cached_event = EndpointListEvent::Cached;
-        gateway.endpoints.apply_update(&cached, cached_event, &mut gateway.nodes, &mut gateway.context);
+        gateway.endpoints.apply_update(
+            &cached,
+            cached_event,
+            &mut gateway.node_connections,
+            &mut gateway.context,
+        );
         gateway.open()?;
         Ok(gateway)
     }
@@ -87,7 +92,7 @@
             self.context.poller.wait(&mut events, self.poll_timeout())?;
             self.context.update_now();
             self.run_turn(&events, &mut commands);
-            if self.is_shutdown_complete(&events) {
+            if self.update_shutdown(&events) {
                 log::info!("shutdown complete");
                 return Ok(());
             }
@@ -119,7 +124,7 @@
         for command in commands.drain(..) {
             self.run_command(command);
         }
-        self.clients.close_excess_requesters(&mut self.context);
+        self.client_connections.close_excess_requesters(&mut self.context);
     }
 
     /// Handles a connection that the poller reported; it may have been closed earlier in the turn.
@@ -128,13 +133,23 @@
         match context.connections.take(token) {
             None => {}
             Some(Connection::Listener(listener)) => {
-                self.clients.accept(&listener, context);
+                self.client_connections.accept(&listener, context);
                 context.connections.put(token, Connection::Listener(listener));
             }
-            Some(Connection::Client(client)) => self.clients.handle_ready(token, client, flags, context),
-            Some(Connection::Node(connection)) => self.nodes.handle_ready(token, connection, context),
+            Some(Connection::Client(client)) => {
+                self.client_connections.handle_ready(token, client, flags, context);
+            }
+            Some(Connection::Node(connection)) => {
+                self.node_connections.handle_ready(token, connection, context);
+            }
             Some(Connection::Watch(connection)) => {
-                self.watch.handle_ready(token, connection, &mut self.endpoints, &mut self.nodes, context);
+                self.watch.handle_ready(
+                    token,
+                    connection,
+                    &mut self.endpoints,
+                    &mut self.node_connections,
+                    context,
+                );
             }
             Some(Connection::Console(console)) => self.handle_console_ready(token, console),
             Some(Connection::Signal(pipe)) => self.handle_signal(token, pipe),
@@ -170,8 +185,12 @@
     fn handle_connection_timer(&mut self, token: ConnectionToken) {
         let context = &mut self.context;
         match context.connections.take(token) {
-            Some(Connection::Node(connection)) => self.nodes.handle_timeout(token, connection, context),
-            Some(Connection::Client(client)) => self.clients.handle_timeout(token, client, context),
+            Some(Connection::Node(connection)) => {
+                self.node_connections.handle_timeout(token, connection, context);
+            }
+            Some(Connection::Client(client)) => {
+                self.client_connections.handle_timeout(token, client, context);
+            }
             Some(other) => context.connections.put(token, other),
             None => {}
         }
@@ -182,10 +201,12 @@
         let context = &mut self.context;
         match command {
             Command::StartAttempt { attempt, node, deadline, request } => {
-                self.nodes.start_attempt(attempt, node, deadline, request, context);
+                self.node_connections.start_attempt(attempt, node, deadline, request, context);
+            }
+            Command::AbandonAttempt(attempt) => self.node_connections.abandon_attempt(attempt, context),
+            Command::Respond { reply_slot, response } => {
+                self.client_connections.respond(reply_slot, response, context);
             }
-            Command::AbandonAttempt(attempt) => self.nodes.abandon_attempt(attempt, context),
-            Command::Respond { reply_slot, response } => self.clients.respond(reply_slot, response, context),
             // A watch that is open already keeps its own timeout.
             Command::OpenWatch if self.watch.is_open() => {}
             Command::OpenWatch => self.watch.open(context),
@@ -200,13 +221,13 @@
     /// Closes idle client connections, and sets the timer to do so again until the shutdown is complete.
     fn drain_clients(&mut self) {
         let min_idle_time = self.context.shutdown.drain();
-        self.clients.close_idle_for(min_idle_time, &mut self.context);
+        self.client_connections.close_idle_for(min_idle_time, &mut self.context);
         self.context.timers.set(self.context.now + DRAIN_GRACE, Timer::Shutdown);
     }
 
     /// Updates the idle state of the shutdown after a turn. Returns whether the gateway can end: it is
     /// draining, has been idle for long enough, and the poller reported no event in this turn.
-    fn is_shutdown_complete(&mut self, events: &[Event]) -> bool {
+    fn update_shutdown(&mut self, events: &[Event]) -> bool {
         if !(self.context.shutdown.is_draining() && self.is_idle()) {
             self.context.shutdown.note_busy();
             return false;
@@ -216,6 +237,6 @@
 
     /// Whether there is no client connection and no open request.
     fn is_idle(&self) -> bool {
-        self.clients.count() == 0 && self.context.dispatcher.open_requests() == 0
+        self.client_connections.count() == 0 && self.context.dispatcher.open_requests() == 0
     }
 }
--- a/crates/gateway/src/event_loop/reload.rs
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -45,6 +45,6 @@
 
     /// Reads the inventory again; returns how many nodes it lists. An invalid inventory changes nothing.
     pub(super) fn reload_inventory(&mut self) -> Result<usize, InventoryError> {
-        self.endpoints.reload_inventory(&mut self.nodes, &mut self.context)
+        self.endpoints.reload_inventory(&mut self.node_connections, &mut self.context)
     }
 }
