--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -1,6 +1,7 @@
 //! Starting attempts: choosing an idle connection of the node's pool or opening a new one.
 
 use super::connection::{InFlight, NodeConnection};
+use super::idle_timeout::IdleTimeoutEstimate;
 use super::NodeConnections;
 use crate::connections::descriptors::is_out_of_descriptors;
 use crate::connections::socket::{Interest, Socket};
@@ -102,17 +103,15 @@
             let token = pool.idle.pop()?;
             let Some(Connection::Node(mut connection)) = context.connections.take(token) else { continue };
             let idle_for = connection.idle_since.map_or(0, |since| context.now - since);
-            let is_allowed = match operation {
-                Operation::Write => estimate.allows_non_idempotent(idle_for),
-                Operation::Read | Operation::Stat | Operation::List => estimate.allows_idempotent(idle_for),
-            };
+            let is_allowed = is_idle_time_allowed(idle_for, operation, estimate);
             if !is_allowed && estimate.allows_idempotent(idle_for) {
                 // It stays in the pool for idempotent requests. All others have been idle for longer still.
                 pool.idle.push(token);
                 context.connections.put(token, Connection::Node(connection));
                 return None;
             }
-            if !connection.is_connected || is_allowed && connection.is_reusable() {
+            let is_usable = !connection.is_connected || is_allowed && connection.is_reusable();
+            if is_usable {
                 connection.idle_before_request = idle_for;
                 context.connections.put(token, Connection::Node(connection));
                 return Some(token);
@@ -187,3 +186,12 @@
         }
     }
 }
+
+/// Whether a request can use a connection that was idle for `idle_for`. All writes count as non-idempotent
+/// here, whatever the idempotency of their class.
+fn is_idle_time_allowed(idle_for: Micros, operation: Operation, estimate: IdleTimeoutEstimate) -> bool {
+    match operation {
+        Operation::Write => estimate.allows_non_idempotent(idle_for),
+        Operation::Read | Operation::Stat | Operation::List => estimate.allows_idempotent(idle_for),
+    }
+}
--- a/crates/gateway/src/dispatcher/request.rs
+++ b/crates/gateway/src/dispatcher/request.rs
@@ -97,7 +97,8 @@
 pub enum Response {
     /// A node has run the request.
     Served(ResponseBody),
-    /// The request was rejected and has not run: the client may retry it.
+    /// The request was rejected. The client may retry it without harm: either it has not run, or it is
+    /// idempotent.
     Rejected {
         /// Retry-After: how many microseconds the client should wait before a retry; 0 if there is no advice.
         retry_after: Micros,
