--- a/crates/gateway/src/event_loop/discovery_watch.rs
+++ b/crates/gateway/src/event_loop/discovery_watch.rs
@@ -18,8 +18,8 @@
 /// request that it cannot serve after 2 s.
 const FIRST_RESPONSE_TIMEOUT: Micros = 2_500_000;
 /// A watch is closed if nothing arrives on it for this long. Discovery sends an empty line as a heartbeat
-/// every 2 s, so a longer silence means that the connection is broken. Every update must take effect within 6
-/// s even then, which leaves time for one failed attempt to open another watch.
+/// every 2 s, so a longer silence means that the connection is broken. Every update must take effect within
+/// 6 s even then, which leaves time for one failed attempt to open another watch.
 const SILENCE_TIMEOUT: Micros = 2_800_000;
 /// How many bytes of a watch are read in one turn.
 const MAX_BYTES_PER_TURN: usize = 256 << 10;
