--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,13 +1,16 @@
 //! The dispatcher joins clients, nodes and the scheduler, independent of sockets and wire formats.
 //!
-//! It reports what happens to the scheduler as events, turns the scheduler's actions into commands for the
-//! event loop, makes sure that each request gets exactly one final response, keeps requests away from
-//! draining nodes and counts the service that each volume gets.
+//! It reports requests, attempts and endpoint lists to the scheduler as events, and turns the scheduler's
+//! actions into commands for the event loop. It makes sure that each request gets exactly one final response,
+//! prevents new attempts from being written to draining nodes, and counts the service that each volume gets.
 
+mod attempts;
 mod command;
 mod in_flight;
 mod nodes;
 mod request;
+mod responses;
+mod scheduling;
 mod volume_counters;
 
 pub use command::Command;
@@ -20,24 +23,23 @@
 
 use crate::endpoint::EndpointRecord;
 use crate::memory_budget::MemoryBudget;
-use crate::timer_queue::{AttemptId, Timer, TimerQueue};
+use crate::timer_queue::{Timer, TimerQueue};
 use deployment_settings::{micros, DeploymentSettings, UnknownValue};
-use in_flight::{InFlightRequest, InFlightTable};
+use in_flight::InFlightTable;
 use io_scheduler::{
-    Action, CompletedAttempt, EndpointListEvent, Event, Micros, NodeId, ObjectKey, Outcome, Request,
-    RequestId, Scheduler, Shard, StateSizes, VolumeId,
+    Action, EndpointListEvent, Event, Micros, NodeId, ObjectKey, Request, RequestId, Scheduler, Shard,
+    StateSizes, VolumeId,
 };
 use nodes::NodeTable;
 use std::collections::BTreeMap;
-use std::sync::Arc;
 use volume_counters::VolumeCounterTable;
 
-/// A response has to be on its way this long before its client gives up, or a quarter of the client's waiting
-/// time before, whichever is shorter.
+/// Time reserved for the final response to reach the client before the client's timeout; at most a quarter of
+/// that timeout.
 const RESPONSE_DELIVERY_MARGIN: Micros = 6_000;
-/// The dispatcher fails a request this long after its deadline if the scheduler has not ended it.
+/// How long after its deadline the dispatcher itself fails a request that the scheduler has not ended.
 const OVERDUE_GRACE: Micros = 3_000;
-/// How long a client should wait before a retry when the memory budget is exhausted.
+/// Retry-After of requests that are rejected because the memory budget is exhausted.
 const OVERLOADED_RETRY_AFTER: Micros = 250_000;
 
 /// Joins clients, nodes and the scheduler; see the [module](self).
@@ -46,18 +48,18 @@
     in_flight: InFlightTable,
     nodes: NodeTable,
     volume_counters: VolumeCounterTable,
-    /// Events for the next call of the scheduler.
+    /// Events to pass to the next call of the scheduler.
     events: Vec<Event>,
-    /// Buffer for the scheduler's actions, empty between its calls.
+    /// Buffer for the scheduler's actions, kept to reuse its memory; empty between calls.
     actions: Vec<Action>,
     /// Commands that the event loop has not taken yet.
     commands: Vec<Command>,
-    /// When [`Timer::Scheduler`] is set for.
+    /// The time for which [`Timer::Scheduler`] is set, if it is set.
     scheduler_timer: Option<Micros>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without nodes and requests. `seed` is for the scheduler's random choices.
+    /// A dispatcher without nodes and requests. `seed` seeds the scheduler's random choices.
     ///
     /// # Errors
     ///
@@ -81,12 +83,14 @@
         })
     }
 
-    /// The id of a node. A name keeps its id until the node is removed and its last attempt has ended.
+    /// The id of a node, allocated if the name has none. A name keeps its id until the node is removed and
+    /// its last attempt has ended.
     pub fn node_id(&mut self, name: &str) -> NodeId {
         self.nodes.id_of(name)
     }
 
-    /// Applies an endpoint list, or changes to it.
+    /// Applies an endpoint list or a delta, and reports it to the scheduler. `kind` may also be the failure
+    /// of a poll or watch, without records.
     pub fn update_endpoints(&mut self, kind: EndpointListEvent, records: &[EndpointRecord], now: Micros) {
         let endpoints = self.nodes.apply(kind, records, now);
         self.events.push(Event::EndpointList(kind, endpoints));
@@ -98,8 +102,9 @@
         self.nodes.contains(node)
     }
 
-    /// Whether the first byte of an attempt may still go to a node. The scheduler dispatches nothing to a
-    /// node that it knows to drain, but an attempt may have waited for its connection since.
+    /// Whether an attempt may start to be written to a node at the time `now`. The scheduler dispatches
+    /// nothing to a draining node, but the node may have started to drain while an attempt waited for its
+    /// connection.
     #[must_use]
     pub fn may_write(&self, node: NodeId, now: Micros) -> bool {
         self.nodes.may_write(node, now)
@@ -116,7 +121,7 @@
         self.nodes.iter()
     }
 
-    /// The counters of the volumes that are asked for most, by volume.
+    /// The counters of the volumes with the most requests, by volume.
     #[must_use]
     pub fn volume_counters(&self) -> &BTreeMap<u64, VolumeCounters> {
         self.volume_counters.by_volume()
@@ -161,224 +166,15 @@
         self.in_flight.insert(id, request, reply_slot, deadline);
         id
     }
-
-    /// The client has disconnected. Attempts that have not begun at their node never do, even where attempts
-    /// cannot be cancelled.
-    pub fn client_disconnected(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
-        let Some(request) = self.in_flight.get_mut(id) else { return };
-        if request.take_reply_slot().is_none() {
-            return;
-        }
-        let unwritten = request.unwritten_attempts();
-        self.events.push(Event::ClientDisconnected(id));
-        for number in unwritten {
-            let attempt = AttemptId { request: id, number };
-            self.abort_attempt(attempt, Outcome::Cancelled, now, timers);
-        }
-    }
-
-    /// Whether the result of an attempt is awaited.
-    #[must_use]
-    pub fn is_awaiting(&self, attempt: AttemptId) -> bool {
-        self.in_flight.attempt(attempt).is_some()
-    }
-
-    /// A byte of this attempt that may take effect has been written to the node.
-    pub fn mark_written(&mut self, attempt: AttemptId) {
-        if let Some(attempt) = self.in_flight.attempt_mut(attempt) {
-            attempt.may_have_run = true;
-        }
-    }
-
-    /// An attempt has ended. Results of attempts that are not awaited are ignored.
-    pub fn complete_attempt(
-        &mut self,
-        attempt: AttemptId,
-        result: AttemptResult,
-        now: Micros,
-        timers: &mut TimerQueue,
-    ) {
-        let AttemptResult { outcome, body, remote_units, utilization } = result;
-        let Some(request) = self.in_flight.get_mut(attempt.request) else { return };
-        let timed_out = outcome == Outcome::TimedOut;
-        let Some(completed) = request.remove_attempt(attempt.number, timed_out) else { return };
-        timers.cancel(completed.deadline, Timer::AttemptTimeout(attempt));
-        let served_units = if outcome == Outcome::Served { request.request().units } else { 0.0 };
-        self.nodes.attempt_completed(completed.node, served_units);
-        if let (Outcome::Served, Some(body)) = (outcome, body) {
-            self.respond(attempt.request, Response::Served(body));
-        }
-        self.events.push(Event::AttemptCompleted(CompletedAttempt {
-            request: attempt.request,
-            number: attempt.number,
-            node: completed.node,
-            outcome,
-            request_closed: !self.awaits_response(attempt.request),
-            elapsed: now - completed.dispatched_at,
-            remote_units,
-            utilization,
-        }));
-        self.remove_if_finished(attempt.request, timers);
-    }
-
-    /// Ends an attempt that was given up or lost its connection; `outcome` applies if it may have run.
-    ///
-    /// If no byte that may take effect was written, the outcome is [`Outcome::ConnectFailed`], or
-    /// [`Outcome::NotDispatched`] for a cancelled attempt, which says nothing about its node.
-    pub fn abort_attempt(
-        &mut self,
-        attempt: AttemptId,
-        outcome: Outcome,
-        now: Micros,
-        timers: &mut TimerQueue,
-    ) {
-        let Some(in_flight) = self.in_flight.attempt(attempt) else { return };
-        let outcome = match outcome {
-            _ if in_flight.may_have_run => outcome,
-            Outcome::Cancelled => Outcome::NotDispatched,
-            _ => Outcome::ConnectFailed,
-        };
-        self.commands.push(Command::AbandonAttempt(attempt));
-        self.complete_attempt(attempt, AttemptResult::without_body(outcome), now, timers);
-    }
-
-    /// Handles an expired timer of the dispatcher; other timers are ignored.
-    pub fn handle_timer(&mut self, timer: Timer, now: Micros, timers: &mut TimerQueue) {
-        match timer {
-            Timer::AttemptTimeout(attempt) => self.abort_attempt(attempt, Outcome::TimedOut, now, timers),
-            Timer::Scheduler => {
-                self.scheduler_timer = None;
-                self.events.push(Event::TimerFired);
-            }
-            Timer::RequestOverdue(id) => self.fail_overdue(id),
-            Timer::Connection(_) | Timer::DiscoveryWatch | Timer::Shutdown | Timer::ResumeAccepting => {}
-        }
-    }
-
-    /// Whether there are events for the scheduler or commands for the event loop.
-    #[must_use]
-    pub fn has_work(&self) -> bool {
-        !self.events.is_empty() || !self.commands.is_empty()
-    }
-
-    /// Calls the scheduler once with all pending events, and appends what is to be done to `commands`.
-    pub fn run_scheduler(&mut self, now: Micros, timers: &mut TimerQueue, commands: &mut Vec<Command>) {
-        if !self.events.is_empty() {
-            self.call_scheduler(now, timers);
-        }
-        commands.append(&mut self.commands);
-    }
-
-    fn call_scheduler(&mut self, now: Micros, timers: &mut TimerQueue) {
-        let events = std::mem::take(&mut self.events);
-        let mut actions = std::mem::take(&mut self.actions);
-        self.scheduler.handle(now, &events, &mut actions);
-        for event in events {
-            if let Event::ClientDisconnected(id) = event {
-                self.remove_if_finished(id, timers);
-            }
-        }
-        for action in actions.drain(..) {
-            self.apply_action(&action, now, timers);
-        }
-        self.actions = actions;
-    }
-
-    fn apply_action(&mut self, action: &Action, now: Micros, timers: &mut TimerQueue) {
-        match *action {
-            Action::Dispatch { request, node, deadline } => {
-                self.dispatch(request, node, deadline, now, timers);
-            }
-            Action::Reject { request, retry_after } => {
-                self.finish(request, Response::Rejected { retry_after }, timers);
-            }
-            Action::Fail(request) => self.fail(request, now, timers),
-            Action::Cancel { request, attempt: number } => {
-                self.abort_attempt(AttemptId { request, number }, Outcome::Cancelled, now, timers);
-            }
-            Action::OpenWatch => self.commands.push(Command::OpenWatch),
-            Action::HealthCheck(node) => self.fail_health_check(node),
-            Action::SetTimer(at) => {
-                timers.reschedule(&mut self.scheduler_timer, Some(at), Timer::Scheduler);
-            }
-        }
-    }
-
-    /// Starts an attempt at a node.
-    fn dispatch(
-        &mut self,
-        id: RequestId,
-        node: NodeId,
-        deadline: Micros,
-        now: Micros,
-        timers: &mut TimerQueue,
-    ) {
-        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
-        let number = in_flight.start_attempt(node, now, deadline);
-        let request = Arc::clone(in_flight.request());
-        let attempt = AttemptId { request: id, number };
-        timers.set(deadline, Timer::AttemptTimeout(attempt));
-        self.nodes.attempt_started(node);
-        self.volume_counters.record_attempt(request.volume);
-        self.commands.push(Command::StartAttempt { attempt, node, deadline, request });
-    }
-
-    /// Gateways send no health checks. Should the scheduler ask for one, it gets a failed one.
-    fn fail_health_check(&mut self, node: NodeId) {
-        self.events.push(Event::HealthCheckCompleted { node, healthy: false, elapsed: 0, load: None });
-    }
-
-    /// Ends a request that the scheduler has failed.
-    fn fail(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
-        let timed_out = self.in_flight.get(id).is_some_and(|request| request.has_timed_out(now));
-        let response = if timed_out { Response::TimedOut } else { Response::Failed };
-        self.finish(id, response, timers);
-    }
-
-    /// Ends a request that the scheduler has left without a final response past its deadline.
-    fn fail_overdue(&mut self, id: RequestId) {
-        let Some(request) = self.in_flight.get(id) else { return };
-        if !request.awaits_response() {
-            return;
-        }
-        log::warn!("request {} had no response at its deadline", request.request().client_request_id);
-        self.respond(id, Response::TimedOut);
-        self.events.push(Event::ClientDisconnected(id));
-    }
-
-    /// Sends the final response and removes the request if no attempt is in flight.
-    fn finish(&mut self, id: RequestId, response: Response, timers: &mut TimerQueue) {
-        self.respond(id, response);
-        self.remove_if_finished(id, timers);
-    }
-
-    /// Sends the final response, unless the request has got one or its client has disconnected.
-    fn respond(&mut self, id: RequestId, response: Response) {
-        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
-        let Some(reply_slot) = in_flight.take_reply_slot() else { return };
-        let request = in_flight.request();
-        self.volume_counters.record_response(request.volume, request.units, &response);
-        self.commands.push(Command::Respond { reply_slot, response });
-    }
-
-    fn awaits_response(&self, id: RequestId) -> bool {
-        self.in_flight.get(id).is_some_and(InFlightRequest::awaits_response)
-    }
-
-    fn remove_if_finished(&mut self, id: RequestId, timers: &mut TimerQueue) {
-        if let Some(removed) = self.in_flight.remove_finished(id) {
-            timers.cancel(removed.deadline() + OVERDUE_GRACE, Timer::RequestOverdue(id));
-        }
-    }
 }
 
-/// When the response to a client that waits for `client_timeout` has to be on its way.
+/// The latest time to send the final response to a client that waits for `client_timeout` from `now` on.
 fn response_deadline(now: Micros, client_timeout: Micros) -> Micros {
     let margin = RESPONSE_DELIVERY_MARGIN.min(client_timeout / 4);
     now + (client_timeout - margin).max(0)
 }
 
-/// A client's request in the scheduler's terms.
+/// A client's request in the scheduler's form.
 fn scheduler_request(id: RequestId, request: &StorageRequest, deadline: Micros) -> Request {
     Request {
         id,
--- a/crates/gateway/src/event_loop/endpoint_table.rs
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as the gateway uses it: what discovery or the inventory lists, and what the operator
-//! drains.
+//! The endpoint list as the gateway uses it: the nodes that discovery or the inventory lists, with the
+//! operator's overrides.
 
 use super::Context;
 use crate::connections::node::{NodeAddress, NodeConnections};
@@ -14,36 +14,48 @@
 #[error("no node is named '{0}'")]
 pub(super) struct UnknownNode(String);
 
+/// What the operator has set for a node at the console.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum OperatorOverride {
+    /// The node has the status that the endpoint list states.
+    None,
+    /// The node is draining if the endpoint list states that it is in service.
+    Drain,
+}
+
 /// The nodes as last listed, and those that the operator drains.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
+    /// The records as listed, without overrides, by the name of the node.
     records: BTreeMap<String, EndpointRecord>,
+    /// Names of the nodes with [`OperatorOverride::Drain`]; they stay over changes of the list.
     drained_by_operator: BTreeSet<String>,
 }
 
 impl EndpointTable {
-    /// Applies a list from discovery: addresses go to the connection pools, the rest to the dispatcher.
+    /// Applies a list or a delta from discovery: addresses go to the connection pools, records to the
+    /// dispatcher.
     pub(super) fn apply_update(
         &mut self,
         update: &EndpointListUpdate,
         kind: EndpointListEvent,
-        nodes: &mut NodeConnections,
+        node_connections: &mut NodeConnections,
         context: &mut Context,
     ) {
         let mut records = Vec::with_capacity(update.endpoints.len());
         for ListedEndpoint { record, address } in update.listed_endpoints() {
             let node = context.dispatcher.node_id(&record.name);
-            nodes.set_address(node, NodeAddress { address, protocol: Protocol::Resp2 }, context);
+            node_connections.set_address(node, NodeAddress { address, protocol: Protocol::Resp2 }, context);
             records.push(record);
         }
-        self.apply(kind, records, nodes, context);
+        self.apply(kind, records, node_connections, context);
     }
 
     /// Reads the inventory again and applies it as the complete list; returns how many nodes it lists. An
     /// invalid one changes nothing.
     pub(super) fn reload_inventory(
         &mut self,
-        nodes: &mut NodeConnections,
+        node_connections: &mut NodeConnections,
         context: &mut Context,
     ) -> Result<usize, InventoryError> {
         let Some(path) = context.config.inventory.clone() else { return Ok(self.records.len()) };
@@ -51,50 +63,43 @@
         for entry in &entries {
             let node = context.dispatcher.node_id(&entry.record.name);
             let address = NodeAddress { address: entry.address, protocol: entry.protocol };
-            nodes.set_address(node, address, context);
+            node_connections.set_address(node, address, context);
         }
         let count = entries.len();
         let records = entries.into_iter().map(|entry| entry.record).collect();
-        self.apply(EndpointListEvent::Snapshot, records, nodes, context);
+        self.apply(EndpointListEvent::Snapshot, records, node_connections, context);
         Ok(count)
     }
 
-    /// Drains a node until [`EndpointTable::undrain`].
-    pub(super) fn drain(
-        &mut self,
-        name: &str,
-        nodes: &mut NodeConnections,
-        context: &mut Context,
-    ) -> Result<(), UnknownNode> {
-        let record = self.record(name)?;
-        self.drained_by_operator.insert(name.to_owned());
-        self.apply(EndpointListEvent::Delta, vec![record], nodes, context);
-        Ok(())
-    }
-
-    /// Uses a node again as it is listed.
-    pub(super) fn undrain(
+    /// Sets the operator's override of a listed node and applies the node's record with it.
+    pub(super) fn set_override(
         &mut self,
         name: &str,
-        nodes: &mut NodeConnections,
+        operator_override: OperatorOverride,
+        node_connections: &mut NodeConnections,
         context: &mut Context,
     ) -> Result<(), UnknownNode> {
         let record = self.record(name)?;
-        self.drained_by_operator.remove(name);
-        self.apply(EndpointListEvent::Delta, vec![record], nodes, context);
+        match operator_override {
+            OperatorOverride::Drain => self.drained_by_operator.insert(name.to_owned()),
+            OperatorOverride::None => self.drained_by_operator.remove(name),
+        };
+        self.apply(EndpointListEvent::Delta, vec![record], node_connections, context);
         Ok(())
     }
 
+    /// The record of a node as listed.
     fn record(&self, name: &str) -> Result<EndpointRecord, UnknownNode> {
         self.records.get(name).cloned().ok_or_else(|| UnknownNode(name.to_owned()))
     }
 
-    /// Hands records to the dispatcher; those in service that the operator drains are shown as draining.
+    /// Stores records as listed and passes them to the dispatcher with the operator's overrides. Any event
+    /// but a delta replaces the whole list.
     fn apply(
         &mut self,
         kind: EndpointListEvent,
         mut records: Vec<EndpointRecord>,
-        nodes: &mut NodeConnections,
+        node_connections: &mut NodeConnections,
         context: &mut Context,
     ) {
         if kind != EndpointListEvent::Delta {
@@ -109,6 +114,6 @@
         }
         context.dispatcher.update_endpoints(kind, &records, context.now);
         self.records.retain(|_, record| record.status != EndpointStatus::Removed);
-        nodes.remove_unlisted(context);
+        node_connections.remove_unlisted(context);
     }
 }
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -11,25 +11,31 @@
 use crate::connections::client::ClientConnections;
 use crate::connections::descriptors::ConnectionLimits;
 use crate::connections::node::NodeConnections;
+use crate::connections::ConnectionToken;
 use crate::dispatcher::Command;
 use crate::timer_queue::Timer;
 use io_scheduler::{EndpointListEvent, Micros};
 use rustix::event::epoll::{Event, EventFlags};
 
-/// Ready events handled in one turn.
+/// How many events of the poller are handled in one turn.
 const MAX_EVENTS_PER_TURN: usize = 256;
 
-/// The running gateway.
+/// The running gateway: the owners of its state, joined by the event loop.
 pub struct Gateway {
+    /// The state that the others share.
     pub(super) context: Context,
-    pub(super) clients: ClientConnections,
-    pub(super) nodes: NodeConnections,
+    /// The client connections.
+    pub(super) client_connections: ClientConnections,
+    /// The connections to storage nodes.
+    pub(super) node_connections: NodeConnections,
+    /// The endpoint list.
     pub(super) endpoints: EndpointTable,
+    /// The watch on discovery.
     pub(super) watch: DiscoveryWatch,
 }
 
 impl Gateway {
-    /// Applies the cached endpoint list or the inventory, and listens.
+    /// Starts the gateway: applies the cached endpoint list or the inventory, and listens for clients.
     ///
     /// # Errors
     ///
@@ -40,15 +46,20 @@
         let mut context = Context::new(config)?;
         context.update_now();
         let mut gateway = Gateway {
-            clients: ClientConnections::new(&context.config, limits, context.now),
-            nodes: NodeConnections::new(limits.nodes),
+            client_connections: ClientConnections::new(&context.config, limits, context.now),
+            node_connections: NodeConnections::new(limits.nodes),
             endpoints: EndpointTable::default(),
             watch: DiscoveryWatch::new(cached.index),
             context,
         };
         gateway.context.update_now();
         let cached_event = EndpointListEvent::Cached;
-        gateway.endpoints.apply_update(&cached, cached_event, &mut gateway.nodes, &mut gateway.context);
+        gateway.endpoints.apply_update(
+            &cached,
+            cached_event,
+            &mut gateway.node_connections,
+            &mut gateway.context,
+        );
         gateway.open()?;
         Ok(gateway)
     }
@@ -78,18 +89,19 @@
         let mut events: Vec<Event> = Vec::with_capacity(MAX_EVENTS_PER_TURN);
         let mut commands = Vec::new();
         loop {
-            self.context.poller.wait(&mut events, self.time_to_wait())?;
+            self.context.poller.wait(&mut events, self.poll_timeout())?;
             self.context.update_now();
             self.run_turn(&events, &mut commands);
-            if self.is_shutdown_complete(&events) {
+            if self.update_shutdown(&events) {
                 log::info!("shutdown complete");
                 return Ok(());
             }
         }
     }
 
-    /// How long the poller may wait; no limit if nothing is scheduled.
-    fn time_to_wait(&self) -> Option<Micros> {
+    /// How long the poller may wait for events, in microseconds; `None` for no limit if no timer is set. It
+    /// does not wait while the dispatcher has events or commands left from this turn.
+    fn poll_timeout(&self) -> Option<Micros> {
         if self.context.dispatcher.has_work() {
             return Some(0);
         }
@@ -98,11 +110,12 @@
         next.map(|at| self.context.time_until(at))
     }
 
-    /// Handles what is ready, then what is due, then what the scheduler decides on all of it.
+    /// Runs one turn: handles the connections that are ready and the timers that have expired, calls the
+    /// scheduler with all events that came of it, carries out the commands, and closes excess connections.
     fn run_turn(&mut self, events: &[Event], commands: &mut Vec<Command>) {
         for event in events {
             let (flags, data) = (event.flags, event.data);
-            self.handle_ready(data.u64(), flags);
+            self.handle_ready(ConnectionToken::from(data.u64()), flags);
         }
         while let Some(timer) = self.context.timers.pop_expired(self.context.now) {
             self.handle_timer(timer);
@@ -111,29 +124,40 @@
         for command in commands.drain(..) {
             self.run_command(command);
         }
-        self.clients.close_excess_requesters(&mut self.context);
+        self.client_connections.close_excess_requesters(&mut self.context);
     }
 
     /// Handles a connection that the poller reported; it may have been closed earlier in the turn.
-    fn handle_ready(&mut self, token: u64, flags: EventFlags) {
+    fn handle_ready(&mut self, token: ConnectionToken, flags: EventFlags) {
         let context = &mut self.context;
         match context.connections.take(token) {
             None => {}
             Some(Connection::Listener(listener)) => {
-                self.clients.accept(&listener, context);
+                self.client_connections.accept(&listener, context);
                 context.connections.put(token, Connection::Listener(listener));
             }
-            Some(Connection::Client(client)) => self.clients.handle_ready(token, client, flags, context),
-            Some(Connection::Node(connection)) => self.nodes.handle_ready(token, connection, context),
+            Some(Connection::Client(client)) => {
+                self.client_connections.handle_ready(token, client, flags, context);
+            }
+            Some(Connection::Node(connection)) => {
+                self.node_connections.handle_ready(token, connection, context);
+            }
             Some(Connection::Watch(connection)) => {
-                self.watch.handle_ready(token, connection, &mut self.endpoints, &mut self.nodes, context);
+                self.watch.handle_ready(
+                    token,
+                    connection,
+                    &mut self.endpoints,
+                    &mut self.node_connections,
+                    context,
+                );
             }
             Some(Connection::Console(console)) => self.handle_console_ready(token, console),
             Some(Connection::Signal(pipe)) => self.handle_signal(token, pipe),
         }
     }
 
-    fn handle_signal(&mut self, token: u64, mut pipe: SignalPipe) {
+    /// Starts what a signal asks for.
+    fn handle_signal(&mut self, token: ConnectionToken, mut pipe: SignalPipe) {
         pipe.drain();
         let kind = pipe.kind;
         self.context.connections.put(token, Connection::Signal(pipe));
@@ -143,6 +167,7 @@
         }
     }
 
+    /// Passes an expired timer to its owner.
     fn handle_timer(&mut self, timer: Timer) {
         let context = &mut self.context;
         match timer {
@@ -156,44 +181,53 @@
         }
     }
 
-    fn handle_connection_timer(&mut self, token: u64) {
+    /// Handles the timer of a client's or node's connection.
+    fn handle_connection_timer(&mut self, token: ConnectionToken) {
         let context = &mut self.context;
         match context.connections.take(token) {
-            Some(Connection::Node(connection)) => self.nodes.handle_timeout(token, connection, context),
-            Some(Connection::Client(client)) => self.clients.handle_timeout(token, client, context),
+            Some(Connection::Node(connection)) => {
+                self.node_connections.handle_timeout(token, connection, context);
+            }
+            Some(Connection::Client(client)) => {
+                self.client_connections.handle_timeout(token, client, context);
+            }
             Some(other) => context.connections.put(token, other),
             None => {}
         }
     }
 
+    /// Carries out a command of the dispatcher.
     fn run_command(&mut self, command: Command) {
         let context = &mut self.context;
         match command {
             Command::StartAttempt { attempt, node, deadline, request } => {
-                self.nodes.start_attempt(attempt, node, deadline, request, context);
+                self.node_connections.start_attempt(attempt, node, deadline, request, context);
+            }
+            Command::AbandonAttempt(attempt) => self.node_connections.abandon_attempt(attempt, context),
+            Command::Respond { reply_slot, response } => {
+                self.client_connections.respond(reply_slot, response, context);
             }
-            Command::AbandonAttempt(attempt) => self.nodes.abandon_attempt(attempt, context),
-            Command::Respond { reply_slot, response } => self.clients.respond(reply_slot, response, context),
-            // A watch that was opened meanwhile has its own time to answer.
+            // A watch that is open already keeps its own timeout.
             Command::OpenWatch if self.watch.is_open() => {}
             Command::OpenWatch => self.watch.open(context),
         }
     }
 
+    /// Requests a graceful shutdown.
     pub(super) fn request_shutdown(&mut self) {
         self.context.shutdown.request(self.context.now, &mut self.context.timers);
     }
 
-    /// Closes idle client connections, now and again until the shutdown is complete.
+    /// Closes idle client connections, and sets the timer to do so again until the shutdown is complete.
     fn drain_clients(&mut self) {
         let min_idle_time = self.context.shutdown.drain();
-        self.clients.close_idle_for(min_idle_time, &mut self.context);
+        self.client_connections.close_idle_for(min_idle_time, &mut self.context);
         self.context.timers.set(self.context.now + DRAIN_GRACE, Timer::Shutdown);
     }
 
-    /// Whether the gateway is draining, has been idle for long enough, and had nothing to handle in this
-    /// turn.
-    fn is_shutdown_complete(&mut self, events: &[Event]) -> bool {
+    /// Updates the idle state of the shutdown after a turn. Returns whether the gateway can end: it is
+    /// draining, has been idle for long enough, and the poller reported no event in this turn.
+    fn update_shutdown(&mut self, events: &[Event]) -> bool {
         if !(self.context.shutdown.is_draining() && self.is_idle()) {
             self.context.shutdown.note_busy();
             return false;
@@ -203,6 +237,6 @@
 
     /// Whether there is no client connection and no open request.
     fn is_idle(&self) -> bool {
-        self.clients.count() == 0 && self.context.dispatcher.open_requests() == 0
+        self.client_connections.count() == 0 && self.context.dispatcher.open_requests() == 0
     }
 }
