--- a/crates/gateway/tests/harness/config.rs
+++ b/crates/gateway/tests/harness/config.rs
@@ -76,6 +76,11 @@
     replace_setting(config, "\"sockets\":256", "\"sockets\":64")
 }
 
+/// Of the file descriptors, clients may hold 600.
+pub fn with_many_sockets(config: &str) -> String {
+    replace_setting(config, "\"sockets\":256", "\"sockets\":1024")
+}
+
 /// The gateway writes its debug log.
 pub fn with_debug_log(config: &str) -> String {
     replace_setting(config, "\"seed\"", "\"log\":\"debug\",\"seed\"")
--- a/crates/gateway/tests/harness/gateway.rs
+++ b/crates/gateway/tests/harness/gateway.rs
@@ -11,7 +11,11 @@
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
 
+/// The gateway reads this many bytes at once from a socket.
+pub const READ_SIZE: usize = 16 << 10;
 const CONFIG_FILE: &str = "config.json";
+/// The gateway handles this many ready connections in one iteration of its event loop.
+const MAX_EVENTS_PER_ITERATION: usize = 256;
 
 /// A gateway whose configuration the test can change.
 pub struct Gateway {
@@ -83,6 +87,13 @@
         client
     }
 
+    /// Connects clients that fill one iteration of the event loop once all of them have sent a `PING` to the
+    /// paused gateway: what becomes ready after that is handled in the next iteration. Needs a gateway with
+    /// many sockets.
+    pub fn connect_clients_for_a_full_iteration(&self) -> Vec<Connection> {
+        (0..MAX_EVENTS_PER_ITERATION).map(|_| self.connect_idle_client()).collect()
+    }
+
     /// Returns when the gateway has processed all that was ready on its sockets before the call.
     pub fn wait_until_input_is_processed(&self) {
         let mut client = self.connect_and_send_at_once(encode_command("PING"));
--- a/crates/gateway/tests/races/client_close.rs
+++ b/crates/gateway/tests/races/client_close.rs
@@ -1,7 +1,7 @@
 //! A client closes its connection while its request is read, pending or in flight.
 
 use crate::harness::cluster::{serve_request, TestCluster};
-use crate::harness::config::{with_long_connect_timeout, without_cancellation};
+use crate::harness::config::{with_long_connect_timeout, with_many_sockets, without_cancellation};
 use crate::harness::node::StorageNode;
 use crate::harness::requests::read_request;
 
@@ -120,3 +120,25 @@
     serve_request(&mut successor_connection, &mut last, "a3", "three");
     read.complete("one");
 }
+
+/// The response to the first request frees the node for the second one, which is dispatched in that iteration.
+/// The client's reset becomes ready too late for the iteration: only sending the response reveals it.
+#[test]
+fn attempt_dispatched_in_the_iteration_that_reveals_the_close_is_not_started() {
+    let cluster = TestCluster::start_with(with_many_sockets);
+    let closing = cluster.gateway.connect_and_send(read_request("a1") + &read_request("a2"));
+    let mut node = cluster.node_a.accept_request("a1");
+    let mut others = cluster.gateway.connect_clients_for_a_full_iteration();
+
+    cluster.gateway.pause();
+    node.respond("one");
+    for client in &mut others {
+        client.send_ping();
+    }
+    closing.reset();
+    cluster.gateway.resume();
+    cluster.gateway.wait_until_input_is_processed();
+
+    let mut last = cluster.gateway.connect_and_send(read_request("a3"));
+    serve_request(&mut node, &mut last, "a3", "three");
+}
--- a/crates/gateway/tests/races/discovery_watch.rs
+++ b/crates/gateway/tests/races/discovery_watch.rs
@@ -3,11 +3,9 @@
 use crate::harness::cluster::TestCluster;
 use crate::harness::config::with_pushed_lists;
 use crate::harness::discovery::{encode_chunk, watch_event, UpdateKind, CHUNKED_RESPONSE_HEAD};
+use crate::harness::gateway::READ_SIZE;
 use crate::harness::log_lines;
 
-/// The gateway reads this many bytes at once from a socket.
-const READ_SIZE: usize = 16 << 10;
-
 /// The drain and the watch's reset are ready in one iteration of the event loop; the drain came first.
 #[test]
 fn drain_received_before_a_reset_of_the_watch_is_applied() {
--- a/crates/gateway/tests/races/node_connections.rs
+++ b/crates/gateway/tests/races/node_connections.rs
@@ -1,17 +1,15 @@
 //! Responses, resets and late connections of nodes, against drains, deadlines and further requests.
 
 use crate::harness::cluster::{serve_request, TestCluster};
-use crate::harness::config::{with_long_connect_timeout, with_short_drain_grace};
+use crate::harness::config::{with_long_connect_timeout, with_many_sockets, with_short_drain_grace};
 use crate::harness::discovery::delta_chunk;
+use crate::harness::gateway::READ_SIZE;
 use crate::harness::node::StorageNode;
 use crate::harness::requests::{
     read_request, read_request_of_another_object, read_request_with_deadline, value_response, write_request,
     SplitRequest,
 };
 
-/// The gateway reads this many bytes at once from a socket.
-const READ_SIZE: usize = 16 << 10;
-
 /// A complete response and a reset are ready in one iteration of the event loop; the response came first.
 #[test]
 fn response_received_before_a_reset_is_passed_on() {
@@ -110,3 +108,24 @@
     // Nothing was sent on it.
     node.expect_closed();
 }
+
+/// The request is dispatched in the iteration before the one in which the idle connection would be reported.
+#[test]
+fn unsolicited_response_on_an_idle_connection_is_not_taken_for_the_next_one() {
+    let cluster = TestCluster::start_with(with_many_sockets);
+    let mut read = cluster.start_read("a1");
+    read.complete("one");
+    let mut others = cluster.gateway.connect_clients_for_a_full_iteration();
+
+    cluster.gateway.pause();
+    read.client.send(read_request("a2"));
+    for client in &mut others {
+        client.send_ping();
+    }
+    read.node.respond("unsolicited");
+    cluster.gateway.resume();
+
+    read.node.expect_closed();
+    let mut node = cluster.node_a.accept();
+    serve_request(&mut node, &mut read.client, "a2", "two");
+}
