--- a/crates/gateway/tests/malformed_input.rs
+++ b/crates/gateway/tests/malformed_input.rs
@@ -1,4 +1,4 @@
-//! Parsers take anything at all without a panic, and never report a result that consumed no input.
+//! Parsers accept any input without a panic, and never report a result that consumed no input.
 
 mod fixtures;
 
@@ -76,7 +76,7 @@
         protocol.encode_request(&storage_request(Operation::Read), 1, &mut output);
         let mut unread = input.to_vec();
         if let Ok(Some(result)) = protocol.decode(&mut unread, &mut output) {
-            assert!(unread.len() < input.len(), "{result:?} came of nothing");
+            assert!(unread.len() < input.len(), "{result:?} consumed no input");
         }
     }
 }
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn random_input_never_causes_a_panic_or_a_result_of_nothing() {
+fn random_input_causes_no_panic_and_no_result_without_consumed_input() {
     let names = RequestNames::new(&settings());
     let mut generator = InputGenerator { state: 1 };
     for _ in 0..20_000 {
