--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -11,30 +11,36 @@
 
 /// Loads a configuration of the platform from its text, with an empty environment.
 fn load_router_config(text: String) -> Result<Config, ConfigError> {
-    config::parse_router_config(&mut text.into_bytes(), Path::new("f"), |_| None, Precedence::Environment)
+    config::parse_router_config(
+        &mut text.into_bytes(),
+        Path::new("f"),
+        |_variable| None,
+        Precedence::Environment,
+    )
 }
 
 /// The error that a configuration of the platform is rejected with.
 fn router_config_error(text: String) -> String {
-    load_router_config(text).expect_err("bad").to_string()
+    load_router_config(text).expect_err("an invalid configuration").to_string()
 }
 
 /// The error that an inventory in CSV is rejected with.
 fn csv_error(text: &str) -> String {
-    inventory::from_csv(text, "f").expect_err("bad").to_string()
+    inventory::from_csv(text, "f").expect_err("an invalid inventory").to_string()
 }
 
 /// The error that an inventory in YAML is rejected with.
 fn yaml_error(text: &str) -> String {
-    inventory::from_yaml(text, "f").expect_err("bad").to_string()
+    inventory::from_yaml(text, "f").expect_err("an invalid inventory").to_string()
 }
 
 #[test]
 fn examples_are_valid_and_both_inventory_formats_agree() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    let config = config::from_file(&deploy.join("operator.example.json")).expect("a good example");
-    let yaml = inventory::read(&config.inventory.expect("it names one")).expect("a good inventory");
-    let csv = inventory::read(&deploy.join("inventory.example.csv")).expect("a good inventory");
+    let config = config::from_file(&deploy.join("operator.example.json")).expect("a valid example");
+    let yaml = inventory::read(&config.inventory.expect("the example names an inventory"))
+        .expect("a valid inventory");
+    let csv = inventory::read(&deploy.join("inventory.example.csv")).expect("a valid inventory");
     assert_eq!(yaml, csv);
     assert_eq!(yaml.len(), 3);
 }
@@ -47,7 +53,7 @@
         );
         load_router_config(text).map(|config| config.budget).map_err(|error| error.to_string())
     };
-    let small = budget(r#"{"memory_mb":32,"sockets":256}"#).expect("it can work with so little");
+    let small = budget(r#"{"memory_mb":32,"sockets":256}"#).expect("32 MB are enough");
     let total = small.request_body_bytes
         + small.unsent_reply_bytes
         + small.partial_command_bytes
@@ -55,8 +61,8 @@
         + small.large_response_bytes
         + small.max_value_bytes;
     assert!(total < 16 << 20 && small.max_value_bytes >= 400 << 10, "{small:?}");
-    assert_eq!(budget(r#"{"memory_mb":64}"#).expect("good").max_requests, 2 * small.max_requests);
-    let too_small = budget(r#"{"memory_mb":1}"#).expect_err("bad");
+    assert_eq!(budget(r#"{"memory_mb":64}"#).expect("64 MB are enough").max_requests, 2 * small.max_requests);
+    let too_small = budget(r#"{"memory_mb":1}"#).expect_err("1 MB is too little");
     assert_eq!(too_small, "limits.memory_mb: must be from 16 to 1048576");
 }
 
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -4,8 +4,8 @@
 use io_scheduler::EndpointStatus;
 use storage_gateway::discovery::{EndpointListUpdate, WatchParser};
 
-/// Versions of the updates.
-fn versions(updates: &[EndpointListUpdate]) -> Vec<u64> {
+/// The list indices of the updates.
+fn indices(updates: &[EndpointListUpdate]) -> Vec<u64> {
     updates.iter().map(|update| update.index).collect()
 }
 
@@ -16,7 +16,7 @@
     for byte in response.as_bytes() {
         parser.feed(&[*byte], &mut updates).expect("well formed");
     }
-    assert_eq!(versions(&updates), [43]);
+    assert_eq!(indices(&updates), [43]);
     assert!(parser.is_complete());
 }
 
@@ -54,7 +54,7 @@
             for piece in response.as_bytes().chunks(piece_length) {
                 parser.feed(piece, &mut updates).expect("well formed");
             }
-            assert_eq!(versions(&updates), [7, 8, 9], "{response}");
+            assert_eq!(indices(&updates), [7, 8, 9], "{response}");
             let names: Vec<_> = updates[0].records().map(|(record, _)| record.name).collect();
             assert_eq!(names, ["a }\" {"]);
             assert_eq!((parser.is_complete(), parser.is_mid_object()), (complete, false));
@@ -68,7 +68,9 @@
     let endless = [("{\"endpoints\":[", "{\"name\":\"n\"},", 100_000), ("{\"a\":", "[", 20)];
     for (beginning, repeated, times) in endless {
         let (mut parser, mut updates) = (WatchParser::default(), Vec::new());
-        parser.feed(format!("{head}{beginning}").as_bytes(), &mut updates).expect("it may go on well");
+        parser
+            .feed(format!("{head}{beginning}").as_bytes(), &mut updates)
+            .expect("the object may still be completed");
         assert!(parser.is_mid_object());
         let result = (0..times).try_for_each(|_| parser.feed(repeated.as_bytes(), &mut updates));
         assert!(result.is_err() && updates.is_empty(), "{beginning}");
--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -51,8 +51,7 @@
 
 fn settings(change: impl FnOnce(&mut DeploymentSettings)) -> DeploymentSettings {
     let mut text = include_str!("common/settings.json").as_bytes().to_vec();
-    let mut settings: DeploymentSettings =
-        simd_json::serde::from_slice(&mut text).expect("the scenarios use the same settings");
+    let mut settings: DeploymentSettings = simd_json::serde::from_slice(&mut text).expect("valid settings");
     change(&mut settings);
     settings
 }
@@ -172,7 +171,7 @@
 #[test]
 fn an_aborted_write_is_rejected_before_its_first_byte_and_failed_after_it() {
     for (written, expect_rejected) in [(false, true), (true, false)] {
-        let settings = settings(|s| s.allowed.max_attempts = 1);
+        let settings = settings(|settings| settings.allowed.max_attempts = 1);
         let mut harness = Harness::new(&settings, &[in_service("n", 0)]);
         harness.submit(Operation::Write, Some(0));
         harness.run_turn();
@@ -215,7 +214,8 @@
     for at in dispatched_at {
         let window = *at..at + 2_000 * MS;
         let units = dispatched_at.iter().filter(|other| window.contains(other)).count();
-        // The node's certain capacity grows from 0.2 to the full within 17 s, counted a window late.
+        // The node's guaranteed capacity grows from 0.2 of the full one to all of it within 17 s. Each window
+        // counts with the capacity at its start.
         let grown = (at - restarted_at).max(0) as f64 / (17_000 * MS) as f64;
         let budget = SLOW_START_UNITS * (0.2 + 0.8 * grown) / 0.2;
         assert!(units as f64 <= budget, "{units} units within 2 s of a restart, the node takes {budget}");
@@ -225,10 +225,10 @@
 #[test]
 fn listings_keep_to_the_slow_start_budget_and_get_one_response_each() {
     const RESTARTED: NodeId = NodeId(1);
-    let settings = settings(|s| {
-        s.domain.slow_start_units = SLOW_START_UNITS;
-        // Without reservations nothing may go beyond the certain capacity of a node that warms up.
-        s.plans[0].reservation = 0.0;
+    let settings = settings(|settings| {
+        settings.domain.slow_start_units = SLOW_START_UNITS;
+        // Without reservations nothing may exceed the guaranteed capacity of a node that warms up.
+        settings.plans[0].reservation = 0.0;
     });
     let mut harness = Harness::new(&settings, &[in_service("steady", 0), in_service("restarted", 1)]);
     let restarted_at = harness.now + 300 * MS;
@@ -289,7 +289,7 @@
         harness.complete(attempt, Outcome::Served);
         harness.run_turn();
         let responses = harness.take_responses();
-        let served = responses.iter().filter(|r| matches!(r.response, Response::Served(_)));
+        let served = responses.iter().filter(|responded| matches!(responded.response, Response::Served(_)));
         assert_eq!(served.count(), 1);
         for _ in 0..3 {
             let unknown_shard = Some(1_000_000 + harness.submitted);
--- a/crates/gateway/tests/harness/connection.rs
+++ b/crates/gateway/tests/harness/connection.rs
@@ -17,7 +17,7 @@
     Reset,
 }
 
-/// A connection with what has been received on it and not been looked at.
+/// A connection, with the bytes that were received on it and not examined yet.
 pub struct Connection {
     stream: TcpStream,
     input: Vec<u8>,
@@ -134,7 +134,7 @@
         request
     }
 
-    /// Waits for the end, before which nothing more may come, and says how it came.
+    /// Waits for the end of the connection, before which nothing more may be received; returns how it ended.
     pub fn wait_for_end(&mut self) -> ConnectionEnd {
         loop {
             assert!(self.input.is_empty(), "received: {}", self.input.escape_ascii());
--- a/crates/gateway/tests/harness/discovery.rs
+++ b/crates/gateway/tests/harness/discovery.rs
@@ -40,7 +40,7 @@
     Delta,
 }
 
-/// An endpoint list or a change of it as JSON.
+/// An endpoint list, or changes to one, as JSON.
 pub fn endpoint_list(index: u64, kind: UpdateKind, entries: &[String]) -> String {
     let snapshot = kind == UpdateKind::Snapshot;
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
@@ -107,7 +107,7 @@
         OpenedWatch { connection, request_line }
     }
 
-    /// Accepts the next watch, which must ask for what follows this index.
+    /// Accepts the next watch, which must ask for the events after this index.
     #[track_caller]
     pub fn accept_watch_from(&self, index: u64) -> Connection {
         let OpenedWatch { connection, request_line } = self.accept_watch();
--- a/crates/gateway/tests/harness/gateway.rs
+++ b/crates/gateway/tests/harness/gateway.rs
@@ -94,7 +94,7 @@
         (0..MAX_EVENTS_PER_ITERATION).map(|_| self.connect_idle_client()).collect()
     }
 
-    /// Returns when the gateway has processed all that was ready on its sockets before the call.
+    /// Returns once the gateway has processed everything that was ready on its sockets before the call.
     pub fn wait_until_input_is_processed(&self) {
         let mut client = self.connect_and_send_at_once(encode_command("PING"));
         client.receive_value();
@@ -127,8 +127,8 @@
         self.wait_for_log(log_lines::SHUTDOWN_REQUESTED);
     }
 
-    /// Sends SIGTERM and waits until the drain grace, in which all goes on as before, is over: until an idle
-    /// client connection is closed.
+    /// Sends SIGTERM and waits until the gateway drains, after the grace period in which everything goes on
+    /// unchanged: an idle client connection is closed then.
     pub fn begin_draining(&mut self) {
         let mut idle = self.connect_idle_client();
         self.request_shutdown();
--- a/crates/gateway/tests/harness/gateway_process.rs
+++ b/crates/gateway/tests/harness/gateway_process.rs
@@ -90,7 +90,7 @@
         self.send_signal(Signal::CONT);
     }
 
-    /// Waits for the process to end, which its log does too.
+    /// Waits until the process has ended: its log ends with it.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let started = Instant::now();
         loop {
--- a/crates/gateway/tests/harness/requests.rs
+++ b/crates/gateway/tests/harness/requests.rs
@@ -30,7 +30,7 @@
     ))
 }
 
-/// A read from shard 0 of another object than [`read_request`]'s, so that it is no repetition of that one.
+/// A read from shard 0 of another object than [`read_request`]'s, so that it does not count as its repeat.
 pub fn read_request_of_another_object(id: &str) -> String {
     read_request(id).replace("7f3a9c21e0b4d655", "7f3a9c21e0b4d657")
 }
@@ -42,7 +42,7 @@
     ))
 }
 
-/// A node's response with a value, and with neither costs nor hints.
+/// A node's response with a value, without a cost and a load report.
 pub fn value_response(value: &str) -> String {
     format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len())
 }
--- a/crates/gateway/tests/malformed_input.rs
+++ b/crates/gateway/tests/malformed_input.rs
@@ -54,7 +54,7 @@
 /// Settings of a deployment that are valid.
 fn settings() -> DeploymentSettings {
     let mut text = include_str!("common/settings.json").as_bytes().to_vec();
-    simd_json::serde::from_slice(&mut text).expect("the scenarios use it")
+    simd_json::serde::from_slice(&mut text).expect("valid settings")
 }
 
 /// A command of a client consumes input, unless it is incomplete or ends the connection.
--- a/crates/gateway/tests/node_protocols.rs
+++ b/crates/gateway/tests/node_protocols.rs
@@ -12,7 +12,32 @@
 use storage_gateway::sftp_packet::{kind, open, Packet};
 
 /// What the tests compare of an attempt's result.
-type ComparedResult = (Outcome, Option<ResponseBody>, Option<f64>, f64);
+#[derive(Debug, PartialEq)]
+struct ComparedResult {
+    outcome: Outcome,
+    body: Option<ResponseBody>,
+    utilization: Option<f64>,
+    remote_units: f64,
+}
+
+impl ComparedResult {
+    /// A read that was served with this value.
+    fn served(text: &str, utilization: Option<f64>, remote_units: f64) -> ComparedResult {
+        ComparedResult { outcome: Outcome::Served, body: value(text), utilization, remote_units }
+    }
+
+    /// An attempt that the node rejected or failed, without a load report.
+    fn unserved(outcome: Outcome, remote_units: f64) -> ComparedResult {
+        ComparedResult { outcome, body: None, utilization: None, remote_units }
+    }
+}
+
+impl From<AttemptResult> for ComparedResult {
+    fn from(result: AttemptResult) -> ComparedResult {
+        let AttemptResult { outcome, body, remote_units, utilization } = result;
+        ComparedResult { outcome, body, utilization, remote_units }
+    }
+}
 
 /// Feeds a response byte by byte; it must be complete with its last byte and not before.
 fn decode_byte_by_byte(
@@ -38,8 +63,7 @@
     assert_eq!(bytes_without_effect + 1, output.len(), "it has not run before its last byte has left");
     let command = "*4\r\n$5\r\nIO.IN\r\n$16\r\n00000000000000ab\r\n$1\r\nx\r\n$19\r\nc=read,d=480,t=gold\r\n";
     assert_eq!(String::from_utf8_lossy(&output), command);
-    decode_byte_by_byte(&mut protocol, response.as_bytes())
-        .map(|result| (result.outcome, result.body, result.utilization, result.remote_units))
+    decode_byte_by_byte(&mut protocol, response.as_bytes()).map(ComparedResult::from)
 }
 
 /// The body of a response with a value.
@@ -50,16 +74,19 @@
 #[test]
 fn resp_response_is_decoded_with_its_cost_and_load_report() {
     let with_report = "*3\r\n$2\r\nv\r\r\n$14\r\nused=37,cost=4\r\n$7\r\nqueue=2\r\n";
-    assert_eq!(resp_exchange(with_report), Ok((Outcome::Served, value("v\r"), Some(0.37), 4.0)));
+    assert_eq!(resp_exchange(with_report), Ok(ComparedResult::served("v\r", Some(0.37), 4.0)));
     let without_report = "*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n";
-    assert_eq!(resp_exchange(without_report), Ok((Outcome::Served, value(""), None, 0.0)));
-    assert_eq!(resp_exchange("-BUSY\r\n"), Ok((Outcome::Overloaded, None, None, 0.0)));
-    assert_eq!(resp_exchange("-ERR failed cost=2 queue=1\r\n"), Ok((Outcome::Error, None, None, 2.0)));
+    assert_eq!(resp_exchange(without_report), Ok(ComparedResult::served("", None, 0.0)));
+    assert_eq!(resp_exchange("-BUSY\r\n"), Ok(ComparedResult::unserved(Outcome::Overloaded, 0.0)));
+    assert_eq!(
+        resp_exchange("-ERR failed cost=2 queue=1\r\n"),
+        Ok(ComparedResult::unserved(Outcome::Error, 2.0))
+    );
 }
 
 #[test]
 fn resp_load_report_that_is_unreadable_or_absurd_leaves_the_value_served() {
-    let served = Ok((Outcome::Served, value("v"), None, 0.0));
+    let served = Ok(ComparedResult::served("v", None, 0.0));
     let reports =
         ["$9\r\nused=1e99\r\n:1\r\n", "*1\r\n$1\r\nx\r\n-what\r\n", "$9\r\ncost=none\r\n$0\r\n\r\n"];
     for report in reports {
@@ -68,7 +95,7 @@
     let mut protocol = RespProtocol::new(MAX_VALUE_BYTES);
     protocol.encode_request(&storage_request(Operation::Read), 1, &mut Vec::new());
     let not_utf8 = b"*3\r\n$1\r\nv\r\n$2\r\n\xff\xfe\r\n$1\r\n\x80\r\n";
-    let result = decode_byte_by_byte(&mut protocol, not_utf8).expect("the value is good");
+    let result = decode_byte_by_byte(&mut protocol, not_utf8).expect("the value is valid");
     assert_eq!(result.body, value("v"));
 }
 
@@ -140,13 +167,15 @@
     );
     let flags = (open::WRITE | open::CREAT | open::TRUNC).to_be_bytes();
     assert!(output.windows(4).any(|window| window == flags));
-    // The id of no command, then data without end.
+    // A response with the id of no command is ignored.
     let mut input = Packet::with_id(kind::HANDLE, 77).string("h").done();
     assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
+    // An object that does not exist is a complete result of a read.
     protocol.encode_request(&storage_request(Operation::Read), 1, &mut output);
     let not_found = Packet::with_id(kind::STATUS, 2).u32(2).string("").string("").done();
     let result = decode_byte_by_byte(&mut protocol, &not_found);
     assert_eq!(result.expect("a result").body, Some(ResponseBody::NotFound));
+    // The third packet exceeds the largest value: the read fails, and a CLOSE is sent.
     protocol.encode_request(&storage_request(Operation::Read), 1, &mut output);
     let mut input = Packet::with_id(kind::HANDLE, 3).string("h").done();
     assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -1,4 +1,4 @@
-//! Two events that race, one pair a test, on real sockets; `docs/races.md` has the whole table.
+//! Pairs of events that race, on real sockets; `docs/races.md` lists all of them with their tests.
 
 mod harness;
 
--- a/crates/gateway/tests/races/idle_close.rs
+++ b/crates/gateway/tests/races/idle_close.rs
@@ -39,9 +39,9 @@
     new.expect_pong();
 }
 
-/// Clients that send one request and keep their connection are evicted before they hold all descriptors that
-/// clients may use for requests, a third of the whole: once they hold more than a fourth, the first that
-/// becomes idle is closed, right after its response and while the others wait for theirs.
+/// Clients that send one request and keep their connection may use a third of all descriptors for it. They
+/// are evicted before that: once they hold more than a fourth, the first connection that becomes idle is
+/// closed, right after its response and while the others wait for theirs.
 #[test]
 fn idle_connection_is_evicted_before_requests_take_all_descriptors() {
     let mut cluster = TestCluster::start_with(|config| with_debug_log(&with_few_sockets(config)));
@@ -58,7 +58,7 @@
     cluster.gateway.wait_for_log(log_lines::IDLE_CONNECTION_EVICTED);
     clients[0].expect_closed();
 
-    // One connection less is within the bound: the next idle one is kept.
+    // With one connection less they are within the limit: the next idle one is kept.
     node.expect_request("a1");
     node.respond("v1");
     clients[1].send_ping();
--- a/crates/gateway/tests/races/node_connections.rs
+++ b/crates/gateway/tests/races/node_connections.rs
@@ -43,7 +43,7 @@
     cluster.node_a.expect_no_further_connection();
 }
 
-/// A request counts from its last byte on.
+/// A request is dispatched only after its last byte has arrived.
 #[test]
 fn request_completed_after_a_drain_avoids_the_draining_node() {
     let mut cluster = TestCluster::start();
@@ -85,7 +85,7 @@
     node.expect_closed();
     node.send_after_close(value_response("one"));
 
-    // Of the same object it would be taken for a repetition of the first request, which is late.
+    // A request for the same object would count as a repeat of the first one, which is late.
     client.send(read_request_of_another_object("a2"));
     let mut node = cluster.node_a.accept();
     serve_request(&mut node, &mut client, "a2", "two");
--- a/crates/gateway/tests/races/reload.rs
+++ b/crates/gateway/tests/races/reload.rs
@@ -21,7 +21,7 @@
     cluster.watch.expect_closed();
 }
 
-/// The new discovery may count its events anew: it is asked for the whole list.
+/// The new discovery service may number its events differently: it is asked for the whole list.
 #[test]
 fn response_received_with_sighup_is_passed_on() {
     let mut cluster = TestCluster::start();
--- a/crates/gateway/tests/scenario_runner/launch.rs
+++ b/crates/gateway/tests/scenario_runner/launch.rs
@@ -23,7 +23,7 @@
     pub sftp_address: Option<SocketAddr>,
 }
 
-/// On what a gateway starts.
+/// The configuration that a gateway starts with.
 pub enum Launch {
     /// The configuration that `ROUTER_CONFIG` names, with the address of discovery in the environment too.
     Platform {
@@ -67,7 +67,7 @@
     }
 }
 
-/// An operator's configuration for so many shards.
+/// An operator's configuration for this number of shards.
 pub fn operator_config(shard_count: usize) -> String {
     let volumes = r#"[{"name":"notes","id":"00000000000000a1","plan":"gold"}]"#;
     let sftp = format!(
--- a/crates/gateway/tests/scenario_runner/message.rs
+++ b/crates/gateway/tests/scenario_runner/message.rs
@@ -3,7 +3,7 @@
 use super::sftp_message;
 use crate::harness::resp;
 
-/// What a party speaks with the gateway.
+/// The protocol between a party and the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// RESP2: commands, responses.
--- a/crates/gateway/tests/scenario_runner/party.rs
+++ b/crates/gateway/tests/scenario_runner/party.rs
@@ -1,4 +1,5 @@
-//! Those who speak with the gateway: clients, stand-in nodes, discovery and the console.
+//! The parties of a scenario, which exchange messages with the gateway: clients, stand-in nodes, discovery and
+//! the console.
 
 use super::error::ScenarioError;
 use super::masking::mask_variable_words;
@@ -50,14 +51,14 @@
     Server { address: SocketAddr },
 }
 
-/// One who speaks with the gateway.
+/// A party that exchanges messages with the gateway.
 pub struct Party {
     /// What it speaks.
     pub protocol: Protocol,
     role: Role,
     events: Receiver<ConnectionEvent>,
-    /// Messages that were received while the end of a connection was waited for: threads that read two
-    /// connections hand over in any order.
+    /// Messages that were received while the test waited for the end of a connection: the threads that read
+    /// two connections report in any order.
     deferred: VecDeque<ConnectionEvent>,
     connections: Connections,
     pending_requests: VecDeque<PendingRequest>,
--- a/crates/scheduler/tests/concurrency_limit.rs
+++ b/crates/scheduler/tests/concurrency_limit.rs
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_slow_node_without_recent_responses_gets_a_request_again() {
-    // Without dispatches there are no measurements: the node would be taken for slow for ever.
+    // Without dispatches there are no measurements: the node would count as slow forever.
     let mut settings = settings();
     settings.classes[0].latency_objective = 100 * MILLISECOND;
     let mut harness = SchedulerHarness::new(settings, 1);
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -6,11 +6,11 @@
 use io_scheduler::{Action, EndpointListEvent, Event, Micros, Scheduler, Settings};
 use std::ops::Range;
 
-/// Time after which a poll fails that the service has not begun to serve.
+/// A poll fails if the service has not begun to serve it after this time.
 const POLL_TIMEOUT: Micros = 2 * SECOND;
 
-/// A discovery service that a whole fleet polls. It serves the polls in turn; one that waits beyond its
-/// timeout fails but costs as much.
+/// A discovery service that a whole fleet polls. It serves the polls one after another. A poll that waits
+/// longer than its timeout fails, but takes as much of the service's time.
 struct DiscoveryService {
     /// Time that one poll takes.
     service_time: Micros,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Runs a fleet beside a discovery service; all watches are lost at one time, if it is given.
+/// Runs a fleet against a discovery service; at `watches_lost_at`, if given, all hosts lose their watch.
 fn run_fleet(
     host_count: u32,
     mut discovery: DiscoveryService,
@@ -149,7 +149,7 @@
         let polls = fleet.sent_at.iter().filter(|at| span.contains(*at)).count();
         assert!((15..55).contains(&polls), "{polls} of 100 hosts poll within a second");
     }
-    // Alone, or nearly, a host has nobody to wait for.
+    // A host that is alone polls at once, and a few hosts poll soon.
     let alone = run_fleet(1, DiscoveryService::always_up(MILLISECOND), None, SECOND);
     assert_eq!(alone.sent_at, [0]);
     let four_hosts = run_fleet(4, DiscoveryService::always_up(MILLISECOND), None, SECOND);
@@ -169,7 +169,8 @@
     let discovery = DiscoveryService::always_up(10 * MILLISECOND);
     let fleet = run_fleet(300, discovery, Some(lost_at), 20 * SECOND);
     assert!(fleet.last_update() - lost_at <= max_delay);
-    // They are lost because discovery goes down, for a shorter or a longer time: its return counts.
+    // They are lost because discovery goes down, for a shorter or a longer time. The delay counts from its
+    // return.
     for down_ms in (1_000..9_000).step_by(890) {
         let up_again_at = lost_at + down_ms * MILLISECOND;
         let discovery =
@@ -179,8 +180,8 @@
     }
 }
 
-/// Polls that all hosts repeat at a constant interval could keep discovery overloaded for ever, each of them
-/// in vain.
+/// If all hosts repeated failed polls at a constant interval, they could keep discovery overloaded forever:
+/// every poll would time out.
 #[test]
 fn an_overloaded_discovery_service_serves_the_whole_fleet_in_the_end() {
     let discovery = DiscoveryService { service_time: 10 * MILLISECOND, down: 0..0, idle_from: 6 * SECOND };
--- a/crates/scheduler/tests/dmclock.rs
+++ b/crates/scheduler/tests/dmclock.rs
@@ -75,7 +75,7 @@
     // Reservation tags of the reserved volume (requests 5 to 7): 0.0, 0.1 and 0.2 s. An attempt completes
     // every 60 ms.
     let order = dispatch_order(&mut harness, in_flight, 6, 60 * MILLISECOND);
-    // The other volume became active last and has the least share tag. 60 ms: 5 is due; 120: 6; 180: none, so
+    // The other volume became active last and has the smallest share tag. 60 ms: 5 is due; 120: 6; 180: none, so
     // 8 by weight; 240: 7 is due; then 9 and 10 by weight.
     assert_eq!(order, [5, 6, 8, 7, 9, 10]);
 }
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -19,7 +19,7 @@
 const VOLUMES: u64 = 12;
 const HOSTS_PER_VOLUME: u64 = 3;
 
-/// Hosts beside one node that has just started, and the load that their volumes put on it.
+/// A fleet of hosts, and the load that their volumes put on one node that has just started.
 #[derive(Clone, Copy)]
 struct FleetLoad {
     hosts: u32,
@@ -253,8 +253,9 @@
 
 #[test]
 fn a_surging_volume_leaves_half_of_a_warming_node_s_units_to_the_others() {
-    // A host alone may send all of the 20 units in a window, apart from those divided by provisioned rate. A
-    // volume that surges gets half of the host's part; the requests of another volume find the other half.
+    // A single host may send all of the 20 units in a window, except those that are divided by provisioned
+    // rate. A volume that exceeds its provisioned rate gets half of the host's part; the requests of another
+    // volume get the other half.
     let mut settings = settings();
     settings.plans = vec![
         VolumePlan { provisioned_rate: 1.0, ..volume_plan(0.0, 1.0, 0.0) },
