--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -1,7 +1,11 @@
 //! The dispatcher on a virtual clock, without sockets.
 
+#[path = "fixtures/random_numbers.rs"]
+mod random_numbers;
+
 use deployment_settings::DeploymentSettings;
 use io_scheduler::{EndpointListEvent, EndpointStatus, Micros, NodeId, Outcome, RequestId};
+use random_numbers::RandomNumbers;
 use std::collections::{BTreeMap, BTreeSet};
 use storage_gateway::dispatcher::{
     AttemptResult, Command, Dispatcher, InvalidRequest, Operation, ReplySlot, Response, ResponseBody,
@@ -402,28 +406,6 @@
     assert_eq!(counters[&DEFAULT_VOLUME].received, 2, "the volume with the most requests keeps its counters");
 }
 
-/// A linear congruential generator.
-struct RandomNumbers {
-    state: u64,
-}
-
-impl RandomNumbers {
-    fn new(seed: u64) -> RandomNumbers {
-        RandomNumbers { state: seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) }
-    }
-
-    fn below(&mut self, bound: u64) -> u64 {
-        self.state =
-            self.state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.state >> 33) % bound
-    }
-
-    /// True in one of `count` cases.
-    fn one_in(&mut self, count: u64) -> bool {
-        self.below(count) == 0
-    }
-}
-
 /// Random requests, disconnects, drains and results, checked against what the dispatcher promises.
 struct RandomLoad {
     seed: u64,
@@ -459,17 +441,22 @@
         }
     }
 
+    /// True in one of `count` cases.
+    fn one_in(&mut self, count: u64) -> bool {
+        self.random.below(count) == 0
+    }
+
     /// Submits a request; the client of one in twelve disconnects at once.
     fn submit(&mut self) {
-        let operation = if self.random.one_in(3) { Operation::Write } else { Operation::Read };
+        let operation = if self.one_in(3) { Operation::Write } else { Operation::Read };
         let shard = self.random.below(3);
-        let shard = if self.random.one_in(4) { None } else { Some(shard) };
+        let shard = if self.one_in(4) { None } else { Some(shard) };
         let Submitted { slot, id } = self.harness.submit(operation, shard);
         self.client_deadlines.insert(slot, self.harness.now + CLIENT_WAIT);
         if operation == Operation::Write {
             self.writes.insert(id);
         }
-        if self.random.one_in(12) {
+        if self.one_in(12) {
             let harness = &mut self.harness;
             harness.dispatcher.client_disconnected(id, harness.now, &mut harness.timers);
             self.disconnected.insert(slot);
@@ -495,7 +482,7 @@
             let is_write = self.writes.contains(&id.request);
             let repeated = is_write && self.may_have_run.contains(&id.request);
             assert!(!repeated, "seed {seed}: a write that may have run is dispatched again");
-            if !self.random.one_in(4) {
+            if !self.one_in(4) {
                 self.harness.mark_written(id);
                 self.may_have_run.insert(id.request);
             }
@@ -505,7 +492,7 @@
 
     /// Ends a random number of the attempts in flight.
     fn end_some_attempts(&mut self) {
-        while !self.in_flight.is_empty() && !self.random.one_in(3) {
+        while !self.in_flight.is_empty() && !self.one_in(3) {
             let position = self.random.below(self.in_flight.len() as u64);
             let attempt = self.in_flight.swap_remove(position as usize);
             let written = self.may_have_run.contains(&attempt.request);
@@ -537,10 +524,10 @@
     }
 
     fn step(&mut self, submits: bool) {
-        if submits && self.random.one_in(2) {
+        if submits && self.one_in(2) {
             self.submit();
         }
-        if self.random.one_in(60) {
+        if self.one_in(60) {
             self.toggle_draining();
         }
         let span = self.random.below(20) as Micros * MS;
--- a/crates/gateway/tests/malformed_input.rs
+++ b/crates/gateway/tests/malformed_input.rs
@@ -1,9 +1,12 @@
 //! Parsers accept any input without a panic, and never report a result that consumed no input.
 
 mod fixtures;
+#[path = "fixtures/random_numbers.rs"]
+mod random_numbers;
 
 use deployment_settings::DeploymentSettings;
 use fixtures::{storage_request, MAX_VALUE_BYTES};
+use random_numbers::RandomNumbers;
 use std::rc::Rc;
 use storage_gateway::client_protocol::resp::{RequestNames, RespProtocol};
 use storage_gateway::client_protocol::{ClientProtocol, CommandStep};
@@ -32,23 +35,14 @@
     b"\x01",
 ];
 
-/// A reproducible source of random input.
-struct InputGenerator {
-    /// State of a linear congruential generator.
-    state: u64,
-}
-
-impl InputGenerator {
-    /// The next input, of 1 to 16 pieces.
-    fn next_input(&mut self) -> Vec<u8> {
-        let mut input = Vec::new();
-        for _ in 0..(self.state >> 60) + 1 {
-            self.state =
-                self.state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            input.extend_from_slice(ALPHABET[(self.state >> 33) as usize % ALPHABET.len()]);
-        }
-        input
+/// Random input of 1 to 16 pieces.
+fn random_input(random: &mut RandomNumbers) -> Vec<u8> {
+    let mut input = Vec::new();
+    for _ in 0..=random.below(16) {
+        let piece = random.below(ALPHABET.len() as u64);
+        input.extend_from_slice(ALPHABET[piece as usize]);
     }
+    input
 }
 
 /// Settings of a deployment that are valid.
@@ -91,9 +85,9 @@
 #[test]
 fn random_input_causes_no_panic_and_no_result_without_consumed_input() {
     let names = RequestNames::new(&settings());
-    let mut generator = InputGenerator { state: 1 };
+    let mut random = RandomNumbers::new(1);
     for _ in 0..20_000 {
-        let input = generator.next_input();
+        let input = random_input(&mut random);
         check_client_protocol(&names, &input);
         check_node_protocols(&input);
         check_watch_parser(&input);
