--- a/crates/gateway/tests/harness/gateway.rs
+++ b/crates/gateway/tests/harness/gateway.rs
@@ -14,8 +14,11 @@
 /// The gateway reads this many bytes at once from a socket.
 pub const READ_SIZE: usize = 16 << 10;
 const CONFIG_FILE: &str = "config.json";
-/// The gateway handles this many ready connections in one iteration of its event loop.
-const MAX_EVENTS_PER_ITERATION: usize = 256;
+/// Clients that fill one iteration of the event loop if all of them have sent something: it handles 256 ready
+/// connections, and some more make sure that none of the first overtakes the last.
+const CLIENTS_OF_A_FULL_ITERATION: usize = 256 + 64;
+/// The gateway accepts this many connections in one iteration.
+const MAX_ACCEPTED_PER_ITERATION: usize = 64;
 
 /// A gateway whose configuration the test can change.
 pub struct Gateway {
@@ -91,7 +94,20 @@
     /// paused gateway: what becomes ready after that is handled in the next iteration. Needs a gateway with
     /// many sockets.
     pub fn connect_clients_for_a_full_iteration(&self) -> Vec<Connection> {
-        (0..MAX_EVENTS_PER_ITERATION).map(|_| self.connect_idle_client()).collect()
+        (0..CLIENTS_OF_A_FULL_ITERATION).map(|_| self.connect_idle_client()).collect()
+    }
+
+    /// As [`Self::connect_clients_for_a_full_iteration`], with clients that have sent the first half of a
+    /// request: a gateway that drains does not close their connections.
+    pub fn connect_unfinished_clients_for_a_full_iteration(&self, first_half: &str) -> Vec<Connection> {
+        let mut clients = Vec::new();
+        while clients.len() < CLIENTS_OF_A_FULL_ITERATION {
+            self.pause();
+            clients.extend((0..MAX_ACCEPTED_PER_ITERATION).map(|_| self.connect_and_send(first_half)));
+            self.resume();
+            self.wait_until_input_is_processed();
+        }
+        clients
     }
 
     /// Returns once the gateway has processed everything that was ready on its sockets before the call.
--- a/crates/gateway/tests/races/shutdown.rs
+++ b/crates/gateway/tests/races/shutdown.rs
@@ -1,6 +1,7 @@
 //! SIGTERM against events of clients, nodes and discovery.
 
 use crate::harness::cluster::{serve_request, TestCluster};
+use crate::harness::config::with_many_sockets;
 use crate::harness::connection::Connection;
 use crate::harness::discovery::DiscoveryService;
 use crate::harness::requests::{
@@ -118,6 +119,29 @@
     cluster.gateway.expect_clean_exit();
 }
 
+/// The bytes become ready too late for the iteration in which the response is sent and the connection is
+/// closed: closing it with unread bytes would reset it.
+#[test]
+fn bytes_left_unread_at_the_close_do_not_reset_the_connection() {
+    let mut cluster = TestCluster::start_with(with_many_sockets);
+    let mut read = cluster.start_read("a1");
+    cluster.gateway.begin_draining();
+    let request = SplitRequest::new(&read_request("a2"));
+    let mut others = cluster.gateway.connect_unfinished_clients_for_a_full_iteration(&request.first_half);
+
+    cluster.gateway.pause();
+    read.node.respond("one");
+    for client in &mut others {
+        client.send(&request.second_half[..1]);
+    }
+    read.client.send_ping();
+    cluster.gateway.resume();
+
+    read.client.expect_last_value("one");
+    drop(others);
+    cluster.gateway.expect_clean_exit();
+}
+
 #[test]
 fn client_close_cancels_the_attempt() {
     let mut cluster = TestCluster::start();
