--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -1,7 +1,11 @@
 //! The dispatcher on a virtual clock, without sockets.
 
+#[path = "fixtures/random_numbers.rs"]
+mod random_numbers;
+
 use deployment_settings::DeploymentSettings;
 use io_scheduler::{EndpointListEvent, EndpointStatus, Micros, NodeId, Outcome, RequestId};
+use random_numbers::RandomNumbers;
 use std::collections::{BTreeMap, BTreeSet};
 use storage_gateway::connections::ConnectionToken;
 use storage_gateway::dispatcher::{
@@ -52,8 +56,7 @@
 
 fn settings(change: impl FnOnce(&mut DeploymentSettings)) -> DeploymentSettings {
     let mut text = include_str!("common/settings.json").as_bytes().to_vec();
-    let mut settings: DeploymentSettings =
-        simd_json::serde::from_slice(&mut text).expect("the scenarios use the same settings");
+    let mut settings: DeploymentSettings = simd_json::serde::from_slice(&mut text).expect("valid settings");
     change(&mut settings);
     settings
 }
@@ -173,7 +176,7 @@
 #[test]
 fn an_aborted_write_is_rejected_before_its_first_byte_and_failed_after_it() {
     for (written, expect_rejected) in [(false, true), (true, false)] {
-        let settings = settings(|s| s.permissions.max_attempts = 1);
+        let settings = settings(|settings| settings.permissions.max_attempts = 1);
         let mut harness = Harness::new(&settings, &[in_service("n", 0)]);
         harness.submit(Operation::Write, Some(0));
         harness.run_turn();
@@ -216,7 +219,8 @@
     for at in dispatched_at {
         let window = *at..at + 2_000 * MS;
         let units = dispatched_at.iter().filter(|other| window.contains(other)).count();
-        // The node's certain capacity grows from 0.2 to the full within 17 s, counted a window late.
+        // The node's guaranteed capacity grows from 0.2 of the full one to all of it within 17 s. Each window
+        // counts with the capacity at its start.
         let grown = (at - restarted_at).max(0) as f64 / (17_000 * MS) as f64;
         let budget = SLOW_START_UNITS * (0.2 + 0.8 * grown) / 0.2;
         assert!(units as f64 <= budget, "{units} units within 2 s of a restart, the node takes {budget}");
@@ -226,10 +230,10 @@
 #[test]
 fn listings_keep_to_the_slow_start_budget_and_get_one_response_each() {
     const RESTARTED: NodeId = NodeId(1);
-    let settings = settings(|s| {
-        s.storage.slow_start_units = SLOW_START_UNITS;
-        // Without reservations nothing may go beyond the certain capacity of a node that warms up.
-        s.plans[0].reservation = 0.0;
+    let settings = settings(|settings| {
+        settings.storage.slow_start_units = SLOW_START_UNITS;
+        // Without reservations nothing may exceed the guaranteed capacity of a node that warms up.
+        settings.plans[0].reservation = 0.0;
     });
     let mut harness = Harness::new(&settings, &[in_service("steady", 0), in_service("restarted", 1)]);
     let restarted_at = harness.now + 300 * MS;
@@ -290,7 +294,7 @@
         harness.complete(attempt, Outcome::Served);
         harness.run_turn();
         let responses = harness.take_responses();
-        let served = responses.iter().filter(|r| matches!(r.response, Response::Served(_)));
+        let served = responses.iter().filter(|responded| matches!(responded.response, Response::Served(_)));
         assert_eq!(served.count(), 1);
         for _ in 0..3 {
             let unknown_shard = Some(1_000_000 + harness.submitted);
@@ -403,28 +407,6 @@
     assert_eq!(counters[&DEFAULT_VOLUME].received, 2, "the volume with the most requests keeps its counters");
 }
 
-/// A linear congruential generator.
-struct RandomNumbers {
-    state: u64,
-}
-
-impl RandomNumbers {
-    fn new(seed: u64) -> RandomNumbers {
-        RandomNumbers { state: seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) }
-    }
-
-    fn below(&mut self, bound: u64) -> u64 {
-        self.state =
-            self.state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.state >> 33) % bound
-    }
-
-    /// True in one of `count` cases.
-    fn one_in(&mut self, count: u64) -> bool {
-        self.below(count) == 0
-    }
-}
-
 /// Random requests, disconnects, drains and results, checked against what the dispatcher promises.
 struct RandomLoad {
     seed: u64,
@@ -460,17 +442,22 @@
         }
     }
 
+    /// True in one of `count` cases.
+    fn one_in(&mut self, count: u64) -> bool {
+        self.random.below(count) == 0
+    }
+
     /// Submits a request; the client of one in twelve disconnects at once.
     fn submit(&mut self) {
-        let operation = if self.random.one_in(3) { Operation::Write } else { Operation::Read };
+        let operation = if self.one_in(3) { Operation::Write } else { Operation::Read };
         let shard = self.random.below(3);
-        let shard = if self.random.one_in(4) { None } else { Some(shard) };
+        let shard = if self.one_in(4) { None } else { Some(shard) };
         let Submitted { slot, id } = self.harness.submit(operation, shard);
         self.client_deadlines.insert(slot, self.harness.now + CLIENT_WAIT);
         if operation == Operation::Write {
             self.writes.insert(id);
         }
-        if self.random.one_in(12) {
+        if self.one_in(12) {
             let harness = &mut self.harness;
             harness.dispatcher.client_disconnected(id, harness.now, &mut harness.timers);
             self.disconnected.insert(slot);
@@ -496,7 +483,7 @@
             let is_write = self.writes.contains(&id.request);
             let repeated = is_write && self.may_have_run.contains(&id.request);
             assert!(!repeated, "seed {seed}: a write that may have run is dispatched again");
-            if !self.random.one_in(4) {
+            if !self.one_in(4) {
                 self.harness.mark_written(id);
                 self.may_have_run.insert(id.request);
             }
@@ -506,7 +493,7 @@
 
     /// Ends a random number of the attempts in flight.
     fn end_some_attempts(&mut self) {
-        while !self.in_flight.is_empty() && !self.random.one_in(3) {
+        while !self.in_flight.is_empty() && !self.one_in(3) {
             let position = self.random.below(self.in_flight.len() as u64);
             let attempt = self.in_flight.swap_remove(position as usize);
             let written = self.may_have_run.contains(&attempt.request);
@@ -538,10 +525,10 @@
     }
 
     fn step(&mut self, submits: bool) {
-        if submits && self.random.one_in(2) {
+        if submits && self.one_in(2) {
             self.submit();
         }
-        if self.random.one_in(60) {
+        if self.one_in(60) {
             self.toggle_draining();
         }
         let span = self.random.below(20) as Micros * MS;
--- a/crates/gateway/tests/races/node_connections.rs
+++ b/crates/gateway/tests/races/node_connections.rs
@@ -1,17 +1,15 @@
 //! Responses, resets and late connections of nodes, against drains, deadlines and further requests.
 
 use crate::harness::cluster::{serve_request, TestCluster};
-use crate::harness::config::{with_long_connect_timeout, with_short_drain_grace};
+use crate::harness::config::{with_long_connect_timeout, with_many_sockets, with_short_drain_grace};
 use crate::harness::discovery::delta_chunk;
+use crate::harness::gateway::READ_SIZE;
 use crate::harness::node::StorageNode;
 use crate::harness::requests::{
     read_request, read_request_of_another_object, read_request_with_deadline, value_response, write_request,
     SplitRequest,
 };
 
-/// The gateway reads this many bytes at once from a socket.
-const READ_SIZE: usize = 16 << 10;
-
 /// A complete response and a reset are ready in one iteration of the event loop; the response came first.
 #[test]
 fn response_received_before_a_reset_is_passed_on() {
@@ -45,7 +43,7 @@
     cluster.node_a.expect_no_further_connection();
 }
 
-/// A request counts from its last byte on.
+/// A request is dispatched only after its last byte has arrived.
 #[test]
 fn request_completed_after_a_drain_avoids_the_draining_node() {
     let mut cluster = TestCluster::start();
@@ -87,7 +85,7 @@
     node.expect_closed();
     node.send_after_close(value_response("one"));
 
-    // Of the same object it would be taken for a repetition of the first request, which is late.
+    // A request for the same object would count as a repeat of the first one, which is late.
     client.send(read_request_of_another_object("a2"));
     let mut node = cluster.node_a.accept();
     serve_request(&mut node, &mut client, "a2", "two");
@@ -110,3 +108,24 @@
     // Nothing was sent on it.
     node.expect_closed();
 }
+
+/// The request is dispatched in the iteration before the one in which the idle connection would be reported.
+#[test]
+fn unsolicited_response_on_an_idle_connection_is_not_taken_for_the_next_one() {
+    let cluster = TestCluster::start_with(with_many_sockets);
+    let mut read = cluster.start_read("a1");
+    read.complete("one");
+    let mut others = cluster.gateway.connect_clients_for_a_full_iteration();
+
+    cluster.gateway.pause();
+    read.client.send(read_request("a2"));
+    for client in &mut others {
+        client.send_ping();
+    }
+    read.node.respond("unsolicited");
+    cluster.gateway.resume();
+
+    read.node.expect_closed();
+    let mut node = cluster.node_a.accept();
+    serve_request(&mut node, &mut read.client, "a2", "two");
+}
