--- a/crates/gateway/src/connections/token.rs
+++ b/crates/gateway/src/connection_token.rs
@@ -1,6 +1,6 @@
 //! The token by which the event loop, the poller and the timers refer to a connection.
 
-/// Identifies a connection in the [`Slab`](super::slab::Slab) of the event loop.
+/// Identifies a connection in the [`Slab`](crate::connections::slab::Slab) of the event loop.
 ///
 /// The low 32 bits are the index of the connection's slot, the high 32 bits the generation of that slot.
 /// Tokens are ordered by their number, and epoll stores that number with each registered descriptor.
@@ -12,17 +12,17 @@
     pub(crate) const MIN: ConnectionToken = ConnectionToken(u64::MIN);
 
     /// The token of a slot in one of its generations.
-    pub(super) fn new(generation: u32, index: u32) -> ConnectionToken {
+    pub(crate) fn new(generation: u32, index: u32) -> ConnectionToken {
         ConnectionToken(u64::from(generation) << 32 | u64::from(index))
     }
 
     /// Index of the slot.
-    pub(super) fn index(self) -> usize {
+    pub(crate) fn index(self) -> usize {
         self.0 as u32 as usize
     }
 
     /// Generation of the slot for which the token was reserved.
-    pub(super) fn generation(self) -> u32 {
+    pub(crate) fn generation(self) -> u32 {
         (self.0 >> 32) as u32
     }
 }
--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -2,8 +2,8 @@
 
 use super::connection::Lifecycle;
 use super::{ClientConnection, ClientConnections, EvictionPriority, MAX_INPUT_BYTES};
+use crate::connection_token::ConnectionToken;
 use crate::connections::socket::{Interest, StreamStatus};
-use crate::connections::ConnectionToken;
 use crate::event_loop::{Connection, Context};
 use crate::timer_queue::Timer;
 use io_scheduler::Micros;
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -3,8 +3,8 @@
 use super::connection::{PendingReply, MAX_UNSENT_BYTES};
 use super::{ClientConnection, ClientConnections, EvictionPriority, MAX_INPUT_BYTES};
 use crate::client_protocol::CommandStep;
+use crate::connection_token::ConnectionToken;
 use crate::connections::socket::Interest;
-use crate::connections::ConnectionToken;
 use crate::dispatcher::{ReplySlot, StorageRequest};
 use crate::event_loop::Context;
 use io_scheduler::Micros;
--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -1,8 +1,8 @@
 //! Eviction: which idle client connections are closed when descriptors run short.
 
 use super::{ClientConnection, ClientConnections, MAX_INPUT_BYTES};
+use crate::connection_token::ConnectionToken;
 use crate::connections::socket::StreamStatus;
-use crate::connections::ConnectionToken;
 use crate::event_loop::Context;
 use io_scheduler::Micros;
 use std::collections::BTreeSet;
--- a/crates/gateway/src/connections/mod.rs
+++ b/crates/gateway/src/connections/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! `client::ClientConnections` and `node::NodeConnections` own the state of all connections of their kind
 //! together. The connections themselves are in one table, the slab of the event loop's context, which finds
-//! each by its [`ConnectionToken`].
+//! each by its [`ConnectionToken`](crate::connection_token::ConnectionToken).
 
 pub(crate) mod client;
 mod counted_bytes;
@@ -10,7 +10,5 @@
 pub mod node;
 pub mod slab;
 pub(crate) mod socket;
-mod token;
 
 use counted_bytes::CountedBytes;
-pub use token::ConnectionToken;
--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -2,7 +2,7 @@
 
 use super::pool::ConnectionPool;
 use super::{NodeConnection, NodeConnections};
-use crate::connections::ConnectionToken;
+use crate::connection_token::ConnectionToken;
 use crate::event_loop::{Connection, Context};
 use crate::timer_queue::Timer;
 use io_scheduler::Outcome;
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -1,8 +1,8 @@
 //! One connection to a storage node.
 
 use super::pool::NodeAddress;
+use crate::connection_token::ConnectionToken;
 use crate::connections::socket::{Interest, Socket, StreamStatus};
-use crate::connections::ConnectionToken;
 use crate::connections::CountedBytes;
 use crate::dispatcher::StorageRequest;
 use crate::event_loop::Context;
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -13,8 +13,8 @@
 pub(crate) use connection::NodeConnection;
 pub(crate) use pool::NodeAddress;
 
+use crate::connection_token::ConnectionToken;
 use crate::connections::socket::StreamStatus;
-use crate::connections::ConnectionToken;
 use crate::dispatcher::AttemptResult;
 use crate::event_loop::{Connection, Context};
 use crate::node_protocol::ProtocolError;
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -3,9 +3,9 @@
 use super::connection::{InFlight, NodeConnection};
 use super::idle_timeout::IdleTimeoutEstimate;
 use super::NodeConnections;
+use crate::connection_token::ConnectionToken;
 use crate::connections::descriptors::is_out_of_descriptors;
 use crate::connections::socket::{Interest, Socket};
-use crate::connections::ConnectionToken;
 use crate::dispatcher::{Operation, StorageRequest};
 use crate::event_loop::{Connection, Context};
 use crate::timer_queue::{AttemptId, Timer};
--- a/crates/gateway/src/connections/node/pool.rs
+++ b/crates/gateway/src/connections/node/pool.rs
@@ -1,7 +1,7 @@
 //! The connections to one node.
 
 use super::idle_timeout::IdleTimeoutEstimate;
-use crate::connections::ConnectionToken;
+use crate::connection_token::ConnectionToken;
 use crate::inventory::Protocol;
 use deployment_settings::{micros, DeploymentSettings};
 use io_scheduler::Micros;
--- a/crates/gateway/src/connections/slab.rs
+++ b/crates/gateway/src/connections/slab.rs
@@ -1,7 +1,7 @@
 //! A table of connections by token. A token is never used twice: an event for a connection that was closed
 //! earlier in the same turn finds nothing, even if its slot has been taken by another connection.
 
-use super::ConnectionToken;
+use crate::connection_token::ConnectionToken;
 
 /// Values by token. The slots of freed tokens are used again in a new generation.
 #[derive(Debug)]
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -1,6 +1,6 @@
 //! A non-blocking TCP stream with its input and output buffers.
 
-use crate::connections::ConnectionToken;
+use crate::connection_token::ConnectionToken;
 use crate::event_loop::Poller;
 use rustix::event::epoll::EventFlags;
 use rustix::fd::OwnedFd;
--- a/crates/gateway/src/dispatcher/request.rs
+++ b/crates/gateway/src/dispatcher/request.rs
@@ -1,7 +1,7 @@
 //! Requests and responses as the client protocols and the node protocols exchange them with the dispatcher,
 //! independent of any wire format.
 
-use crate::connections::ConnectionToken;
+use crate::connection_token::ConnectionToken;
 use io_scheduler::{Micros, Outcome};
 use thiserror::Error;
 
--- a/crates/gateway/src/event_loop/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -4,7 +4,7 @@
 
 use super::endpoint_table::OperatorOverride;
 use super::{Connection, Context, Gateway};
-use crate::connections::ConnectionToken;
+use crate::connection_token::ConnectionToken;
 use crate::console::{self, ConsoleCommand};
 use io_scheduler::EndpointStatus;
 use rustix::event::epoll::EventFlags;
--- a/crates/gateway/src/event_loop/discovery_watch.rs
+++ b/crates/gateway/src/event_loop/discovery_watch.rs
@@ -5,9 +5,9 @@
 
 use super::endpoint_table::EndpointTable;
 use super::{Connection, Context};
+use crate::connection_token::ConnectionToken;
 use crate::connections::node::NodeConnections;
 use crate::connections::socket::{Interest, Socket, StreamStatus};
-use crate::connections::ConnectionToken;
 use crate::discovery::{watch_request, EndpointListUpdate, WatchError, WatchParser};
 use crate::timer_queue::Timer;
 use io_scheduler::{EndpointListEvent, Micros};
--- a/crates/gateway/src/event_loop/poller.rs
+++ b/crates/gateway/src/event_loop/poller.rs
@@ -1,6 +1,6 @@
 //! Waits until file descriptors are ready, by epoll (level-triggered).
 
-use crate::connections::ConnectionToken;
+use crate::connection_token::ConnectionToken;
 use io_scheduler::Micros;
 use rustix::event::epoll::{self, Event, EventData, EventFlags};
 use rustix::event::Timespec;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod client_protocol;
 pub mod config;
+pub mod connection_token;
 pub mod connections;
 pub mod console;
 pub mod discovery;
--- a/crates/gateway/src/timer_queue.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -1,6 +1,6 @@
 //! The timers of the gateway, sorted by time. The event loop handles the expired ones in every turn.
 
-use crate::connections::ConnectionToken;
+use crate::connection_token::ConnectionToken;
 use io_scheduler::{Micros, RequestId};
 use std::collections::BTreeSet;
 
--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -7,7 +7,7 @@
 use io_scheduler::{EndpointListEvent, EndpointStatus, Micros, NodeId, Outcome, RequestId};
 use random_numbers::RandomNumbers;
 use std::collections::{BTreeMap, BTreeSet};
-use storage_gateway::connections::ConnectionToken;
+use storage_gateway::connection_token::ConnectionToken;
 use storage_gateway::dispatcher::{
     AttemptResult, Command, Dispatcher, InvalidRequest, Operation, ReplySlot, Response, ResponseBody,
     StorageRequest,
--- a/crates/gateway/tests/timer_queue.rs
+++ b/crates/gateway/tests/timer_queue.rs
@@ -1,7 +1,7 @@
 //! The timer queue.
 
 use io_scheduler::RequestId;
-use storage_gateway::connections::ConnectionToken;
+use storage_gateway::connection_token::ConnectionToken;
 use storage_gateway::timer_queue::{AttemptId, Timer, TimerQueue};
 
 #[test]
