--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -57,7 +57,7 @@
     /// clients have time to retry. One that a node may have executed is kept until its deadline.
     pub(super) fn reject_expired(&mut self) {
         while let Some(id) = self.state.rejections.pop_expired(self.now) {
-            let Some(pending) = self.state.requests.get_mut(&id) else { return };
+            let Some(pending) = self.state.requests.get_mut(&id) else { continue };
             let deadline = pending.request.deadline;
             if pending.may_have_executed() && pending.reject_at < deadline {
                 pending.reject_at = deadline;
