--- a/crates/gateway/src/connections/slab.rs
+++ b/crates/gateway/src/connections/slab.rs
@@ -54,11 +54,6 @@
         }
     }
 
-    /// The value of a token, unless it is taken out or the token is freed.
-    pub fn get(&mut self, token: ConnectionToken) -> Option<&mut T> {
-        self.value_mut(token)?.as_mut()
-    }
-
     /// Frees a token for good and returns its value, unless that is taken out. Has no effect on a token that
     /// is freed already.
     pub fn free(&mut self, token: ConnectionToken) -> Option<T> {
