--- a/crates/gateway/src/memory_budget.rs
+++ b/crates/gateway/src/memory_budget.rs
@@ -35,7 +35,7 @@
     /// Estimate of the bytes that a request takes besides its body, with its entries in all tables.
     const REQUEST_OVERHEAD_BYTES: usize = 2 << 10;
     /// Upper bound of the largest value, in bytes: a longer announced length is taken to be corrupt.
-    const MAX_VALUE_BYTES: usize = 1 << 20;
+    const MAX_ACCEPTED_VALUE_BYTES: usize = 1 << 20;
 
     /// The budget of a process that may use `memory_mb` MiB.
     #[must_use]
@@ -48,7 +48,7 @@
             partial_command_bytes: buffer_bytes,
             sftp_file_bytes: buffer_bytes,
             large_response_bytes: buffer_bytes,
-            max_value_bytes: (memory_bytes / Self::VALUE_DIVISOR).min(Self::MAX_VALUE_BYTES),
+            max_value_bytes: (memory_bytes / Self::VALUE_DIVISOR).min(Self::MAX_ACCEPTED_VALUE_BYTES),
             max_requests: buffer_bytes / Self::REQUEST_OVERHEAD_BYTES,
         }
     }
