--- a/crates/gateway/src/client_protocol/resp/mod.rs
+++ b/crates/gateway/src/client_protocol/resp/mod.rs
@@ -10,7 +10,7 @@
 pub use parser::MAX_COMMAND_BYTES;
 
 use super::{ClientProtocol, CommandStep, EncodedReply};
-use crate::dispatcher::{Operation, Response, ResponseBody};
+use crate::dispatcher::{Operation, Response, ResponseBody, OVERLOADED_RETRY_AFTER};
 use crate::resp_bulk_string::append_bulk_string;
 use deployment_settings::milliseconds;
 use io_scheduler::Micros;
@@ -111,7 +111,7 @@
     }
 
     fn overloaded_reply(&self) -> Vec<u8> {
-        b"-BUSY 250\r\n".to_vec()
+        encode_rejection(OVERLOADED_RETRY_AFTER)
     }
 
     fn timeout_reply(&self) -> Vec<u8> {
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -40,7 +40,7 @@
 /// How long after its deadline the dispatcher itself fails a request that the scheduler has not ended.
 const OVERDUE_GRACE: Micros = 3_000;
 /// Retry-After of requests that are rejected because the memory budget is exhausted.
-const OVERLOADED_RETRY_AFTER: Micros = 250_000;
+pub const OVERLOADED_RETRY_AFTER: Micros = 250_000;
 
 /// Joins clients, nodes and the scheduler; see the [module](self).
 pub struct Dispatcher {
