--- a/crates/gateway/src/client_protocol/mod.rs
+++ b/crates/gateway/src/client_protocol/mod.rs
@@ -39,7 +39,13 @@
     /// `slot` is the number of the command on its connection; responses to its requests are passed to
     /// [`encode_response`](Self::encode_response) with the same number. `ready` is whether the gateway can serve
     /// requests, for commands that query it.
-    fn parse_command(&mut self, input: &[u8], position: &mut usize, slot: u64, ready: bool) -> CommandStep;
+    fn parse_command(
+        &mut self,
+        input: &[u8],
+        position: &mut usize,
+        slot: u64,
+        ready: bool,
+    ) -> CommandStep;
 
     /// Handles the response to a request of the command at `slot`. Called exactly once for each submitted request,
     /// in any order. When the command can be answered, its slot and encoded reply are appended to `out`.
--- a/crates/gateway/src/client_protocol/resp/mod.rs
+++ b/crates/gateway/src/client_protocol/resp/mod.rs
@@ -37,7 +37,9 @@
 
     /// Runs a complete command: answers it or submits its request.
     fn run_command(&self, arguments: &[&[u8]], ready: bool) -> CommandStep {
-        let Some(name) = arguments.first() else { return CommandStep::Reply(Vec::new()) };
+        let Some(name) = arguments.first() else {
+            return CommandStep::Reply(Vec::new());
+        };
         match name.to_ascii_uppercase().as_slice() {
             b"IO.IN" if arguments.len() == 4 => self.submit(Operation::Read, arguments),
             b"IO.OUT" if arguments.len() == 5 => self.submit(Operation::Write, arguments),
@@ -88,11 +90,19 @@
 }
 
 impl ClientProtocol for RespProtocol {
-    fn parse_command(&mut self, input: &[u8], position: &mut usize, _slot: u64, ready: bool) -> CommandStep {
+    fn parse_command(
+        &mut self,
+        input: &[u8],
+        position: &mut usize,
+        _slot: u64,
+        ready: bool,
+    ) -> CommandStep {
         match parse_arguments(input, position) {
             Ok(Some(arguments)) => self.run_command(&arguments, ready),
             Ok(None) => CommandStep::Incomplete,
-            Err(error) => CommandStep::Close(format!("-ERR Protocol error: {error}\r\n").into_bytes()),
+            Err(error) => {
+                CommandStep::Close(format!("-ERR Protocol error: {error}\r\n").into_bytes())
+            }
         }
     }
 
@@ -100,7 +110,9 @@
         let bytes = match response {
             Response::Served(ResponseBody::Value(value)) => encode_bulk_string(&value),
             // A file server's reply to a write has no value; that of a RESP2 node has one.
-            Response::Served(ResponseBody::Size(_) | ResponseBody::Names(_)) => encode_bulk_string(b""),
+            Response::Served(ResponseBody::Size(_) | ResponseBody::Names(_)) => {
+                encode_bulk_string(b"")
+            }
             Response::Served(ResponseBody::NotFound) => b"-ERR not found\r\n".to_vec(),
             Response::Rejected { retry_after } => encode_rejection(retry_after),
             Response::Invalid(error) => format!("-ERR {error}\r\n").into_bytes(),
--- a/crates/gateway/src/client_protocol/resp/names.rs
+++ b/crates/gateway/src/client_protocol/resp/names.rs
@@ -39,14 +39,26 @@
         let class = |(index, class): (usize, &ClassSettings)| RequestClass {
             name: class.name.clone(),
             writes: storage.writes.get(index).copied(),
-            max_wait_ms: if class.deadline_ms > 0.0 { class.deadline_ms } else { MAX_WAIT_MS },
+            max_wait_ms: if class.deadline_ms > 0.0 {
+                class.deadline_ms
+            } else {
+                MAX_WAIT_MS
+            },
         };
         Rc::new(RequestNames {
             classes: settings.classes.iter().enumerate().map(class).collect(),
-            plans: settings.plans.iter().map(|plan| plan.name.clone()).collect(),
+            plans: settings
+                .plans
+                .iter()
+                .map(|plan| plan.name.clone())
+                .collect(),
             // A request with an excessive size would be charged to its volume, which would get no further
             // service for a long time.
-            max_units: if storage.max_units > 0.0 { storage.max_units } else { DEFAULT_MAX_UNITS },
+            max_units: if storage.max_units > 0.0 {
+                storage.max_units
+            } else {
+                DEFAULT_MAX_UNITS
+            },
             max_hosts: f64::from(settings.gateway_count.max(1)),
         })
     }
@@ -72,7 +84,9 @@
     /// retried depends on its class, so a write under the class of a read could be executed twice.
     pub(super) fn check_operation(&self, is_write: bool) -> Result<(), RequestError> {
         match self.writes {
-            Some(writes) if writes != is_write => Err(RequestError::WrongCommand(self.name.clone())),
+            Some(writes) if writes != is_write => {
+                Err(RequestError::WrongCommand(self.name.clone()))
+            }
             _ => Ok(()),
         }
     }
--- a/crates/gateway/src/client_protocol/resp/parser.rs
+++ b/crates/gateway/src/client_protocol/resp/parser.rs
@@ -52,14 +52,18 @@
     position: &mut usize,
 ) -> Result<Option<Vec<&'a [u8]>>, RespSyntaxError> {
     let mut next = *position;
-    let Some(count) = read_length(input, &mut next, b'*')? else { return Ok(None) };
+    let Some(count) = read_length(input, &mut next, b'*')? else {
+        return Ok(None);
+    };
     if !(0..=MAX_ARGUMENTS as i64).contains(&count) {
         return Err(RespSyntaxError::InvalidArrayLength);
     }
     let mut arguments = Vec::with_capacity(count as usize);
     let mut command_bytes = 0;
     for _ in 0..count {
-        let Some(length) = read_length(input, &mut next, b'$')? else { return Ok(None) };
+        let Some(length) = read_length(input, &mut next, b'$')? else {
+            return Ok(None);
+        };
         let length = usize::try_from(length).map_err(|_| RespSyntaxError::InvalidBulkLength)?;
         command_bytes += length;
         if command_bytes > MAX_COMMAND_BYTES {
@@ -76,17 +80,33 @@
 
 /// Reads a line that consists of `marker` and a length, and moves `position` past it. Returns `None`, with
 /// `position` unchanged, until the line is complete.
-fn read_length(input: &[u8], position: &mut usize, marker: u8) -> Result<Option<i64>, RespSyntaxError> {
+fn read_length(
+    input: &[u8],
+    position: &mut usize,
+    marker: u8,
+) -> Result<Option<i64>, RespSyntaxError> {
     let rest = &input[*position..];
-    let Some(first) = rest.first() else { return Ok(None) };
+    let Some(first) = rest.first() else {
+        return Ok(None);
+    };
     if *first != marker {
         return Err(RespSyntaxError::UnexpectedType);
     }
-    let Some(line_feed) = rest.iter().take(MAX_LENGTH_LINE_BYTES).position(|byte| *byte == b'\n') else {
+    let Some(line_feed) = rest
+        .iter()
+        .take(MAX_LENGTH_LINE_BYTES)
+        .position(|byte| *byte == b'\n')
+    else {
         let too_long = rest.len() >= MAX_LENGTH_LINE_BYTES;
-        return if too_long { Err(RespSyntaxError::LineTooLong) } else { Ok(None) };
+        return if too_long {
+            Err(RespSyntaxError::LineTooLong)
+        } else {
+            Ok(None)
+        };
     };
-    let text = rest[1..line_feed].strip_suffix(b"\r").ok_or(RespSyntaxError::MissingCarriageReturn)?;
+    let text = rest[1..line_feed]
+        .strip_suffix(b"\r")
+        .ok_or(RespSyntaxError::MissingCarriageReturn)?;
     let text = std::str::from_utf8(text).map_err(|_| RespSyntaxError::InvalidNumber)?;
     let length = text.parse().map_err(|_| RespSyntaxError::InvalidNumber)?;
     *position += line_feed + 1;
--- a/crates/gateway/src/client_protocol/resp/request.rs
+++ b/crates/gateway/src/client_protocol/resp/request.rs
@@ -72,7 +72,9 @@
     let object_text = text_argument(arguments, OBJECT_ARGUMENT)?;
     let client_request_id = text_argument(arguments, REQUEST_ID_ARGUMENT)?;
     let terms_text = text_argument(arguments, TERMS_ARGUMENT)?;
-    let HexId(object) = object_text.parse().map_err(|_| RequestError::InvalidObject)?;
+    let HexId(object) = object_text
+        .parse()
+        .map_err(|_| RequestError::InvalidObject)?;
     check_request_id(client_request_id)?;
 
     let terms = RequestTerms::parse(terms_text, names)?;
@@ -97,7 +99,10 @@
         hosts: terms.hosts,
         client_timeout: wait.capped_micros(class.max_wait_ms),
         is_retry: terms.is_retry,
-        body: arguments.get(BODY_ARGUMENT).map(|body| body.to_vec()).unwrap_or_default(),
+        body: arguments
+            .get(BODY_ARGUMENT)
+            .map(|body| body.to_vec())
+            .unwrap_or_default(),
         parameters: RequestParameters {
             before_timeout: wait.prefix.into(),
             after_timeout: wait.suffix.into(),
--- a/crates/gateway/src/client_protocol/resp/terms.rs
+++ b/crates/gateway/src/client_protocol/resp/terms.rs
@@ -76,7 +76,10 @@
 
 impl<'a> RequestTerms<'a> {
     /// Decodes the list `text`; `names` holds the names and bounds of the settings.
-    pub(super) fn parse(text: &'a str, names: &RequestNames) -> Result<RequestTerms<'a>, RequestError> {
+    pub(super) fn parse(
+        text: &'a str,
+        names: &RequestNames,
+    ) -> Result<RequestTerms<'a>, RequestError> {
         let mut terms = RequestTerms {
             class: None,
             plan: None,
@@ -102,7 +105,12 @@
     }
 
     /// Sets the field that one term of the list `text` states.
-    fn apply(&mut self, term: &Term<'a>, text: &'a str, names: &RequestNames) -> Result<(), RequestError> {
+    fn apply(
+        &mut self,
+        term: &Term<'a>,
+        text: &'a str,
+        names: &RequestNames,
+    ) -> Result<(), RequestError> {
         match term.name {
             "c" => self.class = names.class_index(term.value),
             "t" => self.plan = names.plan_index(term.value),
@@ -124,17 +132,27 @@
         let Some((name, value)) = text.split_once('=') else {
             return Err(RequestError::TermWithoutValue(text.to_owned()));
         };
-        Ok(Term { name, value, value_start: start + name.len() + 1 })
+        Ok(Term {
+            name,
+            value,
+            value_start: start + name.len() + 1,
+        })
     }
 
     /// The error for a value that is not valid for this name.
     fn invalid_value(&self) -> RequestError {
-        RequestError::InvalidTermValue { name: self.name.to_owned(), value: self.value.to_owned() }
+        RequestError::InvalidTermValue {
+            name: self.name.to_owned(),
+            value: self.value.to_owned(),
+        }
     }
 
     /// The value as a finite decimal number above zero, without a sign or an exponent.
     fn positive_number(&self) -> Result<f64, RequestError> {
-        let is_plain = self.value.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+        let is_plain = self
+            .value
+            .bytes()
+            .all(|byte| byte.is_ascii_digit() || byte == b'.');
         match self.value.parse::<f64>() {
             Ok(number) if is_plain && number.is_finite() && number > 0.0 => Ok(number),
             _ => Err(self.invalid_value()),
@@ -145,7 +163,11 @@
     fn client_wait(&self, list: &'a str) -> Result<ClientWait<'a>, RequestError> {
         let milliseconds = self.positive_number()?;
         let value_end = self.value_start + self.value.len();
-        Ok(ClientWait { milliseconds, prefix: &list[..self.value_start], suffix: &list[value_end..] })
+        Ok(ClientWait {
+            milliseconds,
+            prefix: &list[..self.value_start],
+            suffix: &list[value_end..],
+        })
     }
 
     /// The value as an id.
@@ -159,6 +181,9 @@
         if self.value == "-1" {
             return Ok(ShardTerm::Unassigned);
         }
-        self.value.parse().map(ShardTerm::Number).map_err(|_| self.invalid_value())
+        self.value
+            .parse()
+            .map(ShardTerm::Number)
+            .map_err(|_| self.invalid_value())
     }
 }
--- a/crates/gateway/src/client_protocol/sftp/command.rs
+++ b/crates/gateway/src/client_protocol/sftp/command.rs
@@ -56,16 +56,24 @@
             return Err(SftpError::IsDirectory);
         };
         if flags == open_flags::READ {
-            let request = self.shared.object_request(Operation::Read, &target, Vec::new());
+            let request = self
+                .shared
+                .object_request(Operation::Read, &target, Vec::new());
             let operation = PendingOperation::Open(target);
-            return Ok(CommandOutcome::Submit { requests: vec![request], operation });
+            return Ok(CommandOutcome::Submit {
+                requests: vec![request],
+                operation,
+            });
         }
         // A write replaces the whole object: flags that keep a part of the old one are not supported.
         let replace_flags = open_flags::WRITE | open_flags::CREAT;
         if flags != replace_flags && flags != replace_flags | open_flags::TRUNC {
             return Err(SftpError::UnsupportedOpenFlags);
         }
-        let number = self.handles.insert(Handle::Upload { target, data: Vec::new() })?;
+        let number = self.handles.insert(Handle::Upload {
+            target,
+            data: Vec::new(),
+        })?;
         Ok(CommandOutcome::Reply(encode_handle(request_id, number)))
     }
 
@@ -96,7 +104,11 @@
             return Err(SftpError::EndOfFile);
         }
         let range = &rest[..length.min(rest.len())];
-        Ok(CommandOutcome::Reply(Packet::with_id(packet_type::DATA, request_id).string(range).finish()))
+        Ok(CommandOutcome::Reply(
+            Packet::with_id(packet_type::DATA, request_id)
+                .string(range)
+                .finish(),
+        ))
     }
 
     /// WRITE: the bytes are buffered until CLOSE.
@@ -110,19 +122,30 @@
             return Err(SftpError::ObjectTooLarge);
         }
         self.handles.write_upload(number, offset, bytes)?;
-        Ok(CommandOutcome::Reply(encode_status(request_id, StatusCode::Ok, "")))
+        Ok(CommandOutcome::Reply(encode_status(
+            request_id,
+            StatusCode::Ok,
+            "",
+        )))
     }
 
     /// CLOSE: a buffered upload is submitted as one write, and the reply states whether the object was stored.
     fn close(&mut self, request_id: u32, mut fields: Fields<'_>) -> CommandResult {
         let number = handle_number(&mut fields)?;
         let Handle::Upload { target, data } = self.handles.remove(number)? else {
-            return Ok(CommandOutcome::Reply(encode_status(request_id, StatusCode::Ok, "")));
+            return Ok(CommandOutcome::Reply(encode_status(
+                request_id,
+                StatusCode::Ok,
+                "",
+            )));
         };
         let size = data.len() as u64;
         let request = self.shared.object_request(Operation::Write, &target, data);
         let operation = PendingOperation::Store { target, size };
-        Ok(CommandOutcome::Submit { requests: vec![request], operation })
+        Ok(CommandOutcome::Submit {
+            requests: vec![request],
+            operation,
+        })
     }
 
     /// STAT and LSTAT: directories have fixed attributes, an object's size comes from its storage node.
@@ -130,9 +153,14 @@
         let PathTarget::Object(target) = self.shared.resolve(fields.string()?)? else {
             return Ok(CommandOutcome::Reply(encode_attributes(request_id, None)));
         };
-        let request = self.shared.object_request(Operation::Stat, &target, Vec::new());
+        let request = self
+            .shared
+            .object_request(Operation::Stat, &target, Vec::new());
         let operation = PendingOperation::Stat(target);
-        Ok(CommandOutcome::Submit { requests: vec![request], operation })
+        Ok(CommandOutcome::Submit {
+            requests: vec![request],
+            operation,
+        })
     }
 
     /// FSTAT: the size of the buffered object.
@@ -151,38 +179,57 @@
         let directory = self.handles.directory_mut(handle)?;
         let target = match directory {
             Directory::Listed(entries) => {
-                return Ok(CommandOutcome::Reply(encode_next_entries(request_id, entries)?));
+                return Ok(CommandOutcome::Reply(encode_next_entries(
+                    request_id, entries,
+                )?));
             }
             Directory::Listing(_) => return Err(SftpError::ListingInProgress),
             Directory::Unlisted(target) => target.clone(),
         };
         let requests = self.shared.list_requests(&target);
         *directory = Directory::Listing(target);
-        let listing = PendingListing { handle, remaining_shards: requests.len(), entries: Vec::new() };
-        Ok(CommandOutcome::Submit { requests, operation: PendingOperation::List(listing) })
+        let listing = PendingListing {
+            handle,
+            remaining_shards: requests.len(),
+            entries: Vec::new(),
+        };
+        Ok(CommandOutcome::Submit {
+            requests,
+            operation: PendingOperation::List(listing),
+        })
     }
 }
 
 /// REALPATH: the canonical form of a path, whether it exists or not.
 fn real_path(request_id: u32, mut fields: Fields<'_>) -> CommandResult {
     let path = canonicalize(fields.string()?).ok_or(SftpError::NoSuchFile)?;
-    let packet =
-        Packet::with_id(packet_type::NAME, request_id).u32(1).string(&path).string(&path).attributes(None);
+    let packet = Packet::with_id(packet_type::NAME, request_id)
+        .u32(1)
+        .string(&path)
+        .string(&path)
+        .attributes(None);
     Ok(CommandOutcome::Reply(packet.finish()))
 }
 
 /// Takes a handle, which this server encodes as a 32-bit number.
 fn handle_number(fields: &mut Fields<'_>) -> Result<u32, SftpError> {
-    let bytes = fields.string()?.try_into().map_err(|_| SftpError::NoSuchHandle)?;
+    let bytes = fields
+        .string()?
+        .try_into()
+        .map_err(|_| SftpError::NoSuchHandle)?;
     Ok(u32::from_be_bytes(bytes))
 }
 
 /// Encodes a HANDLE reply.
 pub(super) fn encode_handle(request_id: u32, number: u32) -> Vec<u8> {
-    Packet::with_id(packet_type::HANDLE, request_id).string(number.to_be_bytes()).finish()
+    Packet::with_id(packet_type::HANDLE, request_id)
+        .string(number.to_be_bytes())
+        .finish()
 }
 
 /// Encodes an ATTRS reply for an object of a size in bytes, or for a directory.
 pub(super) fn encode_attributes(request_id: u32, size: Option<u64>) -> Vec<u8> {
-    Packet::with_id(packet_type::ATTRS, request_id).attributes(size).finish()
+    Packet::with_id(packet_type::ATTRS, request_id)
+        .attributes(size)
+        .finish()
 }
--- a/crates/gateway/src/client_protocol/sftp/directory.rs
+++ b/crates/gateway/src/client_protocol/sftp/directory.rs
@@ -23,13 +23,19 @@
 
 impl From<&SftpVolume> for DirectoryEntry {
     fn from(volume: &SftpVolume) -> Self {
-        DirectoryEntry { name: volume.name.as_bytes().to_vec(), size: None }
+        DirectoryEntry {
+            name: volume.name.as_bytes().to_vec(),
+            size: None,
+        }
     }
 }
 
 impl From<ObjectEntry> for DirectoryEntry {
     fn from(object: ObjectEntry) -> Self {
-        DirectoryEntry { name: object.name, size: Some(object.size) }
+        DirectoryEntry {
+            name: object.name,
+            size: Some(object.size),
+        }
     }
 }
 
@@ -68,7 +74,8 @@
         self.remaining_shards -= 1;
         match body {
             ResponseBody::Names(objects) => {
-                self.entries.extend(objects.into_iter().map(DirectoryEntry::from));
+                self.entries
+                    .extend(objects.into_iter().map(DirectoryEntry::from));
             }
             ResponseBody::Value(index) => self.entries.extend(parse_index(&index)),
             ResponseBody::Size(_) | ResponseBody::NotFound => {}
@@ -91,7 +98,10 @@
         let mut words = line.split_ascii_whitespace();
         let Some(name) = words.next() else { continue };
         let size = words.next().and_then(|size| size.parse().ok()).unwrap_or(0);
-        entries.push(DirectoryEntry { name: name.as_bytes().to_vec(), size: Some(size) });
+        entries.push(DirectoryEntry {
+            name: name.as_bytes().to_vec(),
+            size: Some(size),
+        });
     }
     entries
 }
@@ -108,7 +118,10 @@
     let count = count_entries_for_packet(entries);
     let mut packet = Packet::with_id(packet_type::NAME, request_id).u32(count as u32);
     for entry in entries.drain(..count) {
-        packet = packet.string(&entry.name).string(long_name(&entry)).attributes(entry.size);
+        packet = packet
+            .string(&entry.name)
+            .string(long_name(&entry))
+            .attributes(entry.size);
     }
     Ok(packet.finish())
 }
@@ -127,7 +140,11 @@
 
 /// The entry as a line of `ls -l`, which clients may print as it is. Owner and time are not known.
 fn long_name(entry: &DirectoryEntry) -> String {
-    let mode = if entry.size.is_some() { "-rw-r--r--" } else { "drwxr-xr-x" };
+    let mode = if entry.size.is_some() {
+        "-rw-r--r--"
+    } else {
+        "drwxr-xr-x"
+    };
     let size = entry.size.unwrap_or(0);
     let name = String::from_utf8_lossy(&entry.name);
     format!("{mode}    1 0        0        {size:>8} Jan  1 00:00 {name}")
--- a/crates/gateway/src/client_protocol/sftp/error.rs
+++ b/crates/gateway/src/client_protocol/sftp/error.rs
@@ -68,7 +68,9 @@
         match self {
             SftpError::MalformedPacket(_) => StatusCode::BadMessage,
             SftpError::NoSuchFile => StatusCode::NoSuchFile,
-            SftpError::UnsupportedOpenFlags | SftpError::UnsupportedCommand => StatusCode::Unsupported,
+            SftpError::UnsupportedOpenFlags | SftpError::UnsupportedCommand => {
+                StatusCode::Unsupported
+            }
             SftpError::EndOfFile | SftpError::EndOfDirectory => StatusCode::Eof,
             SftpError::IsDirectory
             | SftpError::NotDirectory
--- a/crates/gateway/src/client_protocol/sftp/handle.rs
+++ b/crates/gateway/src/client_protocol/sftp/handle.rs
@@ -49,7 +49,11 @@
 impl HandleTable {
     /// An empty table.
     pub(super) fn new(shared: Rc<SftpShared>) -> HandleTable {
-        HandleTable { shared, handles: BTreeMap::new(), next_number: 0 }
+        HandleTable {
+            shared,
+            handles: BTreeMap::new(),
+            next_number: 0,
+        }
     }
 
     /// Adds a handle and returns its number. Fails if the client has too many, or if the shared budget has no
@@ -67,7 +71,10 @@
 
     /// Removes a handle and releases its bytes.
     pub(super) fn remove(&mut self, number: u32) -> Result<Handle, SftpError> {
-        let handle = self.handles.remove(&number).ok_or(SftpError::NoSuchHandle)?;
+        let handle = self
+            .handles
+            .remove(&number)
+            .ok_or(SftpError::NoSuchHandle)?;
         self.shared.release_bytes(handle.buffered_bytes());
         Ok(handle)
     }
@@ -95,7 +102,12 @@
 
     /// Writes bytes of an upload at `offset`; the caller has checked that they end within the largest upload. A gap
     /// before them is filled with zeros.
-    pub(super) fn write_upload(&mut self, number: u32, offset: usize, bytes: &[u8]) -> Result<(), SftpError> {
+    pub(super) fn write_upload(
+        &mut self,
+        number: u32,
+        offset: usize,
+        bytes: &[u8],
+    ) -> Result<(), SftpError> {
         let Some(Handle::Upload { data, .. }) = self.handles.get_mut(&number) else {
             return Err(SftpError::NoSuchHandle);
         };
@@ -109,7 +121,9 @@
 
     /// Whether an upload is open.
     pub(super) fn has_upload(&self) -> bool {
-        self.handles.values().any(|handle| matches!(handle, Handle::Upload { .. }))
+        self.handles
+            .values()
+            .any(|handle| matches!(handle, Handle::Upload { .. }))
     }
 }
 
--- a/crates/gateway/src/client_protocol/sftp/mod.rs
+++ b/crates/gateway/src/client_protocol/sftp/mod.rs
@@ -45,7 +45,12 @@
     #[must_use]
     pub fn new(shared: Rc<SftpShared>) -> SftpProtocol {
         let handles = HandleTable::new(shared.clone());
-        SftpProtocol { shared, initialized: false, handles, pending: BTreeMap::new() }
+        SftpProtocol {
+            shared,
+            initialized: false,
+            handles,
+            pending: BTreeMap::new(),
+        }
     }
 
     /// Answers the first packet, which must be INIT with a version; any other closes the connection.
@@ -59,8 +64,17 @@
 }
 
 impl ClientProtocol for SftpProtocol {
-    fn parse_command(&mut self, input: &[u8], position: &mut usize, slot: u64, _ready: bool) -> CommandStep {
-        let DecodedPacket { type_byte, mut fields } = match decode_packet(input, position) {
+    fn parse_command(
+        &mut self,
+        input: &[u8],
+        position: &mut usize,
+        slot: u64,
+        _ready: bool,
+    ) -> CommandStep {
+        let DecodedPacket {
+            type_byte,
+            mut fields,
+        } = match decode_packet(input, position) {
             Ok(Some(packet)) => packet,
             Ok(None) => return CommandStep::Incomplete,
             Err(_) => return CommandStep::Close(Vec::new()),
@@ -68,11 +82,22 @@
         if !self.initialized {
             return self.initialize(type_byte, fields);
         }
-        let Ok(request_id) = fields.u32() else { return CommandStep::Close(Vec::new()) };
+        let Ok(request_id) = fields.u32() else {
+            return CommandStep::Close(Vec::new());
+        };
         match self.run_command(type_byte, request_id, fields) {
             Ok(CommandOutcome::Reply(reply)) => CommandStep::Reply(reply),
-            Ok(CommandOutcome::Submit { requests, operation }) => {
-                self.pending.insert(slot, PendingCommand { request_id, operation });
+            Ok(CommandOutcome::Submit {
+                requests,
+                operation,
+            }) => {
+                self.pending.insert(
+                    slot,
+                    PendingCommand {
+                        request_id,
+                        operation,
+                    },
+                );
                 CommandStep::Submit(requests)
             }
             Err(error) => CommandStep::Reply(error.to_status(request_id)),
--- a/crates/gateway/src/client_protocol/sftp/path.rs
+++ b/crates/gateway/src/client_protocol/sftp/path.rs
@@ -48,11 +48,24 @@
     pub(super) fn resolve(&self, path: &[u8]) -> Result<PathTarget, SftpError> {
         let path = canonicalize(path).ok_or(SftpError::NoSuchFile)?;
         let mut parts = path.split('/').filter(|part| !part.is_empty());
-        let Some(volume_name) = parts.next() else { return Ok(PathTarget::Root) };
-        let volume = self.config.volumes.iter().find(|volume| volume.name == volume_name);
+        let Some(volume_name) = parts.next() else {
+            return Ok(PathTarget::Root);
+        };
+        let volume = self
+            .config
+            .volumes
+            .iter()
+            .find(|volume| volume.name == volume_name);
         let volume = volume.ok_or(SftpError::NoSuchFile)?;
-        let mut target = Target { volume: volume.id, plan: volume.plan, object: 0, name: None };
-        let Some(object_name) = parts.next() else { return Ok(PathTarget::Volume(target)) };
+        let mut target = Target {
+            volume: volume.id,
+            plan: volume.plan,
+            object: 0,
+            name: None,
+        };
+        let Some(object_name) = parts.next() else {
+            return Ok(PathTarget::Volume(target));
+        };
         if parts.next().is_some() || object_name.len() > MAX_NAME_LENGTH {
             return Err(SftpError::NoSuchFile);
         }
@@ -85,7 +98,9 @@
 /// The id of the object with this name. A name of 16 lower-case hex digits is the text form of the id; for any
 /// other name, the id is a hash of it.
 fn object_id(name: &str) -> u64 {
-    let has_hex_digits_only = name.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
+    let has_hex_digits_only = name
+        .bytes()
+        .all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
     if has_hex_digits_only {
         if let Ok(HexId(id)) = name.parse() {
             return id;
--- a/crates/gateway/src/client_protocol/sftp/response.rs
+++ b/crates/gateway/src/client_protocol/sftp/response.rs
@@ -39,7 +39,10 @@
     /// Handles a response to a request of the command at `slot`. Returns the encoded reply if it completes the
     /// command.
     pub(super) fn handle_response(&mut self, slot: u64, response: Response) -> Option<Vec<u8>> {
-        let PendingCommand { request_id, operation } = self.pending.remove(&slot)?;
+        let PendingCommand {
+            request_id,
+            operation,
+        } = self.pending.remove(&slot)?;
         let body = match served_body(response) {
             Ok(body) => body,
             Err(error) => {
@@ -50,12 +53,20 @@
         let reply = match operation {
             PendingOperation::Open(target) => self.finish_open(request_id, &target, body),
             PendingOperation::Stat(target) => self.finish_stat(request_id, &target, &body),
-            PendingOperation::Store { target, size } => self.finish_store(request_id, &target, size, &body),
+            PendingOperation::Store { target, size } => {
+                self.finish_store(request_id, &target, size, &body)
+            }
             PendingOperation::List(mut listing) => {
                 listing.add_shard(body);
                 if listing.remaining_shards > 0 {
                     let operation = PendingOperation::List(listing);
-                    self.pending.insert(slot, PendingCommand { request_id, operation });
+                    self.pending.insert(
+                        slot,
+                        PendingCommand {
+                            request_id,
+                            operation,
+                        },
+                    );
                     return None;
                 }
                 self.finish_listing(request_id, listing)
@@ -124,7 +135,11 @@
 
     /// Completes the first READDIR of a volume: replies with the first entries and keeps the others for later
     /// READDIR commands on the handle.
-    fn finish_listing(&mut self, request_id: u32, listing: PendingListing) -> Result<Vec<u8>, SftpError> {
+    fn finish_listing(
+        &mut self,
+        request_id: u32,
+        listing: PendingListing,
+    ) -> Result<Vec<u8>, SftpError> {
         let directory = self.handles.directory_mut(listing.handle)?;
         let mut entries = listing.into_sorted_entries();
         let reply = encode_next_entries(request_id, &mut entries);
@@ -137,9 +152,9 @@
 fn served_body(response: Response) -> Result<ResponseBody, SftpError> {
     match response {
         Response::Served(body) => Ok(body),
-        Response::Rejected { retry_after } => {
-            Err(SftpError::Rejected { retry_after_ms: milliseconds(retry_after).ceil() })
-        }
+        Response::Rejected { retry_after } => Err(SftpError::Rejected {
+            retry_after_ms: milliseconds(retry_after).ceil(),
+        }),
         Response::Invalid(error) => Err(SftpError::Invalid(error)),
         Response::Failed => Err(SftpError::Failed),
         Response::TimedOut => Err(SftpError::TimedOut),
--- a/crates/gateway/src/client_protocol/sftp/shared.rs
+++ b/crates/gateway/src/client_protocol/sftp/shared.rs
@@ -57,7 +57,10 @@
 
 impl From<&Target> for ObjectKey {
     fn from(target: &Target) -> ObjectKey {
-        ObjectKey { volume: target.volume, object: target.object }
+        ObjectKey {
+            volume: target.volume,
+            object: target.object,
+        }
     }
 }
 
@@ -75,9 +78,16 @@
         Rc::new(SftpShared {
             config,
             classes: classes
-                .map(|class| RequestClass { name: class.name.clone(), deadline_ms: class.deadline_ms })
+                .map(|class| RequestClass {
+                    name: class.name.clone(),
+                    deadline_ms: class.deadline_ms,
+                })
+                .collect(),
+            plans: settings
+                .plans
+                .iter()
+                .map(|plan| plan.name.clone())
                 .collect(),
-            plans: settings.plans.iter().map(|plan| plan.name.clone()).collect(),
             shard_count: settings.storage.shard_count.max(1),
             hosts: f64::from(settings.gateway_count.max(1)),
             mean_units: settings.storage.mean_units.max(1.0),
@@ -101,7 +111,8 @@
 
     /// Releases memory that [`Self::reserve_bytes`] reserved.
     pub(super) fn release_bytes(&self, released: usize) {
-        self.buffered_bytes.set(self.buffered_bytes.get() - released);
+        self.buffered_bytes
+            .set(self.buffered_bytes.get() - released);
     }
 
     /// Caches the size of an object in bytes. If the cache is full, the entry with the smallest key is evicted.
@@ -126,15 +137,26 @@
     /// Builds the requests that list a volume, one for each shard.
     pub(super) fn list_requests(&self, volume: &Target) -> Vec<StorageRequest> {
         let shards = 0..self.shard_count;
-        shards.map(|shard| self.request(Operation::List, volume, shard, Vec::new())).collect()
+        shards
+            .map(|shard| self.request(Operation::List, volume, shard, Vec::new()))
+            .collect()
     }
 
     /// Builds a request with the next request id.
-    fn request(&self, operation: Operation, target: &Target, shard: u64, body: Vec<u8>) -> StorageRequest {
+    fn request(
+        &self,
+        operation: Operation,
+        target: &Target,
+        shard: u64,
+        body: Vec<u8>,
+    ) -> StorageRequest {
         let (class, units) = self.class_and_units(operation, target, body.len() as u64);
         let request_id = self.next_request_id.get();
         self.next_request_id.set(request_id.wrapping_add(1));
-        let RequestClass { name: class_name, deadline_ms } = &self.classes[class];
+        let RequestClass {
+            name: class_name,
+            deadline_ms,
+        } = &self.classes[class];
         let prefix = format!("c={class_name},t={},d=", self.plans[target.plan]);
         let volume_and_units = format!(",volume={},units={units}", HexId(target.volume));
         let suffix = format!("{volume_and_units},shard={shard},hosts={}", self.hosts);
@@ -152,12 +174,20 @@
             client_timeout: micros(*deadline_ms),
             is_retry: false,
             body,
-            parameters: RequestParameters { before_timeout: prefix.into(), after_timeout: suffix.into() },
+            parameters: RequestParameters {
+                before_timeout: prefix.into(),
+                after_timeout: suffix.into(),
+            },
         }
     }
 
     /// The class of a request, as an index into the settings, and its units.
-    fn class_and_units(&self, operation: Operation, target: &Target, body_bytes: u64) -> (usize, f64) {
+    fn class_and_units(
+        &self,
+        operation: Operation,
+        target: &Target,
+        body_bytes: u64,
+    ) -> (usize, f64) {
         match operation {
             Operation::Write => (self.config.write_class, self.units(Some(body_bytes))),
             Operation::List => (self.config.list_class, 1.0),
@@ -165,7 +195,11 @@
             Operation::Read => {
                 let size = self.object_sizes.borrow().get(&target.into()).copied();
                 let is_large = size.is_some_and(|size| size >= self.config.large_bytes);
-                let class = if is_large { self.config.large_read_class } else { self.config.read_class };
+                let class = if is_large {
+                    self.config.large_read_class
+                } else {
+                    self.config.read_class
+                };
                 (class, self.units(size))
             }
         }
--- a/crates/gateway/src/config/error.rs
+++ b/crates/gateway/src/config/error.rs
@@ -109,16 +109,24 @@
 impl ConfigError {
     /// A file that cannot be read.
     pub(super) fn unreadable(file: &Path, source: io::Error) -> ConfigError {
-        ConfigError::Unreadable { file: file.to_owned(), source }
+        ConfigError::Unreadable {
+            file: file.to_owned(),
+            source,
+        }
     }
 
     /// A required key that is not set.
     pub(super) fn missing(key: &str) -> ConfigError {
-        ConfigError::Missing { key: key.to_owned() }
+        ConfigError::Missing {
+            key: key.to_owned(),
+        }
     }
 
     /// A key whose value cannot be used.
     pub(super) fn invalid_value(key: &str, source: InvalidValue) -> ConfigError {
-        ConfigError::InvalidValue { key: key.to_owned(), source }
+        ConfigError::InvalidValue {
+            key: key.to_owned(),
+            source,
+        }
     }
 }
--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -105,7 +105,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: 1024, memory_mb: 256 }
+        Limits {
+            sockets: 1024,
+            memory_mb: 256,
+        }
     }
 }
 
@@ -116,10 +119,17 @@
 
 /// Decodes JSON; the parser overwrites `text`. `file` is the file's name in errors.
 pub(super) fn decode<T: DeserializeOwned>(text: &mut [u8], file: &str) -> Result<T, ConfigError> {
-    let mut json = simd_json::Deserializer::from_slice(text)
-        .map_err(|source| ConfigError::Malformed { file: file.to_owned(), source })?;
+    let mut json =
+        simd_json::Deserializer::from_slice(text).map_err(|source| ConfigError::Malformed {
+            file: file.to_owned(),
+            source,
+        })?;
     serde_path_to_error::deserialize(&mut json).map_err(|error| {
         let key = error.path().to_string();
-        ConfigError::Undecodable { file: file.to_owned(), key, source: error.into_inner() }
+        ConfigError::Undecodable {
+            file: file.to_owned(),
+            key,
+            source: error.into_inner(),
+        }
     })
 }
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -15,7 +15,9 @@
 use log::LevelFilter;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use validate::{check_shared_sections, parse_address, parse_hexadecimal, parse_log_level, DeadlineRule};
+use validate::{
+    check_shared_sections, parse_address, parse_hexadecimal, parse_log_level, DeadlineRule,
+};
 
 /// Largest value that is forwarded to a node, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 << 10;
@@ -120,13 +122,23 @@
         };
         value.ok_or_else(|| ConfigError::missing(key))
     };
-    let seed = if file.seed.is_empty() { "0" } else { &file.seed };
+    let seed = if file.seed.is_empty() {
+        "0"
+    } else {
+        &file.seed
+    };
     let log = env("STORAGE_GATEWAY_LOG").or(file.log);
     Ok(Config {
         source: ConfigSource::RouterConfig(path.to_owned()),
         name: required("ROUTER_NAME", file.name)?,
-        listen: Some(parse_address("ROUTER_LISTEN", &required("ROUTER_LISTEN", file.listen)?)?),
-        discovery: Some(parse_address("ROUTER_DISCOVERY", &required("ROUTER_DISCOVERY", file.discovery)?)?),
+        listen: Some(parse_address(
+            "ROUTER_LISTEN",
+            &required("ROUTER_LISTEN", file.listen)?,
+        )?),
+        discovery: Some(parse_address(
+            "ROUTER_DISCOVERY",
+            &required("ROUTER_DISCOVERY", file.discovery)?,
+        )?),
         cached_endpoints: file.known,
         seed: parse_hexadecimal("seed", seed)?,
         descriptors: file.limits.sockets,
@@ -187,6 +199,9 @@
 }
 
 /// Parses an address that may be absent.
-fn parse_optional_address(key: &str, text: Option<&str>) -> Result<Option<SocketAddr>, ConfigError> {
+fn parse_optional_address(
+    key: &str,
+    text: Option<&str>,
+) -> Result<Option<SocketAddr>, ConfigError> {
     text.map(|text| parse_address(key, text)).transpose()
 }
--- a/crates/gateway/src/config/sftp.rs
+++ b/crates/gateway/src/config/sftp.rs
@@ -66,15 +66,33 @@
         let volumes = convert_volumes(&section.volumes, settings)?;
         let max_upload_bytes = max_upload_bytes(section)?;
         let unit_bytes = unit_bytes(section)?;
-        let large_read_class = section.large_read_class.as_ref().unwrap_or(&section.read_class);
+        let large_read_class = section
+            .large_read_class
+            .as_ref()
+            .unwrap_or(&section.read_class);
         let list_class = section.list_class.as_ref().unwrap_or(&section.read_class);
         Ok(SftpSettings {
             listen: parse_address("sftp.listen", &section.listen)?,
             max_upload_bytes,
             unit_bytes,
-            read_class: class_index("sftp.read_class", &section.read_class, Access::Read, settings)?,
-            write_class: class_index("sftp.write_class", &section.write_class, Access::Write, settings)?,
-            large_read_class: class_index("sftp.large_read_class", large_read_class, Access::Read, settings)?,
+            read_class: class_index(
+                "sftp.read_class",
+                &section.read_class,
+                Access::Read,
+                settings,
+            )?,
+            write_class: class_index(
+                "sftp.write_class",
+                &section.write_class,
+                Access::Write,
+                settings,
+            )?,
+            large_read_class: class_index(
+                "sftp.large_read_class",
+                large_read_class,
+                Access::Read,
+                settings,
+            )?,
             large_bytes: section.large_bytes.unwrap_or(u64::MAX),
             list_class: class_index("sftp.list_class", list_class, Access::Read, settings)?,
             volumes,
@@ -86,7 +104,9 @@
 fn max_upload_bytes(section: &OperatorSftp) -> Result<usize, ConfigError> {
     let max_upload_bytes = section.max_upload_bytes.unwrap_or(MAX_VALUE_BYTES);
     if max_upload_bytes > MAX_VALUE_BYTES {
-        let cause = InvalidValue::AboveMaximum { max: MAX_VALUE_BYTES };
+        let cause = InvalidValue::AboveMaximum {
+            max: MAX_VALUE_BYTES,
+        };
         return Err(ConfigError::invalid_value("sftp.max_upload_bytes", cause));
     }
     Ok(max_upload_bytes)
@@ -96,7 +116,10 @@
 fn unit_bytes(section: &OperatorSftp) -> Result<u64, ConfigError> {
     let unit_bytes = section.unit_bytes.unwrap_or(DEFAULT_UNIT_BYTES);
     if unit_bytes == 0 {
-        return Err(ConfigError::invalid_value("sftp.unit_bytes", InvalidValue::NotPositive));
+        return Err(ConfigError::invalid_value(
+            "sftp.unit_bytes",
+            InvalidValue::NotPositive,
+        ));
     }
     Ok(unit_bytes)
 }
@@ -109,12 +132,23 @@
     settings: &DeploymentSettings,
 ) -> Result<usize, ConfigError> {
     let Some(index) = settings.classes.iter().position(|class| class.name == name) else {
-        return Err(ConfigError::invalid_value(key, InvalidValue::UnknownClass(name.to_owned())));
+        return Err(ConfigError::invalid_value(
+            key,
+            InvalidValue::UnknownClass(name.to_owned()),
+        ));
     };
-    let writes = settings.storage.writes.get(index).copied().unwrap_or_default();
+    let writes = settings
+        .storage
+        .writes
+        .get(index)
+        .copied()
+        .unwrap_or_default();
     let class_access = if writes { Access::Write } else { Access::Read };
     if class_access != access {
-        return Err(ConfigError::invalid_value(key, InvalidValue::WrongAccess(name.to_owned())));
+        return Err(ConfigError::invalid_value(
+            key,
+            InvalidValue::WrongAccess(name.to_owned()),
+        ));
     }
     Ok(index)
 }
@@ -137,10 +171,16 @@
 fn check_volume_name(key: &str, name: &str, earlier: &[SftpVolume]) -> Result<(), ConfigError> {
     let key = format!("{key}.name");
     if name.is_empty() || name.contains('/') || name.starts_with('.') {
-        return Err(ConfigError::invalid_value(&key, InvalidValue::NotAFolderName(name.to_owned())));
+        return Err(ConfigError::invalid_value(
+            &key,
+            InvalidValue::NotAFolderName(name.to_owned()),
+        ));
     }
     if earlier.iter().any(|volume| volume.name == name) {
-        return Err(ConfigError::invalid_value(&key, InvalidValue::Duplicate(name.to_owned())));
+        return Err(ConfigError::invalid_value(
+            &key,
+            InvalidValue::Duplicate(name.to_owned()),
+        ));
     }
     Ok(())
 }
@@ -152,9 +192,17 @@
     settings: &DeploymentSettings,
 ) -> Result<SftpVolume, ConfigError> {
     let id = parse_hexadecimal(&format!("{key}.id"), &entry.id)?;
-    let Some(plan) = settings.plans.iter().position(|plan| plan.name == entry.plan) else {
+    let Some(plan) = settings
+        .plans
+        .iter()
+        .position(|plan| plan.name == entry.plan)
+    else {
         let cause = InvalidValue::UnknownPlan(entry.plan.clone());
         return Err(ConfigError::invalid_value(&format!("{key}.plan"), cause));
     };
-    Ok(SftpVolume { name: entry.name.clone(), id, plan })
+    Ok(SftpVolume {
+        name: entry.name.clone(),
+        id,
+        plan,
+    })
 }
--- a/crates/gateway/src/config/validate.rs
+++ b/crates/gateway/src/config/validate.rs
@@ -36,24 +36,38 @@
     }
     if let Err(unknown) = settings.to_scheduler_settings() {
         let key = format!("settings.{}", unknown.key);
-        return Err(ConfigError::invalid_value(&key, InvalidValue::UnknownWord(unknown.value)));
+        return Err(ConfigError::invalid_value(
+            &key,
+            InvalidValue::UnknownWord(unknown.value),
+        ));
     }
     for (index, class) in settings.classes.iter().enumerate() {
         check_class(index, class, deadline_rule)?;
     }
     if settings.permissions.max_attempts == 0 {
         let cause = InvalidValue::BelowMinimum { min: 1 };
-        return Err(ConfigError::invalid_value("settings.allowed.max_attempts", cause));
+        return Err(ConfigError::invalid_value(
+            "settings.allowed.max_attempts",
+            cause,
+        ));
     }
     check_limits(limits)
 }
 
 /// Checks the times of one class.
-fn check_class(index: usize, class: &ClassSettings, deadline_rule: DeadlineRule) -> Result<(), ConfigError> {
-    let deadline_too_short = class.deadline_ms.is_nan() || class.deadline_ms < class.latency_objective_ms;
+fn check_class(
+    index: usize,
+    class: &ClassSettings,
+    deadline_rule: DeadlineRule,
+) -> Result<(), ConfigError> {
+    let deadline_too_short =
+        class.deadline_ms.is_nan() || class.deadline_ms < class.latency_objective_ms;
     if deadline_rule == DeadlineRule::AtLeastObjective && deadline_too_short {
         let key = format!("settings.classes[{index}].deadline_ms");
-        return Err(ConfigError::invalid_value(&key, InvalidValue::DeadlineBelowObjective));
+        return Err(ConfigError::invalid_value(
+            &key,
+            InvalidValue::DeadlineBelowObjective,
+        ));
     }
     if class.latency_objective_ms.is_nan() || class.latency_objective_ms <= 0.0 {
         let key = format!("settings.classes[{index}].aim_ms");
@@ -65,11 +79,16 @@
 /// Checks that the limits are within their ranges.
 fn check_limits(limits: &Limits) -> Result<(), ConfigError> {
     if !(MIN_MEMORY_MB..=MAX_MEMORY_MB).contains(&limits.memory_mb) {
-        let cause = InvalidValue::OutOfRange { min: MIN_MEMORY_MB, max: MAX_MEMORY_MB };
+        let cause = InvalidValue::OutOfRange {
+            min: MIN_MEMORY_MB,
+            max: MAX_MEMORY_MB,
+        };
         return Err(ConfigError::invalid_value("limits.memory_mb", cause));
     }
     if limits.sockets < MIN_DESCRIPTORS {
-        let cause = InvalidValue::BelowMinimum { min: MIN_DESCRIPTORS };
+        let cause = InvalidValue::BelowMinimum {
+            min: MIN_DESCRIPTORS,
+        };
         return Err(ConfigError::invalid_value("limits.sockets", cause));
     }
     Ok(())
@@ -77,7 +96,8 @@
 
 /// Parses an IP address with a port.
 pub(super) fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| ConfigError::invalid_value(key, InvalidValue::NotAnAddress(text.to_owned())))
+    text.parse()
+        .map_err(|_| ConfigError::invalid_value(key, InvalidValue::NotAnAddress(text.to_owned())))
 }
 
 /// Parses a hexadecimal number.
@@ -88,6 +108,10 @@
 
 /// Parses the log level; `info` if none is given.
 pub(super) fn parse_log_level(key: &str, text: Option<&str>) -> Result<LevelFilter, ConfigError> {
-    let Some(text) = text else { return Ok(LevelFilter::Info) };
-    text.parse().map_err(|_| ConfigError::invalid_value(key, InvalidValue::UnknownLogLevel(text.to_owned())))
+    let Some(text) = text else {
+        return Ok(LevelFilter::Info);
+    };
+    text.parse().map_err(|_| {
+        ConfigError::invalid_value(key, InvalidValue::UnknownLogLevel(text.to_owned()))
+    })
 }
--- a/crates/gateway/src/connections/client/accept.rs
+++ b/crates/gateway/src/connections/client/accept.rs
@@ -79,6 +79,10 @@
             return;
         };
         self.count += 1;
-        self.store(token, ClientConnection::new(socket, protocol, context.now), context);
+        self.store(
+            token,
+            ClientConnection::new(socket, protocol, context.now),
+            context,
+        );
     }
 }
--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -16,7 +16,9 @@
     pub(crate) fn close_idle_for(&mut self, min_idle_time: Micros, context: &mut Context) {
         let mut tokens = Vec::new();
         for (token, connection) in context.connections.iter() {
-            let Connection::Client(client) = connection else { continue };
+            let Connection::Client(client) = connection else {
+                continue;
+            };
             if client.is_idle() && context.now - client.last_active_at >= min_idle_time {
                 tokens.push(token);
             }
@@ -66,12 +68,18 @@
             if client.socket.shutdown_write().is_err() {
                 return self.drop_connection(token, client, context);
             }
-            client.lifecycle = Lifecycle::Lingering { remaining: MAX_LINGERING_BYTES };
+            client.lifecycle = Lifecycle::Lingering {
+                remaining: MAX_LINGERING_BYTES,
+            };
             client.last_active_at = context.now;
             self.uncount_requester(&mut client);
         }
         client.socket.consume(client.socket.input.len());
-        if client.socket.set_interest(&context.poller, token, Interest::Read).is_err() {
+        if client
+            .socket
+            .set_interest(&context.poller, token, Interest::Read)
+            .is_err()
+        {
             return self.drop_connection(token, client, context);
         }
         self.store(token, client, context);
@@ -85,11 +93,15 @@
         context: &mut Context,
     ) {
         context.connections.free(token);
-        context.timers.reschedule(&mut client.timer_deadline, None, Timer::Connection(token));
+        context
+            .timers
+            .reschedule(&mut client.timer_deadline, None, Timer::Connection(token));
         self.count -= 1;
         self.uncount_requester(&mut client);
         client.counted_unsent_bytes.set(0, &mut self.unsent_bytes);
-        client.counted_partial_command_bytes.set(0, &mut self.partial_command_bytes);
+        client
+            .counted_partial_command_bytes
+            .set(0, &mut self.partial_command_bytes);
         for id in client.open_requests.into_values().flatten() {
             context.client_disconnected(id);
         }
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -31,8 +31,16 @@
         if may_close && client.is_fully_replied() {
             return self.linger(token, client, context);
         }
-        let interest = if input_is_full || client.is_closing() { Interest::Paused } else { Interest::Read };
-        if client.socket.set_interest(&context.poller, token, interest).is_err() {
+        let interest = if input_is_full || client.is_closing() {
+            Interest::Paused
+        } else {
+            Interest::Read
+        };
+        if client
+            .socket
+            .set_interest(&context.poller, token, interest)
+            .is_err()
+        {
             return self.drop_connection(token, client, context);
         }
         self.store(token, client, context);
@@ -57,10 +65,16 @@
             let slot = client.next_slot;
             let has_endpoint = context.dispatcher.has_endpoint();
             let input = &client.socket.input;
-            match client.protocol.parse_command(input, &mut position, slot, has_endpoint) {
+            match client
+                .protocol
+                .parse_command(input, &mut position, slot, has_endpoint)
+            {
                 CommandStep::Incomplete => break,
                 CommandStep::Reply(bytes) => {
-                    client.replies.push_back(PendingReply { slot, bytes: Some(bytes) });
+                    client.replies.push_back(PendingReply {
+                        slot,
+                        bytes: Some(bytes),
+                    });
                 }
                 CommandStep::Close(bytes) => {
                     client.close_after_reply(bytes);
@@ -91,10 +105,18 @@
             client.eviction_priority = EvictionPriority::Requests;
             self.requesters += 1;
         }
-        let reply_slot = ReplySlot { connection: token, slot };
+        let reply_slot = ReplySlot {
+            connection: token,
+            slot,
+        };
         let mut ids = Vec::with_capacity(requests.len());
         for request in requests {
-            ids.push(context.dispatcher.submit(request, reply_slot, context.now, &mut context.timers));
+            ids.push(context.dispatcher.submit(
+                request,
+                reply_slot,
+                context.now,
+                &mut context.timers,
+            ));
         }
         client.open_requests.insert(slot, ids);
     }
@@ -102,8 +124,17 @@
     /// Drops the input that was parsed, or all of it on a connection that is closing, and updates the count
     /// of buffered bytes. If the partial commands of all clients exceed their budget, a partial command of
     /// this client is rejected and its connection closes.
-    fn consume_input(&mut self, client: &mut ClientConnection, parsed_bytes: usize, context: &Context) {
-        let consumed = if client.is_closing() { client.socket.input.len() } else { parsed_bytes };
+    fn consume_input(
+        &mut self,
+        client: &mut ClientConnection,
+        parsed_bytes: usize,
+        context: &Context,
+    ) {
+        let consumed = if client.is_closing() {
+            client.socket.input.len()
+        } else {
+            parsed_bytes
+        };
         client.socket.consume(consumed);
         if consumed > 0 || client.socket.input.is_empty() {
             client.partial_command_since = None;
@@ -112,7 +143,9 @@
             client.partial_command_since.get_or_insert(context.now);
         }
         let buffered_bytes = client.socket.input.capacity();
-        client.counted_partial_command_bytes.set(buffered_bytes, &mut self.partial_command_bytes);
+        client
+            .counted_partial_command_bytes
+            .set(buffered_bytes, &mut self.partial_command_bytes);
         let over_budget = self.partial_command_bytes > context.config.budget.partial_command_bytes;
         if over_budget && client.partial_command_since.is_some() && !client.is_closing() {
             client.close_after_reply(client.protocol.overloaded_reply());
@@ -128,7 +161,9 @@
             client.last_active_at = now;
         }
         let unsent_bytes = client.unsent_bytes();
-        client.counted_unsent_bytes.set(unsent_bytes, &mut self.unsent_bytes);
+        client
+            .counted_unsent_bytes
+            .set(unsent_bytes, &mut self.unsent_bytes);
         result
     }
 
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -77,7 +77,11 @@
 
 impl ClientConnection {
     /// A connection accepted at the time `now`.
-    pub(super) fn new(socket: Socket, protocol: Box<dyn ClientProtocol>, now: Micros) -> ClientConnection {
+    pub(super) fn new(
+        socket: Socket,
+        protocol: Box<dyn ClientProtocol>,
+        now: Micros,
+    ) -> ClientConnection {
         ClientConnection {
             socket,
             protocol,
@@ -107,7 +111,12 @@
 
     /// Bytes of encoded replies that are not written yet, those that wait for earlier ones included.
     pub(super) fn unsent_bytes(&self) -> usize {
-        let encoded: usize = self.replies.iter().filter_map(|reply| reply.bytes.as_ref()).map(Vec::len).sum();
+        let encoded: usize = self
+            .replies
+            .iter()
+            .filter_map(|reply| reply.bytes.as_ref())
+            .map(Vec::len)
+            .sum();
         self.socket.unsent_bytes() + encoded
     }
 
@@ -161,7 +170,10 @@
     /// Queues a last reply and stops running commands. Replies to earlier commands are still sent before it.
     pub(super) fn close_after_reply(&mut self, reply: Vec<u8>) {
         self.lifecycle = Lifecycle::CloseAfterReplies;
-        self.replies.push_back(PendingReply { slot: self.next_slot, bytes: Some(reply) });
+        self.replies.push_back(PendingReply {
+            slot: self.next_slot,
+            bytes: Some(reply),
+        });
         self.next_slot += 1;
         self.queue_ready_replies();
     }
@@ -182,7 +194,10 @@
 
     /// Moves encoded replies to the output buffer, up to the first that is not encoded yet.
     pub(super) fn queue_ready_replies(&mut self) {
-        while let Some(PendingReply { bytes: Some(bytes), .. }) = self.replies.front_mut() {
+        while let Some(PendingReply {
+            bytes: Some(bytes), ..
+        }) = self.replies.front_mut()
+        {
             self.socket.output().append(bytes);
             self.replies.pop_front();
         }
--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -38,7 +38,11 @@
 impl EvictionCandidate {
     /// Start of the range of this priority: it sorts before every connection of it.
     fn first_of(priority: EvictionPriority) -> EvictionCandidate {
-        EvictionCandidate { priority, last_active_at: Micros::MIN, token: ConnectionToken::MIN }
+        EvictionCandidate {
+            priority,
+            last_active_at: Micros::MIN,
+            token: ConnectionToken::MIN,
+        }
     }
 }
 
@@ -79,7 +83,10 @@
     fn longest_idle_requester(&self) -> Option<ConnectionToken> {
         let first = EvictionCandidate::first_of(EvictionPriority::Requests);
         let end = EvictionCandidate::first_of(EvictionPriority::MidCommand);
-        self.candidates.range(first..end).next().map(|candidate| candidate.token)
+        self.candidates
+            .range(first..end)
+            .next()
+            .map(|candidate| candidate.token)
     }
 }
 
@@ -97,10 +104,14 @@
     /// Closes a connection at once, without a lingering close, as its descriptor is needed now. It stays open
     /// if input has arrived that was not read yet.
     fn evict(&mut self, token: ConnectionToken, context: &mut Context) {
-        let Some(mut client) = self.take(token, context) else { return };
+        let Some(mut client) = self.take(token, context) else {
+            return;
+        };
         let length_before = client.socket.input.len();
         match client.socket.read_available(MAX_INPUT_BYTES) {
-            Ok(StreamStatus::Open) if client.socket.input.len() > length_before && !client.is_lingering() => {
+            Ok(StreamStatus::Open)
+                if client.socket.input.len() > length_before && !client.is_lingering() =>
+            {
                 self.advance(token, client, context);
             }
             _ => self.drop_connection(token, client, context),
@@ -112,7 +123,9 @@
     /// leave no descriptors for new connections.
     pub(crate) fn close_excess_requesters(&mut self, context: &mut Context) {
         while self.requesters > self.limits.requesters {
-            let Some(token) = self.eviction_queue.longest_idle_requester() else { return };
+            let Some(token) = self.eviction_queue.longest_idle_requester() else {
+                return;
+            };
             log::debug!("closing an idle client connection: too many have sent requests");
             self.close_idle(token, context);
         }
--- a/crates/gateway/src/connections/client/mod.rs
+++ b/crates/gateway/src/connections/client/mod.rs
@@ -55,7 +55,12 @@
     /// earlier run of the gateway.
     pub(crate) fn new(config: &Config, limits: ConnectionLimits, now: Micros) -> ClientConnections {
         let sftp = config.sftp.clone().map(|settings| {
-            SftpShared::new(settings, &config.settings, config.budget.sftp_file_bytes, now as u64)
+            SftpShared::new(
+                settings,
+                &config.settings,
+                config.budget.sftp_file_bytes,
+                now as u64,
+            )
         });
         ClientConnections {
             request_names: RequestNames::new(&config.settings),
@@ -124,11 +129,20 @@
 
     /// Passes the response to a request on to the command that it belongs to, and sends the command's reply
     /// once it is complete.
-    pub(crate) fn respond(&mut self, reply_slot: ReplySlot, response: Response, context: &mut Context) {
+    pub(crate) fn respond(
+        &mut self,
+        reply_slot: ReplySlot,
+        response: Response,
+        context: &mut Context,
+    ) {
         let token = reply_slot.connection;
-        let Some(mut client) = self.take(token, context) else { return };
+        let Some(mut client) = self.take(token, context) else {
+            return;
+        };
         let mut encoded = Vec::new();
-        client.protocol.encode_response(reply_slot.slot, response, &mut encoded);
+        client
+            .protocol
+            .encode_response(reply_slot.slot, response, &mut encoded);
         // A reply may be complete before all requests of its command are: once one part of a listing has
         // failed, the other parts are cancelled.
         for id in client.complete_replies(encoded) {
@@ -140,17 +154,28 @@
 
     /// Takes a connection out of the table and of the eviction queue.
     fn take(&mut self, token: ConnectionToken, context: &mut Context) -> Option<ClientConnection> {
-        let Some(Connection::Client(mut client)) = context.connections.take(token) else { return None };
+        let Some(Connection::Client(mut client)) = context.connections.take(token) else {
+            return None;
+        };
         self.eviction_queue.remove(&mut client);
         Some(client)
     }
 
     /// Puts a connection back into the table, updates its timer, and adds it to the eviction queue if no
     /// reply is pending and no sequence of commands such as an upload has begun.
-    fn store(&mut self, token: ConnectionToken, mut client: ClientConnection, context: &mut Context) {
+    fn store(
+        &mut self,
+        token: ConnectionToken,
+        mut client: ClientConnection,
+        context: &mut Context,
+    ) {
         let close_at = client.close_at();
         if close_at != client.timer_deadline {
-            context.timers.reschedule(&mut client.timer_deadline, close_at, Timer::Connection(token));
+            context.timers.reschedule(
+                &mut client.timer_deadline,
+                close_at,
+                Timer::Connection(token),
+            );
         }
         if client.is_fully_replied() && !client.protocol.is_mid_command() {
             let priority = if client.socket.input.is_empty() {
@@ -158,7 +183,11 @@
             } else {
                 EvictionPriority::MidCommand
             };
-            let candidate = EvictionCandidate { priority, last_active_at: client.last_active_at, token };
+            let candidate = EvictionCandidate {
+                priority,
+                last_active_at: client.last_active_at,
+                token,
+            };
             client.eviction_candidate = Some(candidate);
             self.eviction_queue.insert(candidate);
         }
--- a/crates/gateway/src/connections/descriptors.rs
+++ b/crates/gateway/src/connections/descriptors.rs
@@ -39,5 +39,7 @@
 /// Whether a system call failed because the process or the whole system has no file descriptor left.
 pub(crate) fn is_out_of_descriptors(error: &io::Error) -> bool {
     let code = error.raw_os_error();
-    [Errno::MFILE, Errno::NFILE].iter().any(|errno| Some(errno.raw_os_error()) == code)
+    [Errno::MFILE, Errno::NFILE]
+        .iter()
+        .any(|errno| Some(errno.raw_os_error()) == code)
 }
--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -60,9 +60,15 @@
         context: &mut Context,
     ) {
         context.connections.free(token);
-        context.timers.reschedule(&mut connection.timer_deadline, None, Timer::Connection(token));
+        context.timers.reschedule(
+            &mut connection.timer_deadline,
+            None,
+            Timer::Connection(token),
+        );
         self.count -= 1;
-        connection.counted_large_response_bytes.set(0, &mut self.large_response_bytes);
+        connection
+            .counted_large_response_bytes
+            .set(0, &mut self.large_response_bytes);
         if let Some(pool) = self.pools.get_mut(&connection.node) {
             pool.count -= 1;
             pool.idle.retain(|idle| *idle != token);
@@ -87,7 +93,8 @@
         if outcome == Outcome::Reset && in_flight.is_marked_written {
             if let Some(pool) = self.pools.get_mut(&node) {
                 let reset_after = context.now - in_flight.started_at;
-                pool.idle_timeout_estimate.record_reset(idle_before_request, reset_after);
+                pool.idle_timeout_estimate
+                    .record_reset(idle_before_request, reset_after);
             }
         }
         self.attempt_connections.remove(&in_flight.attempt);
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -127,30 +127,44 @@
             return false;
         };
         self.socket.input.is_empty()
-            || matches!(self.protocol.decode(&mut self.socket.input, &mut Vec::new()), Ok(None))
+            || matches!(
+                self.protocol
+                    .decode(&mut self.socket.input, &mut Vec::new()),
+                Ok(None)
+            )
     }
 
     /// Encodes the request in flight into the output buffer. Cancels the connection's timer (connect timeout
     /// or idle timeout), as the timeout of the attempt applies from here on.
     pub(super) fn encode_request(&mut self, token: ConnectionToken, context: &mut Context) {
-        let Some(in_flight) = &mut self.in_flight else { return };
+        let Some(in_flight) = &mut self.in_flight else {
+            return;
+        };
         let wait_ms = (in_flight.deadline - context.now) / 1000;
         let start_offset = self.socket.bytes_sent + self.socket.unsent_bytes() as u64;
         let bytes_without_effect =
-            self.protocol.encode_request(&in_flight.request, wait_ms, self.socket.output());
+            self.protocol
+                .encode_request(&in_flight.request, wait_ms, self.socket.output());
         in_flight.effect_offset = Some(start_offset + bytes_without_effect as u64);
-        context.timers.reschedule(&mut self.timer_deadline, None, Timer::Connection(token));
+        context
+            .timers
+            .reschedule(&mut self.timer_deadline, None, Timer::Connection(token));
     }
 
     /// Notifies the dispatcher, once for each attempt, when enough of the request has been sent for it to
     /// take effect at the node.
     pub(super) fn mark_written(&mut self, context: &mut Context) {
         let bytes_sent = self.socket.bytes_sent;
-        let Some(in_flight) = &mut self.in_flight else { return };
+        let Some(in_flight) = &mut self.in_flight else {
+            return;
+        };
         if in_flight.is_marked_written {
             return;
         }
-        if in_flight.effect_offset.is_some_and(|offset| bytes_sent > offset) {
+        if in_flight
+            .effect_offset
+            .is_some_and(|offset| bytes_sent > offset)
+        {
             in_flight.is_marked_written = true;
             context.dispatcher.mark_written(in_flight.attempt);
         }
--- a/crates/gateway/src/connections/node/idle_timeout.rs
+++ b/crates/gateway/src/connections/node/idle_timeout.rs
@@ -27,7 +27,11 @@
     /// Starts with `maximum`, the longest idle time that the settings allow.
     #[must_use]
     pub fn new(maximum: Micros) -> IdleTimeoutEstimate {
-        IdleTimeoutEstimate { estimate: maximum, maximum, longest_answered: 0 }
+        IdleTimeoutEstimate {
+            estimate: maximum,
+            maximum,
+            longest_answered: 0,
+        }
     }
 
     /// The estimate: for how long a connection may be idle before the gateway closes it.
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -61,10 +61,22 @@
 
     /// Sets the address of a node. Idle connections to a previous address are closed; others are closed as
     /// soon as their request has ended.
-    pub(crate) fn set_address(&mut self, node: NodeId, address: NodeAddress, context: &mut Context) {
+    pub(crate) fn set_address(
+        &mut self,
+        node: NodeId,
+        address: NodeAddress,
+        context: &mut Context,
+    ) {
         let settings = &context.config.settings;
-        let pool = self.pools.entry(node).or_insert_with(|| ConnectionPool::new(settings));
-        if pool.address.replace(address).is_some_and(|previous| previous != address) {
+        let pool = self
+            .pools
+            .entry(node)
+            .or_insert_with(|| ConnectionPool::new(settings));
+        if pool
+            .address
+            .replace(address)
+            .is_some_and(|previous| previous != address)
+        {
             for token in std::mem::take(&mut pool.idle) {
                 self.close_idle_connection(token, context);
             }
@@ -74,9 +86,14 @@
     /// Closes the idle connections to nodes that are no longer listed, and removes their pools.
     pub(crate) fn remove_unlisted(&mut self, context: &mut Context) {
         let nodes = self.pools.keys().copied();
-        let unlisted: Vec<NodeId> = nodes.filter(|node| !context.dispatcher.knows_node(*node)).collect();
+        let unlisted: Vec<NodeId> = nodes
+            .filter(|node| !context.dispatcher.knows_node(*node))
+            .collect();
         for node in unlisted {
-            let idle = self.pools.get_mut(&node).map(|pool| std::mem::take(&mut pool.idle));
+            let idle = self
+                .pools
+                .get_mut(&node)
+                .map(|pool| std::mem::take(&mut pool.idle));
             for token in idle.unwrap_or_default() {
                 self.close_idle_connection(token, context);
             }
@@ -96,8 +113,12 @@
     /// request at the node. If the request has not been encoded yet, the connection is returned to its pool
     /// instead.
     pub(crate) fn abandon_attempt(&mut self, attempt: AttemptId, context: &mut Context) {
-        let Some(token) = self.attempt_connections.remove(&attempt) else { return };
-        let Some(Connection::Node(mut connection)) = context.connections.take(token) else { return };
+        let Some(token) = self.attempt_connections.remove(&attempt) else {
+            return;
+        };
+        let Some(Connection::Node(mut connection)) = context.connections.take(token) else {
+            return;
+        };
         let in_flight = connection.in_flight.take();
         if in_flight.is_some_and(|in_flight| !in_flight.is_encoded()) {
             self.advance(token, connection, context);
@@ -168,14 +189,21 @@
         let mut result = if connection.socket.input.is_empty() {
             Ok(None)
         } else {
-            connection.protocol.decode(&mut connection.socket.input, &mut output)
+            connection
+                .protocol
+                .decode(&mut connection.socket.input, &mut output)
         };
         // The first part of each response, half an input buffer, is not counted against the budget.
         let buffered = connection.protocol.buffered_bytes();
         let large_bytes = buffered.saturating_sub(MAX_BUFFERED_INPUT_BYTES / 2);
-        connection.counted_large_response_bytes.set(large_bytes, &mut self.large_response_bytes);
+        connection
+            .counted_large_response_bytes
+            .set(large_bytes, &mut self.large_response_bytes);
         if self.large_response_bytes > context.config.budget.large_response_bytes {
-            log::warn!("node {}: no memory for a response of {buffered} bytes", connection.node.0);
+            log::warn!(
+                "node {}: no memory for a response of {buffered} bytes",
+                connection.node.0
+            );
             result = Err(ProtocolError);
         }
         connection.socket.output().append(&mut output);
@@ -189,25 +217,41 @@
         result: AttemptResult,
         context: &mut Context,
     ) {
-        let Some(in_flight) = connection.in_flight.take() else { return };
+        let Some(in_flight) = connection.in_flight.take() else {
+            return;
+        };
         self.attempt_connections.remove(&in_flight.attempt);
         context.dispatcher.mark_written(in_flight.attempt);
         context.complete_attempt(in_flight.attempt, result);
         if let Some(pool) = self.pools.get_mut(&connection.node) {
-            pool.idle_timeout_estimate.record_response(connection.idle_before_request);
+            pool.idle_timeout_estimate
+                .record_response(connection.idle_before_request);
         }
     }
 
     /// Takes the next steps on a connection: encodes the request in flight if the connection is ready, writes
     /// pending output, and returns the connection to its pool if it carries no request.
-    fn advance(&mut self, token: ConnectionToken, mut connection: NodeConnection, context: &mut Context) {
+    fn advance(
+        &mut self,
+        token: ConnectionToken,
+        mut connection: NodeConnection,
+        context: &mut Context,
+    ) {
         if connection.is_ready() {
             self.write_request(token, &mut connection, context);
         }
-        let flushed = if connection.is_connected { connection.socket.flush() } else { Ok(()) };
+        let flushed = if connection.is_connected {
+            connection.socket.flush()
+        } else {
+            Ok(())
+        };
         connection.mark_written(context);
         let interest = connection.interest();
-        let result = flushed.and_then(|()| connection.socket.set_interest(&context.poller, token, interest));
+        let result = flushed.and_then(|()| {
+            connection
+                .socket
+                .set_interest(&context.poller, token, interest)
+        });
         if result.is_err() {
             return self.fail_connection(token, connection, Outcome::Reset, context);
         }
@@ -225,7 +269,9 @@
         connection: &mut NodeConnection,
         context: &mut Context,
     ) {
-        let Some(in_flight) = &connection.in_flight else { return };
+        let Some(in_flight) = &connection.in_flight else {
+            return;
+        };
         if in_flight.is_encoded() {
             return;
         }
@@ -243,5 +289,9 @@
 fn log_invalid_response(connection: &NodeConnection) {
     let input = &connection.socket.input;
     let head = &input[..input.len().min(MAX_LOGGED_BYTES)];
-    log::debug!("node {}: invalid response: {}", connection.node.0, head.escape_ascii());
+    log::debug!(
+        "node {}: invalid response: {}",
+        connection.node.0,
+        head.escape_ascii()
+    );
 }
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -101,7 +101,9 @@
             let pool = self.pools.get_mut(&node)?;
             let estimate = pool.idle_timeout_estimate;
             let token = pool.idle.pop()?;
-            let Some(Connection::Node(mut connection)) = context.connections.take(token) else { continue };
+            let Some(Connection::Node(mut connection)) = context.connections.take(token) else {
+                continue;
+            };
             let idle_for = connection.idle_since.map_or(0, |since| context.now - since);
             let is_allowed = is_idle_time_allowed(idle_for, operation, estimate);
             if !is_allowed && estimate.allows_idempotent(idle_for) {
@@ -141,7 +143,14 @@
         }
         let mut connection =
             NodeConnection::new(socket, node, address, context.config.budget.max_value_bytes);
-        let connect_timeout = micros(context.config.settings.permissions.connect_timeout_ms.max(1.0));
+        let connect_timeout = micros(
+            context
+                .config
+                .settings
+                .permissions
+                .connect_timeout_ms
+                .max(1.0),
+        );
         context.timers.reschedule(
             &mut connection.timer_deadline,
             Some(context.now + connect_timeout),
@@ -157,7 +166,9 @@
             self.close_longest_idle(context);
         }
         // A pool may still have idle connections here: ones that only an idempotent request may use.
-        let Some(pool) = self.pools.get_mut(&node) else { return };
+        let Some(pool) = self.pools.get_mut(&node) else {
+            return;
+        };
         if pool.count >= MAX_CONNECTIONS_PER_NODE && !pool.idle.is_empty() {
             let longest_idle = pool.idle.remove(0);
             self.close_idle_connection(longest_idle, context);
@@ -178,7 +189,10 @@
 
     /// Closes the longest idle connection of the node with the most idle connections.
     fn close_longest_idle(&mut self, context: &mut Context) {
-        let pool = self.pools.iter_mut().max_by_key(|(node, pool)| (pool.idle.len(), **node));
+        let pool = self
+            .pools
+            .iter_mut()
+            .max_by_key(|(node, pool)| (pool.idle.len(), **node));
         let Some((_, pool)) = pool else { return };
         if !pool.idle.is_empty() {
             let longest_idle = pool.idle.remove(0);
@@ -189,7 +203,11 @@
 
 /// Whether a request can use a connection that was idle for `idle_for`. All writes count as non-idempotent
 /// here, whatever the idempotency of their class.
-fn is_idle_time_allowed(idle_for: Micros, operation: Operation, estimate: IdleTimeoutEstimate) -> bool {
+fn is_idle_time_allowed(
+    idle_for: Micros,
+    operation: Operation,
+    estimate: IdleTimeoutEstimate,
+) -> bool {
     match operation {
         Operation::Write => estimate.allows_non_idempotent(idle_for),
         Operation::Read | Operation::Stat | Operation::List => estimate.allows_idempotent(idle_for),
--- a/crates/gateway/src/connections/node/pool.rs
+++ b/crates/gateway/src/connections/node/pool.rs
@@ -40,8 +40,11 @@
     /// An empty pool without an address.
     pub(super) fn new(settings: &DeploymentSettings) -> ConnectionPool {
         let stated_ms = settings.permissions.conn_idle_ms;
-        let max_idle =
-            if stated_ms > 0.0 { micros(stated_ms * IDLE_TIMEOUT_FRACTION) } else { DEFAULT_IDLE_TIMEOUT };
+        let max_idle = if stated_ms > 0.0 {
+            micros(stated_ms * IDLE_TIMEOUT_FRACTION)
+        } else {
+            DEFAULT_IDLE_TIMEOUT
+        };
         ConnectionPool {
             address: None,
             idle_timeout_estimate: IdleTimeoutEstimate::new(max_idle),
--- a/crates/gateway/src/connections/slab.rs
+++ b/crates/gateway/src/connections/slab.rs
@@ -22,7 +22,10 @@
 
 impl<T> Default for Slab<T> {
     fn default() -> Self {
-        Slab { slots: Vec::new(), free: Vec::new() }
+        Slab {
+            slots: Vec::new(),
+            free: Vec::new(),
+        }
     }
 }
 
@@ -30,7 +33,10 @@
     /// Reserves a token; [`Slab::put`] stores its value.
     pub fn reserve(&mut self) -> ConnectionToken {
         let index = self.free.pop().unwrap_or_else(|| {
-            self.slots.push(Slot { generation: 0, value: None });
+            self.slots.push(Slot {
+                generation: 0,
+                value: None,
+            });
             (self.slots.len() - 1) as u32
         });
         ConnectionToken::new(self.slots[index as usize].generation, index)
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -69,9 +69,14 @@
     /// Starts to connect. The socket becomes writable once the connection is established or has failed; see
     /// [`Socket::is_connected`].
     pub(crate) fn connect(address: SocketAddr) -> io::Result<Socket> {
-        let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+        let family = if address.is_ipv4() {
+            AddressFamily::INET
+        } else {
+            AddressFamily::INET6
+        };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-        let descriptor: OwnedFd = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
+        let descriptor: OwnedFd =
+            rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
         match rustix::net::connect(&descriptor, &address) {
             Ok(()) | Err(rustix::io::Errno::INPROGRESS) => Socket::new(TcpStream::from(descriptor)),
             Err(error) => Err(error.into()),
@@ -99,7 +104,10 @@
     ) -> io::Result<()> {
         let mut wanted = EventFlags::RDHUP;
         wanted.set(EventFlags::IN, interest != Interest::Paused);
-        wanted.set(EventFlags::OUT, interest == Interest::Connect || self.unsent_bytes() > 0);
+        wanted.set(
+            EventFlags::OUT,
+            interest == Interest::Connect || self.unsent_bytes() > 0,
+        );
         if self.registered.is_empty() {
             poller.register(&self.stream, token, wanted)?;
         } else if wanted != self.registered {
@@ -126,7 +134,9 @@
                         return Ok(StreamStatus::Open);
                     }
                 }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(StreamStatus::Open),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    return Ok(StreamStatus::Open)
+                }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) if self.input.len() > length_before => return Ok(StreamStatus::Ended),
                 Err(error) => return Err(error),
@@ -144,7 +154,9 @@
                 Ok(0) => return Ok(StreamStatus::Ended),
                 Ok(count) if count >= *remaining => return Ok(StreamStatus::Ended),
                 Ok(count) => *remaining -= count,
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(StreamStatus::Open),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    return Ok(StreamStatus::Open)
+                }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
             }
--- a/crates/gateway/src/console.rs
+++ b/crates/gateway/src/console.rs
@@ -74,19 +74,24 @@
         ["volumes"] => Ok(ConsoleCommand::Volumes),
         ["drain", name] => Ok(ConsoleCommand::Drain((*name).to_owned())),
         ["undrain", name] => Ok(ConsoleCommand::Undrain((*name).to_owned())),
-        [command @ ("drain" | "undrain"), ..] => {
-            Err(ConsoleError::NodeNameExpected { command: (*command).to_owned() })
-        }
+        [command @ ("drain" | "undrain"), ..] => Err(ConsoleError::NodeNameExpected {
+            command: (*command).to_owned(),
+        }),
         ["reload"] => Ok(ConsoleCommand::Reload),
         ["help" | "?"] => Ok(ConsoleCommand::Help),
         ["quit" | "exit"] => Ok(ConsoleCommand::Quit),
-        [command, ..] => Err(ConsoleError::UnknownCommand { command: (*command).to_owned() }),
+        [command, ..] => Err(ConsoleError::UnknownCommand {
+            command: (*command).to_owned(),
+        }),
     }
 }
 
 /// Formats the table of nodes.
 pub fn format_nodes<'a>(nodes: impl Iterator<Item = &'a NodeState>) -> String {
-    let mut text = format!("{:<24} {:>6} {:<9} {:>5} {:>12}\n", "node", "shard", "state", "out", "units");
+    let mut text = format!(
+        "{:<24} {:>6} {:<9} {:>5} {:>12}\n",
+        "node", "shard", "state", "out", "units"
+    );
     for node in nodes {
         let state = match node.status {
             EndpointStatus::InService => "serving",
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -70,7 +70,9 @@
     fn from(status: EndpointEntryStatus) -> EndpointStatus {
         match status {
             EndpointEntryStatus::InService => EndpointStatus::InService,
-            EndpointEntryStatus::Terminating | EndpointEntryStatus::Other => EndpointStatus::Draining,
+            EndpointEntryStatus::Terminating | EndpointEntryStatus::Other => {
+                EndpointStatus::Draining
+            }
             EndpointEntryStatus::Terminated => EndpointStatus::Removed,
         }
     }
@@ -80,10 +82,17 @@
     /// The entry with its parsed address; logs a warning and returns `None` if the address cannot be parsed.
     fn to_listed_endpoint(&self) -> Option<ListedEndpoint> {
         let Ok(address) = self.address.parse() else {
-            log::warn!("discovery: node {} has no usable address '{}'", self.name, self.address);
+            log::warn!(
+                "discovery: node {} has no usable address '{}'",
+                self.name,
+                self.address
+            );
             return None;
         };
-        Some(ListedEndpoint { record: self.to_record(), address })
+        Some(ListedEndpoint {
+            record: self.to_record(),
+            address,
+        })
     }
 
     /// The entry without its address.
@@ -111,6 +120,8 @@
 
     /// The entries with their parsed addresses. An entry whose address cannot be parsed is logged and left out.
     pub fn listed_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> + '_ {
-        self.endpoints.iter().filter_map(EndpointEntry::to_listed_endpoint)
+        self.endpoints
+            .iter()
+            .filter_map(EndpointEntry::to_listed_endpoint)
     }
 }
--- a/crates/gateway/src/discovery/watch_parser.rs
+++ b/crates/gateway/src/discovery/watch_parser.rs
@@ -38,13 +38,15 @@
     fn after_data(self, consumed: usize) -> ParserState {
         match self {
             ParserState::ChunkData { remaining } if remaining == consumed => ParserState::ChunkEnd,
-            ParserState::ChunkData { remaining } => {
-                ParserState::ChunkData { remaining: remaining - consumed }
-            }
-            ParserState::FixedLength { remaining } if remaining == consumed => ParserState::Complete,
-            ParserState::FixedLength { remaining } => {
-                ParserState::FixedLength { remaining: remaining - consumed }
+            ParserState::ChunkData { remaining } => ParserState::ChunkData {
+                remaining: remaining - consumed,
+            },
+            ParserState::FixedLength { remaining } if remaining == consumed => {
+                ParserState::Complete
             }
+            ParserState::FixedLength { remaining } => ParserState::FixedLength {
+                remaining: remaining - consumed,
+            },
             other => other,
         }
     }
@@ -80,7 +82,11 @@
     ///
     /// Fails if the response is not well formed, if its status is not 200, or if its body contains something other
     /// than updates of the endpoint list. The parser must not be used after an error.
-    pub fn feed(&mut self, bytes: &[u8], updates: &mut Vec<EndpointListUpdate>) -> Result<(), WatchError> {
+    pub fn feed(
+        &mut self,
+        bytes: &[u8],
+        updates: &mut Vec<EndpointListUpdate>,
+    ) -> Result<(), WatchError> {
         self.input.extend_from_slice(bytes);
         let result = self.parse(updates);
         self.input.drain(..self.position);
@@ -172,7 +178,10 @@
     }
 
     /// Parses data of a body that ends when the connection is closed.
-    fn parse_until_close(&mut self, updates: &mut Vec<EndpointListUpdate>) -> Result<Progress, WatchError> {
+    fn parse_until_close(
+        &mut self,
+        updates: &mut Vec<EndpointListUpdate>,
+    ) -> Result<Progress, WatchError> {
         self.feed_body(usize::MAX, updates)?;
         Ok(Progress::NeedsInput)
     }
@@ -186,7 +195,8 @@
         let available = self.input.len() - self.position;
         let length = limit.min(available);
         let end = self.position + length;
-        self.objects.feed(&self.input[self.position..end], updates)?;
+        self.objects
+            .feed(&self.input[self.position..end], updates)?;
         self.position = end;
         Ok(length)
     }
@@ -200,7 +210,9 @@
     /// received within more than `max_bytes` of input.
     fn find(&self, terminator: &[u8], max_bytes: usize) -> Result<Option<usize>, WatchError> {
         let unread = self.unread();
-        let found = unread.windows(terminator.len()).position(|window| window == terminator);
+        let found = unread
+            .windows(terminator.len())
+            .position(|window| window == terminator);
         if found.is_none() && unread.len() > max_bytes {
             return Err(WatchError::Framing);
         }
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -15,14 +15,24 @@
         now: Micros,
         timers: &mut TimerQueue,
     ) {
-        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
+        let Some(in_flight) = self.in_flight.get_mut(id) else {
+            return;
+        };
         let number = in_flight.start_attempt(node, now, deadline);
         let request = Arc::clone(in_flight.storage_request());
-        let attempt = AttemptId { request: id, number };
+        let attempt = AttemptId {
+            request: id,
+            number,
+        };
         timers.set(deadline, Timer::AttemptTimeout(attempt));
         self.nodes.attempt_started(node);
         self.volume_counters.record_attempt(request.volume);
-        self.commands.push(Command::StartAttempt { attempt, node, deadline, request });
+        self.commands.push(Command::StartAttempt {
+            attempt,
+            node,
+            deadline,
+            request,
+        });
     }
 
     /// Whether the result of an attempt is awaited.
@@ -47,12 +57,25 @@
         now: Micros,
         timers: &mut TimerQueue,
     ) {
-        let AttemptResult { outcome, body, remote_units, utilization } = result;
-        let Some(in_flight) = self.in_flight.get_mut(attempt.request) else { return };
+        let AttemptResult {
+            outcome,
+            body,
+            remote_units,
+            utilization,
+        } = result;
+        let Some(in_flight) = self.in_flight.get_mut(attempt.request) else {
+            return;
+        };
         let timed_out = outcome == Outcome::TimedOut;
-        let Some(completed) = in_flight.remove_attempt(attempt.number, timed_out) else { return };
+        let Some(completed) = in_flight.remove_attempt(attempt.number, timed_out) else {
+            return;
+        };
         timers.cancel(completed.deadline, Timer::AttemptTimeout(attempt));
-        let served_units = if outcome == Outcome::Served { in_flight.storage_request().units } else { 0.0 };
+        let served_units = if outcome == Outcome::Served {
+            in_flight.storage_request().units
+        } else {
+            0.0
+        };
         self.nodes.attempt_completed(completed.node, served_units);
         if let (Outcome::Served, Some(body)) = (outcome, body) {
             self.respond(attempt.request, Response::Served(body));
@@ -82,7 +105,9 @@
         now: Micros,
         timers: &mut TimerQueue,
     ) {
-        let Some(in_flight) = self.in_flight.attempt(attempt) else { return };
+        let Some(in_flight) = self.in_flight.attempt(attempt) else {
+            return;
+        };
         let outcome = match outcome {
             _ if in_flight.may_have_run => outcome,
             Outcome::Cancelled => Outcome::NotDispatched,
@@ -95,14 +120,19 @@
     /// Records that the client of a request has disconnected. Attempts that cannot have taken effect yet are
     /// aborted at once, whether or not the scheduler cancels attempts that may have run.
     pub fn client_disconnected(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
-        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
+        let Some(in_flight) = self.in_flight.get_mut(id) else {
+            return;
+        };
         if in_flight.take_reply_slot().is_none() {
             return;
         }
         let unwritten = in_flight.unwritten_attempts();
         self.events.push(Event::ClientDisconnected(id));
         for number in unwritten {
-            let attempt = AttemptId { request: id, number };
+            let attempt = AttemptId {
+                request: id,
+                number,
+            };
             self.abort_attempt(attempt, Outcome::Cancelled, now, timers);
         }
     }
--- a/crates/gateway/src/dispatcher/in_flight.rs
+++ b/crates/gateway/src/dispatcher/in_flight.rs
@@ -79,8 +79,15 @@
     }
 
     /// Removes an attempt that has ended.
-    pub(super) fn remove_attempt(&mut self, number: u32, timed_out: bool) -> Option<InFlightAttempt> {
-        let position = self.attempts.iter().position(|attempt| attempt.number == number)?;
+    pub(super) fn remove_attempt(
+        &mut self,
+        number: u32,
+        timed_out: bool,
+    ) -> Option<InFlightAttempt> {
+        let position = self
+            .attempts
+            .iter()
+            .position(|attempt| attempt.number == number)?;
         self.last_attempt_timed_out = timed_out;
         Some(self.attempts.remove(position))
     }
@@ -150,7 +157,8 @@
         deadline: Micros,
     ) {
         self.buffered_body_bytes += request.body.len();
-        self.client_request_ids.insert(request.client_request_id.clone());
+        self.client_request_ids
+            .insert(request.client_request_id.clone());
         let in_flight = InFlightRequest {
             storage_request: Arc::new(request),
             reply_slot: Some(reply_slot),
@@ -175,13 +183,19 @@
     /// An attempt whose result is awaited.
     pub(super) fn attempt(&self, id: AttemptId) -> Option<&InFlightAttempt> {
         let request = self.requests.get(&id.request)?;
-        request.attempts.iter().find(|attempt| attempt.number == id.number)
+        request
+            .attempts
+            .iter()
+            .find(|attempt| attempt.number == id.number)
     }
 
     /// An attempt whose result is awaited.
     pub(super) fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut InFlightAttempt> {
         let request = self.requests.get_mut(&id.request)?;
-        request.attempts.iter_mut().find(|attempt| attempt.number == id.number)
+        request
+            .attempts
+            .iter_mut()
+            .find(|attempt| attempt.number == id.number)
     }
 
     /// Removes a request that awaits neither a final response nor the result of an attempt.
@@ -191,12 +205,16 @@
         }
         let removed = self.requests.remove(&id)?;
         self.buffered_body_bytes -= removed.storage_request.body.len();
-        self.client_request_ids.remove(&removed.storage_request.client_request_id);
+        self.client_request_ids
+            .remove(&removed.storage_request.client_request_id);
         Some(removed)
     }
 
     /// Number of requests that have no final response yet.
     pub(super) fn awaiting_response_count(&self) -> usize {
-        self.requests.values().filter(|request| request.awaits_response()).count()
+        self.requests
+            .values()
+            .filter(|request| request.awaits_response())
+            .count()
     }
 }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -27,8 +27,8 @@
 use deployment_settings::{micros, DeploymentSettings, UnknownValue};
 use in_flight::InFlightTable;
 use io_scheduler::{
-    Action, EndpointListEvent, Event, Micros, NodeId, ObjectKey, Request, RequestId, Scheduler, Shard,
-    StateSizes, VolumeId,
+    Action, EndpointListEvent, Event, Micros, NodeId, ObjectKey, Request, RequestId, Scheduler,
+    Shard, StateSizes, VolumeId,
 };
 use nodes::NodeTable;
 use std::collections::BTreeMap;
@@ -91,7 +91,12 @@
 
     /// Applies an endpoint list or a delta, and reports it to the scheduler. `kind` may also be the failure
     /// of a poll or watch, without records.
-    pub fn update_endpoints(&mut self, kind: EndpointListEvent, records: &[EndpointRecord], now: Micros) {
+    pub fn update_endpoints(
+        &mut self,
+        kind: EndpointListEvent,
+        records: &[EndpointRecord],
+        now: Micros,
+    ) {
         let endpoints = self.nodes.apply(kind, records, now);
         self.events.push(Event::EndpointList(kind, endpoints));
     }
@@ -148,21 +153,35 @@
         timers: &mut TimerQueue,
     ) -> RequestId {
         let id = self.in_flight.allocate_id();
-        if self.in_flight.contains_client_request_id(&request.client_request_id) {
+        if self
+            .in_flight
+            .contains_client_request_id(&request.client_request_id)
+        {
             let response = Response::Invalid(InvalidRequest::DuplicateClientRequestId);
-            self.commands.push(Command::Respond { reply_slot, response });
+            self.commands.push(Command::Respond {
+                reply_slot,
+                response,
+            });
             return id;
         }
         self.volume_counters.record_received(request.volume);
         if !self.in_flight.has_capacity(request.body.len()) {
-            let response = Response::Rejected { retry_after: OVERLOADED_RETRY_AFTER };
-            self.volume_counters.record_response(request.volume, request.units, &response);
-            self.commands.push(Command::Respond { reply_slot, response });
+            let response = Response::Rejected {
+                retry_after: OVERLOADED_RETRY_AFTER,
+            };
+            self.volume_counters
+                .record_response(request.volume, request.units, &response);
+            self.commands.push(Command::Respond {
+                reply_slot,
+                response,
+            });
             return id;
         }
         let deadline = response_deadline(now, request.client_timeout);
         timers.set(deadline + OVERDUE_GRACE, Timer::RequestOverdue(id));
-        self.events.push(Event::RequestReceived(scheduler_request(id, &request, deadline)));
+        self.events.push(Event::RequestReceived(scheduler_request(
+            id, &request, deadline,
+        )));
         self.in_flight.insert(id, request, reply_slot, deadline);
         id
     }
--- a/crates/gateway/src/dispatcher/nodes.rs
+++ b/crates/gateway/src/dispatcher/nodes.rs
@@ -62,7 +62,13 @@
 impl NodeTable {
     /// An empty table; `zones` are the zones that the settings name.
     pub(super) fn new(zones: Vec<String>, drain_grace: Micros) -> NodeTable {
-        NodeTable { nodes: BTreeMap::new(), ids_by_name: HashMap::new(), next_id: 0, zones, drain_grace }
+        NodeTable {
+            nodes: BTreeMap::new(),
+            ids_by_name: HashMap::new(),
+            next_id: 0,
+            zones,
+            drain_grace,
+        }
     }
 
     /// The id of a node. A node that is not in the table yet is added to it.
@@ -89,12 +95,16 @@
 
     /// Whether any node is in service.
     pub(super) fn has_in_service(&self) -> bool {
-        self.nodes.values().any(|node| node.status == EndpointStatus::InService)
+        self.nodes
+            .values()
+            .any(|node| node.status == EndpointStatus::InService)
     }
 
     /// Whether an attempt may start to be written to a node at the time `now`.
     pub(super) fn may_write(&self, node: NodeId, now: Micros) -> bool {
-        let Some(node) = self.nodes.get(&node) else { return false };
+        let Some(node) = self.nodes.get(&node) else {
+            return false;
+        };
         node.write_deadline.is_none_or(|deadline| now < deadline)
     }
 
@@ -105,8 +115,14 @@
         records: &[EndpointRecord],
         now: Micros,
     ) -> Vec<Endpoint> {
-        let endpoints: Vec<Endpoint> = records.iter().map(|record| self.apply_record(record)).collect();
-        if matches!(kind, EndpointListEvent::Snapshot | EndpointListEvent::Cached) {
+        let endpoints: Vec<Endpoint> = records
+            .iter()
+            .map(|record| self.apply_record(record))
+            .collect();
+        if matches!(
+            kind,
+            EndpointListEvent::Snapshot | EndpointListEvent::Cached
+        ) {
             self.mark_unlisted_as_removed(&endpoints);
         }
         self.update_write_deadlines(now);
@@ -123,7 +139,9 @@
 
     /// Counts an attempt that ended at a node, with the units of service that the node has served for it.
     pub(super) fn attempt_completed(&mut self, id: NodeId, served_units: f64) {
-        let Some(node) = self.nodes.get_mut(&id) else { return };
+        let Some(node) = self.nodes.get_mut(&id) else {
+            return;
+        };
         node.attempts_in_flight = node.attempts_in_flight.saturating_sub(1);
         node.units += served_units;
         if node.is_obsolete() {
@@ -177,7 +195,9 @@
         for node in self.nodes.values_mut() {
             node.write_deadline = match node.status {
                 EndpointStatus::InService => None,
-                EndpointStatus::Draining | EndpointStatus::Removed => node.write_deadline.or(Some(deadline)),
+                EndpointStatus::Draining | EndpointStatus::Removed => {
+                    node.write_deadline.or(Some(deadline))
+                }
             };
         }
     }
--- a/crates/gateway/src/dispatcher/request.rs
+++ b/crates/gateway/src/dispatcher/request.rs
@@ -130,7 +130,12 @@
     /// A result with no body and no usage report.
     #[must_use]
     pub fn without_body(outcome: Outcome) -> AttemptResult {
-        AttemptResult { outcome, body: None, remote_units: 0.0, utilization: None }
+        AttemptResult {
+            outcome,
+            body: None,
+            remote_units: 0.0,
+            utilization: None,
+        }
     }
 }
 
--- a/crates/gateway/src/dispatcher/responses.rs
+++ b/crates/gateway/src/dispatcher/responses.rs
@@ -8,14 +8,23 @@
 impl Dispatcher {
     /// Ends a request that the scheduler has failed.
     pub(super) fn fail(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
-        let timed_out = self.in_flight.get(id).is_some_and(|request| request.has_timed_out(now));
-        let response = if timed_out { Response::TimedOut } else { Response::Failed };
+        let timed_out = self
+            .in_flight
+            .get(id)
+            .is_some_and(|request| request.has_timed_out(now));
+        let response = if timed_out {
+            Response::TimedOut
+        } else {
+            Response::Failed
+        };
         self.finish(id, response, timers);
     }
 
     /// Ends a request that the scheduler has left without a final response past its deadline.
     pub(super) fn fail_overdue(&mut self, id: RequestId) {
-        let Some(in_flight) = self.in_flight.get(id) else { return };
+        let Some(in_flight) = self.in_flight.get(id) else {
+            return;
+        };
         if !in_flight.awaits_response() {
             return;
         }
@@ -34,22 +43,35 @@
 
     /// Sends the final response, unless one was sent already or the client has disconnected.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
-        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
-        let Some(reply_slot) = in_flight.take_reply_slot() else { return };
+        let Some(in_flight) = self.in_flight.get_mut(id) else {
+            return;
+        };
+        let Some(reply_slot) = in_flight.take_reply_slot() else {
+            return;
+        };
         let request = in_flight.storage_request();
-        self.volume_counters.record_response(request.volume, request.units, &response);
-        self.commands.push(Command::Respond { reply_slot, response });
+        self.volume_counters
+            .record_response(request.volume, request.units, &response);
+        self.commands.push(Command::Respond {
+            reply_slot,
+            response,
+        });
     }
 
     /// Whether the client still waits for the final response.
     pub(super) fn awaits_response(&self, id: RequestId) -> bool {
-        self.in_flight.get(id).is_some_and(InFlightRequest::awaits_response)
+        self.in_flight
+            .get(id)
+            .is_some_and(InFlightRequest::awaits_response)
     }
 
     /// Removes a request that needs neither a final response nor the result of an attempt.
     pub(super) fn remove_if_finished(&mut self, id: RequestId, timers: &mut TimerQueue) {
         if let Some(removed) = self.in_flight.remove_finished(id) {
-            timers.cancel(removed.deadline() + OVERDUE_GRACE, Timer::RequestOverdue(id));
+            timers.cancel(
+                removed.deadline() + OVERDUE_GRACE,
+                Timer::RequestOverdue(id),
+            );
         }
     }
 }
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -8,13 +8,18 @@
     /// Handles an expired timer of the dispatcher; other timers are ignored.
     pub fn handle_timer(&mut self, timer: Timer, now: Micros, timers: &mut TimerQueue) {
         match timer {
-            Timer::AttemptTimeout(attempt) => self.abort_attempt(attempt, Outcome::TimedOut, now, timers),
+            Timer::AttemptTimeout(attempt) => {
+                self.abort_attempt(attempt, Outcome::TimedOut, now, timers)
+            }
             Timer::Scheduler => {
                 self.scheduler_timer = None;
                 self.events.push(Event::TimerFired);
             }
             Timer::RequestOverdue(id) => self.fail_overdue(id),
-            Timer::Connection(_) | Timer::DiscoveryWatch | Timer::Shutdown | Timer::ResumeAccepting => {}
+            Timer::Connection(_)
+            | Timer::DiscoveryWatch
+            | Timer::Shutdown
+            | Timer::ResumeAccepting => {}
         }
     }
 
@@ -26,7 +31,12 @@
 
     /// Calls the scheduler once with all pending events, if there are any, and moves the pending commands to
     /// `commands`.
-    pub fn run_scheduler(&mut self, now: Micros, timers: &mut TimerQueue, commands: &mut Vec<Command>) {
+    pub fn run_scheduler(
+        &mut self,
+        now: Micros,
+        timers: &mut TimerQueue,
+        commands: &mut Vec<Command>,
+    ) {
         if !self.events.is_empty() {
             self.call_scheduler(now, timers);
         }
@@ -54,15 +64,30 @@
     /// Applies an action of the scheduler.
     fn apply_action(&mut self, action: &Action, now: Micros, timers: &mut TimerQueue) {
         match *action {
-            Action::Dispatch { request, node, deadline } => {
+            Action::Dispatch {
+                request,
+                node,
+                deadline,
+            } => {
                 self.dispatch(request, node, deadline, now, timers);
             }
-            Action::Reject { request, retry_after } => {
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
                 self.finish(request, Response::Rejected { retry_after }, timers);
             }
             Action::Fail(request) => self.fail(request, now, timers),
-            Action::Cancel { request, attempt: number } => {
-                self.abort_attempt(AttemptId { request, number }, Outcome::Cancelled, now, timers);
+            Action::Cancel {
+                request,
+                attempt: number,
+            } => {
+                self.abort_attempt(
+                    AttemptId { request, number },
+                    Outcome::Cancelled,
+                    now,
+                    timers,
+                );
             }
             Action::OpenWatch => self.commands.push(Command::OpenWatch),
             Action::HealthCheck(node) => self.fail_health_check(node),
@@ -75,6 +100,11 @@
     /// Reports a failed health check: the gateway sends none, and the scheduler must get a result if it asks
     /// for one.
     fn fail_health_check(&mut self, node: NodeId) {
-        self.events.push(Event::HealthCheckCompleted { node, healthy: false, elapsed: 0, load: None });
+        self.events.push(Event::HealthCheckCompleted {
+            node,
+            healthy: false,
+            elapsed: 0,
+            load: None,
+        });
     }
 }
--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -69,9 +69,14 @@
     /// Removes the counters of the half of the volumes with the fewest requests. This bounds the table, as
     /// clients may name any number of volumes.
     fn evict_less_used_half(&mut self) {
-        let mut received: Vec<u64> = self.by_volume.values().map(|counters| counters.received).collect();
+        let mut received: Vec<u64> = self
+            .by_volume
+            .values()
+            .map(|counters| counters.received)
+            .collect();
         let middle = received.len() / 2;
         let median = *received.select_nth_unstable(middle).1;
-        self.by_volume.retain(|_, counters| counters.received > median);
+        self.by_volume
+            .retain(|_, counters| counters.received > median);
     }
 }
--- a/crates/gateway/src/event_loop/clock.rs
+++ b/crates/gateway/src/event_loop/clock.rs
@@ -16,8 +16,13 @@
 impl Clock {
     /// Starts at the system's current time.
     pub(crate) fn new() -> Clock {
-        let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        Clock { started_at: since_epoch.as_micros() as Micros, start: Instant::now() }
+        let since_epoch = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or(Duration::ZERO);
+        Clock {
+            started_at: since_epoch.as_micros() as Micros,
+            start: Instant::now(),
+        }
     }
 
     /// Microseconds since the Unix epoch.
--- a/crates/gateway/src/event_loop/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -32,11 +32,19 @@
         stream.set_nonblocking(true)?;
         let token = context.connections.reserve();
         context.poller.register(&stream, token, EventFlags::IN)?;
-        context.connections.put(token, Connection::Console(ConsoleInput { stream, buffer: Vec::new() }));
-        std::thread::Builder::new().name("console".into()).spawn(move || {
-            // An error means that standard input failed or the event loop has ended: the thread ends too.
-            let _ = io::copy(&mut io::stdin().lock(), &mut writer);
-        })?;
+        context.connections.put(
+            token,
+            Connection::Console(ConsoleInput {
+                stream,
+                buffer: Vec::new(),
+            }),
+        );
+        std::thread::Builder::new()
+            .name("console".into())
+            .spawn(move || {
+                // An error means that standard input failed or the event loop has ended: the thread ends too.
+                let _ = io::copy(&mut io::stdin().lock(), &mut writer);
+            })?;
         Ok(())
     }
 
@@ -79,13 +87,19 @@
     }
 
     /// Runs the commands that were entered, and prints their output.
-    pub(super) fn handle_console_ready(&mut self, token: ConnectionToken, mut console: ConsoleInput) {
+    pub(super) fn handle_console_ready(
+        &mut self,
+        token: ConnectionToken,
+        mut console: ConsoleInput,
+    ) {
         if console.read_available().is_err() {
             self.context.connections.free(token);
             return;
         }
         let lines = console.take_lines();
-        self.context.connections.put(token, Connection::Console(console));
+        self.context
+            .connections
+            .put(token, Connection::Console(console));
         for line in lines {
             let output = match console::parse(&line) {
                 Ok(command) => self.run_console_command(command),
@@ -93,7 +107,9 @@
             };
             let mut stdout = io::stdout().lock();
             // An error means that nobody reads the output any more, which must not end the gateway.
-            let _ = stdout.write_all(output.as_bytes()).and_then(|()| stdout.flush());
+            let _ = stdout
+                .write_all(output.as_bytes())
+                .and_then(|()| stdout.flush());
         }
     }
 
@@ -127,7 +143,9 @@
     /// A summary of the gateway in one line.
     fn status(&self) -> String {
         let nodes = self.context.dispatcher.nodes();
-        let in_service = nodes.filter(|node| node.status == EndpointStatus::InService).count();
+        let in_service = nodes
+            .filter(|node| node.status == EndpointStatus::InService)
+            .count();
         format!(
             "{}: {in_service} nodes serving, {} client connections, {} node connections, {} requests open{}\n",
             self.context.config.name,
--- a/crates/gateway/src/event_loop/context.rs
+++ b/crates/gateway/src/event_loop/context.rs
@@ -82,16 +82,19 @@
 
     /// Notifies the dispatcher that the client of a request has disconnected or no longer needs its response.
     pub(crate) fn client_disconnected(&mut self, id: RequestId) {
-        self.dispatcher.client_disconnected(id, self.now, &mut self.timers);
+        self.dispatcher
+            .client_disconnected(id, self.now, &mut self.timers);
     }
 
     /// Notifies the dispatcher that the response to an attempt is complete.
     pub(crate) fn complete_attempt(&mut self, attempt: AttemptId, result: AttemptResult) {
-        self.dispatcher.complete_attempt(attempt, result, self.now, &mut self.timers);
+        self.dispatcher
+            .complete_attempt(attempt, result, self.now, &mut self.timers);
     }
 
     /// Notifies the dispatcher that an attempt failed without a response.
     pub(crate) fn abort_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
-        self.dispatcher.abort_attempt(attempt, outcome, self.now, &mut self.timers);
+        self.dispatcher
+            .abort_attempt(attempt, outcome, self.now, &mut self.timers);
     }
 }
--- a/crates/gateway/src/event_loop/discovery_watch.rs
+++ b/crates/gateway/src/event_loop/discovery_watch.rs
@@ -115,7 +115,13 @@
 impl DiscoveryWatch {
     /// A watch without a connection; the first request asks for the changes after version `list_index`.
     pub(super) fn new(list_index: u64) -> DiscoveryWatch {
-        DiscoveryWatch { token: None, timer_deadline: None, opened_at: 0, has_delivered: false, list_index }
+        DiscoveryWatch {
+            token: None,
+            timer_deadline: None,
+            opened_at: 0,
+            has_delivered: false,
+            list_index,
+        }
     }
 
     /// Whether a connection is open or being established.
@@ -131,7 +137,9 @@
 
     /// Opens a watch, if an address of discovery is configured. A watch that is still open is closed first.
     pub(super) fn open(&mut self, context: &mut Context) {
-        let Some(address) = context.config.discovery else { return };
+        let Some(address) = context.config.discovery else {
+            return;
+        };
         if let Some(previous) = self.token.take() {
             context.connections.free(previous);
         }
@@ -148,8 +156,14 @@
         let mut socket = Socket::connect(address)?;
         let token = context.connections.reserve();
         let registered = socket.set_interest(&context.poller, token, Interest::Connect);
-        let connection = WatchConnection { socket, parser: WatchParser::default(), is_requested: false };
-        context.connections.put(token, Connection::Watch(connection));
+        let connection = WatchConnection {
+            socket,
+            parser: WatchParser::default(),
+            is_requested: false,
+        };
+        context
+            .connections
+            .put(token, Connection::Watch(connection));
         self.token = Some(token);
         registered
     }
@@ -165,7 +179,9 @@
     ) {
         let result = self.advance(token, &mut connection, endpoints, node_connections, context);
         if self.token == Some(token) {
-            context.connections.put(token, Connection::Watch(connection));
+            context
+                .connections
+                .put(token, Connection::Watch(connection));
         }
         if let Err(failure) = result {
             self.fail(&failure, context);
@@ -196,7 +212,9 @@
         if input.extends_deadline {
             self.set_timer(Some(context.now + SILENCE_TIMEOUT), context);
         }
-        connection.socket.set_interest(&context.poller, token, Interest::Read)?;
+        connection
+            .socket
+            .set_interest(&context.poller, token, Interest::Read)?;
         Ok(())
     }
 
@@ -218,9 +236,15 @@
 
     /// Closes a watch that has failed or ended. The scheduler decides when to open another one.
     fn fail(&mut self, failure: &WatchFailure, context: &mut Context) {
-        log::info!("discovery: {failure}, {} ms after the call", self.elapsed_ms(context.now));
-        let event =
-            if self.has_delivered { EndpointListEvent::WatchLost } else { EndpointListEvent::PollFailed };
+        log::info!(
+            "discovery: {failure}, {} ms after the call",
+            self.elapsed_ms(context.now)
+        );
+        let event = if self.has_delivered {
+            EndpointListEvent::WatchLost
+        } else {
+            EndpointListEvent::PollFailed
+        };
         self.close(event, context);
     }
 
@@ -235,7 +259,9 @@
     }
 
     fn set_timer(&mut self, at: Option<Micros>, context: &mut Context) {
-        context.timers.reschedule(&mut self.timer_deadline, at, Timer::DiscoveryWatch);
+        context
+            .timers
+            .reschedule(&mut self.timer_deadline, at, Timer::DiscoveryWatch);
     }
 
     /// Milliseconds since the connection was opened.
--- a/crates/gateway/src/event_loop/endpoint_table.rs
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -45,7 +45,14 @@
         let mut records = Vec::with_capacity(update.endpoints.len());
         for ListedEndpoint { record, address } in update.listed_endpoints() {
             let node = context.dispatcher.node_id(&record.name);
-            node_connections.set_address(node, NodeAddress { address, protocol: Protocol::Resp2 }, context);
+            node_connections.set_address(
+                node,
+                NodeAddress {
+                    address,
+                    protocol: Protocol::Resp2,
+                },
+                context,
+            );
             records.push(record);
         }
         self.apply(kind, records, node_connections, context);
@@ -58,16 +65,26 @@
         node_connections: &mut NodeConnections,
         context: &mut Context,
     ) -> Result<usize, InventoryError> {
-        let Some(path) = context.config.inventory.clone() else { return Ok(self.records.len()) };
+        let Some(path) = context.config.inventory.clone() else {
+            return Ok(self.records.len());
+        };
         let entries = inventory::read(&path)?;
         for entry in &entries {
             let node = context.dispatcher.node_id(&entry.record.name);
-            let address = NodeAddress { address: entry.address, protocol: entry.protocol };
+            let address = NodeAddress {
+                address: entry.address,
+                protocol: entry.protocol,
+            };
             node_connections.set_address(node, address, context);
         }
         let count = entries.len();
         let records = entries.into_iter().map(|entry| entry.record).collect();
-        self.apply(EndpointListEvent::Snapshot, records, node_connections, context);
+        self.apply(
+            EndpointListEvent::Snapshot,
+            records,
+            node_connections,
+            context,
+        );
         Ok(count)
     }
 
@@ -84,13 +101,21 @@
             OperatorOverride::Drain => self.drained_by_operator.insert(name.to_owned()),
             OperatorOverride::None => self.drained_by_operator.remove(name),
         };
-        self.apply(EndpointListEvent::Delta, vec![record], node_connections, context);
+        self.apply(
+            EndpointListEvent::Delta,
+            vec![record],
+            node_connections,
+            context,
+        );
         Ok(())
     }
 
     /// The record of a node as listed.
     fn record(&self, name: &str) -> Result<EndpointRecord, UnknownNode> {
-        self.records.get(name).cloned().ok_or_else(|| UnknownNode(name.to_owned()))
+        self.records
+            .get(name)
+            .cloned()
+            .ok_or_else(|| UnknownNode(name.to_owned()))
     }
 
     /// Stores records as listed and passes them to the dispatcher with the operator's overrides. Any event
@@ -112,8 +137,11 @@
                 record.status = EndpointStatus::Draining;
             }
         }
-        context.dispatcher.update_endpoints(kind, &records, context.now);
-        self.records.retain(|_, record| record.status != EndpointStatus::Removed);
+        context
+            .dispatcher
+            .update_endpoints(kind, &records, context.now);
+        self.records
+            .retain(|_, record| record.status != EndpointStatus::Removed);
         node_connections.remove_unlisted(context);
     }
 }
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -106,7 +106,10 @@
             return Some(0);
         }
         let next_timer = self.context.timers.next();
-        let next = [next_timer, self.context.shutdown.completes_at()].into_iter().flatten().min();
+        let next = [next_timer, self.context.shutdown.completes_at()]
+            .into_iter()
+            .flatten()
+            .min();
         next.map(|at| self.context.time_until(at))
     }
 
@@ -120,11 +123,14 @@
         while let Some(timer) = self.context.timers.pop_expired(self.context.now) {
             self.handle_timer(timer);
         }
-        self.context.dispatcher.run_scheduler(self.context.now, &mut self.context.timers, commands);
+        self.context
+            .dispatcher
+            .run_scheduler(self.context.now, &mut self.context.timers, commands);
         for command in commands.drain(..) {
             self.run_command(command);
         }
-        self.client_connections.close_excess_requesters(&mut self.context);
+        self.client_connections
+            .close_excess_requesters(&mut self.context);
     }
 
     /// Handles a connection that the poller reported; it may have been closed earlier in the turn.
@@ -134,13 +140,17 @@
             None => {}
             Some(Connection::Listener(listener)) => {
                 self.client_connections.accept(&listener, context);
-                context.connections.put(token, Connection::Listener(listener));
+                context
+                    .connections
+                    .put(token, Connection::Listener(listener));
             }
             Some(Connection::Client(client)) => {
-                self.client_connections.handle_ready(token, client, flags, context);
+                self.client_connections
+                    .handle_ready(token, client, flags, context);
             }
             Some(Connection::Node(connection)) => {
-                self.node_connections.handle_ready(token, connection, context);
+                self.node_connections
+                    .handle_ready(token, connection, context);
             }
             Some(Connection::Watch(connection)) => {
                 self.watch.handle_ready(
@@ -160,7 +170,9 @@
     fn handle_signal(&mut self, token: ConnectionToken, mut pipe: SignalPipe) {
         pipe.drain();
         let kind = pipe.kind;
-        self.context.connections.put(token, Connection::Signal(pipe));
+        self.context
+            .connections
+            .put(token, Connection::Signal(pipe));
         match kind {
             SignalKind::Shutdown => self.request_shutdown(),
             SignalKind::Reload => self.reload_config(),
@@ -172,7 +184,9 @@
         let context = &mut self.context;
         match timer {
             Timer::AttemptTimeout(_) | Timer::Scheduler | Timer::RequestOverdue(_) => {
-                context.dispatcher.handle_timer(timer, context.now, &mut context.timers);
+                context
+                    .dispatcher
+                    .handle_timer(timer, context.now, &mut context.timers);
             }
             Timer::Connection(token) => self.handle_connection_timer(token),
             Timer::DiscoveryWatch => self.watch.handle_timeout(context),
@@ -186,10 +200,12 @@
         let context = &mut self.context;
         match context.connections.take(token) {
             Some(Connection::Node(connection)) => {
-                self.node_connections.handle_timeout(token, connection, context);
+                self.node_connections
+                    .handle_timeout(token, connection, context);
             }
             Some(Connection::Client(client)) => {
-                self.client_connections.handle_timeout(token, client, context);
+                self.client_connections
+                    .handle_timeout(token, client, context);
             }
             Some(other) => context.connections.put(token, other),
             None => {}
@@ -200,12 +216,24 @@
     fn run_command(&mut self, command: Command) {
         let context = &mut self.context;
         match command {
-            Command::StartAttempt { attempt, node, deadline, request } => {
-                self.node_connections.start_attempt(attempt, node, deadline, request, context);
+            Command::StartAttempt {
+                attempt,
+                node,
+                deadline,
+                request,
+            } => {
+                self.node_connections
+                    .start_attempt(attempt, node, deadline, request, context);
             }
-            Command::AbandonAttempt(attempt) => self.node_connections.abandon_attempt(attempt, context),
-            Command::Respond { reply_slot, response } => {
-                self.client_connections.respond(reply_slot, response, context);
+            Command::AbandonAttempt(attempt) => {
+                self.node_connections.abandon_attempt(attempt, context)
+            }
+            Command::Respond {
+                reply_slot,
+                response,
+            } => {
+                self.client_connections
+                    .respond(reply_slot, response, context);
             }
             // A watch that is open already keeps its own timeout.
             Command::OpenWatch if self.watch.is_open() => {}
@@ -215,14 +243,19 @@
 
     /// Requests a graceful shutdown.
     pub(super) fn request_shutdown(&mut self) {
-        self.context.shutdown.request(self.context.now, &mut self.context.timers);
+        self.context
+            .shutdown
+            .request(self.context.now, &mut self.context.timers);
     }
 
     /// Closes idle client connections, and sets the timer to do so again until the shutdown is complete.
     fn drain_clients(&mut self) {
         let min_idle_time = self.context.shutdown.drain();
-        self.client_connections.close_idle_for(min_idle_time, &mut self.context);
-        self.context.timers.set(self.context.now + DRAIN_GRACE, Timer::Shutdown);
+        self.client_connections
+            .close_idle_for(min_idle_time, &mut self.context);
+        self.context
+            .timers
+            .set(self.context.now + DRAIN_GRACE, Timer::Shutdown);
     }
 
     /// Updates the idle state of the shutdown after a turn. Returns whether the gateway can end: it is
--- a/crates/gateway/src/event_loop/listener.rs
+++ b/crates/gateway/src/event_loop/listener.rs
@@ -37,7 +37,8 @@
     protocol: ListenerProtocol,
     context: &mut Context,
 ) -> Result<(), GatewayError> {
-    let socket = TcpListener::bind(address).map_err(|error| GatewayError::Listen { address, error })?;
+    let socket =
+        TcpListener::bind(address).map_err(|error| GatewayError::Listen { address, error })?;
     // The standard library listens with a shorter queue; listening again only changes its length.
     rustix::net::listen(&socket, ACCEPT_BACKLOG).map_err(io::Error::from)?;
     socket.set_nonblocking(true)?;
@@ -48,14 +49,18 @@
     log::info!("listening for {protocol_name} on {}", socket.local_addr()?);
     let token = context.connections.reserve();
     context.poller.register(&socket, token, EventFlags::IN)?;
-    context.connections.put(token, Connection::Listener(Listener { socket, protocol }));
+    context
+        .connections
+        .put(token, Connection::Listener(Listener { socket, protocol }));
     Ok(())
 }
 
 /// Stops accepting on all listeners for [`ACCEPT_PAUSE`].
 pub(crate) fn pause_accepting(context: &mut Context) {
     set_listener_events(EventFlags::empty(), context);
-    context.timers.set(context.now + ACCEPT_PAUSE, Timer::ResumeAccepting);
+    context
+        .timers
+        .set(context.now + ACCEPT_PAUSE, Timer::ResumeAccepting);
 }
 
 /// Accepts connections again on all listeners.
@@ -67,7 +72,9 @@
 /// in the table and so keeps its events.
 fn set_listener_events(events: EventFlags, context: &Context) {
     for (token, connection) in context.connections.iter() {
-        let Connection::Listener(listener) = connection else { continue };
+        let Connection::Listener(listener) = connection else {
+            continue;
+        };
         if let Err(error) = context.poller.modify(&listener.socket, token, events) {
             log::error!("accept: {error}");
         }
--- a/crates/gateway/src/event_loop/poller.rs
+++ b/crates/gateway/src/event_loop/poller.rs
@@ -28,7 +28,12 @@
         token: ConnectionToken,
         events: EventFlags,
     ) -> io::Result<()> {
-        epoll::add(&self.epoll, descriptor, EventData::new_u64(token.into()), events)?;
+        epoll::add(
+            &self.epoll,
+            descriptor,
+            EventData::new_u64(token.into()),
+            events,
+        )?;
         Ok(())
     }
 
@@ -39,7 +44,12 @@
         token: ConnectionToken,
         events: EventFlags,
     ) -> io::Result<()> {
-        epoll::modify(&self.epoll, descriptor, EventData::new_u64(token.into()), events)?;
+        epoll::modify(
+            &self.epoll,
+            descriptor,
+            EventData::new_u64(token.into()),
+            events,
+        )?;
         Ok(())
     }
 
@@ -49,10 +59,16 @@
     /// `events` is replaced by the events that are ready, at most as many as its capacity. It is empty after
     /// a timeout, and if a signal has interrupted the wait.
     pub(crate) fn wait(&self, events: &mut Vec<Event>, timeout: Option<Micros>) -> io::Result<()> {
-        let timeout = timeout
-            .map(|micros| Timespec { tv_sec: micros / 1_000_000, tv_nsec: (micros % 1_000_000) * 1_000 });
+        let timeout = timeout.map(|micros| Timespec {
+            tv_sec: micros / 1_000_000,
+            tv_nsec: (micros % 1_000_000) * 1_000,
+        });
         events.clear();
-        match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(events), timeout.as_ref()) {
+        match epoll::wait(
+            &self.epoll,
+            rustix::buffer::spare_capacity(events),
+            timeout.as_ref(),
+        ) {
             Ok(_) | Err(Errno::INTR) => Ok(()),
             Err(error) => Err(error.into()),
         }
--- a/crates/gateway/src/event_loop/reload.rs
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -40,11 +40,13 @@
     fn set_discovery_address(&mut self, address: Option<SocketAddr>) {
         self.context.config.discovery = address;
         self.watch.reset_list_index();
-        self.watch.close(EndpointListEvent::WatchLost, &mut self.context);
+        self.watch
+            .close(EndpointListEvent::WatchLost, &mut self.context);
     }
 
     /// Reads the inventory again; returns how many nodes it lists. An invalid inventory changes nothing.
     pub(super) fn reload_inventory(&mut self) -> Result<usize, InventoryError> {
-        self.endpoints.reload_inventory(&mut self.node_connections, &mut self.context)
+        self.endpoints
+            .reload_inventory(&mut self.node_connections, &mut self.context)
     }
 }
--- a/crates/gateway/src/event_loop/signals.rs
+++ b/crates/gateway/src/event_loop/signals.rs
@@ -45,6 +45,8 @@
     }
     let token = context.connections.reserve();
     context.poller.register(&stream, token, EventFlags::IN)?;
-    context.connections.put(token, Connection::Signal(SignalPipe { stream, kind }));
+    context
+        .connections
+        .put(token, Connection::Signal(SignalPipe { stream, kind }));
     Ok(())
 }
--- a/crates/gateway/src/inventory/csv_format.rs
+++ b/crates/gateway/src/inventory/csv_format.rs
@@ -15,7 +15,10 @@
 /// Fails if the text is not well-formed CSV, a required heading is missing, or a line does not describe a
 /// node or repeats the name of an earlier one.
 pub fn from_csv(text: &str, file: &str) -> Result<Vec<InventoryNode>, InventoryError> {
-    let mut reader = ReaderBuilder::new().trim(Trim::All).comment(Some(b'#')).from_reader(text.as_bytes());
+    let mut reader = ReaderBuilder::new()
+        .trim(Trim::All)
+        .comment(Some(b'#'))
+        .from_reader(text.as_bytes());
     let headings = match reader.headers() {
         Ok(headings) => headings.clone(),
         Err(source) => return Err(csv_error(file, Location::Line(1), source)),
@@ -27,11 +30,16 @@
             let line = source.position().map_or(0, Position::line);
             csv_error(file, Location::Line(line), source)
         })?;
-        let line = record.position().map_or(0, |position| line_of(text, position.byte()));
+        let line = record
+            .position()
+            .map_or(0, |position| line_of(text, position.byte()));
         let vars = decode_record(&record, &headings, line, file)?;
         let node = to_unique_node(&vars, &nodes).map_err(|error| InventoryError::InvalidVar {
             file: file.to_owned(),
-            location: Location::Field { line, field: error.var.to_string() },
+            location: Location::Field {
+                line,
+                field: error.var.to_string(),
+            },
             source: error.source,
         })?;
         nodes.push(node);
@@ -41,14 +49,21 @@
 
 /// Wraps an error of the CSV decoder.
 fn csv_error(file: &str, location: Location, source: csv::Error) -> InventoryError {
-    InventoryError::Csv { file: file.to_owned(), location, source }
+    InventoryError::Csv {
+        file: file.to_owned(),
+        location,
+        source,
+    }
 }
 
 /// Checks that every required heading is present.
 fn check_headings(headings: &StringRecord, file: &str) -> Result<(), InventoryError> {
     for heading in REQUIRED_HEADINGS {
         if !headings.iter().any(|present| present == heading) {
-            return Err(InventoryError::MissingHeading { file: file.to_owned(), heading });
+            return Err(InventoryError::MissingHeading {
+                file: file.to_owned(),
+                heading,
+            });
         }
     }
     Ok(())
@@ -62,14 +77,18 @@
     file: &str,
 ) -> Result<Vars, InventoryError> {
     record.deserialize(Some(headings)).map_err(|source| {
-        let field = field_at_fault(&source, headings).unwrap_or("row").to_owned();
+        let field = field_at_fault(&source, headings)
+            .unwrap_or("row")
+            .to_owned();
         csv_error(file, Location::Field { line, field }, source)
     })
 }
 
 /// Heading of the field that a decoder's error refers to, if it refers to a single field.
 fn field_at_fault<'a>(error: &csv::Error, headings: &'a StringRecord) -> Option<&'a str> {
-    let ErrorKind::Deserialize { err, .. } = error.kind() else { return None };
+    let ErrorKind::Deserialize { err, .. } = error.kind() else {
+        return None;
+    };
     let index = usize::try_from(err.field()?).ok()?;
     headings.get(index)
 }
@@ -81,7 +100,10 @@
         return Err(NodeError::not_set(VarName::Name));
     }
     if earlier.iter().any(|node| node.record.name == name) {
-        return Err(NodeError { var: VarName::Name, source: InvalidVar::Duplicate(name.to_owned()) });
+        return Err(NodeError {
+            var: VarName::Name,
+            source: InvalidVar::Duplicate(name.to_owned()),
+        });
     }
     vars.to_node(name)
 }
@@ -90,7 +112,10 @@
 /// serve, as it is that of the empty lines and comments that precede a record.
 fn line_of(text: &str, byte: u64) -> u64 {
     let (before, rest) = text.split_at_checked(byte as usize).unwrap_or((text, ""));
-    let skipped = rest.lines().take_while(|line| line.trim().is_empty() || line.starts_with('#')).count();
+    let skipped = rest
+        .lines()
+        .take_while(|line| line.trim().is_empty() || line.starts_with('#'))
+        .count();
     let line = before.matches('\n').count() + 1 + skipped;
     line as u64
 }
--- a/crates/gateway/src/inventory/error.rs
+++ b/crates/gateway/src/inventory/error.rs
@@ -118,5 +118,10 @@
 
 /// The first line of an error's text.
 fn first_line(error: &serde_saphyr::Error) -> String {
-    error.to_string().lines().next().unwrap_or_default().to_owned()
+    error
+        .to_string()
+        .lines()
+        .next()
+        .unwrap_or_default()
+        .to_owned()
 }
--- a/crates/gateway/src/inventory/vars.rs
+++ b/crates/gateway/src/inventory/vars.rs
@@ -81,7 +81,10 @@
 
     /// The node that these vars describe, with the given name.
     pub(super) fn to_node(&self, name: &str) -> Result<InventoryNode, NodeError> {
-        let address = self.address.as_deref().ok_or(NodeError::not_set(VarName::Address))?;
+        let address = self
+            .address
+            .as_deref()
+            .ok_or(NodeError::not_set(VarName::Address))?;
         let status = self.parse_status()?;
         let address = parse_address(address)?;
         let protocol = self.parse_protocol()?;
@@ -93,7 +96,11 @@
             status,
             started_at: self.since_ms.filter(|since_ms| *since_ms > 0.0).map(micros),
         };
-        Ok(InventoryNode { record, address, protocol })
+        Ok(InventoryNode {
+            record,
+            address,
+            protocol,
+        })
     }
 
     /// Parses the status; in service if it is not set.
@@ -102,9 +109,10 @@
             None | Some("in_service") => Ok(EndpointStatus::InService),
             Some("terminating") => Ok(EndpointStatus::Draining),
             Some("terminated") => Ok(EndpointStatus::Removed),
-            Some(other) => {
-                Err(NodeError { var: VarName::Status, source: InvalidVar::UnknownStatus(other.to_owned()) })
-            }
+            Some(other) => Err(NodeError {
+                var: VarName::Status,
+                source: InvalidVar::UnknownStatus(other.to_owned()),
+            }),
         }
     }
 
@@ -124,12 +132,17 @@
 impl NodeError {
     /// The error for a required var that is not set.
     pub(super) fn not_set(var: VarName) -> NodeError {
-        NodeError { var, source: InvalidVar::NotSet }
+        NodeError {
+            var,
+            source: InvalidVar::NotSet,
+        }
     }
 }
 
 /// Parses an IP address with a port.
 fn parse_address(text: &str) -> Result<SocketAddr, NodeError> {
-    text.parse()
-        .map_err(|_| NodeError { var: VarName::Address, source: InvalidVar::NotAnAddress(text.to_owned()) })
+    text.parse().map_err(|_| NodeError {
+        var: VarName::Address,
+        source: InvalidVar::NotAnAddress(text.to_owned()),
+    })
 }
--- a/crates/gateway/src/inventory/yaml_format.rs
+++ b/crates/gateway/src/inventory/yaml_format.rs
@@ -47,7 +47,10 @@
 /// describe a node.
 pub fn from_yaml(text: &str, file: &str) -> Result<Vec<InventoryNode>, InventoryError> {
     let groups = decode(text, file)?;
-    let mut collector = HostCollector { file, hosts: BTreeMap::new() };
+    let mut collector = HostCollector {
+        file,
+        hosts: BTreeMap::new(),
+    };
     for (name, group) in &groups {
         collector.collect(name, group.as_ref(), &Vars::default(), 0)?;
     }
@@ -61,7 +64,11 @@
             Some(location) => Location::Line(location.line()),
             None => Location::Document,
         };
-        InventoryError::Yaml { file: file.to_owned(), location, source: Box::new(source) }
+        InventoryError::Yaml {
+            file: file.to_owned(),
+            location,
+            source: Box::new(source),
+        }
     })
 }
 
@@ -89,22 +96,33 @@
             self.add_host(path, name, host_vars.as_ref(), &group_vars);
         }
         for (name, child) in group.children.iter().flatten() {
-            self.collect(&format!("{path}.children.{name}"), child.as_ref(), &group_vars, depth + 1)?;
+            self.collect(
+                &format!("{path}.children.{name}"),
+                child.as_ref(),
+                &group_vars,
+                depth + 1,
+            )?;
         }
         Ok(())
     }
 
     /// Adds a host of a group. If several groups list the host, their vars are merged, and the group that comes
     /// last takes precedence.
-    fn add_host(&mut self, group_path: &str, name: &str, host_vars: Option<&Vars>, group_vars: &Vars) {
+    fn add_host(
+        &mut self,
+        group_path: &str,
+        name: &str,
+        host_vars: Option<&Vars>,
+        group_vars: &Vars,
+    ) {
         let vars = match host_vars {
             Some(vars) => vars.with_defaults(group_vars),
             None => group_vars.clone(),
         };
-        let host = self
-            .hosts
-            .entry(name.to_owned())
-            .or_insert_with(|| Host { path: format!("{group_path}.hosts.{name}"), vars: Vars::default() });
+        let host = self.hosts.entry(name.to_owned()).or_insert_with(|| Host {
+            path: format!("{group_path}.hosts.{name}"),
+            vars: Vars::default(),
+        });
         host.vars = vars.with_defaults(&host.vars);
     }
 
@@ -112,11 +130,14 @@
     fn into_nodes(self) -> Result<Vec<InventoryNode>, InventoryError> {
         let mut nodes = Vec::with_capacity(self.hosts.len());
         for (name, host) in &self.hosts {
-            let node = host.vars.to_node(name).map_err(|error| InventoryError::InvalidVar {
-                file: self.file.to_owned(),
-                location: Location::Key(format!("{}.{}", host.path, error.var)),
-                source: error.source,
-            })?;
+            let node = host
+                .vars
+                .to_node(name)
+                .map_err(|error| InventoryError::InvalidVar {
+                    file: self.file.to_owned(),
+                    location: Location::Key(format!("{}.{}", host.path, error.var)),
+                    source: error.source,
+                })?;
             nodes.push(node);
         }
         Ok(nodes)
--- a/crates/gateway/src/logger.rs
+++ b/crates/gateway/src/logger.rs
@@ -21,7 +21,12 @@
         }
         let seconds = self.started_at.elapsed().as_secs_f64();
         // If the log cannot be written, there is no other place to report the error.
-        let _ = writeln!(std::io::stderr().lock(), "{seconds:10.4} {:5} {}", record.level(), record.args());
+        let _ = writeln!(
+            std::io::stderr().lock(),
+            "{seconds:10.4} {:5} {}",
+            record.level(),
+            record.args()
+        );
     }
 
     fn flush(&self) {}
@@ -30,6 +35,8 @@
 /// Installs the logger. A further call keeps the installed logger and changes its level.
 pub fn install(level: LevelFilter) {
     // An error means that a logger is already installed; it keeps counting the seconds from its own start.
-    let _ = log::set_boxed_logger(Box::new(Logger { started_at: Instant::now() }));
+    let _ = log::set_boxed_logger(Box::new(Logger {
+        started_at: Instant::now(),
+    }));
     log::set_max_level(level);
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -96,7 +96,11 @@
         Some(path) => inventory::read(path)?,
         None => Vec::new(),
     };
-    println!("{}: good, {} nodes in the inventory", file.display(), nodes.len());
+    println!(
+        "{}: good, {} nodes in the inventory",
+        file.display(),
+        nodes.len()
+    );
     Ok(())
 }
 
--- a/crates/gateway/src/memory_budget.rs
+++ b/crates/gateway/src/memory_budget.rs
@@ -48,7 +48,8 @@
             partial_command_bytes: buffer_bytes,
             sftp_file_bytes: buffer_bytes,
             large_response_bytes: buffer_bytes,
-            max_value_bytes: (memory_bytes / Self::VALUE_DIVISOR).min(Self::MAX_ACCEPTED_VALUE_BYTES),
+            max_value_bytes: (memory_bytes / Self::VALUE_DIVISOR)
+                .min(Self::MAX_ACCEPTED_VALUE_BYTES),
             max_requests: buffer_bytes / Self::REQUEST_OVERHEAD_BYTES,
         }
     }
--- a/crates/gateway/src/node_protocol/mod.rs
+++ b/crates/gateway/src/node_protocol/mod.rs
@@ -26,7 +26,12 @@
     ///
     /// Returns how many of the appended bytes can be written before the request can take effect: once more than
     /// that are written, the node may have executed the request.
-    fn encode_request(&mut self, request: &StorageRequest, wait_ms: i64, out: &mut Vec<u8>) -> usize;
+    fn encode_request(
+        &mut self,
+        request: &StorageRequest,
+        wait_ms: i64,
+        out: &mut Vec<u8>,
+    ) -> usize;
 
     /// Size in bytes of the reply that is being received, as far as known: its announced length, or the bytes
     /// received so far.
--- a/crates/gateway/src/node_protocol/resp/mod.rs
+++ b/crates/gateway/src/node_protocol/resp/mod.rs
@@ -22,7 +22,11 @@
     /// Creates the state of a new connection that accepts values of up to `max_value_length` bytes.
     #[must_use]
     pub fn new(max_value_length: usize) -> RespProtocol {
-        RespProtocol { awaiting_reply: false, max_value_length, announced_length: 0 }
+        RespProtocol {
+            awaiting_reply: false,
+            max_value_length,
+            announced_length: 0,
+        }
     }
 
     /// Whether `buffered` bytes of an incomplete reply are more than a complete reply can have.
@@ -38,18 +42,32 @@
         true
     }
 
-    fn encode_request(&mut self, request: &StorageRequest, wait_ms: i64, out: &mut Vec<u8>) -> usize {
+    fn encode_request(
+        &mut self,
+        request: &StorageRequest,
+        wait_ms: i64,
+        out: &mut Vec<u8>,
+    ) -> usize {
         self.awaiting_reply = true;
         let start = out.len();
         let is_write = request.operation == Operation::Write;
-        let (array_header, command): (&[u8], &[u8]) =
-            if is_write { (b"*5\r\n", b"IO.OUT") } else { (b"*4\r\n", b"IO.IN") };
+        let (array_header, command): (&[u8], &[u8]) = if is_write {
+            (b"*5\r\n", b"IO.OUT")
+        } else {
+            (b"*4\r\n", b"IO.IN")
+        };
         out.extend_from_slice(array_header);
         append_bulk_string(command, out);
         append_bulk_string(HexId(request.object).to_string().as_bytes(), out);
         append_bulk_string(request.client_request_id.as_bytes(), out);
-        let RequestParameters { before_timeout, after_timeout } = &request.parameters;
-        append_bulk_string(format!("{before_timeout}{}{after_timeout}", wait_ms.max(1)).as_bytes(), out);
+        let RequestParameters {
+            before_timeout,
+            after_timeout,
+        } = &request.parameters;
+        append_bulk_string(
+            format!("{before_timeout}{}{after_timeout}", wait_ms.max(1)).as_bytes(),
+            out,
+        );
         if is_write {
             append_bulk_string(&request.body, out);
         }
--- a/crates/gateway/src/node_protocol/resp/reply.rs
+++ b/crates/gateway/src/node_protocol/resp/reply.rs
@@ -41,25 +41,42 @@
 
 /// Decodes the reply at the front of `input`, whose value may have up to `max_value_length` bytes. Returns
 /// `None` until it is complete.
-pub(super) fn parse_reply(input: &[u8], max_value_length: usize) -> Result<Option<Reply>, ProtocolError> {
+pub(super) fn parse_reply(
+    input: &[u8],
+    max_value_length: usize,
+) -> Result<Option<Reply>, ProtocolError> {
     let mut reader = ReplyReader { input, position: 0 };
-    let Some(head) = reader.read_line()? else { return Ok(None) };
+    let Some(head) = reader.read_line()? else {
+        return Ok(None);
+    };
     let result = match head {
         [b'-', text @ ..] => error_result(text),
         b"*3" => {
-            let Some(result) = reader.read_served_result(max_value_length)? else { return Ok(None) };
+            let Some(result) = reader.read_served_result(max_value_length)? else {
+                return Ok(None);
+            };
             result
         }
         _ => return Err(ProtocolError),
     };
-    Ok(Some(Reply { result, length: reader.position }))
+    Ok(Some(Reply {
+        result,
+        length: reader.position,
+    }))
 }
 
 /// The announced length of a value that is not complete yet, in bytes; zero if it is not known.
 pub(super) fn announced_value_length(input: &[u8]) -> usize {
     let text = input.strip_prefix(b"*3\r\n$").unwrap_or_default();
-    let end = text.iter().take(MAX_LENGTH_LINE_BYTES).position(|byte| *byte == b'\r').unwrap_or(0);
-    std::str::from_utf8(&text[..end]).ok().and_then(|digits| digits.parse().ok()).unwrap_or(0)
+    let end = text
+        .iter()
+        .take(MAX_LENGTH_LINE_BYTES)
+        .position(|byte| *byte == b'\r')
+        .unwrap_or(0);
+    std::str::from_utf8(&text[..end])
+        .ok()
+        .and_then(|digits| digits.parse().ok())
+        .unwrap_or(0)
 }
 
 /// The result of an error line, given without its leading `-`. The error `BUSY` means that the node is overloaded;
@@ -79,13 +96,19 @@
 fn apply_usage_report(text: &[u8], result: &mut AttemptResult) {
     let text = String::from_utf8_lossy(text);
     for word in text.split([',', ' ']) {
-        let Some((name, value)) = word.split_once('=') else { continue };
-        let Ok(value) = value.parse::<f64>() else { continue };
+        let Some((name, value)) = word.split_once('=') else {
+            continue;
+        };
+        let Ok(value) = value.parse::<f64>() else {
+            continue;
+        };
         if !value.is_finite() || value < 0.0 {
             continue;
         }
         match name {
-            "used" if value <= MAX_UTILIZATION_PERCENT => result.utilization = Some(value / PERCENT),
+            "used" if value <= MAX_UTILIZATION_PERCENT => {
+                result.utilization = Some(value / PERCENT)
+            }
             "cost" if value <= MAX_REMOTE_UNITS => result.remote_units = value,
             _ => {}
         }
@@ -123,8 +146,12 @@
             Some(RespValue::BulkString(Some(value))) => value,
             Some(_) => return Err(ProtocolError),
         };
-        let Some(usage_report) = self.read_value(MAX_OVERHEAD_BYTES, 0)? else { return Ok(None) };
-        let Some(_load_report) = self.read_value(MAX_OVERHEAD_BYTES, 0)? else { return Ok(None) };
+        let Some(usage_report) = self.read_value(MAX_OVERHEAD_BYTES, 0)? else {
+            return Ok(None);
+        };
+        let Some(_load_report) = self.read_value(MAX_OVERHEAD_BYTES, 0)? else {
+            return Ok(None);
+        };
         let mut result = AttemptResult::without_body(Outcome::Served);
         if let RespValue::BulkString(Some(text)) = usage_report {
             apply_usage_report(text, &mut result);
@@ -143,16 +170,30 @@
             Some(b'-' | b'+' | b':') => MAX_OVERHEAD_BYTES,
             Some(_) => return Err(ProtocolError),
         };
-        let Some(end) = rest.windows(2).take(max_length).position(|pair| pair == b"\r\n") else {
-            return if rest.len() > max_length { Err(ProtocolError) } else { Ok(None) };
+        let Some(end) = rest
+            .windows(2)
+            .take(max_length)
+            .position(|pair| pair == b"\r\n")
+        else {
+            return if rest.len() > max_length {
+                Err(ProtocolError)
+            } else {
+                Ok(None)
+            };
         };
         self.position += end + 2;
         Ok(Some(&rest[..end]))
     }
 
     /// Reads one value whose bulk strings have at most `max_length` bytes, at nesting `depth`.
-    fn read_value(&mut self, max_length: usize, depth: u8) -> Result<Option<RespValue<'a>>, ProtocolError> {
-        let Some(line) = self.read_line()? else { return Ok(None) };
+    fn read_value(
+        &mut self,
+        max_length: usize,
+        depth: u8,
+    ) -> Result<Option<RespValue<'a>>, ProtocolError> {
+        let Some(line) = self.read_line()? else {
+            return Ok(None);
+        };
         match line {
             [b'-' | b'+' | b':', ..] => Ok(Some(RespValue::Other)),
             [b'$', text @ ..] => self.read_bulk_string(parse_length(text)?, max_length),
--- a/crates/gateway/src/node_protocol/sftp/mod.rs
+++ b/crates/gateway/src/node_protocol/sftp/mod.rs
@@ -39,7 +39,12 @@
     /// Creates the state of a new connection that accepts objects of up to `max_value_length` bytes.
     #[must_use]
     pub fn new(max_value_length: usize) -> SftpProtocol {
-        SftpProtocol { stage: Stage::AwaitingVersion, last_id: 0, ignored_id: None, max_value_length }
+        SftpProtocol {
+            stage: Stage::AwaitingVersion,
+            last_id: 0,
+            ignored_id: None,
+            max_value_length,
+        }
     }
 
     /// Appends a command with a new id to `out`; `append_fields` adds the fields after the id.
@@ -56,7 +61,9 @@
 
     /// Appends OPEN for a path, with flags of [`open_flags`] and no attributes.
     fn send_open(&mut self, path: &str, flags: u32, out: &mut Vec<u8>) {
-        self.send_command(packet_type::OPEN, out, |packet| packet.string(path).u32(flags).u32(0));
+        self.send_command(packet_type::OPEN, out, |packet| {
+            packet.string(path).u32(flags).u32(0)
+        });
     }
 
     /// Decodes the next packet of `input`, moves `position` past it, and handles it if it is the reply that the
@@ -67,8 +74,13 @@
         position: &mut usize,
         out: &mut Vec<u8>,
     ) -> Result<Progress, ProtocolError> {
-        let Some(packet) = decode_packet(input, position)? else { return Ok(Progress::InputConsumed) };
-        let DecodedPacket { type_byte, mut fields } = packet;
+        let Some(packet) = decode_packet(input, position)? else {
+            return Ok(Progress::InputConsumed);
+        };
+        let DecodedPacket {
+            type_byte,
+            mut fields,
+        } = packet;
         if matches!(self.stage, Stage::AwaitingVersion) {
             if type_byte != packet_type::VERSION || fields.u32()? < VERSION {
                 return Err(ProtocolError);
@@ -111,7 +123,12 @@
         !matches!(self.stage, Stage::AwaitingVersion)
     }
 
-    fn encode_request(&mut self, request: &StorageRequest, _wait_ms: i64, out: &mut Vec<u8>) -> usize {
+    fn encode_request(
+        &mut self,
+        request: &StorageRequest,
+        _wait_ms: i64,
+        out: &mut Vec<u8>,
+    ) -> usize {
         let start = out.len();
         let directory = format!("/{}", HexId(request.volume));
         let path = match &request.object_name {
@@ -121,7 +138,9 @@
         match request.operation {
             Operation::Read => self.send_open(&path, open_flags::READ, out),
             Operation::Write => self.send_open(&path, REPLACE_FLAGS, out),
-            Operation::Stat => self.send_command(packet_type::STAT, out, |packet| packet.string(path)),
+            Operation::Stat => {
+                self.send_command(packet_type::STAT, out, |packet| packet.string(path))
+            }
             Operation::List => {
                 self.send_command(packet_type::OPENDIR, out, |packet| packet.string(directory));
             }
--- a/crates/gateway/src/node_protocol/sftp/stage.rs
+++ b/crates/gateway/src/node_protocol/sftp/stage.rs
@@ -61,16 +61,19 @@
     pub(super) fn after_first_command(request: &StorageRequest) -> Stage {
         match request.operation {
             Operation::Stat => Stage::AwaitingAttributes,
-            operation => Stage::Opening { operation, body: request.body.clone() },
+            operation => Stage::Opening {
+                operation,
+                body: request.body.clone(),
+            },
         }
     }
 
     /// The handle that must be closed if the request ends at this stage.
     fn into_handle(self) -> Option<Vec<u8>> {
         match self {
-            Stage::Reading { handle, .. } | Stage::Writing { handle, .. } | Stage::Listing { handle, .. } => {
-                Some(handle)
-            }
+            Stage::Reading { handle, .. }
+            | Stage::Writing { handle, .. }
+            | Stage::Listing { handle, .. } => Some(handle),
             _ => None,
         }
     }
@@ -78,7 +81,10 @@
 
 /// The result of a request that the server has served.
 fn served(body: ResponseBody) -> AttemptResult {
-    AttemptResult { body: Some(body), ..AttemptResult::without_body(Outcome::Served) }
+    AttemptResult {
+        body: Some(body),
+        ..AttemptResult::without_body(Outcome::Served)
+    }
 }
 
 impl SftpProtocol {
@@ -115,13 +121,23 @@
     }
 
     /// Handles a STATUS reply: the regular end of a stage, or an error that fails the request.
-    fn handle_status(&mut self, stage: Stage, code: u32, out: &mut Vec<u8>) -> Option<AttemptResult> {
+    fn handle_status(
+        &mut self,
+        stage: Stage,
+        code: u32,
+        out: &mut Vec<u8>,
+    ) -> Option<AttemptResult> {
         let is = |expected: StatusCode| code == expected as u32;
         match stage {
-            Stage::Opening { operation: Operation::List, .. } if is(StatusCode::NoSuchFile) => {
-                Some(served(ResponseBody::Names(Vec::new())))
+            Stage::Opening {
+                operation: Operation::List,
+                ..
+            } if is(StatusCode::NoSuchFile) => Some(served(ResponseBody::Names(Vec::new()))),
+            Stage::Opening {
+                operation: Operation::Read,
+                ..
             }
-            Stage::Opening { operation: Operation::Read, .. } | Stage::AwaitingAttributes
+            | Stage::AwaitingAttributes
                 if is(StatusCode::NoSuchFile) =>
             {
                 Some(served(ResponseBody::NotFound))
@@ -130,7 +146,11 @@
                 self.close_ignoring_reply(&handle, out);
                 Some(served(ResponseBody::Value(value)))
             }
-            Stage::Writing { handle, remaining, offset } if is(StatusCode::Ok) => {
+            Stage::Writing {
+                handle,
+                remaining,
+                offset,
+            } if is(StatusCode::Ok) => {
                 self.write_next_chunk(handle, remaining, offset, out);
                 None
             }
@@ -149,7 +169,13 @@
     }
 
     /// Sends the first command on a handle that the server opened.
-    fn use_handle(&mut self, handle: Vec<u8>, operation: Operation, body: &[u8], out: &mut Vec<u8>) {
+    fn use_handle(
+        &mut self,
+        handle: Vec<u8>,
+        operation: Operation,
+        body: &[u8],
+        out: &mut Vec<u8>,
+    ) {
         match operation {
             Operation::Write => {
                 let chunks = body.chunks(CHUNK_BYTES).map(<[u8]>::to_vec).collect();
@@ -227,7 +253,11 @@
         self.send_command(packet_type::WRITE, out, |packet| {
             packet.string(&handle).u64(offset).string(&chunk)
         });
-        self.stage = Stage::Writing { handle, remaining, offset: offset + chunk.len() as u64 };
+        self.stage = Stage::Writing {
+            handle,
+            remaining,
+            offset: offset + chunk.len() as u64,
+        };
     }
 
     /// Sends READDIR for the names after `entries`.
--- a/crates/gateway/src/resp_bulk_string.rs
+++ b/crates/gateway/src/resp_bulk_string.rs
@@ -34,7 +34,9 @@
 ) -> Result<Option<&'a [u8]>, MissingTerminator> {
     let content_end = *position + length;
     let terminator_end = content_end + TERMINATOR.len();
-    let Some(terminator) = input.get(content_end..terminator_end) else { return Ok(None) };
+    let Some(terminator) = input.get(content_end..terminator_end) else {
+        return Ok(None);
+    };
     if terminator != TERMINATOR {
         return Err(MissingTerminator);
     }
--- a/crates/gateway/src/sftp_packet/builder.rs
+++ b/crates/gateway/src/sftp_packet/builder.rs
@@ -13,7 +13,9 @@
 impl Packet {
     /// Starts a packet of a type (see [`packet_type`]).
     pub fn new(type_byte: u8) -> Packet {
-        Packet { bytes: vec![0, 0, 0, 0, type_byte] }
+        Packet {
+            bytes: vec![0, 0, 0, 0, type_byte],
+        }
     }
 
     /// Starts a packet with a request id, as all types but `INIT` and `VERSION` have one.
@@ -36,7 +38,8 @@
     /// Appends a byte string with its 32-bit length in front.
     pub fn string(mut self, text: impl AsRef<[u8]>) -> Packet {
         let text = text.as_ref();
-        self.bytes.extend_from_slice(&(text.len() as u32).to_be_bytes());
+        self.bytes
+            .extend_from_slice(&(text.len() as u32).to_be_bytes());
         self.bytes.extend_from_slice(text);
         self
     }
@@ -47,7 +50,10 @@
         const REGULAR_FILE: u32 = 0o100_644;
         const DIRECTORY: u32 = 0o040_755;
         match size {
-            Some(size) => self.u32(ATTRIBUTE_SIZE | ATTRIBUTE_PERMISSIONS).u64(size).u32(REGULAR_FILE),
+            Some(size) => self
+                .u32(ATTRIBUTE_SIZE | ATTRIBUTE_PERMISSIONS)
+                .u64(size)
+                .u32(REGULAR_FILE),
             None => self.u32(ATTRIBUTE_PERMISSIONS).u32(DIRECTORY),
         }
     }
@@ -64,5 +70,9 @@
 /// Encodes a `STATUS` reply to the request `id`, with `message` in the language `en`.
 #[must_use]
 pub fn encode_status(id: u32, code: StatusCode, message: &str) -> Vec<u8> {
-    Packet::with_id(packet_type::STATUS, id).u32(code as u32).string(message).string("en").finish()
+    Packet::with_id(packet_type::STATUS, id)
+        .u32(code as u32)
+        .string(message)
+        .string("en")
+        .finish()
 }
--- a/crates/gateway/src/sftp_packet/reader.rs
+++ b/crates/gateway/src/sftp_packet/reader.rs
@@ -34,15 +34,24 @@
     position: &mut usize,
 ) -> Result<Option<DecodedPacket<'a>>, MalformedPacket> {
     let rest = &input[*position..];
-    let Some(length_field) = rest.first_chunk::<LENGTH_FIELD_BYTES>() else { return Ok(None) };
+    let Some(length_field) = rest.first_chunk::<LENGTH_FIELD_BYTES>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(*length_field) as usize;
     if length == 0 || length > MAX_PACKET_LENGTH {
         return Err(MalformedPacket);
     }
     let end = LENGTH_FIELD_BYTES + length;
-    let Some(payload) = rest.get(LENGTH_FIELD_BYTES..end) else { return Ok(None) };
+    let Some(payload) = rest.get(LENGTH_FIELD_BYTES..end) else {
+        return Ok(None);
+    };
     *position += end;
-    Ok(Some(DecodedPacket { type_byte: payload[0], fields: Fields { rest: &payload[1..] } }))
+    Ok(Some(DecodedPacket {
+        type_byte: payload[0],
+        fields: Fields {
+            rest: &payload[1..],
+        },
+    }))
 }
 
 /// The fields of one packet, decoded in order from the front.
@@ -69,7 +78,8 @@
     ///
     /// [`MalformedPacket`] if the packet ends within the field.
     pub fn u32(&mut self) -> Result<u32, MalformedPacket> {
-        self.bytes(4).map(|bytes| u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]))
+        self.bytes(4)
+            .map(|bytes| u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]))
     }
 
     /// Takes a 64-bit number.
@@ -100,8 +110,16 @@
     /// [`MalformedPacket`] if the packet ends within the attributes.
     pub fn attributes(&mut self) -> Result<Option<u64>, MalformedPacket> {
         let flags = self.u32()?;
-        let size = if flags & ATTRIBUTE_SIZE != 0 { Some(self.u64()?) } else { None };
-        for (flag, length) in [(ATTRIBUTE_OWNER, 8), (ATTRIBUTE_PERMISSIONS, 4), (ATTRIBUTE_TIMES, 8)] {
+        let size = if flags & ATTRIBUTE_SIZE != 0 {
+            Some(self.u64()?)
+        } else {
+            None
+        };
+        for (flag, length) in [
+            (ATTRIBUTE_OWNER, 8),
+            (ATTRIBUTE_PERMISSIONS, 4),
+            (ATTRIBUTE_TIMES, 8),
+        ] {
             if flags & flag != 0 {
                 self.bytes(length)?;
             }
--- a/crates/gateway/src/timer_queue.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -55,7 +55,12 @@
     ///
     /// `set_for` is where the caller keeps the time for which the timer is set, `None` if it is not set. The
     /// call replaces it by `new_time`.
-    pub fn reschedule(&mut self, set_for: &mut Option<Micros>, new_time: Option<Micros>, timer: Timer) {
+    pub fn reschedule(
+        &mut self,
+        set_for: &mut Option<Micros>,
+        new_time: Option<Micros>,
+        timer: Timer,
+    ) {
         if let Some(at) = set_for.take() {
             self.cancel(at, timer);
         }
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -21,17 +21,23 @@
 
 /// The error that a configuration of the platform is rejected with.
 fn router_config_error(text: String) -> String {
-    load_router_config(text).expect_err("an invalid configuration").to_string()
+    load_router_config(text)
+        .expect_err("an invalid configuration")
+        .to_string()
 }
 
 /// The error that an inventory in CSV is rejected with.
 fn csv_error(text: &str) -> String {
-    inventory::from_csv(text, "f").expect_err("an invalid inventory").to_string()
+    inventory::from_csv(text, "f")
+        .expect_err("an invalid inventory")
+        .to_string()
 }
 
 /// The error that an inventory in YAML is rejected with.
 fn yaml_error(text: &str) -> String {
-    inventory::from_yaml(text, "f").expect_err("an invalid inventory").to_string()
+    inventory::from_yaml(text, "f")
+        .expect_err("an invalid inventory")
+        .to_string()
 }
 
 #[test]
@@ -51,7 +57,9 @@
         let text = format!(
             r#"{{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{limits},"settings":{SETTINGS}}}"#
         );
-        load_router_config(text).map(|config| config.budget).map_err(|error| error.to_string())
+        load_router_config(text)
+            .map(|config| config.budget)
+            .map_err(|error| error.to_string())
     };
     let small = budget(r#"{"memory_mb":32,"sockets":256}"#).expect("32 MB are enough");
     let total = small.request_body_bytes
@@ -60,8 +68,16 @@
         + small.sftp_file_bytes
         + small.large_response_bytes
         + small.max_value_bytes;
-    assert!(total < 16 << 20 && small.max_value_bytes >= 400 << 10, "{small:?}");
-    assert_eq!(budget(r#"{"memory_mb":64}"#).expect("64 MB are enough").max_requests, 2 * small.max_requests);
+    assert!(
+        total < 16 << 20 && small.max_value_bytes >= 400 << 10,
+        "{small:?}"
+    );
+    assert_eq!(
+        budget(r#"{"memory_mb":64}"#)
+            .expect("64 MB are enough")
+            .max_requests,
+        2 * small.max_requests
+    );
     let too_small = budget(r#"{"memory_mb":1}"#).expect_err("1 MB is too little");
     assert_eq!(too_small, "limits.memory_mb: must be from 16 to 1048576");
 }
@@ -69,27 +85,47 @@
 #[test]
 fn csv_inventory_error_names_the_line_and_the_field() {
     let cases = [
-        ("name,shard\n".to_owned(), "f: line 1: heading address is missing"),
-        (format!("{HEADINGS}a,127.0.0.1:1,0,ftp\n"), "f: line 2, protocol: 'ftp' is neither resp2 nor sftp"),
-        (format!("{HEADINGS}a,here,0,sftp\n"), "f: line 2, address: 'here' is no address with a port"),
-        (format!("{HEADINGS}a,[::1]:1,0,\n\n# b\na,[::1]:2,1,\n"), "f: line 5, name: 'a' stands twice"),
+        (
+            "name,shard\n".to_owned(),
+            "f: line 1: heading address is missing",
+        ),
+        (
+            format!("{HEADINGS}a,127.0.0.1:1,0,ftp\n"),
+            "f: line 2, protocol: 'ftp' is neither resp2 nor sftp",
+        ),
+        (
+            format!("{HEADINGS}a,here,0,sftp\n"),
+            "f: line 2, address: 'here' is no address with a port",
+        ),
+        (
+            format!("{HEADINGS}a,[::1]:1,0,\n\n# b\na,[::1]:2,1,\n"),
+            "f: line 5, name: 'a' stands twice",
+        ),
     ];
     for (text, expected) in cases {
         assert_eq!(csv_error(&text), expected);
     }
-    assert!(csv_error(&format!("{HEADINGS}a,127.0.0.1:1,x,resp2\n")).starts_with("f: line 2, shard: "));
+    assert!(
+        csv_error(&format!("{HEADINGS}a,127.0.0.1:1,x,resp2\n")).starts_with("f: line 2, shard: ")
+    );
     assert!(csv_error(&format!("{HEADINGS}a,127.0.0.1:1\n")).starts_with("f: line 2: "));
 }
 
 #[test]
 fn yaml_inventory_error_names_the_key_or_the_line() {
-    assert_eq!(yaml_error("g:\n  hosts:\n    a: {shard: 1}\n"), "f: g.hosts.a.address: not set");
+    assert_eq!(
+        yaml_error("g:\n  hosts:\n    a: {shard: 1}\n"),
+        "f: g.hosts.a.address: not set"
+    );
     assert!(yaml_error("g:\n  hosts: [\n").starts_with("f: line "));
 }
 
 #[test]
 fn configuration_error_names_the_key() {
-    assert_eq!(router_config_error(format!(r#"{{"settings":{SETTINGS}}}"#)), "ROUTER_NAME: not set");
+    assert_eq!(
+        router_config_error(format!(r#"{{"settings":{SETTINGS}}}"#)),
+        "ROUTER_NAME: not set"
+    );
     let unknown_effect = SETTINGS.replace("\"pure\"", "\"sometimes\"");
     assert_eq!(
         router_config_error(format!(r#"{{"settings":{unknown_effect}}}"#)),
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -55,9 +55,15 @@
                 parser.feed(piece, &mut updates).expect("well formed");
             }
             assert_eq!(indices(&updates), [7, 8, 9], "{response}");
-            let names: Vec<_> = updates[0].listed_endpoints().map(|endpoint| endpoint.record.name).collect();
+            let names: Vec<_> = updates[0]
+                .listed_endpoints()
+                .map(|endpoint| endpoint.record.name)
+                .collect();
             assert_eq!(names, ["a }\" {"]);
-            assert_eq!((parser.is_complete(), parser.is_mid_object()), (complete, false));
+            assert_eq!(
+                (parser.is_complete(), parser.is_mid_object()),
+                (complete, false)
+            );
         }
     }
 }
@@ -65,7 +71,10 @@
 #[test]
 fn object_without_end_or_nested_too_deeply_is_an_error() {
     let head = "HTTP/1.1 200 OK\r\n\r\n";
-    let endless = [("{\"endpoints\":[", "{\"name\":\"n\"},", 100_000), ("{\"a\":", "[", 20)];
+    let endless = [
+        ("{\"endpoints\":[", "{\"name\":\"n\"},", 100_000),
+        ("{\"a\":", "[", 20),
+    ];
     for (beginning, repeated, times) in endless {
         let (mut parser, mut updates) = (WatchParser::default(), Vec::new());
         parser
@@ -79,11 +88,20 @@
 
 #[test]
 fn endpoint_of_unknown_status_is_treated_as_draining() {
-    let text = "{\"endpoints\":[{\"name\":\"n\",\"address\":\"127.0.0.1:1\",\"status\":\"paused\"}]}\n";
-    let mut response = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n", text.len());
+    let text =
+        "{\"endpoints\":[{\"name\":\"n\",\"address\":\"127.0.0.1:1\",\"status\":\"paused\"}]}\n";
+    let mut response = format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n",
+        text.len()
+    );
     response += text;
     let mut updates = Vec::new();
-    WatchParser::default().feed(response.as_bytes(), &mut updates).expect("well formed");
-    let statuses: Vec<_> = updates[0].listed_endpoints().map(|endpoint| endpoint.record.status).collect();
+    WatchParser::default()
+        .feed(response.as_bytes(), &mut updates)
+        .expect("well formed");
+    let statuses: Vec<_> = updates[0]
+        .listed_endpoints()
+        .map(|endpoint| endpoint.record.status)
+        .collect();
     assert_eq!(statuses, [EndpointStatus::Draining]);
 }
--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -9,8 +9,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use storage_gateway::connection_token::ConnectionToken;
 use storage_gateway::dispatcher::{
-    AttemptResult, Command, Dispatcher, InvalidRequest, Operation, ReplySlot, Response, ResponseBody,
-    StorageRequest,
+    AttemptResult, Command, Dispatcher, InvalidRequest, Operation, ReplySlot, Response,
+    ResponseBody, StorageRequest,
 };
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::memory_budget::MemoryBudget;
@@ -56,13 +56,20 @@
 
 fn settings(change: impl FnOnce(&mut DeploymentSettings)) -> DeploymentSettings {
     let mut text = include_str!("common/settings.json").as_bytes().to_vec();
-    let mut settings: DeploymentSettings = simd_json::serde::from_slice(&mut text).expect("valid settings");
+    let mut settings: DeploymentSettings =
+        simd_json::serde::from_slice(&mut text).expect("valid settings");
     change(&mut settings);
     settings
 }
 
 fn endpoint(name: &str, shard: u64, status: EndpointStatus) -> EndpointRecord {
-    EndpointRecord { name: name.into(), zone: "a".into(), shard, status, started_at: None }
+    EndpointRecord {
+        name: name.into(),
+        zone: "a".into(),
+        shard,
+        status,
+        started_at: None,
+    }
 }
 
 fn in_service(name: &str, shard: u64) -> EndpointRecord {
@@ -72,11 +79,18 @@
 impl Harness {
     fn new(settings: &DeploymentSettings, endpoints: &[EndpointRecord]) -> Harness {
         let now = 1_000_000 * MS;
-        let mut dispatcher = Dispatcher::new(settings, MemoryBudget::from_memory_mb(MEMORY_MB), 7, now)
-            .expect("valid settings");
+        let mut dispatcher =
+            Dispatcher::new(settings, MemoryBudget::from_memory_mb(MEMORY_MB), 7, now)
+                .expect("valid settings");
         dispatcher.update_endpoints(EndpointListEvent::Snapshot, endpoints, now);
         let timers = TimerQueue::default();
-        let mut harness = Harness { dispatcher, timers, now, commands: Vec::new(), submitted: 0 };
+        let mut harness = Harness {
+            dispatcher,
+            timers,
+            now,
+            commands: Vec::new(),
+            submitted: 0,
+        };
         harness.run_turn();
         harness.commands.clear();
         harness
@@ -90,7 +104,11 @@
             object_name: None,
             volume: DEFAULT_VOLUME,
             client_request_id: self.submitted.to_string().into(),
-            class: if operation == Operation::Write { WRITE_CLASS } else { READ_CLASS },
+            class: if operation == Operation::Write {
+                WRITE_CLASS
+            } else {
+                READ_CLASS
+            },
             plan: 0,
             units: 1.0,
             shard,
@@ -109,21 +127,29 @@
     fn submit_request(&mut self, request: StorageRequest) -> Submitted {
         self.submitted += 1;
         let slot = self.submitted;
-        let reply_slot = ReplySlot { connection: ConnectionToken::from(0), slot };
-        let id = self.dispatcher.submit(request, reply_slot, self.now, &mut self.timers);
+        let reply_slot = ReplySlot {
+            connection: ConnectionToken::from(0),
+            slot,
+        };
+        let id = self
+            .dispatcher
+            .submit(request, reply_slot, self.now, &mut self.timers);
         Submitted { slot, id }
     }
 
     fn update_endpoint(&mut self, endpoint: EndpointRecord) {
-        self.dispatcher.update_endpoints(EndpointListEvent::Delta, &[endpoint], self.now);
+        self.dispatcher
+            .update_endpoints(EndpointListEvent::Delta, &[endpoint], self.now);
     }
 
     /// One turn of the event loop: expired timers, then the scheduler.
     fn run_turn(&mut self) {
         while let Some(timer) = self.timers.pop_expired(self.now) {
-            self.dispatcher.handle_timer(timer, self.now, &mut self.timers);
+            self.dispatcher
+                .handle_timer(timer, self.now, &mut self.timers);
         }
-        self.dispatcher.run_scheduler(self.now, &mut self.timers, &mut self.commands);
+        self.dispatcher
+            .run_scheduler(self.now, &mut self.timers, &mut self.commands);
     }
 
     /// Lets time pass, then runs one turn.
@@ -136,8 +162,17 @@
     fn take_started_attempts(&mut self) -> Vec<StartedAttempt> {
         let mut started = Vec::new();
         self.commands.retain(|command| match command {
-            Command::StartAttempt { attempt, node, deadline, .. } => {
-                started.push(StartedAttempt { id: *attempt, node: *node, deadline: *deadline });
+            Command::StartAttempt {
+                attempt,
+                node,
+                deadline,
+                ..
+            } => {
+                started.push(StartedAttempt {
+                    id: *attempt,
+                    node: *node,
+                    deadline: *deadline,
+                });
                 false
             }
             _ => true,
@@ -149,8 +184,14 @@
     fn take_responses(&mut self) -> Vec<Responded> {
         let mut responses = Vec::new();
         self.commands.retain(|command| match command {
-            Command::Respond { reply_slot, response } => {
-                responses.push(Responded { slot: reply_slot.slot, response: response.clone() });
+            Command::Respond {
+                reply_slot,
+                response,
+            } => {
+                responses.push(Responded {
+                    slot: reply_slot.slot,
+                    response: response.clone(),
+                });
                 false
             }
             _ => true,
@@ -164,12 +205,17 @@
 
     fn complete(&mut self, attempt: AttemptId, outcome: Outcome) {
         let body = (outcome == Outcome::Served).then(|| ResponseBody::Value(b"v".to_vec()));
-        let result = AttemptResult { body, ..AttemptResult::without_body(outcome) };
-        self.dispatcher.complete_attempt(attempt, result, self.now, &mut self.timers);
+        let result = AttemptResult {
+            body,
+            ..AttemptResult::without_body(outcome)
+        };
+        self.dispatcher
+            .complete_attempt(attempt, result, self.now, &mut self.timers);
     }
 
     fn abort(&mut self, attempt: AttemptId, outcome: Outcome) {
-        self.dispatcher.abort_attempt(attempt, outcome, self.now, &mut self.timers);
+        self.dispatcher
+            .abort_attempt(attempt, outcome, self.now, &mut self.timers);
     }
 }
 
@@ -207,7 +253,10 @@
     harness.update_endpoint(endpoint("n", 0, EndpointStatus::Removed));
     assert!(!harness.dispatcher.may_write(node, drained_at + 490 * MS));
     harness.now = drained_at + 500 * MS;
-    harness.update_endpoint(EndpointRecord { started_at: Some(drained_at), ..in_service("n", 0) });
+    harness.update_endpoint(EndpointRecord {
+        started_at: Some(drained_at),
+        ..in_service("n", 0)
+    });
     assert!(harness.dispatcher.may_write(node, drained_at + 501 * MS));
 }
 
@@ -218,12 +267,18 @@
 fn assert_within_slow_start_budget(dispatched_at: &[Micros], restarted_at: Micros) {
     for at in dispatched_at {
         let window = *at..at + 2_000 * MS;
-        let units = dispatched_at.iter().filter(|other| window.contains(other)).count();
+        let units = dispatched_at
+            .iter()
+            .filter(|other| window.contains(other))
+            .count();
         // The node's guaranteed capacity grows from 0.2 of the full one to all of it within 17 s. Each window
         // counts with the capacity at its start.
         let grown = (at - restarted_at).max(0) as f64 / (17_000 * MS) as f64;
         let budget = SLOW_START_UNITS * (0.2 + 0.8 * grown) / 0.2;
-        assert!(units as f64 <= budget, "{units} units within 2 s of a restart, the node takes {budget}");
+        assert!(
+            units as f64 <= budget,
+            "{units} units within 2 s of a restart, the node takes {budget}"
+        );
     }
 }
 
@@ -235,7 +290,10 @@
         // Without reservations nothing may exceed the guaranteed capacity of a node that warms up.
         settings.plans[0].reservation = 0.0;
     });
-    let mut harness = Harness::new(&settings, &[in_service("steady", 0), in_service("restarted", 1)]);
+    let mut harness = Harness::new(
+        &settings,
+        &[in_service("steady", 0), in_service("restarted", 1)],
+    );
     let restarted_at = harness.now + 300 * MS;
     let mut submitted_slots = Vec::new();
     let mut responses_by_slot = BTreeMap::<u64, u32>::new();
@@ -249,7 +307,10 @@
         }
         if round == 30 {
             let started_at = Some(restarted_at);
-            harness.update_endpoint(EndpointRecord { started_at, ..in_service("restarted", 1) });
+            harness.update_endpoint(EndpointRecord {
+                started_at,
+                ..in_service("restarted", 1)
+            });
         }
         harness.run_turn();
         for attempt in harness.take_started_attempts() {
@@ -259,7 +320,14 @@
             // Attempts in flight when the node goes down are reset, the others are served.
             harness.mark_written(attempt.id);
             let goes_down = attempt.node == RESTARTED && round == 29;
-            harness.complete(attempt.id, if goes_down { Outcome::Reset } else { Outcome::Served });
+            harness.complete(
+                attempt.id,
+                if goes_down {
+                    Outcome::Reset
+                } else {
+                    Outcome::Served
+                },
+            );
         }
         for responded in harness.take_responses() {
             *responses_by_slot.entry(responded.slot).or_default() += 1;
@@ -267,9 +335,18 @@
         harness.advance(10 * MS);
     }
     assert_within_slow_start_budget(&dispatched_at, restarted_at);
-    assert!(!dispatched_at.is_empty(), "the restarted node gets its share");
-    assert_eq!(responses_by_slot.keys().copied().collect::<Vec<_>>(), submitted_slots);
-    assert!(responses_by_slot.values().all(|count| *count == 1), "{responses_by_slot:?}");
+    assert!(
+        !dispatched_at.is_empty(),
+        "the restarted node gets its share"
+    );
+    assert_eq!(
+        responses_by_slot.keys().copied().collect::<Vec<_>>(),
+        submitted_slots
+    );
+    assert!(
+        responses_by_slot.values().all(|count| *count == 1),
+        "{responses_by_slot:?}"
+    );
 }
 
 /// Nodes are replaced all day by new ones with new names, and clients name volumes that are never used again
@@ -282,33 +359,51 @@
         harness.submit(Operation::Read, Some(0));
         harness.run_turn();
         let attempt = harness.take_started_attempts()[0].id;
-        let removed = EndpointRecord { status: EndpointStatus::Removed, ..node(number - 1) };
+        let removed = EndpointRecord {
+            status: EndpointStatus::Removed,
+            ..node(number - 1)
+        };
         let (kind, records) = if number % 2 == 0 {
             (EndpointListEvent::Snapshot, vec![node(number)])
         } else {
             (EndpointListEvent::Delta, vec![removed, node(number)])
         };
-        harness.dispatcher.update_endpoints(kind, &records, harness.now);
-        assert!(harness.dispatcher.nodes().count() <= 2, "the removed node has an attempt in flight");
+        harness
+            .dispatcher
+            .update_endpoints(kind, &records, harness.now);
+        assert!(
+            harness.dispatcher.nodes().count() <= 2,
+            "the removed node has an attempt in flight"
+        );
         harness.mark_written(attempt);
         harness.complete(attempt, Outcome::Served);
         harness.run_turn();
         let responses = harness.take_responses();
-        let served = responses.iter().filter(|responded| matches!(responded.response, Response::Served(_)));
+        let served = responses
+            .iter()
+            .filter(|responded| matches!(responded.response, Response::Served(_)));
         assert_eq!(served.count(), 1);
         for _ in 0..3 {
             let unknown_shard = Some(1_000_000 + harness.submitted);
             let request = harness.new_request(Operation::Read, unknown_shard);
-            harness.submit_request(StorageRequest { volume: 1_000_000 + number, ..request });
+            harness.submit_request(StorageRequest {
+                volume: 1_000_000 + number,
+                ..request
+            });
         }
         harness.advance(2_000 * MS);
         let _ = harness.take_started_attempts();
     }
     harness.advance(100_000 * MS);
-    harness.dispatcher.update_endpoints(EndpointListEvent::Delta, &[], harness.now);
+    harness
+        .dispatcher
+        .update_endpoints(EndpointListEvent::Delta, &[], harness.now);
     harness.advance(MS);
     let sizes = harness.dispatcher.state_sizes();
-    assert!(sizes.nodes <= 1 && sizes.shards <= 1 && sizes.volumes <= 1, "{sizes:?}");
+    assert!(
+        sizes.nodes <= 1 && sizes.shards <= 1 && sizes.volumes <= 1,
+        "{sizes:?}"
+    );
     assert!(harness.dispatcher.volume_counters().len() <= 2_000);
 }
 
@@ -323,7 +418,10 @@
     let responses = harness.take_responses();
     assert_eq!(responses.len(), 1);
     assert_eq!(responses[0].slot, duplicate.slot);
-    assert_eq!(responses[0].response, Response::Invalid(InvalidRequest::DuplicateClientRequestId));
+    assert_eq!(
+        responses[0].response,
+        Response::Invalid(InvalidRequest::DuplicateClientRequestId)
+    );
     let attempt = harness.take_started_attempts()[0].id;
     harness.complete(attempt, Outcome::Served);
     harness.run_turn();
@@ -333,7 +431,11 @@
     assert!(matches!(responses[0].response, Response::Served(_)));
     harness.submit_request(request);
     harness.run_turn();
-    assert_eq!(harness.take_started_attempts().len(), 1, "an id is free again after its response");
+    assert_eq!(
+        harness.take_started_attempts().len(),
+        1,
+        "an id is free again after its response"
+    );
 }
 
 #[test]
@@ -353,7 +455,10 @@
     let responses = harness.take_responses();
     assert_eq!(responses.len(), 5);
     for Responded { slot, response } in responses {
-        assert!(slot > capacity as u64, "request {slot} is within the budget");
+        assert!(
+            slot > capacity as u64,
+            "request {slot} is within the budget"
+        );
         assert!(matches!(response, Response::Rejected { retry_after } if retry_after > 0));
     }
 }
@@ -370,8 +475,16 @@
     assert!(harness.dispatcher.is_awaiting(id));
     harness.advance(1);
     assert!(!harness.dispatcher.is_awaiting(id));
-    let abandoned = |command: &Command| matches!(command, Command::AbandonAttempt(attempt) if *attempt == id);
-    assert_eq!(harness.commands.iter().filter(|command| abandoned(command)).count(), 1);
+    let abandoned =
+        |command: &Command| matches!(command, Command::AbandonAttempt(attempt) if *attempt == id);
+    assert_eq!(
+        harness
+            .commands
+            .iter()
+            .filter(|command| abandoned(command))
+            .count(),
+        1
+    );
 }
 
 /// A request that waits for a node is dropped when its client disconnects.
@@ -383,12 +496,17 @@
     let first = harness.submit_request(request.clone());
     harness.run_turn();
     assert_eq!(harness.dispatcher.open_requests(), 1);
-    harness.dispatcher.client_disconnected(first.id, harness.now, &mut harness.timers);
+    harness
+        .dispatcher
+        .client_disconnected(first.id, harness.now, &mut harness.timers);
     harness.run_turn();
     assert_eq!(harness.dispatcher.open_requests(), 0);
     harness.submit_request(request);
     harness.run_turn();
-    assert!(harness.take_responses().is_empty(), "the second request is in flight");
+    assert!(
+        harness.take_responses().is_empty(),
+        "the second request is in flight"
+    );
     assert_eq!(harness.dispatcher.open_requests(), 1);
 }
 
@@ -400,11 +518,17 @@
     }
     for volume in 0..2_500 {
         let request = harness.new_request(Operation::Read, Some(0));
-        harness.submit_request(StorageRequest { volume: 1_000_000 + volume, ..request });
+        harness.submit_request(StorageRequest {
+            volume: 1_000_000 + volume,
+            ..request
+        });
     }
     let counters = harness.dispatcher.volume_counters();
     assert!(counters.len() <= 2_000);
-    assert_eq!(counters[&DEFAULT_VOLUME].received, 2, "the volume with the most requests keeps its counters");
+    assert_eq!(
+        counters[&DEFAULT_VOLUME].received, 2,
+        "the volume with the most requests keeps its counters"
+    );
 }
 
 /// Random requests, disconnects, drains and results, checked against what the dispatcher promises.
@@ -427,8 +551,11 @@
     const NODES: [&'static str; 3] = ["a", "b", "c"];
 
     fn new(seed: u64) -> RandomLoad {
-        let endpoints: Vec<EndpointRecord> =
-            Self::NODES.iter().zip(0..).map(|(name, shard)| in_service(name, shard)).collect();
+        let endpoints: Vec<EndpointRecord> = Self::NODES
+            .iter()
+            .zip(0..)
+            .map(|(name, shard)| in_service(name, shard))
+            .collect();
         RandomLoad {
             seed,
             random: RandomNumbers::new(seed),
@@ -449,17 +576,24 @@
 
     /// Submits a request; the client of one in twelve disconnects at once.
     fn submit(&mut self) {
-        let operation = if self.one_in(3) { Operation::Write } else { Operation::Read };
+        let operation = if self.one_in(3) {
+            Operation::Write
+        } else {
+            Operation::Read
+        };
         let shard = self.random.below(3);
         let shard = if self.one_in(4) { None } else { Some(shard) };
         let Submitted { slot, id } = self.harness.submit(operation, shard);
-        self.client_deadlines.insert(slot, self.harness.now + CLIENT_WAIT);
+        self.client_deadlines
+            .insert(slot, self.harness.now + CLIENT_WAIT);
         if operation == Operation::Write {
             self.writes.insert(id);
         }
         if self.one_in(12) {
             let harness = &mut self.harness;
-            harness.dispatcher.client_disconnected(id, harness.now, &mut harness.timers);
+            harness
+                .dispatcher
+                .client_disconnected(id, harness.now, &mut harness.timers);
             self.disconnected.insert(slot);
         }
     }
@@ -471,18 +605,29 @@
         if drains {
             self.draining.insert(node);
         }
-        let status = if drains { EndpointStatus::Draining } else { EndpointStatus::InService };
-        self.harness.update_endpoint(endpoint(Self::NODES[node as usize], node, status));
+        let status = if drains {
+            EndpointStatus::Draining
+        } else {
+            EndpointStatus::InService
+        };
+        self.harness
+            .update_endpoint(endpoint(Self::NODES[node as usize], node, status));
     }
 
     /// Checks the attempts started and writes most of them to their node.
     fn write_started_attempts(&mut self) {
         let seed = self.seed;
         for StartedAttempt { id, node, .. } in self.harness.take_started_attempts() {
-            assert!(!self.draining.contains(&node.0), "seed {seed}: an attempt at a draining node");
+            assert!(
+                !self.draining.contains(&node.0),
+                "seed {seed}: an attempt at a draining node"
+            );
             let is_write = self.writes.contains(&id.request);
             let repeated = is_write && self.may_have_run.contains(&id.request);
-            assert!(!repeated, "seed {seed}: a write that may have run is dispatched again");
+            assert!(
+                !repeated,
+                "seed {seed}: a write that may have run is dispatched again"
+            );
             if !self.one_in(4) {
                 self.harness.mark_written(id);
                 self.may_have_run.insert(id.request);
@@ -519,8 +664,14 @@
                 panic!("seed {seed}: a second response to {slot}");
             };
             let disconnected = self.disconnected.contains(&slot);
-            assert!(!disconnected, "seed {seed}: a response to {slot}, whose client has disconnected");
-            assert!(self.harness.now <= client_deadline + 20 * MS, "seed {seed}: {slot} is late");
+            assert!(
+                !disconnected,
+                "seed {seed}: a response to {slot}, whose client has disconnected"
+            );
+            assert!(
+                self.harness.now <= client_deadline + 20 * MS,
+                "seed {seed}: {slot} is late"
+            );
         }
     }
 
@@ -551,8 +702,13 @@
                 self.harness.complete(attempt.id, Outcome::ConnectFailed);
             }
         }
-        self.client_deadlines.retain(|slot, _| !self.disconnected.contains(slot));
-        assert!(self.client_deadlines.is_empty(), "seed {seed}: no response to {:?}", self.client_deadlines);
+        self.client_deadlines
+            .retain(|slot, _| !self.disconnected.contains(slot));
+        assert!(
+            self.client_deadlines.is_empty(),
+            "seed {seed}: no response to {:?}",
+            self.client_deadlines
+        );
         assert_eq!(self.harness.dispatcher.open_requests(), 0);
     }
 }
--- a/crates/gateway/tests/harness/cluster.rs
+++ b/crates/gateway/tests/harness/cluster.rs
@@ -69,7 +69,13 @@
         let discovery = DiscoveryService::new();
         let gateway = Gateway::start(&[&node_a, &node_b], &discovery, edit_config);
         let watch = discovery.accept_watch_and_send(2, &[node_a.in_service(), node_b.in_service()]);
-        let mut cluster = Self { node_a, node_b, discovery, watch, gateway };
+        let mut cluster = Self {
+            node_a,
+            node_b,
+            discovery,
+            watch,
+            gateway,
+        };
         cluster.wait_for_list_of_both_nodes();
         cluster
     }
@@ -87,8 +93,15 @@
         gateway.wait_for_log(log_lines::CONNECTION_REFUSED);
         let result = meanwhile(&gateway);
         discovery.listen_again();
-        let watch = discovery.accept_watch_and_send(2, &[node_a.in_service(), node_b.terminating()]);
-        let mut cluster = Self { node_a, node_b, discovery, watch, gateway };
+        let watch =
+            discovery.accept_watch_and_send(2, &[node_a.in_service(), node_b.terminating()]);
+        let mut cluster = Self {
+            node_a,
+            node_b,
+            discovery,
+            watch,
+            gateway,
+        };
         cluster.wait_for_list_of_both_nodes();
         (cluster, result)
     }
@@ -132,7 +145,10 @@
     /// that one drains, the write waits for node A. Completes both requests.
     #[track_caller]
     pub fn expect_new_object_avoids_node_b(&self, read: InFlightRead) {
-        let InFlightRead { client: mut reader, mut node } = read;
+        let InFlightRead {
+            client: mut reader,
+            mut node,
+        } = read;
         let mut writer = self.gateway.connect_and_send_at_once(write_request("w1"));
         self.gateway.wait_until_input_is_processed();
         node.respond("read");
--- a/crates/gateway/tests/harness/config.rs
+++ b/crates/gateway/tests/harness/config.rs
@@ -68,7 +68,11 @@
 
 /// Connections to nodes may take long to be established.
 pub fn with_long_connect_timeout(config: &str) -> String {
-    replace_setting(config, "\"connect_timeout_ms\": 1000", "\"connect_timeout_ms\": 8000")
+    replace_setting(
+        config,
+        "\"connect_timeout_ms\": 1000",
+        "\"connect_timeout_ms\": 8000",
+    )
 }
 
 /// Of the file descriptors, clients may hold 24.
@@ -88,7 +92,11 @@
 
 /// A node that drains may be sent to for a shorter time.
 pub fn with_short_drain_grace(config: &str) -> String {
-    replace_setting(config, "\"stop_sending_within_ms\": 500", "\"stop_sending_within_ms\": 100")
+    replace_setting(
+        config,
+        "\"stop_sending_within_ms\": 500",
+        "\"stop_sending_within_ms\": 100",
+    )
 }
 
 /// An agent pushes endpoint lists.
