--- a/crates/gateway/tests/harness/connection.rs
+++ b/crates/gateway/tests/harness/connection.rs
@@ -32,20 +32,30 @@
     /// Accepts the next connection, which must come in time.
     pub fn accept(listener: &TcpListener) -> Self {
         let mut ready = [PollFd::new(listener, PollFlags::IN)];
-        let timeout = Timespec { tv_sec: TEST_TIMEOUT.as_secs().cast_signed(), tv_nsec: 0 };
+        let timeout = Timespec {
+            tv_sec: TEST_TIMEOUT.as_secs().cast_signed(),
+            tv_nsec: 0,
+        };
         assert_eq!(poll(&mut ready, Some(&timeout)), Ok(1), "nobody connects");
         Self::new(listener.accept().expect("a connection").0)
     }
 
     fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a valid timeout");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a valid timeout");
         stream.set_nodelay(true).expect("a socket option");
-        Self { stream, input: Vec::new() }
+        Self {
+            stream,
+            input: Vec::new(),
+        }
     }
 
     /// Sends bytes.
     pub fn send(&mut self, bytes: impl AsRef<[u8]>) {
-        self.stream.write_all(bytes.as_ref()).expect("the other side is connected");
+        self.stream
+            .write_all(bytes.as_ref())
+            .expect("the other side is connected");
     }
 
     /// Sends bytes to a side that may have closed the connection.
@@ -80,7 +90,12 @@
     /// Reads more, which must come.
     fn read_more(&mut self) {
         let end = self.read_once();
-        assert_eq!(end, None, "the connection ended with {}", self.input.escape_ascii());
+        assert_eq!(
+            end,
+            None,
+            "the connection ended with {}",
+            self.input.escape_ascii()
+        );
     }
 
     /// Waits for one RESP value (see [`decode_value`] for its form).
@@ -123,21 +138,31 @@
     #[track_caller]
     pub fn expect_busy(&mut self) {
         let value = self.receive_value();
-        assert!(value.starts_with("-BUSY"), "the request is rejected: {value}");
+        assert!(
+            value.starts_with("-BUSY"),
+            "the request is rejected: {value}"
+        );
     }
 
     /// As a node: the next request is the client's with this id.
     #[track_caller]
     pub fn expect_request(&mut self, id: &str) -> String {
         let request = self.receive_value();
-        assert!(request.contains(&format!(" {id} ")), "the request {id} is forwarded next: {request}");
+        assert!(
+            request.contains(&format!(" {id} ")),
+            "the request {id} is forwarded next: {request}"
+        );
         request
     }
 
     /// Waits for the end of the connection, before which nothing more may be received; returns how it ended.
     pub fn wait_for_end(&mut self) -> ConnectionEnd {
         loop {
-            assert!(self.input.is_empty(), "received: {}", self.input.escape_ascii());
+            assert!(
+                self.input.is_empty(),
+                "received: {}",
+                self.input.escape_ascii()
+            );
             if let Some(end) = self.read_once() {
                 return end;
             }
@@ -164,6 +189,7 @@
 
     /// Ends the connection with a reset.
     pub fn reset(self) {
-        rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO)).expect("a socket option");
+        rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO))
+            .expect("a socket option");
     }
 }
--- a/crates/gateway/tests/harness/discovery.rs
+++ b/crates/gateway/tests/harness/discovery.rs
@@ -25,7 +25,12 @@
 
 /// An entry as JSON.
 pub fn endpoint_entry(entry: &EndpointEntry) -> String {
-    let EndpointEntry { name, address, shard, status } = entry;
+    let EndpointEntry {
+        name,
+        address,
+        shard,
+        status,
+    } = entry;
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"a","group":{shard},"status":"{status}","since_ms":0}}"#
     )
@@ -43,7 +48,10 @@
 /// An endpoint list, or changes to one, as JSON.
 pub fn endpoint_list(index: u64, kind: UpdateKind, entries: &[String]) -> String {
     let snapshot = kind == UpdateKind::Snapshot;
-    format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
+        entries.join(",")
+    )
 }
 
 /// A message of a watch: a list or a change as one line.
@@ -75,7 +83,10 @@
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("it listens");
-        Self { listener: Some(listener), address }
+        Self {
+            listener: Some(listener),
+            address,
+        }
     }
 
     /// A service that refuses connections until [`Self::listen_again`].
@@ -104,13 +115,19 @@
     pub fn accept_watch(&self) -> OpenedWatch {
         let mut connection = Connection::accept(self.listener.as_ref().expect("it listens"));
         let request_line = connection.receive_request_line();
-        OpenedWatch { connection, request_line }
+        OpenedWatch {
+            connection,
+            request_line,
+        }
     }
 
     /// Accepts the next watch, which must ask for the events after this index.
     #[track_caller]
     pub fn accept_watch_from(&self, index: u64) -> Connection {
-        let OpenedWatch { connection, request_line } = self.accept_watch();
+        let OpenedWatch {
+            connection,
+            request_line,
+        } = self.accept_watch();
         let wanted = format!("from={index}");
         assert!(request_line.contains(&wanted), "{request_line}");
         connection
--- a/crates/gateway/tests/harness/gateway.rs
+++ b/crates/gateway/tests/harness/gateway.rs
@@ -42,10 +42,19 @@
         let directory = TestDirectory::new();
         let path = directory.write(CONFIG_FILE, &config);
         let mut command = Command::new(GATEWAY_PROGRAM);
-        command.env("ROUTER_CONFIG", path).stdin(Stdio::null()).stdout(Stdio::null());
+        command
+            .env("ROUTER_CONFIG", path)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null());
         let mut process = GatewayProcess::spawn(&mut command);
         let address = process.wait_for_resp_listener();
-        Self { process, directory, address, config, discovery: discovery.address() }
+        Self {
+            process,
+            directory,
+            address,
+            config,
+            discovery: discovery.address(),
+        }
     }
 
     /// Waits for a log line that contains the text (see [`log_lines`]).
@@ -94,16 +103,22 @@
     /// paused gateway: what becomes ready after that is handled in the next iteration. Needs a gateway with
     /// many sockets.
     pub fn connect_clients_for_a_full_iteration(&self) -> Vec<Connection> {
-        (0..CLIENTS_OF_A_FULL_ITERATION).map(|_| self.connect_idle_client()).collect()
+        (0..CLIENTS_OF_A_FULL_ITERATION)
+            .map(|_| self.connect_idle_client())
+            .collect()
     }
 
     /// As [`Self::connect_clients_for_a_full_iteration`], with clients that have sent the first half of a
     /// request: a gateway that drains does not close their connections.
-    pub fn connect_unfinished_clients_for_a_full_iteration(&self, first_half: &str) -> Vec<Connection> {
+    pub fn connect_unfinished_clients_for_a_full_iteration(
+        &self,
+        first_half: &str,
+    ) -> Vec<Connection> {
         let mut clients = Vec::new();
         while clients.len() < CLIENTS_OF_A_FULL_ITERATION {
             self.pause();
-            clients.extend((0..MAX_ACCEPTED_PER_ITERATION).map(|_| self.connect_and_send(first_half)));
+            clients
+                .extend((0..MAX_ACCEPTED_PER_ITERATION).map(|_| self.connect_and_send(first_half)));
             self.resume();
             self.wait_until_input_is_processed();
         }
@@ -160,7 +175,11 @@
     /// Writes another address of discovery into the configuration file.
     pub fn write_discovery_address(&mut self, discovery: &DiscoveryService) {
         let address = discovery.address();
-        self.config = replace_setting(&self.config, &self.discovery.to_string(), &address.to_string());
+        self.config = replace_setting(
+            &self.config,
+            &self.discovery.to_string(),
+            &address.to_string(),
+        );
         self.discovery = address;
         self.directory.write(CONFIG_FILE, &self.config);
     }
--- a/crates/gateway/tests/harness/gateway_process.rs
+++ b/crates/gateway/tests/harness/gateway_process.rs
@@ -21,7 +21,10 @@
 impl GatewayProcess {
     /// Starts the process and a thread that reads its log from the standard error stream.
     pub fn spawn(command: &mut Command) -> Self {
-        let mut child = command.stderr(Stdio::piped()).spawn().expect("the gateway starts");
+        let mut child = command
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the gateway starts");
         let lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         let (sender, log) = channel();
         std::thread::spawn(move || {
@@ -50,7 +53,8 @@
         loop {
             let remaining = TEST_TIMEOUT.saturating_sub(started.elapsed());
             let line = self.log.recv_timeout(remaining);
-            let line = line.unwrap_or_else(|error| panic!("the log has no line with {text:?}: {error}"));
+            let line =
+                line.unwrap_or_else(|error| panic!("the log has no line with {text:?}: {error}"));
             if line.contains(text) {
                 return line;
             }
@@ -82,7 +86,10 @@
     pub fn pause(&self) {
         self.send_signal(Signal::STOP);
         let stopped = waitpid(Some(self.pid), WaitOptions::UNTRACED).expect("a child process");
-        assert!(stopped.is_some_and(|(_, status)| status.stopped()), "the process still runs");
+        assert!(
+            stopped.is_some_and(|(_, status)| status.stopped()),
+            "the process still runs"
+        );
     }
 
     /// Lets a paused process go on (SIGCONT).
--- a/crates/gateway/tests/harness/node.rs
+++ b/crates/gateway/tests/harness/node.rs
@@ -20,7 +20,11 @@
     /// Listens at a free port.
     pub fn new(name: &'static str, shard: u64) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        Self { name, shard, listener }
+        Self {
+            name,
+            shard,
+            listener,
+        }
     }
 
     fn address(&self) -> SocketAddr {
@@ -43,11 +47,19 @@
     /// The gateway has opened no connection but those accepted.
     #[track_caller]
     pub fn expect_no_further_connection(&self) {
-        self.listener.set_nonblocking(true).expect("a socket option");
+        self.listener
+            .set_nonblocking(true)
+            .expect("a socket option");
         let accepted = self.listener.accept();
-        self.listener.set_nonblocking(false).expect("a socket option");
+        self.listener
+            .set_nonblocking(false)
+            .expect("a socket option");
         let none = accepted.is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
-        assert!(none, "node {} has a connection that the test did not expect", self.name);
+        assert!(
+            none,
+            "node {} has a connection that the test did not expect",
+            self.name
+        );
     }
 
     /// Keeps every new connection from being established, also one that has already been started, until the
@@ -55,7 +67,8 @@
     pub fn fill_accept_queue(&self) -> FilledAcceptQueue {
         rustix::net::listen(&self.listener, 0).expect("a listening socket");
         let address = self.address();
-        let mut queued = vec![TcpStream::connect(address).expect("an empty queue takes one connection")];
+        let mut queued =
+            vec![TcpStream::connect(address).expect("an empty queue takes one connection")];
         // A queue of length zero takes one connection; if the system grants more, fill these too.
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
             queued.push(stream);
@@ -65,8 +78,11 @@
 
     /// Removes the connections that filled the queue, and takes new ones again.
     pub fn empty_accept_queue(&self, queue: &FilledAcceptQueue) {
-        let queued: Vec<SocketAddr> =
-            queue.0.iter().map(|stream| stream.local_addr().expect("a connected socket")).collect();
+        let queued: Vec<SocketAddr> = queue
+            .0
+            .iter()
+            .map(|stream| stream.local_addr().expect("a connected socket"))
+            .collect();
         for _ in &queued {
             let (_, peer) = self.listener.accept().expect("a connection of the queue");
             assert!(queued.contains(&peer), "the queue was not full");
@@ -76,7 +92,12 @@
 
     /// The node's entry in an endpoint list.
     pub fn entry(&self, status: &str) -> String {
-        endpoint_entry(&EndpointEntry { name: self.name, address: self.address(), shard: self.shard, status })
+        endpoint_entry(&EndpointEntry {
+            name: self.name,
+            address: self.address(),
+            shard: self.shard,
+            status,
+        })
     }
 
     /// Its entry when it serves.
--- a/crates/gateway/tests/harness/requests.rs
+++ b/crates/gateway/tests/harness/requests.rs
@@ -14,7 +14,10 @@
     /// Splits a request in the middle.
     pub fn new(request: &str) -> Self {
         let (first_half, second_half) = request.split_at(request.len() / 2);
-        Self { first_half: first_half.to_owned(), second_half: second_half.to_owned() }
+        Self {
+            first_half: first_half.to_owned(),
+            second_half: second_half.to_owned(),
+        }
     }
 }
 
@@ -49,7 +52,12 @@
 
 /// The milliseconds that a forwarded request leaves its node.
 pub fn forwarded_deadline_ms(request: &str) -> u128 {
-    let (_, options) = request.split_once(",d=").expect("the request has a deadline");
-    let deadline = options.split(',').next().expect("split gives at least one part");
+    let (_, options) = request
+        .split_once(",d=")
+        .expect("the request has a deadline");
+    let deadline = options
+        .split(',')
+        .next()
+        .expect("split gives at least one part");
     deadline.parse().expect("milliseconds")
 }
--- a/crates/gateway/tests/harness/resp.rs
+++ b/crates/gateway/tests/harness/resp.rs
@@ -2,7 +2,10 @@
 
 /// An array of bulk strings.
 pub fn encode_array(words: &[&str]) -> String {
-    let bulk_strings: String = words.iter().map(|word| format!("${}\r\n{word}\r\n", word.len())).collect();
+    let bulk_strings: String = words
+        .iter()
+        .map(|word| format!("${}\r\n{word}\r\n", word.len()))
+        .collect();
     format!("*{}\r\n{bulk_strings}", words.len())
 }
 
@@ -15,14 +18,19 @@
 /// Decodes one value from `position` on and moves `position` behind it: a string's content, an array's
 /// elements joined by spaces, or the whole line of any other type. `None` until the value is complete.
 pub fn decode_value(input: &[u8], position: &mut usize) -> Option<String> {
-    let line_end = *position + input.get(*position..)?.windows(2).position(|pair| pair == b"\r\n")?;
+    let line_end = *position
+        + input
+            .get(*position..)?
+            .windows(2)
+            .position(|pair| pair == b"\r\n")?;
     let line = String::from_utf8_lossy(&input[*position..line_end]).into_owned();
     *position = line_end + 2;
     let length = || line[1..].parse::<usize>().expect("a length");
     match line.as_bytes()[0] {
         b'*' => {
-            let elements: Option<Vec<String>> =
-                (0..length()).map(|_| decode_value(input, position)).collect();
+            let elements: Option<Vec<String>> = (0..length())
+                .map(|_| decode_value(input, position))
+                .collect();
             Some(elements?.join(" "))
         }
         b'$' => {
--- a/crates/gateway/tests/idle_timeout.rs
+++ b/crates/gateway/tests/idle_timeout.rs
@@ -12,7 +12,9 @@
 #[test]
 fn connections_idle_beyond_the_estimate_are_not_reused() {
     let mut estimate = IdleTimeoutEstimate::new(MAX_IDLE_TIMEOUT);
-    assert!(estimate.allows_non_idempotent(10_000 * MS) && !estimate.allows_non_idempotent(11_000 * MS));
+    assert!(
+        estimate.allows_non_idempotent(10_000 * MS) && !estimate.allows_non_idempotent(11_000 * MS)
+    );
     estimate.record_reset(200 * MS, 80 * MS);
     estimate.record_reset(5 * MS, MS);
     assert_eq!(
@@ -27,15 +29,27 @@
     for _ in 0..100 {
         estimate.record_response(10 * MS);
     }
-    assert_eq!(estimate.max_idle_time(), 150 * MS, "responses on busy connections say nothing");
+    assert_eq!(
+        estimate.max_idle_time(),
+        150 * MS,
+        "responses on busy connections say nothing"
+    );
     for _ in 0..100 {
         estimate.record_response(estimate.max_idle_time());
     }
     assert_eq!(estimate.max_idle_time(), MAX_IDLE_TIMEOUT);
     estimate.record_reset(200 * MS, MS);
-    assert_eq!(estimate.max_idle_time(), MAX_IDLE_TIMEOUT, "longer idle times did no harm");
+    assert_eq!(
+        estimate.max_idle_time(),
+        MAX_IDLE_TIMEOUT,
+        "longer idle times did no harm"
+    );
     for _ in 0..10 {
         estimate.record_reset(200 * MS, MS);
     }
-    assert_eq!(estimate.max_idle_time(), 150 * MS, "repeated resets outweigh them");
+    assert_eq!(
+        estimate.max_idle_time(),
+        150 * MS,
+        "repeated resets outweigh them"
+    );
 }
--- a/crates/gateway/tests/node_protocols.rs
+++ b/crates/gateway/tests/node_protocols.rs
@@ -23,19 +23,39 @@
 impl ComparedResult {
     /// A read that was served with this value.
     fn served(text: &str, utilization: Option<f64>, remote_units: f64) -> ComparedResult {
-        ComparedResult { outcome: Outcome::Served, body: value(text), utilization, remote_units }
+        ComparedResult {
+            outcome: Outcome::Served,
+            body: value(text),
+            utilization,
+            remote_units,
+        }
     }
 
     /// An attempt that the node rejected or failed, without a load report.
     fn unserved(outcome: Outcome, remote_units: f64) -> ComparedResult {
-        ComparedResult { outcome, body: None, utilization: None, remote_units }
+        ComparedResult {
+            outcome,
+            body: None,
+            utilization: None,
+            remote_units,
+        }
     }
 }
 
 impl From<AttemptResult> for ComparedResult {
     fn from(result: AttemptResult) -> ComparedResult {
-        let AttemptResult { outcome, body, remote_units, utilization } = result;
-        ComparedResult { outcome, body, utilization, remote_units }
+        let AttemptResult {
+            outcome,
+            body,
+            remote_units,
+            utilization,
+        } = result;
+        ComparedResult {
+            outcome,
+            body,
+            utilization,
+            remote_units,
+        }
     }
 }
 
@@ -59,9 +79,15 @@
 fn resp_exchange(response: &str) -> Result<ComparedResult, ProtocolError> {
     let mut protocol = RespProtocol::new(MAX_VALUE_BYTES);
     let mut output = Vec::new();
-    let bytes_without_effect = protocol.encode_request(&storage_request(Operation::Read), 480, &mut output);
-    assert_eq!(bytes_without_effect + 1, output.len(), "it has not run before its last byte has left");
-    let command = "*4\r\n$5\r\nIO.IN\r\n$16\r\n00000000000000ab\r\n$1\r\nx\r\n$19\r\nc=read,d=480,t=gold\r\n";
+    let bytes_without_effect =
+        protocol.encode_request(&storage_request(Operation::Read), 480, &mut output);
+    assert_eq!(
+        bytes_without_effect + 1,
+        output.len(),
+        "it has not run before its last byte has left"
+    );
+    let command =
+        "*4\r\n$5\r\nIO.IN\r\n$16\r\n00000000000000ab\r\n$1\r\nx\r\n$19\r\nc=read,d=480,t=gold\r\n";
     assert_eq!(String::from_utf8_lossy(&output), command);
     decode_byte_by_byte(&mut protocol, response.as_bytes()).map(ComparedResult::from)
 }
@@ -74,10 +100,19 @@
 #[test]
 fn resp_response_is_decoded_with_its_cost_and_load_report() {
     let with_report = "*3\r\n$2\r\nv\r\r\n$14\r\nused=37,cost=4\r\n$7\r\nqueue=2\r\n";
-    assert_eq!(resp_exchange(with_report), Ok(ComparedResult::served("v\r", Some(0.37), 4.0)));
+    assert_eq!(
+        resp_exchange(with_report),
+        Ok(ComparedResult::served("v\r", Some(0.37), 4.0))
+    );
     let without_report = "*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n";
-    assert_eq!(resp_exchange(without_report), Ok(ComparedResult::served("", None, 0.0)));
-    assert_eq!(resp_exchange("-BUSY\r\n"), Ok(ComparedResult::unserved(Outcome::Overloaded, 0.0)));
+    assert_eq!(
+        resp_exchange(without_report),
+        Ok(ComparedResult::served("", None, 0.0))
+    );
+    assert_eq!(
+        resp_exchange("-BUSY\r\n"),
+        Ok(ComparedResult::unserved(Outcome::Overloaded, 0.0))
+    );
     assert_eq!(
         resp_exchange("-ERR failed cost=2 queue=1\r\n"),
         Ok(ComparedResult::unserved(Outcome::Error, 2.0))
@@ -87,10 +122,17 @@
 #[test]
 fn resp_load_report_that_is_unreadable_or_absurd_leaves_the_value_served() {
     let served = Ok(ComparedResult::served("v", None, 0.0));
-    let reports =
-        ["$9\r\nused=1e99\r\n:1\r\n", "*1\r\n$1\r\nx\r\n-what\r\n", "$9\r\ncost=none\r\n$0\r\n\r\n"];
+    let reports = [
+        "$9\r\nused=1e99\r\n:1\r\n",
+        "*1\r\n$1\r\nx\r\n-what\r\n",
+        "$9\r\ncost=none\r\n$0\r\n\r\n",
+    ];
     for report in reports {
-        assert_eq!(resp_exchange(&format!("*3\r\n$1\r\nv\r\n{report}")), served, "{report:?}");
+        assert_eq!(
+            resp_exchange(&format!("*3\r\n$1\r\nv\r\n{report}")),
+            served,
+            "{report:?}"
+        );
     }
     let mut protocol = RespProtocol::new(MAX_VALUE_BYTES);
     protocol.encode_request(&storage_request(Operation::Read), 1, &mut Vec::new());
@@ -115,7 +157,11 @@
         "*3\r\n$1\r\nab\r\n",
     ];
     for response in malformed {
-        assert_eq!(resp_exchange(response).err(), Some(ProtocolError), "{response:?}");
+        assert_eq!(
+            resp_exchange(response).err(),
+            Some(ProtocolError),
+            "{response:?}"
+        );
     }
 }
 
@@ -134,11 +180,21 @@
             if decoded.is_err() {
                 break;
             }
-            let expected_buffer = if matches!(decoded, Ok(None)) { text.len() } else { 0 };
+            let expected_buffer = if matches!(decoded, Ok(None)) {
+                text.len()
+            } else {
+                0
+            };
             assert_eq!(protocol.buffered_bytes(), expected_buffer);
         }
-        let value_is_whole = decoded.map(|result| result.and_then(|result| result.body) == value(&text)).ok();
-        assert_eq!(value_is_whole, accepted.then_some(true), "{max_value_bytes}");
+        let value_is_whole = decoded
+            .map(|result| result.and_then(|result| result.body) == value(&text))
+            .ok();
+        assert_eq!(
+            value_is_whole,
+            accepted.then_some(true),
+            "{max_value_bytes}"
+        );
     }
 }
 
@@ -147,7 +203,9 @@
 fn unsolicited_resp_response_is_a_protocol_error() {
     for unsolicited in [&b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"[..], b"*"] {
         let mut protocol = RespProtocol::new(MAX_VALUE_BYTES);
-        assert!(protocol.decode(&mut unsolicited.to_vec(), &mut Vec::new()).is_err());
+        assert!(protocol
+            .decode(&mut unsolicited.to_vec(), &mut Vec::new())
+            .is_err());
     }
 }
 
@@ -168,11 +226,17 @@
     let flags = (open_flags::WRITE | open_flags::CREAT | open_flags::TRUNC).to_be_bytes();
     assert!(output.windows(4).any(|window| window == flags));
     // A response with the id of no command is ignored.
-    let mut input = Packet::with_id(packet_type::HANDLE, 77).string("h").finish();
+    let mut input = Packet::with_id(packet_type::HANDLE, 77)
+        .string("h")
+        .finish();
     assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
     // An object that does not exist is a complete result of a read.
     protocol.encode_request(&storage_request(Operation::Read), 1, &mut output);
-    let not_found = Packet::with_id(packet_type::STATUS, 2).u32(2).string("").string("").finish();
+    let not_found = Packet::with_id(packet_type::STATUS, 2)
+        .u32(2)
+        .string("")
+        .string("")
+        .finish();
     let result = decode_byte_by_byte(&mut protocol, &not_found);
     assert_eq!(result.expect("a result").body, Some(ResponseBody::NotFound));
     // The third packet exceeds the largest value: the read fails, and a CLOSE is sent.
@@ -180,13 +244,24 @@
     let mut input = Packet::with_id(packet_type::HANDLE, 3).string("h").finish();
     assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
     for id in 4..7 {
-        let mut input = Packet::with_id(packet_type::DATA, id).string(vec![0; 30 << 10]).finish();
-        let result = protocol.decode(&mut input, &mut output).expect("well formed");
+        let mut input = Packet::with_id(packet_type::DATA, id)
+            .string(vec![0; 30 << 10])
+            .finish();
+        let result = protocol
+            .decode(&mut input, &mut output)
+            .expect("well formed");
         let outcome = result.map(|result| result.outcome);
         assert_eq!(outcome, (id == 6).then_some(Outcome::Error), "packet {id}");
     }
     // The response to the CLOSE that nobody waits for is ignored once; a second copy of it is an error.
-    let closed = Packet::with_id(packet_type::STATUS, 7).u32(0).string("").string("").finish();
-    assert!(matches!(protocol.decode(&mut closed.clone(), &mut output), Ok(None)));
+    let closed = Packet::with_id(packet_type::STATUS, 7)
+        .u32(0)
+        .string("")
+        .string("")
+        .finish();
+    assert!(matches!(
+        protocol.decode(&mut closed.clone(), &mut output),
+        Ok(None)
+    ));
     assert!(protocol.decode(&mut closed.clone(), &mut output).is_err());
 }
--- a/crates/gateway/tests/races/client_close.rs
+++ b/crates/gateway/tests/races/client_close.rs
@@ -30,7 +30,9 @@
 fn close_behind_unread_requests_is_noticed() {
     let cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    let requests: String = (0..700).map(|number| read_request(&format!("g{number}"))).collect();
+    let requests: String = (0..700)
+        .map(|number| read_request(&format!("g{number}")))
+        .collect();
     let closing = cluster.gateway.connect_and_send(requests);
     cluster.gateway.wait_until_input_is_processed();
 
@@ -126,7 +128,9 @@
 #[test]
 fn attempt_dispatched_in_the_iteration_that_reveals_the_close_is_not_started() {
     let cluster = TestCluster::start_with(with_many_sockets);
-    let closing = cluster.gateway.connect_and_send(read_request("a1") + &read_request("a2"));
+    let closing = cluster
+        .gateway
+        .connect_and_send(read_request("a1") + &read_request("a2"));
     let mut node = cluster.node_a.accept_request("a1");
     let mut others = cluster.gateway.connect_clients_for_a_full_iteration();
 
--- a/crates/gateway/tests/races/discovery_watch.rs
+++ b/crates/gateway/tests/races/discovery_watch.rs
@@ -32,13 +32,19 @@
     let mut cluster = TestCluster::start();
     let event = watch_event(3, UpdateKind::Delta, &[cluster.node_b.terminating()]);
     let incomplete = &event[..event.len() / 2];
-    cluster.watch.send(format!("{:x}\r\n{incomplete}", event.len()));
+    cluster
+        .watch
+        .send(format!("{:x}\r\n{incomplete}", event.len()));
     cluster.gateway.wait_until_input_is_processed();
 
     cluster.watch.close();
     cluster.watch = cluster.discovery.accept_watch_from(2);
-    cluster.watch.send(CHUNKED_RESPONSE_HEAD.to_owned() + &encode_chunk(&event));
-    cluster.gateway.wait_for_log(log_lines::RECEIVED_ONE_ENDPOINT);
+    cluster
+        .watch
+        .send(CHUNKED_RESPONSE_HEAD.to_owned() + &encode_chunk(&event));
+    cluster
+        .gateway
+        .wait_for_log(log_lines::RECEIVED_ONE_ENDPOINT);
 
     cluster.expect_node_b_drains();
 }
--- a/crates/gateway/tests/races/idle_close.rs
+++ b/crates/gateway/tests/races/idle_close.rs
@@ -26,7 +26,9 @@
     let cluster = TestCluster::start_with(with_few_sockets);
     let mut oldest = cluster.gateway.connect_idle_client();
     // With the oldest, these are all the clients that the gateway has descriptors for.
-    let _others: Vec<Connection> = (0..23).map(|_| cluster.gateway.connect_idle_client()).collect();
+    let _others: Vec<Connection> = (0..23)
+        .map(|_| cluster.gateway.connect_idle_client())
+        .collect();
 
     cluster.gateway.pause();
     let mut new = cluster.gateway.connect();
@@ -47,7 +49,9 @@
     let mut cluster = TestCluster::start_with(|config| with_debug_log(&with_few_sockets(config)));
     let mut clients: Vec<Connection> = (0..17)
         .map(|number| {
-            let client = cluster.gateway.connect_and_send(read_request(&format!("a{number}")));
+            let client = cluster
+                .gateway
+                .connect_and_send(read_request(&format!("a{number}")));
             cluster.gateway.wait_until_input_is_processed();
             client
         })
@@ -55,7 +59,9 @@
     let mut node = cluster.node_a.accept();
 
     serve_request(&mut node, &mut clients[0], "a0", "v0");
-    cluster.gateway.wait_for_log(log_lines::IDLE_CONNECTION_EVICTED);
+    cluster
+        .gateway
+        .wait_for_log(log_lines::IDLE_CONNECTION_EVICTED);
     clients[0].expect_closed();
 
     // With one connection less they are within the limit: the next idle one is kept.
--- a/crates/gateway/tests/races/node_connections.rs
+++ b/crates/gateway/tests/races/node_connections.rs
@@ -1,13 +1,15 @@
 //! Responses, resets and late connections of nodes, against drains, deadlines and further requests.
 
 use crate::harness::cluster::{serve_request, TestCluster};
-use crate::harness::config::{with_long_connect_timeout, with_many_sockets, with_short_drain_grace};
+use crate::harness::config::{
+    with_long_connect_timeout, with_many_sockets, with_short_drain_grace,
+};
 use crate::harness::discovery::delta_chunk;
 use crate::harness::gateway::READ_SIZE;
 use crate::harness::node::StorageNode;
 use crate::harness::requests::{
-    read_request, read_request_of_another_object, read_request_with_deadline, value_response, write_request,
-    SplitRequest,
+    read_request, read_request_of_another_object, read_request_with_deadline, value_response,
+    write_request, SplitRequest,
 };
 
 /// A complete response and a reset are ready in one iteration of the event loop; the response came first.
@@ -49,7 +51,9 @@
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
     let request = SplitRequest::new(&write_request("w1"));
-    let mut writer = cluster.gateway.connect_with_partial_request(&request.first_half);
+    let mut writer = cluster
+        .gateway
+        .connect_with_partial_request(&request.first_half);
 
     cluster.drain_node_b();
     writer.send(request.second_half);
@@ -67,7 +71,9 @@
     let mut read = cluster.start_read("a1");
 
     cluster.gateway.pause();
-    cluster.watch.send(delta_chunk(3, &[cluster.node_a.terminated()]));
+    cluster
+        .watch
+        .send(delta_chunk(3, &[cluster.node_a.terminated()]));
     read.node.respond("one");
     cluster.gateway.resume();
 
@@ -78,7 +84,9 @@
 #[test]
 fn response_after_the_deadline_is_ignored() {
     let cluster = TestCluster::start();
-    let mut client = cluster.gateway.connect_and_send(read_request_with_deadline("a1", 400));
+    let mut client = cluster
+        .gateway
+        .connect_and_send(read_request_with_deadline("a1", 400));
     let mut node = cluster.node_a.accept_request("a1");
 
     client.expect_busy();
@@ -93,8 +101,9 @@
 
 #[test]
 fn connection_established_after_the_drain_grace_carries_no_request() {
-    let mut cluster =
-        TestCluster::start_with(|config| with_long_connect_timeout(&with_short_drain_grace(config)));
+    let mut cluster = TestCluster::start_with(|config| {
+        with_long_connect_timeout(&with_short_drain_grace(config))
+    });
     let queue = cluster.node_a.fill_accept_queue();
     let mut client = cluster.gateway.connect_and_send(read_request("a1"));
     cluster.gateway.wait_until_input_is_processed();
@@ -104,7 +113,9 @@
     let mut node = cluster.node_a.accept();
 
     client.expect_busy();
-    cluster.watch.send(delta_chunk(4, &[cluster.node_a.terminated()]));
+    cluster
+        .watch
+        .send(delta_chunk(4, &[cluster.node_a.terminated()]));
     // Nothing was sent on it.
     node.expect_closed();
 }
--- a/crates/gateway/tests/races/reload.rs
+++ b/crates/gateway/tests/races/reload.rs
@@ -9,7 +9,9 @@
 fn partial_request_is_completed_and_served() {
     let mut cluster = TestCluster::start();
     let request = SplitRequest::new(&read_request("a1"));
-    let mut client = cluster.gateway.connect_with_partial_request(&request.first_half);
+    let mut client = cluster
+        .gateway
+        .connect_with_partial_request(&request.first_half);
 
     let new_discovery = DiscoveryService::new();
     cluster.gateway.reload_with_discovery(&new_discovery);
@@ -55,7 +57,11 @@
 fn rest_of_an_event_of_the_old_watch_is_ignored() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    let event = encode_chunk(&watch_event(3, UpdateKind::Delta, &[cluster.node_b.terminating()]));
+    let event = encode_chunk(&watch_event(
+        3,
+        UpdateKind::Delta,
+        &[cluster.node_b.terminating()],
+    ));
     let (first_half, second_half) = event.split_at(event.len() / 2);
     cluster.watch.send(first_half);
     cluster.gateway.wait_until_input_is_processed();
@@ -67,7 +73,9 @@
     cluster.watch.send_after_close(second_half);
 
     // Node B still serves.
-    let mut writer = cluster.gateway.connect_and_send_at_once(write_request("w1"));
+    let mut writer = cluster
+        .gateway
+        .connect_and_send_at_once(write_request("w1"));
     let mut node_b = cluster.node_b.accept();
     serve_request(&mut node_b, &mut writer, "w1", "written");
     read.complete("one");
--- a/crates/gateway/tests/races/shutdown.rs
+++ b/crates/gateway/tests/races/shutdown.rs
@@ -52,7 +52,9 @@
     let mut read = cluster.start_read("a1");
 
     let request = SplitRequest::new(&read_request("a2"));
-    let mut second = cluster.gateway.connect_with_partial_request(&request.first_half);
+    let mut second = cluster
+        .gateway
+        .connect_with_partial_request(&request.first_half);
     cluster.gateway.begin_draining();
     second.send(request.second_half);
     cluster.gateway.wait_until_input_is_processed();
@@ -127,7 +129,9 @@
     let mut read = cluster.start_read("a1");
     cluster.gateway.begin_draining();
     let request = SplitRequest::new(&read_request("a2"));
-    let mut others = cluster.gateway.connect_unfinished_clients_for_a_full_iteration(&request.first_half);
+    let mut others = cluster
+        .gateway
+        .connect_unfinished_clients_for_a_full_iteration(&request.first_half);
 
     cluster.gateway.pause();
     read.node.respond("one");
@@ -172,7 +176,9 @@
 fn retry_forwards_the_remaining_deadline() {
     const DEADLINE_MS: u32 = 2_500;
     let mut cluster = TestCluster::start();
-    let mut client = cluster.gateway.connect_and_send(read_request_with_deadline("a1", DEADLINE_MS));
+    let mut client = cluster
+        .gateway
+        .connect_and_send(read_request_with_deadline("a1", DEADLINE_MS));
     let sent = Instant::now();
     let mut node = cluster.node_a.accept();
     let first_deadline = forwarded_deadline_ms(&node.expect_request("a1"));
--- a/crates/gateway/tests/scenario_runner/launch.rs
+++ b/crates/gateway/tests/scenario_runner/launch.rs
@@ -42,17 +42,29 @@
 impl Launch {
     /// Starts the gateway. With fewer file descriptors than its configuration says, accepting and connecting
     /// must fail at times.
-    pub fn start(&self, directory: &TestDirectory, max_descriptors: Option<&str>) -> RunningGateway {
-        let limit = max_descriptors.map_or_else(String::new, |count| format!("ulimit -n {count}; "));
+    pub fn start(
+        &self,
+        directory: &TestDirectory,
+        max_descriptors: Option<&str>,
+    ) -> RunningGateway {
+        let limit =
+            max_descriptors.map_or_else(String::new, |count| format!("ulimit -n {count}; "));
         let mut command = Command::new("/bin/sh");
-        command.arg("-c").arg(limit + "exec \"$0\" \"$@\"").arg(GATEWAY_PROGRAM);
+        command
+            .arg("-c")
+            .arg(limit + "exec \"$0\" \"$@\"")
+            .arg(GATEWAY_PROGRAM);
         match self {
             Self::Platform { config, discovery } => {
                 let path = directory.write(CONFIG_FILE, config);
-                command.env("ROUTER_CONFIG", path).env("ROUTER_DISCOVERY", discovery.to_string());
+                command
+                    .env("ROUTER_CONFIG", path)
+                    .env("ROUTER_DISCOVERY", discovery.to_string());
             }
             Self::Operator { config } => {
-                command.arg("--config").arg(directory.write(CONFIG_FILE, config));
+                command
+                    .arg("--config")
+                    .arg(directory.write(CONFIG_FILE, config));
             }
         }
         command.stdin(Stdio::piped()).stdout(Stdio::piped());
@@ -63,7 +75,12 @@
             Self::Operator { .. } => Some(process.wait_for_sftp_listener()),
         };
         let console_input = process.take_stdin();
-        RunningGateway { process, console_input, resp_address, sftp_address }
+        RunningGateway {
+            process,
+            console_input,
+            resp_address,
+            sftp_address,
+        }
     }
 }
 
@@ -73,7 +90,11 @@
     let sftp = format!(
         r#"{{"listen":"127.0.0.1:0","unit_bytes":4,"max_upload_bytes":64,"read_class":"read","write_class":"write","volumes":{volumes}}}"#
     );
-    let settings = replace_setting(SETTINGS, "\"n_shards\": 1", &format!("\"n_shards\": {shard_count}"));
+    let settings = replace_setting(
+        SETTINGS,
+        "\"n_shards\": 1",
+        &format!("\"n_shards\": {shard_count}"),
+    );
     let settings = replace_setting(&settings, "subscribe", "automatic");
     format!(
         r#"{{"listen":"127.0.0.1:0","inventory":"{INVENTORY_FILE}","limits":{{"sockets":256}},"sftp":{sftp},"settings":{settings}}}"#
@@ -97,7 +118,14 @@
 /// An inventory as CSV.
 pub fn inventory(entries: &[InventoryEntry<'_>]) -> String {
     let mut csv = "name,address,zone,shard,protocol,since_ms\n".to_owned();
-    for InventoryEntry { name, address, shard, protocol, since_ms } in entries {
+    for InventoryEntry {
+        name,
+        address,
+        shard,
+        protocol,
+        since_ms,
+    } in entries
+    {
         let _ = writeln!(csv, "{name},{address},a,{shard},{protocol},{since_ms}");
     }
     csv
--- a/crates/gateway/tests/scenario_runner/masking.rs
+++ b/crates/gateway/tests/scenario_runner/masking.rs
@@ -5,7 +5,9 @@
     let words: Vec<String> = message.split(' ').map(mask_word).collect();
     match words.as_slice() {
         [status, _retry_after] if status == "-BUSY" => "-BUSY MS".to_owned(),
-        [.., retry_after, unit] if unit == "ms" => message.replace(&format!(" {retry_after} ms"), " MS ms"),
+        [.., retry_after, unit] if unit == "ms" => {
+            message.replace(&format!(" {retry_after} ms"), " MS ms")
+        }
         _ => words.join(" "),
     }
 }
--- a/crates/gateway/tests/scenario_runner/message.rs
+++ b/crates/gateway/tests/scenario_runner/message.rs
@@ -42,7 +42,13 @@
         Protocol::Resp => {
             let mut length = 0;
             let text = resp::decode_value(input, &mut length)?;
-            Some(DecodedMessage { message: Message { text, request_id: 0 }, length })
+            Some(DecodedMessage {
+                message: Message {
+                    text,
+                    request_id: 0,
+                },
+                length,
+            })
         }
     }
 }
@@ -51,5 +57,11 @@
     let input = std::str::from_utf8(input).expect("text");
     let length = input.find(terminator)? + terminator.len();
     let text = input.lines().next()?.to_owned();
-    Some(DecodedMessage { message: Message { text, request_id: 0 }, length })
+    Some(DecodedMessage {
+        message: Message {
+            text,
+            request_id: 0,
+        },
+        length,
+    })
 }
--- a/crates/gateway/tests/scenario_runner/party.rs
+++ b/crates/gateway/tests/scenario_runner/party.rs
@@ -112,12 +112,23 @@
         let (sender, events) = channel();
         std::thread::spawn(move || {
             for text in BufReader::new(output).lines().map_while(Result::ok) {
-                let message = Message { text, request_id: 0 };
+                let message = Message {
+                    text,
+                    request_id: 0,
+                };
                 let kind = ConnectionEventKind::Received(message);
-                let _ = sender.send(ConnectionEvent { connection: 0, kind });
+                let _ = sender.send(ConnectionEvent {
+                    connection: 0,
+                    kind,
+                });
             }
         });
-        Self::new(Protocol::Lines, Role::Client, events, Connections::default())
+        Self::new(
+            Protocol::Lines,
+            Role::Client,
+            events,
+            Connections::default(),
+        )
     }
 
     /// Where a party that listens does so.
@@ -129,7 +140,9 @@
     }
 
     fn next_event(&self) -> Result<ConnectionEvent, ScenarioError> {
-        self.events.recv_timeout(RECEIVE_TIMEOUT).map_err(|_| ScenarioError::NothingReceived)
+        self.events
+            .recv_timeout(RECEIVE_TIMEOUT)
+            .map_err(|_| ScenarioError::NothingReceived)
     }
 
     /// Waits for the next message. Ends of a listening party's connections are skipped.
@@ -143,8 +156,10 @@
                 ConnectionEventKind::Received(message) => {
                     if self.role != Role::Client {
                         let request_id = message.request_id;
-                        self.pending_requests
-                            .push_back(PendingRequest { connection: event.connection, request_id });
+                        self.pending_requests.push_back(PendingRequest {
+                            connection: event.connection,
+                            request_id,
+                        });
                     }
                     return Ok(mask_variable_words(&message.text));
                 }
@@ -163,7 +178,8 @@
             let event = self.next_event()?;
             match event.kind {
                 ConnectionEventKind::Ended(end) => {
-                    self.pending_requests.retain(|request| request.connection != event.connection);
+                    self.pending_requests
+                        .retain(|request| request.connection != event.connection);
                     return match self.role {
                         // What a reset overtakes is lost to a client that reads late.
                         Role::Client => Ok(end),
@@ -180,20 +196,36 @@
 
     /// As a node: takes the oldest request that has not been answered.
     pub fn take_pending_request(&mut self) -> ReplyAddress {
-        let request = self.pending_requests.pop_front().expect("a request to answer");
-        ReplyAddress { connection: request.connection, request_id: request.request_id }
+        let request = self
+            .pending_requests
+            .pop_front()
+            .expect("a request to answer");
+        ReplyAddress {
+            connection: request.connection,
+            request_id: request.request_id,
+        }
     }
 
     /// As a node: the connection opened last, for a response to no request.
     pub fn last_connection(&self) -> ReplyAddress {
-        let connection = self.connections.count().checked_sub(1).expect("a connection");
-        ReplyAddress { connection, request_id: 0 }
+        let connection = self
+            .connections
+            .count()
+            .checked_sub(1)
+            .expect("a connection");
+        ReplyAddress {
+            connection,
+            request_id: 0,
+        }
     }
 
     /// As a client: its connection, with an id for the next request.
     pub fn next_request(&mut self) -> ReplyAddress {
         self.last_request_id += 1;
-        ReplyAddress { connection: 0, request_id: self.last_request_id }
+        ReplyAddress {
+            connection: 0,
+            request_id: self.last_request_id,
+        }
     }
 
     /// Sends bytes on one of its connections.
@@ -227,7 +259,9 @@
 
     fn send(&self, connection: usize, bytes: &[u8]) {
         let mut streams = self.0.lock().expect("no thread panics with the lock");
-        streams[connection].write_all(bytes).expect("the gateway reads");
+        streams[connection]
+            .write_all(bytes)
+            .expect("the gateway reads");
     }
 
     fn close_all(&self) {
--- a/crates/gateway/tests/scenario_runner/runner.rs
+++ b/crates/gateway/tests/scenario_runner/runner.rs
@@ -27,9 +27,15 @@
 #[track_caller]
 pub fn run_scenario(name: &str, scenario: &str) -> String {
     let mut runner = ScenarioRunner::new();
-    for line in scenario.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
+    for line in scenario
+        .lines()
+        .filter(|line| !line.is_empty() && !line.starts_with('#'))
+    {
         if let Err(error) = runner.run_line(line) {
-            panic!("{name}: {line}: {error}\ntranscript so far:\n{}", runner.transcript);
+            panic!(
+                "{name}: {line}: {error}\ntranscript so far:\n{}",
+                runner.transcript
+            );
         }
     }
     runner.transcript
@@ -95,18 +101,28 @@
     }
 
     fn declare_node(&mut self, name: &str, arguments: &[&str]) -> Result<(), ScenarioError> {
-        let protocol = if arguments.get(1) == Some(&"sftp") { Protocol::Sftp } else { Protocol::Resp };
+        let protocol = if arguments.get(1) == Some(&"sftp") {
+            Protocol::Sftp
+        } else {
+            Protocol::Resp
+        };
         let shard = arguments.first().and_then(|shard| shard.parse().ok());
         let shard = shard.ok_or(ScenarioError::MissingShard)?;
-        self.parties.insert(name.to_owned(), Party::listen(protocol));
-        self.nodes.push(Node { name: name.to_owned(), shard });
+        self.parties
+            .insert(name.to_owned(), Party::listen(protocol));
+        self.nodes.push(Node {
+            name: name.to_owned(),
+            shard,
+        });
         Ok(())
     }
 
     fn start_gateway(&mut self, kind: &str, max_descriptors: Option<&str>) {
         let launch = if kind == "operator" {
             self.write_inventory();
-            Launch::Operator { config: operator_config(self.nodes.len()) }
+            Launch::Operator {
+                config: operator_config(self.nodes.len()),
+            }
         } else {
             let discovery = self.parties[DISCOVERY].address();
             let cached_entries: Vec<String> = self
@@ -114,7 +130,10 @@
                 .iter()
                 .map(|node| self.endpoint_entry(&node.name, &node.name, "in_service"))
                 .collect();
-            Launch::Platform { config: platform_config(discovery, &cached_entries), discovery }
+            Launch::Platform {
+                config: platform_config(discovery, &cached_entries),
+                discovery,
+            }
         };
         let mut gateway = launch.start(&self.directory, max_descriptors);
         let console = Party::console(gateway.process.take_stdout());
@@ -132,13 +151,17 @@
             let client = self.connect_client(name);
             self.parties.insert(name.to_owned(), client);
         }
-        self.parties.get_mut(name).expect("it has just been inserted")
+        self.parties
+            .get_mut(name)
+            .expect("it has just been inserted")
     }
 
     fn connect_client(&mut self, name: &str) -> Party {
         let gateway = self.gateway();
         if name.starts_with('s') {
-            let address = gateway.sftp_address.expect("the gateway accepts SFTP clients");
+            let address = gateway
+                .sftp_address
+                .expect("the gateway accepts SFTP clients");
             return Party::connect(Protocol::Sftp, address);
         }
         Party::connect(Protocol::Resp, gateway.resp_address)
@@ -250,9 +273,18 @@
 
     /// The entry of a node at the address where a party listens.
     fn endpoint_entry(&self, name: &str, listening_party: &str, status: &str) -> String {
-        let node = self.nodes.iter().find(|node| node.name == name).expect("a declared node");
+        let node = self
+            .nodes
+            .iter()
+            .find(|node| node.name == name)
+            .expect("a declared node");
         let address = self.parties[listening_party].address();
-        endpoint_entry(&EndpointEntry { name, address, shard: node.shard, status })
+        endpoint_entry(&EndpointEntry {
+            name,
+            address,
+            shard: node.shard,
+            status,
+        })
     }
 
     fn restart_node(&mut self, name: &str) {
@@ -262,7 +294,11 @@
     }
 
     fn write_inventory(&self) {
-        let entries: Vec<InventoryEntry> = self.nodes.iter().map(|node| self.inventory_entry(node)).collect();
+        let entries: Vec<InventoryEntry> = self
+            .nodes
+            .iter()
+            .map(|node| self.inventory_entry(node))
+            .collect();
         self.directory.write(INVENTORY_FILE, &inventory(&entries));
     }
 
@@ -273,16 +309,27 @@
             name: &node.name,
             address: party.address(),
             shard: node.shard,
-            protocol: if party.protocol == Protocol::Sftp { "sftp" } else { "resp2" },
+            protocol: if party.protocol == Protocol::Sftp {
+                "sftp"
+            } else {
+                "resp2"
+            },
             since_ms: if just_started { now_ms() } else { 0 },
         }
     }
 
     fn move_discovery(&mut self) {
-        let former = self.parties.remove(DISCOVERY).expect("there is one discovery");
+        let former = self
+            .parties
+            .remove(DISCOVERY)
+            .expect("there is one discovery");
         let new = Party::listen(Protocol::Http);
         let config = self.directory.read(CONFIG_FILE);
-        let config = replace_setting(&config, &former.address().to_string(), &new.address().to_string());
+        let config = replace_setting(
+            &config,
+            &former.address().to_string(),
+            &new.address().to_string(),
+        );
         self.directory.write(CONFIG_FILE, &config);
         self.parties.insert(DISCOVERY.to_owned(), new);
         self.parties.insert(FORMER_DISCOVERY.to_owned(), former);
--- a/crates/gateway/tests/scenario_runner/sftp_message.rs
+++ b/crates/gateway/tests/scenario_runner/sftp_message.rs
@@ -25,10 +25,20 @@
         packet_type::OPEN => format!("open {} {}", take_text(fields), take_u32(fields)),
         packet_type::CLOSE => format!("close {}", take_handle(fields)),
         packet_type::READ => {
-            format!("read {} {} {}", take_handle(fields), take_u64(fields), take_u32(fields))
+            format!(
+                "read {} {} {}",
+                take_handle(fields),
+                take_u64(fields),
+                take_u32(fields)
+            )
         }
         packet_type::WRITE => {
-            format!("write {} {} {}", take_handle(fields), take_u64(fields), take_text(fields))
+            format!(
+                "write {} {} {}",
+                take_handle(fields),
+                take_u64(fields),
+                take_text(fields)
+            )
         }
         packet_type::STAT => format!("stat {}", take_text(fields)),
         packet_type::OPENDIR => format!("opendir {}", take_text(fields)),
@@ -87,15 +97,22 @@
         "half" => return INCOMPLETE_PACKET.to_vec(),
         "init" => Packet::new(packet_type::INIT).u32(3),
         "version" => Packet::new(packet_type::VERSION).u32(3),
-        "open" => start(packet_type::OPEN).string(arguments.text(0)).u32(arguments.number(1)).u32(0),
+        "open" => start(packet_type::OPEN)
+            .string(arguments.text(0))
+            .u32(arguments.number(1))
+            .u32(0),
         "close" => arguments.append_handle(start(packet_type::CLOSE)),
         "read" => {
             let packet = arguments.append_handle(start(packet_type::READ));
-            packet.u64(u64::from(arguments.number(1))).u32(arguments.number(2))
+            packet
+                .u64(u64::from(arguments.number(1)))
+                .u32(arguments.number(2))
         }
         "write" => {
             let packet = arguments.append_handle(start(packet_type::WRITE));
-            packet.u64(u64::from(arguments.number(1))).string(arguments.joined_from(2))
+            packet
+                .u64(u64::from(arguments.number(1)))
+                .string(arguments.joined_from(2))
         }
         "fstat" => arguments.append_handle(start(packet_type::FSTAT)),
         "stat" => start(packet_type::STAT).string(arguments.text(0)),
@@ -103,7 +120,10 @@
         "opendir" => start(packet_type::OPENDIR).string(arguments.text(0)),
         "readdir" => arguments.append_handle(start(packet_type::READDIR)),
         "realpath" => start(packet_type::REALPATH).string(arguments.text(0)),
-        "status" => start(packet_type::STATUS).u32(arguments.number(0)).string("").string(""),
+        "status" => start(packet_type::STATUS)
+            .u32(arguments.number(0))
+            .string("")
+            .string(""),
         "handle" => arguments.append_handle(start(packet_type::HANDLE)),
         "data" => start(packet_type::DATA).string(arguments.joined_from(0)),
         "attrs" => start(packet_type::ATTRS).attributes(Some(u64::from(arguments.number(0)))),
@@ -144,7 +164,10 @@
         let mut packet = packet.u32(count);
         for entry in self.0 {
             let (name, size) = entry.split_once(':').expect("NAME:SIZE");
-            packet = packet.string(name).string(name).attributes(size.parse().ok());
+            packet = packet
+                .string(name)
+                .string(name)
+                .attributes(size.parse().ok());
         }
         packet
     }
--- a/crates/gateway/tests/scenarios.rs
+++ b/crates/gateway/tests/scenarios.rs
@@ -87,7 +87,10 @@
     let transcript = run_scenario("final_error_reaches_a_client_that_keeps_sending", &scenario);
 
     let error_received = transcript.contains("c1 < -ERR Protocol error");
-    assert!(error_received && transcript.ends_with("c1 is closed\n"), "the connection ends with a reset");
+    assert!(
+        error_received && transcript.ends_with("c1 is closed\n"),
+        "the connection ends with a reset"
+    );
 }
 
 /// Nodes promise values of at most 64 KiB and send more; a length beyond all bounds makes a response invalid,
@@ -130,7 +133,10 @@
     scenario += "expect n0\nsend n0 value v\nexpect c1 v\n";
     scenario += &"expect c1 +PONG\n".repeat(100);
 
-    let transcript = run_scenario("pipelined_commands_beyond_the_limit_are_processed", &scenario);
+    let transcript = run_scenario(
+        "pipelined_commands_beyond_the_limit_are_processed",
+        &scenario,
+    );
 
     assert_eq!(transcript.matches("c1 < +PONG").count(), 100);
 }
--- a/crates/gateway/tests/timer_queue.rs
+++ b/crates/gateway/tests/timer_queue.rs
@@ -7,7 +7,10 @@
 #[test]
 fn timers_expire_in_order_of_time_and_attempts_before_the_scheduler() {
     let mut timers = TimerQueue::default();
-    let attempt = Timer::AttemptTimeout(AttemptId { request: RequestId(1), number: 0 });
+    let attempt = Timer::AttemptTimeout(AttemptId {
+        request: RequestId(1),
+        number: 0,
+    });
     let mut scheduler_timer = None;
     timers.reschedule(&mut scheduler_timer, Some(9), Timer::Scheduler);
     timers.reschedule(&mut scheduler_timer, Some(5), Timer::Scheduler);
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -17,7 +17,12 @@
     ///
     /// If the idempotency or the deduplication scope of a class is not one of the known values.
     pub fn to_scheduler_settings(&self) -> Result<Settings, UnknownValue> {
-        let DeploymentSettings { permissions, storage, rules, .. } = self;
+        let DeploymentSettings {
+            permissions,
+            storage,
+            rules,
+            ..
+        } = self;
         Ok(Settings {
             classes: self.request_classes()?,
             plans: self.plans.iter().map(VolumePlan::from).collect(),
@@ -96,9 +101,15 @@
     let scope = deduplication_scope(&class.deduplication_scope)?;
     match class.idempotency.as_str() {
         "pure" => Ok(Idempotency::Idempotent),
-        "token" => Ok(Idempotency::Keyed { scope, window: micros(class.deduplication_window_ms) }),
+        "token" => Ok(Idempotency::Keyed {
+            scope,
+            window: micros(class.deduplication_window_ms),
+        }),
         "side_effect" => Ok(Idempotency::NonIdempotent),
-        other => Err(UnknownValue { key: "classes.effect", value: other.to_owned() }),
+        other => Err(UnknownValue {
+            key: "classes.effect",
+            value: other.to_owned(),
+        }),
     }
 }
 
@@ -108,7 +119,10 @@
         "zone" => Ok(DeduplicationScope::Zone),
         "cell" => Ok(DeduplicationScope::Shard),
         "all" | "" => Ok(DeduplicationScope::All),
-        other => Err(UnknownValue { key: "classes.group", value: other.to_owned() }),
+        other => Err(UnknownValue {
+            key: "classes.group",
+            value: other.to_owned(),
+        }),
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,6 +14,6 @@
 pub use error::UnknownValue;
 pub use time::{micros, milliseconds};
 pub use types::{
-    AllowedFeatures, ClassSettings, DeploymentSettings, DomainSettings, PlanSettings, ReportSettings,
-    RuleSettings,
+    AllowedFeatures, ClassSettings, DeploymentSettings, DomainSettings, PlanSettings,
+    ReportSettings, RuleSettings,
 };
--- a/crates/settings/tests/conversion.rs
+++ b/crates/settings/tests/conversion.rs
@@ -9,11 +9,15 @@
 }
 
 fn convert(object: Value) -> Settings {
-    decode(object).to_scheduler_settings().expect("the settings convert")
+    decode(object)
+        .to_scheduler_settings()
+        .expect("the settings convert")
 }
 
 fn conversion_error(object: Value) -> UnknownValue {
-    decode(object).to_scheduler_settings().expect_err("the conversion fails")
+    decode(object)
+        .to_scheduler_settings()
+        .expect_err("the conversion fails")
 }
 
 #[test]
@@ -73,7 +77,10 @@
     ] {
         let class = json!({"effect": "token", "group": group, "key_ttl_ms": 2000.0});
         let settings = convert(json!({ "classes": [class] }));
-        let expected = Idempotency::Keyed { scope, window: 2_000_000 };
+        let expected = Idempotency::Keyed {
+            scope,
+            window: 2_000_000,
+        };
         assert_eq!(settings.classes[0].idempotency, expected, "group '{group}'");
     }
 }
@@ -150,9 +157,14 @@
     ] {
         let mut settings = decode(json!({"discovery": discovery, "group_size": group_size}));
         settings.has_discovery_agent = has_discovery_agent;
-        let converted = settings.to_scheduler_settings().expect("the settings convert");
+        let converted = settings
+            .to_scheduler_settings()
+            .expect("the settings convert");
         assert_eq!(converted.hosts, group_size);
-        assert_eq!(converted.discovery_clients, clients, "{discovery} {group_size} {has_discovery_agent}");
+        assert_eq!(
+            converted.discovery_clients, clients,
+            "{discovery} {group_size} {has_discovery_agent}"
+        );
     }
 }
 
@@ -185,10 +197,25 @@
 #[test]
 fn an_unknown_word_is_reported_with_its_key() {
     let error = conversion_error(json!({"classes": [{"effect": "pure"}, {"effect": "sometimes"}]}));
-    assert_eq!(error, UnknownValue { key: "classes.effect", value: "sometimes".to_owned() });
-    assert_eq!(error.to_string(), "field classes.effect: 'sometimes' is unknown");
+    assert_eq!(
+        error,
+        UnknownValue {
+            key: "classes.effect",
+            value: "sometimes".to_owned()
+        }
+    );
+    assert_eq!(
+        error.to_string(),
+        "field classes.effect: 'sometimes' is unknown"
+    );
     let error = conversion_error(json!({"classes": [{"effect": "token", "group": "rack"}]}));
-    assert_eq!(error, UnknownValue { key: "classes.group", value: "rack".to_owned() });
+    assert_eq!(
+        error,
+        UnknownValue {
+            key: "classes.group",
+            value: "rack".to_owned()
+        }
+    );
     assert_eq!(error.to_string(), "field classes.group: 'rack' is unknown");
 }
 
--- a/crates/simulator-adapter/src/instance/decode.rs
+++ b/crates/simulator-adapter/src/instance/decode.rs
@@ -8,8 +8,8 @@
 };
 use deployment_settings::micros;
 use io_scheduler::{
-    CompletedAttempt, Endpoint, EndpointListEvent, EndpointStatus, Event, NodeId, ObjectKey, Request, Shard,
-    VolumeId, Zone,
+    CompletedAttempt, Endpoint, EndpointListEvent, EndpointStatus, Event, NodeId, ObjectKey,
+    Request, Shard, VolumeId, Zone,
 };
 
 impl Instance {
@@ -25,7 +25,9 @@
                 let endpoints = endpoints.iter().map(|row| self.endpoint(row)).collect();
                 Some(Event::EndpointList(kind.into(), endpoints))
             }
-            EventMessage::RequestReceived(message) => Some(Event::RequestReceived(self.request(message)?)),
+            EventMessage::RequestReceived(message) => {
+                Some(Event::RequestReceived(self.request(message)?))
+            }
             EventMessage::TimerFired {} => Some(Event::TimerFired),
             EventMessage::ResponseStarted { request } => {
                 self.requests.close(&request).map(Event::ResponseStarted)
@@ -34,10 +36,12 @@
                 self.requests.close(&request).map(Event::ClientDisconnected)
             }
             EventMessage::HealthCheckCompleted(message) => Some(self.health_check(&message)),
-            EventMessage::AttemptCompleted(message) => {
-                self.completed_attempt(&message)?.map(Event::AttemptCompleted)
+            EventMessage::AttemptCompleted(message) => self
+                .completed_attempt(&message)?
+                .map(Event::AttemptCompleted),
+            EventMessage::Start { .. } | EventMessage::Stop {} | EventMessage::PeerMessage {} => {
+                None
             }
-            EventMessage::Start { .. } | EventMessage::Stop {} | EventMessage::PeerMessage {} => None,
         })
     }
 
@@ -53,7 +57,10 @@
             zone: Zone(self.zones.id_of(&row.zone)),
             shard: Shard(row.shard),
             status: row.condition.into(),
-            started_at: row.started_at_ms.filter(|started_at| *started_at > 0.0).map(micros),
+            started_at: row
+                .started_at_ms
+                .filter(|started_at| *started_at > 0.0)
+                .map(micros),
         }
     }
 
@@ -106,12 +113,17 @@
     ) -> Result<Option<CompletedAttempt>, EventError> {
         let Some(outcome) = message.status.outcome() else {
             let request = message.request.clone();
-            return Err(EventError::UnknownStatus { request, status: message.status });
+            return Err(EventError::UnknownStatus {
+                request,
+                status: message.status,
+            });
         };
         // Looked up even if the request is no longer tracked: ids are numbered in the order in which node names
         // first appear, and this message may be the first to name its node.
         let node = self.node(&message.node);
-        let Some(id) = self.requests.id(&message.request) else { return Ok(None) };
+        let Some(id) = self.requests.id(&message.request) else {
+            return Ok(None);
+        };
         if let Some(request) = self.requests.get_mut(id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
             request.open &= !message.request_closed;
--- a/crates/simulator-adapter/src/instance/encode.rs
+++ b/crates/simulator-adapter/src/instance/encode.rs
@@ -12,10 +12,20 @@
     /// Converts an action and updates its request's entry. Returns `None` if the request is no longer tracked.
     pub fn encode_action(&mut self, action: &Action, now: Micros) -> Option<ActionMessage> {
         match *action {
-            Action::Dispatch { request, node, deadline } => self.encode_dispatch(request, node, deadline),
-            Action::Reject { request, retry_after } => {
+            Action::Dispatch {
+                request,
+                node,
+                deadline,
+            } => self.encode_dispatch(request, node, deadline),
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
                 let request = self.close_request(request)?;
-                Some(ActionMessage::Reject { request, retry_after_ms: milliseconds(retry_after) })
+                Some(ActionMessage::Reject {
+                    request,
+                    retry_after_ms: milliseconds(retry_after),
+                })
             }
             Action::Fail(request) => {
                 let request = self.close_request(request)?;
@@ -26,16 +36,26 @@
                 Some(ActionMessage::Cancel { request, attempt })
             }
             Action::OpenWatch => Some(ActionMessage::OpenWatch { open: true }),
-            Action::HealthCheck(node) => Some(ActionMessage::HealthCheck { node: self.node_name(node) }),
+            Action::HealthCheck(node) => Some(ActionMessage::HealthCheck {
+                node: self.node_name(node),
+            }),
             Action::SetTimer(at) => {
                 let delay_ms = milliseconds((at - now).max(0));
-                Some(ActionMessage::SetTimer { timer: TIMER_NAME.to_owned(), delay_ms })
+                Some(ActionMessage::SetTimer {
+                    timer: TIMER_NAME.to_owned(),
+                    delay_ms,
+                })
             }
         }
     }
 
     /// Converts a dispatch, which adds one to the request's attempts in flight.
-    fn encode_dispatch(&mut self, id: RequestId, node: NodeId, deadline: Micros) -> Option<ActionMessage> {
+    fn encode_dispatch(
+        &mut self,
+        id: RequestId,
+        node: NodeId,
+        deadline: Micros,
+    ) -> Option<ActionMessage> {
         let request = self.requests.get_mut(id)?;
         request.attempts_in_flight += 1;
         Some(ActionMessage::Dispatch {
--- a/crates/simulator-adapter/src/instance/mod.rs
+++ b/crates/simulator-adapter/src/instance/mod.rs
@@ -43,11 +43,21 @@
         let value_names = &settings.load_report.value_names;
         Ok(Instance {
             scheduler: Scheduler::new(settings.to_scheduler_settings()?, seed, now),
-            class_names: settings.classes.iter().map(|class| class.name.clone()).collect(),
-            plan_names: settings.plans.iter().map(|plan| plan.name.clone()).collect(),
+            class_names: settings
+                .classes
+                .iter()
+                .map(|class| class.name.clone())
+                .collect(),
+            plan_names: settings
+                .plans
+                .iter()
+                .map(|plan| plan.name.clone())
+                .collect(),
             zones: NameTable::from_names(&settings.zones),
             nodes: NameTable::default(),
-            load_value_index: value_names.iter().position(|name| LOAD_VALUE_NAMES.contains(&name.as_str())),
+            load_value_index: value_names
+                .iter()
+                .position(|name| LOAD_VALUE_NAMES.contains(&name.as_str())),
             requests: RequestTable::default(),
         })
     }
--- a/crates/simulator-adapter/src/instance/requests.rs
+++ b/crates/simulator-adapter/src/instance/requests.rs
@@ -27,7 +27,14 @@
         let id = RequestId(self.next_id);
         self.next_id += 1;
         self.ids.insert(name.clone(), id);
-        self.tracked.insert(id, TrackedRequest { name, attempts_in_flight: 0, open: true });
+        self.tracked.insert(
+            id,
+            TrackedRequest {
+                name,
+                attempts_in_flight: 0,
+                open: true,
+            },
+        );
         id
     }
 
@@ -51,7 +58,8 @@
 
     /// Removes the closed requests that have no attempt in flight.
     pub fn remove_finished(&mut self) {
-        self.tracked.retain(|_, request| request.open || request.attempts_in_flight > 0);
+        self.tracked
+            .retain(|_, request| request.open || request.attempts_in_flight > 0);
         self.ids.retain(|_, id| self.tracked.contains_key(id));
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -31,13 +31,23 @@
     let mut output = io::stdout().lock();
     for (index, line) in io::stdin().lock().split(b'\n').enumerate() {
         let line_number = index + 1;
-        let line = line.map_err(|source| AdapterError::Read { line: line_number, source })?;
+        let line = line.map_err(|source| AdapterError::Read {
+            line: line_number,
+            source,
+        })?;
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        let batch = wire::parse(&line).map_err(|source| AdapterError::Parse { line: line_number, source })?;
-        let reply =
-            registry.handle(batch).map_err(|source| AdapterError::Event { line: line_number, source })?;
+        let batch = wire::parse(&line).map_err(|source| AdapterError::Parse {
+            line: line_number,
+            source,
+        })?;
+        let reply = registry
+            .handle(batch)
+            .map_err(|source| AdapterError::Event {
+                line: line_number,
+                source,
+            })?;
         write_reply(&mut output, &reply)?;
     }
     Ok(())
--- a/crates/simulator-adapter/src/registry.rs
+++ b/crates/simulator-adapter/src/registry.rs
@@ -2,7 +2,9 @@
 
 use crate::error::EventError;
 use crate::instance::Instance;
-use crate::wire::{ActionBatch, ActionMessage, EventBatch, EventMessage, InstanceActions, InstanceEvents};
+use crate::wire::{
+    ActionBatch, ActionMessage, EventBatch, EventMessage, InstanceActions, InstanceEvents,
+};
 use deployment_settings::micros;
 use io_scheduler::Micros;
 use std::collections::BTreeMap;
@@ -21,7 +23,10 @@
     /// If an event cannot be handled; the rest of the batch is then not handled.
     pub fn handle(&mut self, batch: EventBatch) -> Result<ActionBatch, EventError> {
         let now = micros(batch.now_ms);
-        let mut reply = ActionBatch { frame: batch.frame, instances: Vec::new() };
+        let mut reply = ActionBatch {
+            frame: batch.frame,
+            instances: Vec::new(),
+        };
         for instance_events in batch.instances {
             let instance = instance_events.instance;
             let actions = self.handle_instance(instance_events, now)?;
@@ -45,7 +50,8 @@
             match message {
                 EventMessage::Start { seed, settings } => {
                     events.clear();
-                    self.instances.insert(id, Instance::new(seed, &settings, now)?);
+                    self.instances
+                        .insert(id, Instance::new(seed, &settings, now)?);
                 }
                 EventMessage::Stop {} => {
                     events.clear();
@@ -62,6 +68,8 @@
 
     /// The running instance with this id.
     fn instance(&mut self, id: u64) -> Result<&mut Instance, EventError> {
-        self.instances.get_mut(&id).ok_or(EventError::NotStarted { instance: id })
+        self.instances
+            .get_mut(&id)
+            .ok_or(EventError::NotStarted { instance: id })
     }
 }
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -7,8 +7,8 @@
 
 pub use actions::{ActionBatch, ActionMessage, InstanceActions};
 pub use events::{
-    AttemptOutcomeMessage, EndpointCondition, EndpointListKind, EndpointRow, EventBatch, EventMessage,
-    HealthCheckMessage, IncomingRequest, InstanceEvents,
+    AttemptOutcomeMessage, EndpointCondition, EndpointListKind, EndpointRow, EventBatch,
+    EventMessage, HealthCheckMessage, IncomingRequest, InstanceEvents,
 };
 pub use status::StatusCode;
 
@@ -37,8 +37,10 @@
 /// If the line is not exactly one batch.
 pub fn parse(line: &[u8]) -> Result<EventBatch, ParseError> {
     let mut json = serde_json::Deserializer::from_slice(line);
-    let batch = serde_path_to_error::deserialize(&mut json)
-        .map_err(|error| ParseError::Field { path: error.path().to_string(), source: error.into_inner() })?;
+    let batch = serde_path_to_error::deserialize(&mut json).map_err(|error| ParseError::Field {
+        path: error.path().to_string(),
+        source: error.into_inner(),
+    })?;
     json.end().map_err(ParseError::TrailingData)?;
     Ok(batch)
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -23,9 +23,15 @@
 
 fn replies(lines: &[String]) -> Vec<Value> {
     let output = run_adapter(lines);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let text = String::from_utf8(output.stdout).expect("replies are UTF-8");
-    text.lines().map(|line| serde_json::from_str(line).expect("a reply is JSON")).collect()
+    text.lines()
+        .map(|line| serde_json::from_str(line).expect("a reply is JSON"))
+        .collect()
 }
 
 /// The error text for a line that follows a valid one.
@@ -83,7 +89,9 @@
 fn actions_of(reply: &Value, instance: u64) -> Vec<Value> {
     let parts = reply["parts"].as_array().expect("parts is a list");
     let part = parts.iter().find(|part| part["dispatcher_id"] == instance);
-    part.map_or(vec![], |part| part["output"].as_array().expect("output is a list").clone())
+    part.map_or(vec![], |part| {
+        part["output"].as_array().expect("output is a list").clone()
+    })
 }
 
 fn has_action(actions: &[Value], name: &str) -> bool {
@@ -99,7 +107,8 @@
     ]);
     assert_eq!(replies[0], json!({"frame": 0, "parts": []}));
     assert!(has_action(&actions_of(&replies[1], 3), "OBSERVE"));
-    let dispatch = json!({"FORWARD": {"ref": "c:a", "server": "10.0.0.1:1", "try_until_ms": 153.25}});
+    let dispatch =
+        json!({"FORWARD": {"ref": "c:a", "server": "10.0.0.1:1", "try_until_ms": 153.25}});
     assert_eq!(actions_of(&replies[2], 3)[0], dispatch);
 }
 
@@ -114,8 +123,13 @@
         json!({"PING_RESULT": {"status": 200, "server": "10.9.9.9:9", "telemetry": []}}),
         json!({"FROM_PEER": {"sender": 1, "content": "00"}}),
     ];
-    let replies = replies(&[batch(0, 1.0, &[(0, start_events())]), batch(1, 2.0, &[(0, events)])]);
-    let only_timers = actions_of(&replies[1], 0).iter().all(|action| action.get("DEFER").is_some());
+    let replies = replies(&[
+        batch(0, 1.0, &[(0, start_events())]),
+        batch(1, 2.0, &[(0, events)]),
+    ]);
+    let only_timers = actions_of(&replies[1], 0)
+        .iter()
+        .all(|action| action.get("DEFER").is_some());
     assert!(only_timers, "{}", replies[1]);
 }
 
@@ -173,8 +187,14 @@
     let first_alone = replies(&lines_for(&[0]));
     let second_alone = replies(&lines_for(&[1]));
     for frame in 0..batches.len() {
-        assert_eq!(actions_of(&together[frame], 0), actions_of(&first_alone[frame], 0));
-        assert_eq!(actions_of(&together[frame], 1), actions_of(&second_alone[frame], 1));
+        assert_eq!(
+            actions_of(&together[frame], 0),
+            actions_of(&first_alone[frame], 0)
+        );
+        assert_eq!(
+            actions_of(&together[frame], 1),
+            actions_of(&second_alone[frame], 1)
+        );
     }
 }
 
@@ -209,18 +229,29 @@
             json!({"ENLIST": {"rng_seed": 5, "info": unknown_idempotency}}),
             "ENLIST: field classes.effect: 'sometimes' is unknown",
         ),
-        (unknown_plan, "INCOMING c:a: field qos_class: 'gold' is not in the settings"),
-        (unknown_class, "INCOMING c:a: field lane: 'nowhere' is not in the settings"),
+        (
+            unknown_plan,
+            "INCOMING c:a: field qos_class: 'gold' is not in the settings",
+        ),
+        (
+            unknown_class,
+            "INCOMING c:a: field lane: 'nowhere' is not in the settings",
+        ),
         (
             json!({"OUTCOME": {"ref": "c:a", "status": 299, "server": "10.0.0.1:1"}}),
             "OUTCOME c:a: field status: 299 is not an outcome",
         ),
     ] {
-        assert_eq!(error_text_of_event(event), format!("simulator-adapter: line 2: {cause}\n"));
+        assert_eq!(
+            error_text_of_event(event),
+            format!("simulator-adapter: line 2: {cause}\n")
+        );
     }
     let not_started = batch(1, 2.0, &[(7, vec![timer_fired()])]);
     let expected = "simulator-adapter: line 2: dispatcher_id 7: event before ENLIST\n";
     assert_eq!(error_text(&not_started), expected);
     let trailing = batch(1, 2.0, &[]) + "{}";
-    assert!(error_text(&trailing).starts_with("simulator-adapter: line 2: after the batch: trailing"));
+    assert!(
+        error_text(&trailing).starts_with("simulator-adapter: line 2: after the batch: trailing")
+    );
 }
