--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -9,7 +9,7 @@
     pub fn handle_timer(&mut self, timer: Timer, now: Micros, timers: &mut TimerQueue) {
         match timer {
             Timer::AttemptTimeout(attempt) => {
-                self.abort_attempt(attempt, Outcome::TimedOut, now, timers)
+                self.abort_attempt(attempt, Outcome::TimedOut, now, timers);
             }
             Timer::Scheduler => {
                 self.scheduler_timer = None;
