--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -6,6 +6,7 @@
 mod sftp;
 mod validate;
 
+pub use crate::storage_request::MAX_VALUE_BYTES;
 pub use error::{ConfigError, InvalidValue};
 pub use sftp::{SftpSettings, SftpVolume};
 
@@ -19,9 +20,6 @@
     check_shared_sections, parse_address, parse_hexadecimal, parse_log_level, DeadlineRule,
 };
 
-/// Largest value that is forwarded to a node, in bytes.
-pub const MAX_VALUE_BYTES: usize = 64 << 10;
-
 /// Name of the gateway if the operator's file gives none.
 const DEFAULT_NAME: &str = "storage-gateway";
 
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -1,7 +1,9 @@
 //! The attempts of requests at nodes: their start, their progress and their end.
 
-use super::{AttemptResult, Command, Dispatcher, Response};
-use crate::timer_queue::{AttemptId, Timer, TimerQueue};
+use super::command::Command;
+use super::state::Dispatcher;
+use crate::storage_request::{AttemptId, AttemptResult, Response};
+use crate::timer_queue::{Timer, TimerQueue};
 use io_scheduler::{CompletedAttempt, Event, Micros, NodeId, Outcome, RequestId};
 use std::sync::Arc;
 
@@ -48,8 +50,8 @@
         }
     }
 
-    /// Records the end of an attempt, responds to the client if the request was served, and reports the
-    /// result to the scheduler. Results of attempts that are not awaited are ignored.
+    /// Records the end of an attempt, responds to the client if the request was served, and
+    /// reports the result to the scheduler. Results of attempts that are not awaited are ignored.
     pub fn complete_attempt(
         &mut self,
         attempt: AttemptId,
@@ -57,47 +59,41 @@
         now: Micros,
         timers: &mut TimerQueue,
     ) {
-        let AttemptResult {
-            outcome,
-            body,
-            remote_units,
-            utilization,
-        } = result;
         let Some(in_flight) = self.in_flight.get_mut(attempt.request) else {
             return;
         };
-        let timed_out = outcome == Outcome::TimedOut;
+        let timed_out = result.outcome == Outcome::TimedOut;
         let Some(completed) = in_flight.remove_attempt(attempt.number, timed_out) else {
             return;
         };
+        let units = in_flight.storage_request().units;
         timers.cancel(completed.deadline, Timer::AttemptTimeout(attempt));
-        let served_units = if outcome == Outcome::Served {
-            in_flight.storage_request().units
-        } else {
-            0.0
-        };
+        let is_served = result.outcome == Outcome::Served;
+        let served_units = if is_served { units } else { 0.0 };
         self.nodes.attempt_completed(completed.node, served_units);
-        if let (Outcome::Served, Some(body)) = (outcome, body) {
-            self.respond(attempt.request, Response::Served(body));
+        if is_served {
+            if let Some(body) = result.body {
+                self.respond(attempt.request, Response::Served(body));
+            }
         }
         self.events.push(Event::AttemptCompleted(CompletedAttempt {
             request: attempt.request,
             number: attempt.number,
             node: completed.node,
-            outcome,
+            outcome: result.outcome,
             request_closed: !self.awaits_response(attempt.request),
             elapsed: now - completed.dispatched_at,
-            remote_units,
-            utilization,
+            remote_units: result.remote_units,
+            utilization: result.utilization,
         }));
         self.remove_if_finished(attempt.request, timers);
     }
 
     /// Ends an attempt that has no result: it was cancelled, has timed out or lost its connection.
     ///
-    /// `outcome` is reported to the scheduler if the request may have run. Otherwise the outcome is
-    /// [`Outcome::NotDispatched`] for a cancelled attempt, which says nothing about its node, and
-    /// [`Outcome::ConnectFailed`] for all others.
+    /// `outcome` is reported to the scheduler if the request may have run. Otherwise the outcome
+    /// is [`Outcome::NotDispatched`] for a cancelled attempt, which says nothing about its node,
+    /// and [`Outcome::ConnectFailed`] for all others.
     pub fn abort_attempt(
         &mut self,
         attempt: AttemptId,
@@ -117,8 +113,9 @@
         self.complete_attempt(attempt, AttemptResult::without_body(outcome), now, timers);
     }
 
-    /// Records that the client of a request has disconnected. Attempts that cannot have taken effect yet are
-    /// aborted at once, whether or not the scheduler cancels attempts that may have run.
+    /// Records that the client of a request has disconnected. Attempts that cannot have taken
+    /// effect yet are aborted at once, whether or not the scheduler cancels attempts that may have
+    /// run.
     pub fn client_disconnected(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
         let Some(in_flight) = self.in_flight.get_mut(id) else {
             return;
--- a/crates/gateway/src/dispatcher/command.rs
+++ b/crates/gateway/src/dispatcher/command.rs
@@ -1,7 +1,6 @@
 //! The commands that the dispatcher gives to the event loop.
 
-use super::{ReplySlot, Response, StorageRequest};
-use crate::timer_queue::AttemptId;
+use crate::storage_request::{AttemptId, ReplySlot, Response, StorageRequest};
 use io_scheduler::{Micros, NodeId};
 use std::sync::Arc;
 
--- /dev/null
+++ b/crates/gateway/src/dispatcher/in_flight_request.rs
@@ -0,0 +1,138 @@
+//! One request in flight, with its attempts at nodes.
+
+use crate::storage_request::{ReplySlot, StorageRequest};
+use io_scheduler::{Micros, NodeId};
+use std::sync::Arc;
+
+/// How long after its deadline the dispatcher itself fails a request that the scheduler has not
+/// ended, in microseconds.
+const OVERDUE_GRACE: Micros = 3_000;
+
+/// An attempt whose result is awaited.
+#[derive(Debug)]
+pub(super) struct InFlightAttempt {
+    /// Number of the attempt within its request, from 0.
+    number: u32,
+    /// The node it was dispatched to.
+    pub(super) node: NodeId,
+    /// When it was dispatched.
+    pub(super) dispatched_at: Micros,
+    /// When it times out.
+    pub(super) deadline: Micros,
+    /// Whether enough of the request was written for it to take effect at the node.
+    pub(super) may_have_run: bool,
+}
+
+/// A request that awaits its final response or the result of an attempt.
+#[derive(Debug)]
+pub(super) struct InFlightRequest {
+    /// The request as the client sent it.
+    storage_request: Arc<StorageRequest>,
+    /// Where the final response goes; `None` once it was sent or the client has disconnected.
+    reply_slot: Option<ReplySlot>,
+    /// The latest time to send the final response, so that it reaches the client in time.
+    deadline: Micros,
+    /// The attempts whose results are awaited, in the order in which they started.
+    attempts: Vec<InFlightAttempt>,
+    /// Number of attempts started so far, and so the number of the next attempt.
+    attempts_started: u32,
+    /// Whether the attempt that ended last has timed out.
+    last_attempt_timed_out: bool,
+}
+
+impl InFlightRequest {
+    /// A request whose client waits for a final response until `deadline`.
+    pub(super) fn new(
+        request: StorageRequest,
+        reply_slot: ReplySlot,
+        deadline: Micros,
+    ) -> InFlightRequest {
+        InFlightRequest {
+            storage_request: Arc::new(request),
+            reply_slot: Some(reply_slot),
+            deadline,
+            attempts: Vec::new(),
+            attempts_started: 0,
+            last_attempt_timed_out: false,
+        }
+    }
+
+    /// The request as the client sent it.
+    pub(super) fn storage_request(&self) -> &Arc<StorageRequest> {
+        &self.storage_request
+    }
+
+    /// When the dispatcher fails the request itself if it has no final response by then.
+    pub(super) fn overdue_at(&self) -> Micros {
+        self.deadline + OVERDUE_GRACE
+    }
+
+    /// Whether the client still waits for the final response.
+    pub(super) fn awaits_response(&self) -> bool {
+        self.reply_slot.is_some()
+    }
+
+    /// Takes the reply slot for the final response. Returns it once only, so that there is only
+    /// one response.
+    pub(super) fn take_reply_slot(&mut self) -> Option<ReplySlot> {
+        self.reply_slot.take()
+    }
+
+    /// Whether a failure at the time `now` is reported to the client as a timeout.
+    pub(super) fn has_timed_out(&self, now: Micros) -> bool {
+        self.last_attempt_timed_out || self.deadline <= now
+    }
+
+    /// Adds an attempt and returns its number.
+    pub(super) fn start_attempt(&mut self, node: NodeId, now: Micros, deadline: Micros) -> u32 {
+        let number = self.attempts_started;
+        self.attempts_started += 1;
+        self.attempts.push(InFlightAttempt {
+            number,
+            node,
+            dispatched_at: now,
+            deadline,
+            may_have_run: false,
+        });
+        number
+    }
+
+    /// Removes an attempt that has ended.
+    pub(super) fn remove_attempt(
+        &mut self,
+        number: u32,
+        timed_out: bool,
+    ) -> Option<InFlightAttempt> {
+        let position = self
+            .attempts
+            .iter()
+            .position(|attempt| attempt.number == number)?;
+        self.last_attempt_timed_out = timed_out;
+        Some(self.attempts.remove(position))
+    }
+
+    /// An attempt whose result is awaited.
+    pub(super) fn attempt(&self, number: u32) -> Option<&InFlightAttempt> {
+        self.attempts
+            .iter()
+            .find(|attempt| attempt.number == number)
+    }
+
+    /// An attempt whose result is awaited.
+    pub(super) fn attempt_mut(&mut self, number: u32) -> Option<&mut InFlightAttempt> {
+        self.attempts
+            .iter_mut()
+            .find(|attempt| attempt.number == number)
+    }
+
+    /// Numbers of the attempts of which not enough was written to take effect at their node.
+    pub(super) fn unwritten_attempts(&self) -> Vec<u32> {
+        let unwritten = self.attempts.iter().filter(|attempt| !attempt.may_have_run);
+        unwritten.map(|attempt| attempt.number).collect()
+    }
+
+    /// Whether neither the client nor an attempt needs the request any more.
+    pub(super) fn is_finished(&self) -> bool {
+        !self.awaits_response() && self.attempts.is_empty()
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/dispatcher/in_flight_table.rs
@@ -0,0 +1,101 @@
+//! The table of the requests in flight, which counts them against the memory budget.
+
+use super::in_flight_request::{InFlightAttempt, InFlightRequest};
+use crate::memory_budget::MemoryBudget;
+use crate::storage_request::AttemptId;
+use io_scheduler::RequestId;
+use std::collections::{HashMap, HashSet};
+
+/// The requests in flight, within the bounds of the memory budget.
+#[derive(Debug)]
+pub(super) struct InFlightTable {
+    requests: HashMap<RequestId, InFlightRequest>,
+    /// The client request ids of `requests`.
+    client_request_ids: HashSet<Box<str>>,
+    /// Number of the next request id.
+    next_id: u64,
+    /// Total size of the bodies of `requests`, in bytes.
+    buffered_body_bytes: usize,
+    /// Bounds the number of `requests` and the size of their bodies.
+    budget: MemoryBudget,
+}
+
+impl InFlightTable {
+    /// An empty table.
+    pub(super) fn new(budget: MemoryBudget) -> InFlightTable {
+        InFlightTable {
+            requests: HashMap::new(),
+            client_request_ids: HashSet::new(),
+            next_id: 0,
+            buffered_body_bytes: 0,
+            budget,
+        }
+    }
+
+    /// A request id that was never used before.
+    pub(super) fn allocate_id(&mut self) -> RequestId {
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        id
+    }
+
+    /// Whether a request with this client request id is in flight.
+    pub(super) fn contains_client_request_id(&self, client_request_id: &str) -> bool {
+        self.client_request_ids.contains(client_request_id)
+    }
+
+    /// Whether the memory budget allows one more request with a body of this many bytes.
+    pub(super) fn has_capacity(&self, body_bytes: usize) -> bool {
+        self.requests.len() < self.budget.max_requests
+            && self.buffered_body_bytes + body_bytes <= self.budget.request_body_bytes
+    }
+
+    /// Adds a request whose client request id is not in flight.
+    pub(super) fn insert(&mut self, id: RequestId, in_flight: InFlightRequest) {
+        let request = in_flight.storage_request();
+        self.buffered_body_bytes += request.body.len();
+        self.client_request_ids
+            .insert(request.client_request_id.clone());
+        self.requests.insert(id, in_flight);
+    }
+
+    /// A request in flight.
+    pub(super) fn get(&self, id: RequestId) -> Option<&InFlightRequest> {
+        self.requests.get(&id)
+    }
+
+    /// A request in flight.
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlightRequest> {
+        self.requests.get_mut(&id)
+    }
+
+    /// An attempt whose result is awaited.
+    pub(super) fn attempt(&self, id: AttemptId) -> Option<&InFlightAttempt> {
+        self.requests.get(&id.request)?.attempt(id.number)
+    }
+
+    /// An attempt whose result is awaited.
+    pub(super) fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut InFlightAttempt> {
+        self.requests.get_mut(&id.request)?.attempt_mut(id.number)
+    }
+
+    /// Removes a request that awaits neither a final response nor the result of an attempt.
+    pub(super) fn remove_finished(&mut self, id: RequestId) -> Option<InFlightRequest> {
+        if !self.requests.get(&id)?.is_finished() {
+            return None;
+        }
+        let removed = self.requests.remove(&id)?;
+        let request = removed.storage_request();
+        self.buffered_body_bytes -= request.body.len();
+        self.client_request_ids.remove(&request.client_request_id);
+        Some(removed)
+    }
+
+    /// Number of requests that have no final response yet.
+    pub(super) fn awaiting_response_count(&self) -> usize {
+        self.requests
+            .values()
+            .filter(|request| request.awaits_response())
+            .count()
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/dispatcher/node_state.rs
@@ -0,0 +1,56 @@
+//! The state of one storage node.
+
+use io_scheduler::{EndpointStatus, Micros};
+
+/// The state of a node.
+#[derive(Clone, Debug)]
+pub struct NodeState {
+    /// Name in the endpoint list.
+    pub name: String,
+    /// Shard whose objects the node stores.
+    pub shard: u64,
+    /// Status in the endpoint list.
+    pub status: EndpointStatus,
+    /// Units of service that the node has served to this gateway.
+    pub units: f64,
+    /// Attempts in flight at the node.
+    pub attempts_in_flight: usize,
+    /// From this time on no attempt may start to be written to the node; `None` while it is in
+    /// service.
+    write_deadline: Option<Micros>,
+}
+
+impl NodeState {
+    /// A node that no endpoint list has named yet.
+    pub(super) fn unlisted(name: &str) -> NodeState {
+        NodeState {
+            name: name.to_owned(),
+            shard: 0,
+            status: EndpointStatus::Removed,
+            units: 0.0,
+            attempts_in_flight: 0,
+            write_deadline: None,
+        }
+    }
+
+    /// Whether the node can be forgotten: it is removed and no attempt is in flight at it.
+    pub(super) fn is_obsolete(&self) -> bool {
+        self.status == EndpointStatus::Removed && self.attempts_in_flight == 0
+    }
+
+    /// Whether an attempt may start to be written to the node at the time `now`.
+    pub(super) fn may_write(&self, now: Micros) -> bool {
+        self.write_deadline.is_none_or(|deadline| now < deadline)
+    }
+
+    /// Sets the write deadline if the node has just gone out of service, and clears it if the node
+    /// is in service. A node that was out of service before has the same deadline as before.
+    pub(super) fn update_write_deadline(&mut self, deadline: Micros) {
+        match self.status {
+            EndpointStatus::InService => self.write_deadline = None,
+            EndpointStatus::Draining | EndpointStatus::Removed => {
+                self.write_deadline.get_or_insert(deadline);
+            }
+        }
+    }
+}
--- a/crates/gateway/src/dispatcher/nodes.rs
+++ b/crates/gateway/src/dispatcher/node_table.rs
@@ -1,53 +1,23 @@
-//! The storage nodes of the endpoint list: their ids, their state and the drain guard, which stops new
-//! attempts from being written to a draining node.
+//! The storage nodes of the endpoint list: their ids, their state and the drain guard.
+//!
+//! The drain guard decides until when an attempt may start to be written to a node that is out of
+//! service: until shortly before the end of the drain grace, counted from the first list that
+//! shows it.
 
+use super::node_state::NodeState;
 use crate::endpoint::EndpointRecord;
 use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, Micros, NodeId, Shard, Zone};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// No attempt is started at a draining node in the last part of its drain grace. That part is this long, or
-/// half of the drain grace if that is shorter.
+/// No attempt is written to a draining node in the last part of its drain grace, as it would reach
+/// the node too late. That part is this long, in microseconds, or half of the drain grace if that
+/// is shorter.
 const DRAIN_SAFETY_MARGIN: Micros = 30_000;
 
-/// The state of a node.
-#[derive(Clone, Debug)]
-pub struct NodeState {
-    /// Name in the endpoint list.
-    pub name: String,
-    /// Shard whose objects the node stores.
-    pub shard: u64,
-    /// Status in the endpoint list.
-    pub status: EndpointStatus,
-    /// Units of service that the node has served to this gateway.
-    pub units: f64,
-    /// Attempts in flight at the node.
-    pub attempts_in_flight: usize,
-    /// From this time on no attempt may start to be written to the node; `None` while it is in service.
-    write_deadline: Option<Micros>,
-}
-
-impl NodeState {
-    /// A node that no endpoint list has named yet.
-    fn unlisted(name: &str) -> NodeState {
-        NodeState {
-            name: name.to_owned(),
-            shard: 0,
-            status: EndpointStatus::Removed,
-            units: 0.0,
-            attempts_in_flight: 0,
-            write_deadline: None,
-        }
-    }
-
-    /// Whether the node can be forgotten: it is removed and no attempt is in flight at it.
-    fn is_obsolete(&self) -> bool {
-        self.status == EndpointStatus::Removed && self.attempts_in_flight == 0
-    }
-}
-
 /// The nodes of the endpoint list, and removed ones with attempts in flight.
 #[derive(Debug)]
 pub(super) struct NodeTable {
+    /// The nodes by id.
     nodes: BTreeMap<NodeId, NodeState>,
     /// The ids of `nodes` by the name of the node.
     ids_by_name: HashMap<String, NodeId>,
@@ -102,10 +72,9 @@
 
     /// Whether an attempt may start to be written to a node at the time `now`.
     pub(super) fn may_write(&self, node: NodeId, now: Micros) -> bool {
-        let Some(node) = self.nodes.get(&node) else {
-            return false;
-        };
-        node.write_deadline.is_none_or(|deadline| now < deadline)
+        self.nodes
+            .get(&node)
+            .is_some_and(|node| node.may_write(now))
     }
 
     /// Applies an endpoint list or a delta, and returns its records in the scheduler's form.
@@ -119,11 +88,13 @@
             .iter()
             .map(|record| self.apply_record(record))
             .collect();
-        if matches!(
-            kind,
-            EndpointListEvent::Snapshot | EndpointListEvent::Cached
-        ) {
-            self.mark_unlisted_as_removed(&endpoints);
+        match kind {
+            EndpointListEvent::Snapshot | EndpointListEvent::Cached => {
+                self.mark_unlisted_as_removed(&endpoints);
+            }
+            EndpointListEvent::Delta
+            | EndpointListEvent::PollFailed
+            | EndpointListEvent::WatchLost => {}
         }
         self.update_write_deadlines(now);
         self.forget_obsolete();
@@ -137,7 +108,8 @@
         }
     }
 
-    /// Counts an attempt that ended at a node, with the units of service that the node has served for it.
+    /// Counts an attempt that ended at a node, with the units of service that the node has served
+    /// for it.
     pub(super) fn attempt_completed(&mut self, id: NodeId, served_units: f64) {
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
@@ -167,13 +139,17 @@
         }
     }
 
-    /// The number of a zone; a zone that no settings or record have named yet gets the next number.
+    /// The number of a zone; a zone that no settings or record have named yet gets the next
+    /// number.
     fn zone_number(&mut self, name: &str) -> Zone {
-        let known = self.zones.iter().position(|zone| zone == name);
-        let position = known.unwrap_or(self.zones.len());
-        if known.is_none() {
-            self.zones.push(name.to_owned());
-        }
+        let known_position = self.zones.iter().position(|zone| zone == name);
+        let position = match known_position {
+            Some(position) => position,
+            None => {
+                self.zones.push(name.to_owned());
+                self.zones.len() - 1
+            }
+        };
         Zone(position as u64)
     }
 
@@ -187,23 +163,17 @@
         }
     }
 
-    /// Sets the write deadline of nodes that have just gone out of service, keeps that of nodes that were out
-    /// of service before, and clears that of nodes in service.
+    /// Applies the drain guard to all nodes.
     fn update_write_deadlines(&mut self, now: Micros) {
         let margin = DRAIN_SAFETY_MARGIN.min(self.drain_grace / 2);
         let deadline = now + self.drain_grace - margin;
         for node in self.nodes.values_mut() {
-            node.write_deadline = match node.status {
-                EndpointStatus::InService => None,
-                EndpointStatus::Draining | EndpointStatus::Removed => {
-                    node.write_deadline.or(Some(deadline))
-                }
-            };
+            node.update_write_deadline(deadline);
         }
     }
 
-    /// Removes nodes that can be forgotten. The table would grow without bound otherwise, as nodes that
-    /// replace others may have new names.
+    /// Removes nodes that can be forgotten. The table would grow without bound otherwise, as nodes
+    /// that replace others may have new names.
     fn forget_obsolete(&mut self) {
         let ids_by_name = &mut self.ids_by_name;
         self.nodes.retain(|_, node| {
--- a/crates/gateway/src/dispatcher/responses.rs
+++ b/crates/gateway/src/dispatcher/responses.rs
@@ -1,7 +1,9 @@
 //! The final response of each request, and the end of requests that need nothing more.
 
-use super::in_flight::InFlightRequest;
-use super::{Command, Dispatcher, Response, OVERDUE_GRACE};
+use super::command::Command;
+use super::in_flight_request::InFlightRequest;
+use super::state::Dispatcher;
+use crate::storage_request::Response;
 use crate::timer_queue::{Timer, TimerQueue};
 use io_scheduler::{Event, Micros, RequestId};
 
@@ -68,10 +70,7 @@
     /// Removes a request that needs neither a final response nor the result of an attempt.
     pub(super) fn remove_if_finished(&mut self, id: RequestId, timers: &mut TimerQueue) {
         if let Some(removed) = self.in_flight.remove_finished(id) {
-            timers.cancel(
-                removed.deadline() + OVERDUE_GRACE,
-                Timer::RequestOverdue(id),
-            );
+            timers.cancel(removed.overdue_at(), Timer::RequestOverdue(id));
         }
     }
 }
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -1,7 +1,9 @@
 //! Calls of the scheduler: pending events go in, and its actions are applied.
 
-use super::{Command, Dispatcher, Response};
-use crate::timer_queue::{AttemptId, Timer, TimerQueue};
+use super::command::Command;
+use super::state::Dispatcher;
+use crate::storage_request::{AttemptId, Response};
+use crate::timer_queue::{Timer, TimerQueue};
 use io_scheduler::{Action, Event, Micros, NodeId, Outcome};
 
 impl Dispatcher {
@@ -29,8 +31,8 @@
         !self.events.is_empty() || !self.commands.is_empty()
     }
 
-    /// Calls the scheduler once with all pending events, if there are any, and moves the pending commands to
-    /// `commands`.
+    /// Calls the scheduler once with all pending events, if there are any, and moves the pending
+    /// commands to `commands`.
     pub fn run_scheduler(
         &mut self,
         now: Micros,
@@ -48,8 +50,8 @@
         let events = std::mem::take(&mut self.events);
         let mut actions = std::mem::take(&mut self.actions);
         self.scheduler.handle(now, &events, &mut actions);
-        // The request of a client that has disconnected stays in the table until the scheduler has handled
-        // the event.
+        // The request of a client that has disconnected stays in the table until the scheduler has
+        // handled the event.
         for event in events {
             if let Event::ClientDisconnected(id) = event {
                 self.remove_if_finished(id, timers);
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Reports a failed health check: the gateway sends none, and the scheduler must get a result if it asks
-    /// for one.
+    /// Reports a failed health check: the gateway sends none, and the scheduler must get a result
+    /// if it asks for one.
     fn fail_health_check(&mut self, node: NodeId) {
         self.events.push(Event::HealthCheckCompleted {
             node,
--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -1,6 +1,6 @@
 //! Counters of the requests and the service of each volume, for the console.
 
-use super::Response;
+use crate::storage_request::Response;
 use std::collections::BTreeMap;
 
 /// How many volumes may have counters at once.
@@ -26,6 +26,7 @@
 /// The counters of the volumes with the most requests.
 #[derive(Debug, Default)]
 pub(super) struct VolumeCounterTable {
+    /// The counters, by volume.
     by_volume: BTreeMap<u64, VolumeCounters>,
 }
 
@@ -66,8 +67,8 @@
         self.by_volume.entry(volume).or_default()
     }
 
-    /// Removes the counters of the half of the volumes with the fewest requests. This bounds the table, as
-    /// clients may name any number of volumes.
+    /// Removes the counters of the half of the volumes with the fewest requests. This bounds the
+    /// table, as clients may name any number of volumes.
     fn evict_less_used_half(&mut self) {
         let mut received: Vec<u64> = self
             .by_volume
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -20,4 +20,5 @@
 pub mod node_protocol;
 pub mod resp_bulk_string;
 pub mod sftp_packet;
+pub mod storage_request;
 pub mod timer_queue;
--- /dev/null
+++ b/crates/gateway/src/storage_request/request.rs
@@ -0,0 +1,63 @@
+//! The request of a client, independent of the protocol that it came by.
+
+use io_scheduler::Micros;
+
+/// Largest value that is forwarded to a node, in bytes.
+pub const MAX_VALUE_BYTES: usize = 64 << 10;
+
+/// What a request asks a node to do.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Operation {
+    /// Read an object.
+    Read,
+    /// Write an object.
+    Write,
+    /// State the size of an object.
+    Stat,
+    /// List the names of a volume's objects on one shard.
+    List,
+}
+
+/// One request of a client.
+#[derive(Clone, Debug)]
+pub struct StorageRequest {
+    /// The operation to run.
+    pub operation: Operation,
+    /// The object, by its number.
+    pub object: u64,
+    /// Name of the object, if the client's protocol names objects.
+    pub object_name: Option<Box<str>>,
+    /// The volume that the object belongs to.
+    pub volume: u64,
+    /// The client's id of the request, which is also sent to the nodes. Unique among the requests
+    /// in flight.
+    pub client_request_id: Box<str>,
+    /// Class of the request, an index into the deployment settings.
+    pub class: usize,
+    /// Plan of the volume, an index into the deployment settings.
+    pub plan: usize,
+    /// Size of the request in units of service.
+    pub units: f64,
+    /// Shard that stores the object; `None` for a new object, which any node may take.
+    pub shard: Option<u64>,
+    /// Number of gateways through which the requests of the volume arrive.
+    pub hosts: f64,
+    /// How long the client waits for the response, in microseconds.
+    pub client_timeout: Micros,
+    /// Whether the client marked the request as a retry.
+    pub is_retry: bool,
+    /// Content of the object for a write, else empty.
+    pub body: Vec<u8>,
+    /// The client's list of parameters.
+    pub parameters: RequestParameters,
+}
+
+/// The client's list of parameters, split around the value of its timeout. A node gets both parts
+/// unchanged, with the remaining time as the value between them.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct RequestParameters {
+    /// The list up to the value of the timeout.
+    pub before_timeout: Box<str>,
+    /// The list after the value of the timeout.
+    pub after_timeout: Box<str>,
+}
--- a/crates/gateway/src/timer_queue.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -1,18 +1,12 @@
-//! The timers of the gateway, sorted by time. The event loop handles the expired ones in every turn.
+//! The timers of the gateway, sorted by time. The event loop handles the expired ones in every
+//! turn.
+
+pub use crate::storage_request::AttemptId;
 
 use crate::connection_token::ConnectionToken;
 use io_scheduler::{Micros, RequestId};
 use std::collections::BTreeSet;
 
-/// One attempt of a request at a node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AttemptId {
-    /// The request.
-    pub request: RequestId,
-    /// Number of the attempt within its request, from 0.
-    pub number: u32,
-}
-
 /// What to do when a timer expires.
 ///
 /// Timers that are set for the same time expire in the order of the variants.
@@ -24,7 +18,8 @@
     Scheduler,
     /// Fail a request that has no final response some time after its deadline.
     RequestOverdue(RequestId),
-    /// Close a connection that has not been established in time or has made no progress for too long.
+    /// Close a connection that has not been established in time or has made no progress for too
+    /// long.
     Connection(ConnectionToken),
     /// Close the watch on the discovery service, on which nothing has arrived for too long.
     DiscoveryWatch,
@@ -53,8 +48,8 @@
 
     /// Moves a timer to `new_time`, or cancels it if that is `None`.
     ///
-    /// `set_for` is where the caller keeps the time for which the timer is set, `None` if it is not set. The
-    /// call replaces it by `new_time`.
+    /// `set_for` is where the caller keeps the time for which the timer is set, `None` if it is
+    /// not set. The call replaces it by `new_time`.
     pub fn reschedule(
         &mut self,
         set_for: &mut Option<Micros>,
