--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -3,7 +3,7 @@
 //! The decoder's error messages contain the names of these types, so renaming one changes user-visible text.
 
 use super::error::ConfigError;
-use crate::discovery::EndpointListUpdate;
+use crate::endpoint::EndpointListUpdate;
 use deployment_settings::DeploymentSettings;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -10,7 +10,7 @@
 pub use error::{ConfigError, InvalidValue};
 pub use sftp::{SftpSettings, SftpVolume};
 
-use crate::discovery::EndpointListUpdate;
+use crate::endpoint::EndpointListUpdate;
 use crate::memory_budget::MemoryBudget;
 use deployment_settings::DeploymentSettings;
 use log::LevelFilter;
--- /dev/null
+++ b/crates/gateway/src/discovery/framing.rs
@@ -0,0 +1,112 @@
+//! How the HTTP/1.1 response to a watch is divided into a head and a body, and the body into chunks.
+
+use super::error::{FramingError, WatchError};
+
+/// Longest part of the response that an error quotes, in bytes.
+const MAX_QUOTED_BYTES: usize = 80;
+
+/// The part of the response that the parser expects next.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) enum ParserState {
+    /// The status line and the headers.
+    #[default]
+    Head,
+    /// A chunk size line.
+    ChunkSize,
+    /// The data of a chunk, of which `remaining` bytes have not been received.
+    ChunkData { remaining: usize },
+    /// The line end after the data of a chunk.
+    ChunkEnd,
+    /// A body with a Content-Length, of which `remaining` bytes have not been received.
+    FixedLength { remaining: usize },
+    /// A body that ends when the connection is closed.
+    UntilClose,
+    /// Nothing: the response is complete.
+    Complete,
+}
+
+impl ParserState {
+    /// The state after `consumed` bytes of body data.
+    pub(super) fn after_data(self, consumed: usize) -> ParserState {
+        match self {
+            ParserState::ChunkData { remaining } if remaining == consumed => ParserState::ChunkEnd,
+            ParserState::ChunkData { remaining } => ParserState::ChunkData {
+                remaining: remaining - consumed,
+            },
+            ParserState::FixedLength { remaining } if remaining == consumed => {
+                ParserState::Complete
+            }
+            ParserState::FixedLength { remaining } => ParserState::FixedLength {
+                remaining: remaining - consumed,
+            },
+            other => other,
+        }
+    }
+}
+
+/// Parses the size of a chunk; extensions after a semicolon are ignored.
+pub(super) fn chunk_size(line: &[u8]) -> Result<usize, FramingError> {
+    let invalid_size = || FramingError::InvalidChunkSize(quoted(line));
+    let text = std::str::from_utf8(line).map_err(|_| invalid_size())?;
+    let digits = text.split(';').next().unwrap_or_default().trim();
+    let size = u32::from_str_radix(digits, 16).map_err(|_| invalid_size())?;
+    Ok(size as usize)
+}
+
+/// The state after a response head, given in lower case.
+pub(super) fn state_after_head(head: &str) -> Result<ParserState, WatchError> {
+    let mut lines = head.lines();
+    let status_line = lines.next().unwrap_or_default();
+    let status = status_line.split(' ').nth(1).unwrap_or_default();
+    if is_informational(status) {
+        return Ok(ParserState::Head);
+    }
+    if status != "200" {
+        return Err(WatchError::Status(status_line.to_owned()));
+    }
+    Ok(body_framing(lines)?)
+}
+
+/// Whether this is an interim response (1xx), which the final one follows. 101 is excluded: it
+/// would switch to another protocol, which the request does not ask for.
+fn is_informational(status: &str) -> bool {
+    status.len() == 3 && status.starts_with('1') && status != "101"
+}
+
+/// How the body is framed according to the headers, given in lower case. Transfer-Encoding
+/// overrides Content-Length, as RFC 9112 requires.
+fn body_framing<'a>(headers: impl Iterator<Item = &'a str>) -> Result<ParserState, FramingError> {
+    let mut state = ParserState::UntilClose;
+    for (name, value) in headers.filter_map(|line| line.split_once(':')) {
+        match (name.trim(), value.trim()) {
+            ("transfer-encoding", coding) if coding.ends_with("chunked") => {
+                return Ok(ParserState::ChunkSize);
+            }
+            ("transfer-encoding", coding) => {
+                return Err(FramingError::UnknownTransferCoding(quoted(
+                    coding.as_bytes(),
+                )));
+            }
+            ("content-length", length) => state = fixed_length(length)?,
+            _ => {}
+        }
+    }
+    Ok(state)
+}
+
+/// The state before a body of the stated Content-Length.
+fn fixed_length(length: &str) -> Result<ParserState, FramingError> {
+    match length.parse() {
+        Ok(0) => Ok(ParserState::Complete),
+        Ok(remaining) => Ok(ParserState::FixedLength { remaining }),
+        Err(_) => Err(FramingError::InvalidContentLength(quoted(
+            length.as_bytes(),
+        ))),
+    }
+}
+
+/// The start of a part of the response, with control characters escaped, for an error's text.
+fn quoted(text: &[u8]) -> String {
+    let start = &text[..text.len().min(MAX_QUOTED_BYTES)];
+    start.escape_ascii().to_string()
+}
--- a/crates/gateway/src/discovery/json_stream.rs
+++ b/crates/gateway/src/discovery/json_stream.rs
@@ -1,15 +1,16 @@
 //! Splitting of a byte stream into JSON objects.
 
-use super::endpoint_list::EndpointListUpdate;
 use super::error::WatchError;
+use crate::endpoint::EndpointListUpdate;
 
 /// Longest object that is buffered, in bytes.
 const MAX_OBJECT_BYTES: usize = 1 << 20;
-/// Deepest accepted nesting of objects and arrays; an update of the endpoint list has three levels.
+/// Deepest accepted nesting of objects and arrays; an update of the endpoint list has three
+/// levels.
 const MAX_DEPTH: usize = 16;
 
-/// Splits a stream into its JSON objects. As objects may contain line breaks and may be separated by any white
-/// space or none, the end of an object is found by counting braces and brackets.
+/// Splits a stream into its JSON objects. As objects may contain line breaks and may be separated
+/// by any white space or none, the end of an object is found by counting braces and brackets.
 #[derive(Debug, Default)]
 pub(super) struct JsonStream {
     /// The bytes of the current object received so far.
@@ -28,7 +29,8 @@
         self.depth > 0
     }
 
-    /// Processes received bytes; every object that they complete is decoded and appended to `updates`.
+    /// Processes received bytes; every object that they complete is decoded and appended to
+    /// `updates`.
     pub(super) fn feed(
         &mut self,
         bytes: &[u8],
@@ -60,8 +62,15 @@
             b'}' | b']' if !self.in_string => self.depth -= 1,
             _ => {}
         }
-        if self.depth > MAX_DEPTH || self.buffer.len() > MAX_OBJECT_BYTES {
-            return Err(WatchError::ObjectTooLong);
+        if self.depth > MAX_DEPTH {
+            return Err(WatchError::ObjectTooDeep {
+                max_depth: MAX_DEPTH,
+            });
+        }
+        if self.buffer.len() > MAX_OBJECT_BYTES {
+            return Err(WatchError::ObjectTooLong {
+                max_bytes: MAX_OBJECT_BYTES,
+            });
         }
         Ok(())
     }
--- a/crates/gateway/src/discovery/watch_parser.rs
+++ b/crates/gateway/src/discovery/watch_parser.rs
@@ -1,8 +1,9 @@
 //! Incremental parser of the HTTP/1.1 response to a watch.
 
-use super::endpoint_list::EndpointListUpdate;
-use super::error::WatchError;
+use super::error::{FramingError, WatchError};
+use super::framing::{chunk_size, state_after_head, ParserState};
 use super::json_stream::JsonStream;
+use crate::endpoint::EndpointListUpdate;
 
 /// Longest response head (status line and headers), in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
@@ -13,45 +14,6 @@
 /// End of a head: the last header's line end and an empty line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// The part of the response that the parser expects next.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum ParserState {
-    /// The status line and the headers.
-    #[default]
-    Head,
-    /// A chunk size line.
-    ChunkSize,
-    /// The data of a chunk, of which `remaining` bytes have not been received.
-    ChunkData { remaining: usize },
-    /// The line end after the data of a chunk.
-    ChunkEnd,
-    /// A body with a Content-Length, of which `remaining` bytes have not been received.
-    FixedLength { remaining: usize },
-    /// A body that ends when the connection is closed.
-    UntilClose,
-    /// Nothing: the response is complete.
-    Complete,
-}
-
-impl ParserState {
-    /// The state after `consumed` bytes of body data.
-    fn after_data(self, consumed: usize) -> ParserState {
-        match self {
-            ParserState::ChunkData { remaining } if remaining == consumed => ParserState::ChunkEnd,
-            ParserState::ChunkData { remaining } => ParserState::ChunkData {
-                remaining: remaining - consumed,
-            },
-            ParserState::FixedLength { remaining } if remaining == consumed => {
-                ParserState::Complete
-            }
-            ParserState::FixedLength { remaining } => ParserState::FixedLength {
-                remaining: remaining - consumed,
-            },
-            other => other,
-        }
-    }
-}
-
 /// The result of one step of the parser.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
@@ -75,13 +37,14 @@
 }
 
 impl WatchParser {
-    /// Processes received bytes, in pieces of any size. Every update that they complete is appended to `updates`,
-    /// also if an error follows it.
+    /// Processes received bytes, in pieces of any size. Every update that they complete is
+    /// appended to `updates`, also if an error follows it.
     ///
     /// # Errors
     ///
-    /// Fails if the response is not well formed, if its status is not 200, or if its body contains something other
-    /// than updates of the endpoint list. The parser must not be used after an error.
+    /// Fails if the response is not well formed, if its status is not 200, or if its body contains
+    /// something other than updates of the endpoint list. The parser must not be used after an
+    /// error.
     pub fn feed(
         &mut self,
         bytes: &[u8],
@@ -170,7 +133,7 @@
             return Ok(Progress::NeedsInput);
         }
         if !self.unread().starts_with(LINE_END) {
-            return Err(WatchError::Framing);
+            return Err(FramingError::MissingChunkEnd.into());
         }
         self.position += LINE_END.len();
         self.state = ParserState::ChunkSize;
@@ -206,66 +169,16 @@
         &self.input[self.position..]
     }
 
-    /// Number of bytes of input before `terminator`; `None` if it has not been received. Fails if it has not been
-    /// received within more than `max_bytes` of input.
-    fn find(&self, terminator: &[u8], max_bytes: usize) -> Result<Option<usize>, WatchError> {
+    /// Number of bytes of input before `terminator`; `None` if it has not been received. Fails if
+    /// it has not been received within more than `max_bytes` of input.
+    fn find(&self, terminator: &[u8], max_bytes: usize) -> Result<Option<usize>, FramingError> {
         let unread = self.unread();
         let found = unread
             .windows(terminator.len())
             .position(|window| window == terminator);
         if found.is_none() && unread.len() > max_bytes {
-            return Err(WatchError::Framing);
+            return Err(FramingError::LineTooLong { max_bytes });
         }
         Ok(found)
     }
 }
-
-/// Parses the size of a chunk; extensions after a semicolon are ignored.
-fn chunk_size(line: &[u8]) -> Result<usize, WatchError> {
-    let line = std::str::from_utf8(line).map_err(|_| WatchError::Framing)?;
-    let digits = line.split(';').next().unwrap_or_default().trim();
-    let size = u32::from_str_radix(digits, 16).map_err(|_| WatchError::Framing)?;
-    Ok(size as usize)
-}
-
-/// The state after a response head, given in lower case.
-fn state_after_head(head: &str) -> Result<ParserState, WatchError> {
-    let mut lines = head.lines();
-    let status_line = lines.next().unwrap_or_default();
-    let status = status_line.split(' ').nth(1).unwrap_or_default();
-    if is_informational(status) {
-        return Ok(ParserState::Head);
-    }
-    if status != "200" {
-        return Err(WatchError::Status(status_line.to_owned()));
-    }
-    body_framing(lines)
-}
-
-/// Whether this is an interim response (1xx), which the final one follows. 101 is excluded: it would switch to
-/// another protocol, which the request does not ask for.
-fn is_informational(status: &str) -> bool {
-    status.len() == 3 && status.starts_with('1') && status != "101"
-}
-
-/// How the body is framed according to the headers, given in lower case. Transfer-Encoding overrides
-/// Content-Length, as RFC 9112 requires.
-fn body_framing<'a>(headers: impl Iterator<Item = &'a str>) -> Result<ParserState, WatchError> {
-    let mut state = ParserState::UntilClose;
-    for (name, value) in headers.filter_map(|line| line.split_once(':')) {
-        match (name.trim(), value.trim()) {
-            ("transfer-encoding", coding) if coding.ends_with("chunked") => {
-                return Ok(ParserState::ChunkSize);
-            }
-            ("transfer-encoding", _) => return Err(WatchError::Framing),
-            ("content-length", length) => {
-                state = match length.parse().map_err(|_| WatchError::Framing)? {
-                    0 => ParserState::Complete,
-                    remaining => ParserState::FixedLength { remaining },
-                };
-            }
-            _ => {}
-        }
-    }
-    Ok(state)
-}
--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint/record.rs
@@ -1,9 +1,9 @@
-//! An entry of the endpoint list, in the form that discovery, the inventory and the dispatcher share.
+//! An entry of the endpoint list.
 
 use io_scheduler::{EndpointStatus, Micros};
 
-/// A storage node as an endpoint list states it, without its address: connections are not the dispatcher's
-/// concern.
+/// A storage node as an endpoint list states it, without its address: connections are not the
+/// dispatcher's concern.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
     /// Name of the node; it stays the same when the node restarts.
@@ -14,7 +14,7 @@
     pub shard: u64,
     /// Whether the node is in service, draining or removed.
     pub status: EndpointStatus,
-    /// When the node's process last started, in microseconds since the Unix epoch; `None` if the list does
-    /// not state it.
+    /// When the node's process last started, in microseconds since the Unix epoch; `None` if the
+    /// list does not state it.
     pub started_at: Option<Micros>,
 }
