--- a/crates/gateway/src/inventory/vars.rs
+++ b/crates/gateway/src/inventory/vars.rs
@@ -1,15 +1,20 @@
-//! The variables that describe a node in an inventory, in either format, and their conversion to a node.
+//! The variables that describe a node in an inventory, in either format, and their conversion to a
+//! node.
+//!
+//! The names of the vars and of their values are those of the endpoint list on the wire. They
+//! stand in this module only.
 
 use super::error::InvalidVar;
-use super::{InventoryNode, Protocol};
-use crate::endpoint::EndpointRecord;
+use super::node::InventoryNode;
+use crate::endpoint::{EndpointRecord, Protocol};
 use deployment_settings::micros;
-use io_scheduler::EndpointStatus;
+use io_scheduler::{EndpointStatus, Micros};
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The vars of a node that this program uses; any others are ignored, as they are meant for other tools.
+/// The vars of a node that this program uses; any others are ignored, as they are meant for other
+/// tools.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(super) struct Vars {
     /// Name of the node in CSV; in YAML the host's key names it.
@@ -24,8 +29,9 @@
     protocol: Option<String>,
     /// Name of its status.
     status: Option<String>,
-    /// When its process last started, in milliseconds.
-    since_ms: Option<f64>,
+    /// When its process last started, in milliseconds; 0 if this is not known.
+    #[serde(rename = "since_ms")]
+    started_at_ms: Option<f64>,
 }
 
 /// Names a var in errors: one that is required or has a restricted value.
@@ -75,11 +81,12 @@
             shard: self.shard.or(defaults.shard),
             protocol: self.protocol.clone().or_else(|| defaults.protocol.clone()),
             status: self.status.clone().or_else(|| defaults.status.clone()),
-            since_ms: self.since_ms.or(defaults.since_ms),
+            started_at_ms: self.started_at_ms.or(defaults.started_at_ms),
         }
     }
 
-    /// The node that these vars describe, with the given name.
+    /// The node that these vars describe, with the given name. The first var that cannot be used
+    /// is reported, in the order address (not set), status, address, protocol, shard.
     pub(super) fn to_node(&self, name: &str) -> Result<InventoryNode, NodeError> {
         let address = self
             .address
@@ -94,7 +101,7 @@
             zone: self.zone.clone().unwrap_or_default(),
             shard,
             status,
-            started_at: self.since_ms.filter(|since_ms| *since_ms > 0.0).map(micros),
+            started_at: self.started_at(),
         };
         Ok(InventoryNode {
             record,
@@ -103,6 +110,14 @@
         })
     }
 
+    /// When the node's process last started, if a time above 0 is set.
+    fn started_at(&self) -> Option<Micros> {
+        match self.started_at_ms {
+            Some(started_at_ms) if started_at_ms > 0.0 => Some(micros(started_at_ms)),
+            _ => None,
+        }
+    }
+
     /// Parses the status; in service if it is not set.
     fn parse_status(&self) -> Result<EndpointStatus, NodeError> {
         match self.status.as_deref() {
--- a/crates/gateway/src/inventory/yaml_format.rs
+++ b/crates/gateway/src/inventory/yaml_format.rs
@@ -1,8 +1,9 @@
-//! Inventories in YAML, in the structure of an Ansible inventory: groups with `hosts`, `vars` and `children`.
+//! Inventories in YAML, in the structure of an Ansible inventory: groups with `hosts`, `vars` and
+//! `children`.
 
 use super::error::{InventoryError, Location};
+use super::node::InventoryNode;
 use super::vars::Vars;
-use super::InventoryNode;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -43,8 +44,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the text is not well-formed YAML, groups are nested too deeply, or the vars of a host do not
-/// describe a node.
+/// Fails if the text is not well-formed YAML, groups are nested too deeply, or the vars of a host
+/// do not describe a node.
 pub fn from_yaml(text: &str, file: &str) -> Result<Vec<InventoryNode>, InventoryError> {
     let groups = decode(text, file)?;
     let mut collector = HostCollector {
@@ -73,7 +74,8 @@
 }
 
 impl HostCollector<'_> {
-    /// Collects the hosts of a group and of its subgroups. `inherited` holds the vars of the groups that contain it.
+    /// Collects the hosts of a group and of its subgroups. `inherited` holds the vars of the
+    /// groups that contain it.
     fn collect(
         &mut self,
         path: &str,
@@ -106,8 +108,8 @@
         Ok(())
     }
 
-    /// Adds a host of a group. If several groups list the host, their vars are merged, and the group that comes
-    /// last takes precedence.
+    /// Adds a host of a group. If several groups list the host, their vars are merged, and the
+    /// group that comes last takes precedence.
     fn add_host(
         &mut self,
         group_path: &str,
