--- a/crates/gateway/src/console.rs
+++ b/crates/gateway/src/console/command.rs
@@ -1,12 +1,4 @@
-//! The operator's console: parsing of the command lines, and formatting of the tables that it prints. The event
-//! loop executes the commands.
-
-use crate::config::SftpVolume;
-use crate::dispatcher::{NodeState, VolumeCounters};
-use crate::hex_id::HexId;
-use io_scheduler::EndpointStatus;
-use std::collections::BTreeMap;
-use std::fmt::Write;
+//! Parsing of the console's command lines.
 
 /// A command line of the console.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -85,51 +77,3 @@
         }),
     }
 }
-
-/// Formats the table of nodes.
-pub fn format_nodes<'a>(nodes: impl Iterator<Item = &'a NodeState>) -> String {
-    let mut text = format!(
-        "{:<24} {:>6} {:<9} {:>5} {:>12}\n",
-        "node", "shard", "state", "out", "units"
-    );
-    for node in nodes {
-        let state = match node.status {
-            EndpointStatus::InService => "serving",
-            EndpointStatus::Draining => "draining",
-            EndpointStatus::Removed => "gone",
-        };
-        // Writing to a string cannot fail.
-        let _ = writeln!(
-            text,
-            "{:<24} {:>6} {state:<9} {:>5} {:>12.1}",
-            node.name, node.shard, node.attempts_in_flight, node.units
-        );
-    }
-    text
-}
-
-/// Formats the table of volumes. A volume is shown by its name if it is one of `named_volumes`, the volumes of
-/// the SFTP listener, and by its id otherwise.
-#[must_use]
-pub fn format_volumes(
-    volume_counters: &BTreeMap<u64, VolumeCounters>,
-    named_volumes: &[SftpVolume],
-) -> String {
-    let mut text = format!(
-        "{:<24} {:>9} {:>9} {:>9} {:>9} {:>12}\n",
-        "volume", "taken", "served", "refused", "failed", "units"
-    );
-    for (id, counters) in volume_counters {
-        let name = match named_volumes.iter().find(|volume| volume.id == *id) {
-            Some(volume) => volume.name.clone(),
-            None => HexId(*id).to_string(),
-        };
-        // Writing to a string cannot fail.
-        let _ = writeln!(
-            text,
-            "{name:<24} {:>9} {:>9} {:>9} {:>9} {:>12.1}",
-            counters.received, counters.served, counters.rejected, counters.failed, counters.units
-        );
-    }
-    text
-}
--- /dev/null
+++ b/crates/gateway/src/console/tables.rs
@@ -0,0 +1,89 @@
+//! The tables that the console prints.
+
+use crate::config::SftpVolume;
+use crate::dispatcher::{NodeState, VolumeCounters};
+use crate::hex_id::HexId;
+use io_scheduler::EndpointStatus;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+/// Formats the table of nodes.
+pub fn format_nodes<'a>(nodes: impl Iterator<Item = &'a NodeState>) -> String {
+    let mut table = format!(
+        "{:<24} {:>6} {:<9} {:>5} {:>12}\n",
+        "node", "shard", "state", "out", "units"
+    );
+    for node in nodes {
+        append_node(&mut table, node);
+    }
+    table
+}
+
+/// Appends the line of one node.
+fn append_node(table: &mut String, node: &NodeState) {
+    let NodeState {
+        name,
+        shard,
+        status,
+        units,
+        attempts_in_flight,
+        ..
+    } = node;
+    let state = state_word(*status);
+    // Writing to a string cannot fail.
+    let _ = writeln!(
+        table,
+        "{name:<24} {shard:>6} {state:<9} {attempts_in_flight:>5} {units:>12.1}"
+    );
+}
+
+/// The word for a node's status.
+fn state_word(status: EndpointStatus) -> &'static str {
+    match status {
+        EndpointStatus::InService => "serving",
+        EndpointStatus::Draining => "draining",
+        EndpointStatus::Removed => "gone",
+    }
+}
+
+/// Formats the table of volumes. A volume is shown by its name if it is one of `named_volumes`,
+/// the volumes of the SFTP listener, and by its id otherwise.
+#[must_use]
+pub fn format_volumes(
+    volume_counters: &BTreeMap<u64, VolumeCounters>,
+    named_volumes: &[SftpVolume],
+) -> String {
+    let mut table = format!(
+        "{:<24} {:>9} {:>9} {:>9} {:>9} {:>12}\n",
+        "volume", "taken", "served", "refused", "failed", "units"
+    );
+    for (id, counters) in volume_counters {
+        append_volume(&mut table, &volume_name(*id, named_volumes), counters);
+    }
+    table
+}
+
+/// Appends the line of one volume.
+fn append_volume(table: &mut String, name: &str, counters: &VolumeCounters) {
+    let VolumeCounters {
+        received,
+        served,
+        rejected,
+        failed,
+        units,
+        ..
+    } = counters;
+    // Writing to a string cannot fail.
+    let _ = writeln!(
+        table,
+        "{name:<24} {received:>9} {served:>9} {rejected:>9} {failed:>9} {units:>12.1}"
+    );
+}
+
+/// The name of a volume if it is one of `named_volumes`, and else its id.
+fn volume_name(id: u64, named_volumes: &[SftpVolume]) -> String {
+    match named_volumes.iter().find(|volume| volume.id == id) {
+        Some(volume) => volume.name.clone(),
+        None => HexId(id).to_string(),
+    }
+}
