--- a/crates/gateway/src/config/error.rs
+++ b/crates/gateway/src/config/error.rs
@@ -1,4 +1,5 @@
-//! Errors of loading a configuration. Each names the file or the key at fault and has its cause as the source.
+//! Errors of loading a configuration. Each names the file or the key at fault and has its cause as
+//! the source.
 
 use std::io;
 use std::path::{Path, PathBuf};
--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/sections.rs
@@ -1,15 +1,22 @@
-//! The decoded form of the configuration files: the file that `ROUTER_CONFIG` names, and the operator's file.
+//! The configuration files as serde decodes them: the file that `ROUTER_CONFIG` names, and the
+//! operator's file.
 //!
-//! The decoder's error messages contain the names of these types, so renaming one changes user-visible text.
+//! The keys of the files stand in this module and in the keys of errors only: `serde(rename)` maps
+//! them to the standard terms where they differ. The decoder's error messages contain the names of
+//! these types, so renaming one changes user-visible text.
 
-use super::error::ConfigError;
 use crate::endpoint::EndpointListUpdate;
 use deployment_settings::DeploymentSettings;
-use serde::de::DeserializeOwned;
 use serde::Deserialize;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
-/// The file that `ROUTER_CONFIG` names. The environment may give `name`, `listen` and `discovery` instead.
+/// File descriptors that the process may use if the file states no limit.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
+/// Memory that the process may use if the file states no limit, in MiB.
+const DEFAULT_MEMORY_MB: usize = 256;
+
+/// The file that `ROUTER_CONFIG` names. The environment may give `name`, `listen` and `discovery`
+/// instead.
 #[derive(Deserialize)]
 pub(super) struct Router {
     /// Name of this gateway.
@@ -25,8 +32,8 @@
     #[serde(default)]
     pub limits: Limits,
     /// Endpoint list to start with, before discovery sends one.
-    #[serde(default)]
-    pub known: EndpointListUpdate,
+    #[serde(default, rename = "known")]
+    pub cached_endpoints: EndpointListUpdate,
     /// Settings of the deployment.
     pub settings: DeploymentSettings,
     /// Log level.
@@ -98,7 +105,8 @@
 #[serde(default)]
 pub(super) struct Limits {
     /// Number of file descriptors that the process may use.
-    pub sockets: usize,
+    #[serde(rename = "sockets")]
+    pub max_descriptors: usize,
     /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
 }
@@ -106,30 +114,8 @@
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            sockets: 1024,
-            memory_mb: 256,
+            max_descriptors: DEFAULT_MAX_DESCRIPTORS,
+            memory_mb: DEFAULT_MEMORY_MB,
         }
     }
 }
-
-/// Reads a file into memory.
-pub(super) fn read(path: &Path) -> Result<Vec<u8>, ConfigError> {
-    std::fs::read(path).map_err(|source| ConfigError::unreadable(path, source))
-}
-
-/// Decodes JSON; the parser overwrites `text`. `file` is the file's name in errors.
-pub(super) fn decode<T: DeserializeOwned>(text: &mut [u8], file: &str) -> Result<T, ConfigError> {
-    let mut json =
-        simd_json::Deserializer::from_slice(text).map_err(|source| ConfigError::Malformed {
-            file: file.to_owned(),
-            source,
-        })?;
-    serde_path_to_error::deserialize(&mut json).map_err(|error| {
-        let key = error.path().to_string();
-        ConfigError::Undecodable {
-            file: file.to_owned(),
-            key,
-            source: error.into_inner(),
-        }
-    })
-}
--- a/crates/gateway/src/config/validate.rs
+++ b/crates/gateway/src/config/validate.rs
@@ -1,13 +1,13 @@
 //! Validation of values that have the right type but may still be unusable.
 
 use super::error::{ConfigError, InvalidValue};
-use super::file::Limits;
+use super::sections::Limits;
 use deployment_settings::{ClassSettings, DeploymentSettings};
 use log::LevelFilter;
 use std::net::SocketAddr;
 
-/// Smallest allowed limit on file descriptors.
-const MIN_DESCRIPTORS: usize = 64;
+/// Smallest allowed limit on the number of file descriptors.
+const MIN_MAX_DESCRIPTORS: usize = 64;
 /// Smallest allowed memory limit, in MiB.
 const MIN_MEMORY_MB: usize = 16;
 /// Largest allowed memory limit, in MiB; a larger one would have no effect.
@@ -18,7 +18,8 @@
 pub(super) enum DeadlineRule {
     /// It may be absent, because every request over RESP states its own deadline.
     Optional,
-    /// It must be at least the latency objective, because requests over SFTP state no deadline and get this one.
+    /// It must be at least the latency objective, because requests over SFTP state no deadline and
+    /// get this one.
     AtLeastObjective,
 }
 
@@ -34,26 +35,30 @@
     if settings.plans.is_empty() {
         return Err(ConfigError::missing("settings.plans"));
     }
-    if let Err(unknown) = settings.to_scheduler_settings() {
-        let key = format!("settings.{}", unknown.key);
-        return Err(ConfigError::invalid_value(
-            &key,
-            InvalidValue::UnknownWord(unknown.value),
-        ));
-    }
+    check_words(settings)?;
     for (index, class) in settings.classes.iter().enumerate() {
         check_class(index, class, deadline_rule)?;
     }
     if settings.permissions.max_attempts == 0 {
-        let cause = InvalidValue::BelowMinimum { min: 1 };
-        return Err(ConfigError::invalid_value(
-            "settings.allowed.max_attempts",
-            cause,
-        ));
+        let key = "settings.allowed.max_attempts";
+        let source = InvalidValue::BelowMinimum { min: 1 };
+        return Err(ConfigError::invalid_value(key, source));
     }
     check_limits(limits)
 }
 
+/// Checks that the scheduler knows every word that the settings contain.
+fn check_words(settings: &DeploymentSettings) -> Result<(), ConfigError> {
+    match settings.to_scheduler_settings() {
+        Ok(_) => Ok(()),
+        Err(unknown) => {
+            let key = format!("settings.{}", unknown.key);
+            let source = InvalidValue::UnknownWord(unknown.value);
+            Err(ConfigError::invalid_value(&key, source))
+        }
+    }
+}
+
 /// Checks the times of one class.
 fn check_class(
     index: usize,
@@ -64,10 +69,8 @@
         class.deadline_ms.is_nan() || class.deadline_ms < class.latency_objective_ms;
     if deadline_rule == DeadlineRule::AtLeastObjective && deadline_too_short {
         let key = format!("settings.classes[{index}].deadline_ms");
-        return Err(ConfigError::invalid_value(
-            &key,
-            InvalidValue::DeadlineBelowObjective,
-        ));
+        let source = InvalidValue::DeadlineBelowObjective;
+        return Err(ConfigError::invalid_value(&key, source));
     }
     if class.latency_objective_ms.is_nan() || class.latency_objective_ms <= 0.0 {
         let key = format!("settings.classes[{index}].aim_ms");
@@ -79,31 +82,35 @@
 /// Checks that the limits are within their ranges.
 fn check_limits(limits: &Limits) -> Result<(), ConfigError> {
     if !(MIN_MEMORY_MB..=MAX_MEMORY_MB).contains(&limits.memory_mb) {
-        let cause = InvalidValue::OutOfRange {
+        let source = InvalidValue::OutOfRange {
             min: MIN_MEMORY_MB,
             max: MAX_MEMORY_MB,
         };
-        return Err(ConfigError::invalid_value("limits.memory_mb", cause));
+        return Err(ConfigError::invalid_value("limits.memory_mb", source));
     }
-    if limits.sockets < MIN_DESCRIPTORS {
-        let cause = InvalidValue::BelowMinimum {
-            min: MIN_DESCRIPTORS,
+    if limits.max_descriptors < MIN_MAX_DESCRIPTORS {
+        let source = InvalidValue::BelowMinimum {
+            min: MIN_MAX_DESCRIPTORS,
         };
-        return Err(ConfigError::invalid_value("limits.sockets", cause));
+        return Err(ConfigError::invalid_value("limits.sockets", source));
     }
     Ok(())
 }
 
 /// Parses an IP address with a port.
 pub(super) fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse()
-        .map_err(|_| ConfigError::invalid_value(key, InvalidValue::NotAnAddress(text.to_owned())))
+    text.parse().map_err(|_| {
+        let source = InvalidValue::NotAnAddress(text.to_owned());
+        ConfigError::invalid_value(key, source)
+    })
 }
 
 /// Parses a hexadecimal number.
 pub(super) fn parse_hexadecimal(key: &str, text: &str) -> Result<u64, ConfigError> {
-    u64::from_str_radix(text, 16)
-        .map_err(|_| ConfigError::invalid_value(key, InvalidValue::NotHexadecimal(text.to_owned())))
+    u64::from_str_radix(text, 16).map_err(|_| {
+        let source = InvalidValue::NotHexadecimal(text.to_owned());
+        ConfigError::invalid_value(key, source)
+    })
 }
 
 /// Parses the log level; `info` if none is given.
@@ -112,6 +119,7 @@
         return Ok(LevelFilter::Info);
     };
     text.parse().map_err(|_| {
-        ConfigError::invalid_value(key, InvalidValue::UnknownLogLevel(text.to_owned()))
+        let source = InvalidValue::UnknownLogLevel(text.to_owned());
+        ConfigError::invalid_value(key, source)
     })
 }
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -42,7 +42,7 @@
     /// If the settings or the inventory can't be used, or the system refuses an address or a resource.
     pub fn new(mut config: Config) -> Result<Gateway, GatewayError> {
         let cached = std::mem::take(&mut config.cached_endpoints);
-        let limits = ConnectionLimits::for_descriptors(config.descriptors);
+        let limits = ConnectionLimits::for_descriptors(config.max_descriptors);
         let mut context = Context::new(config)?;
         context.update_now();
         let mut gateway = Gateway {
