--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -97,7 +97,7 @@
         None => Vec::new(),
     };
     println!(
-        "{}: good, {} nodes in the inventory",
+        "configuration is valid: {}, {} nodes in the inventory",
         file.display(),
         nodes.len()
     );
