--- a/crates/gateway/src/client_protocol/mod.rs
+++ b/crates/gateway/src/client_protocol/mod.rs
@@ -6,7 +6,7 @@
 pub mod resp;
 pub mod sftp;
 
-use crate::dispatcher::{Response, StorageRequest};
+use crate::storage_request::{Response, SlotNumber, StorageRequest};
 use io_scheduler::Micros;
 
 /// The result of parsing the next command of a client.
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub struct EncodedReply {
     /// Number of the command on its connection; replies are sent in this order.
-    pub slot: u64,
+    pub slot: SlotNumber,
     /// The bytes to send.
     pub bytes: Vec<u8>,
 }
@@ -43,13 +43,18 @@
         &mut self,
         input: &[u8],
         position: &mut usize,
-        slot: u64,
+        slot: SlotNumber,
         ready: bool,
     ) -> CommandStep;
 
     /// Handles the response to a request of the command at `slot`. Called exactly once for each submitted request,
     /// in any order. When the command can be answered, its slot and encoded reply are appended to `out`.
-    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>);
+    fn encode_response(
+        &mut self,
+        slot: SlotNumber,
+        response: Response,
+        out: &mut Vec<EncodedReply>,
+    );
 
     /// The bytes to send before closing a connection whose incomplete command exceeds the available memory. The
     /// command was not executed.
--- a/crates/gateway/src/client_protocol/resp/mod.rs
+++ b/crates/gateway/src/client_protocol/resp/mod.rs
@@ -12,6 +12,7 @@
 use super::{ClientProtocol, CommandStep, EncodedReply};
 use crate::dispatcher::{Operation, Response, ResponseBody, OVERLOADED_RETRY_AFTER};
 use crate::resp_bulk_string::append_bulk_string;
+use crate::storage_request::SlotNumber;
 use deployment_settings::milliseconds;
 use io_scheduler::Micros;
 use parser::parse_arguments;
@@ -94,7 +95,7 @@
         &mut self,
         input: &[u8],
         position: &mut usize,
-        _slot: u64,
+        _slot: SlotNumber,
         ready: bool,
     ) -> CommandStep {
         match parse_arguments(input, position) {
@@ -106,7 +107,12 @@
         }
     }
 
-    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>) {
+    fn encode_response(
+        &mut self,
+        slot: SlotNumber,
+        response: Response,
+        out: &mut Vec<EncodedReply>,
+    ) {
         let bytes = match response {
             Response::Served(ResponseBody::Value(value)) => encode_bulk_string(&value),
             // A file server's reply to a write has no value; that of a RESP2 node has one.
--- a/crates/gateway/src/client_protocol/resp/request.rs
+++ b/crates/gateway/src/client_protocol/resp/request.rs
@@ -2,8 +2,9 @@
 
 use super::names::RequestNames;
 use super::terms::RequestTerms;
-use crate::dispatcher::{Operation, RequestParameters, StorageRequest};
 use crate::hex_id::HexId;
+use crate::storage_request::{ClassIndex, Operation, PlanIndex, RequestParameters, StorageRequest};
+use io_scheduler::{ObjectKey, Shard, VolumeId};
 
 /// Longest client request id in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 64;
@@ -88,14 +89,14 @@
 
     Ok(StorageRequest {
         operation,
-        object,
+        object: ObjectKey(object),
         object_name: None,
-        volume,
+        volume: VolumeId(volume),
         client_request_id: client_request_id.into(),
-        class: class_index,
-        plan,
+        class: ClassIndex(class_index),
+        plan: PlanIndex(plan),
         units: terms.units,
-        shard: shard.number(),
+        shard: shard.number().map(Shard),
         hosts: terms.hosts,
         client_timeout: wait.capped_micros(class.max_wait_ms),
         is_retry: terms.is_retry,
--- a/crates/gateway/src/client_protocol/sftp/mod.rs
+++ b/crates/gateway/src/client_protocol/sftp/mod.rs
@@ -15,8 +15,8 @@
 pub use shared::SftpShared;
 
 use super::{ClientProtocol, CommandStep, EncodedReply};
-use crate::dispatcher::Response;
 use crate::sftp_packet::{decode_packet, packet_type, DecodedPacket, Fields, Packet, VERSION};
+use crate::storage_request::{Response, SlotNumber};
 use command::CommandOutcome;
 use handle::HandleTable;
 use io_scheduler::Micros;
@@ -37,7 +37,7 @@
     /// The client's open files and directories.
     handles: HandleTable,
     /// Commands whose requests are in flight, by slot.
-    pending: BTreeMap<u64, PendingCommand>,
+    pending: BTreeMap<SlotNumber, PendingCommand>,
 }
 
 impl SftpProtocol {
@@ -68,7 +68,7 @@
         &mut self,
         input: &[u8],
         position: &mut usize,
-        slot: u64,
+        slot: SlotNumber,
         _ready: bool,
     ) -> CommandStep {
         let DecodedPacket {
@@ -104,7 +104,12 @@
         }
     }
 
-    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>) {
+    fn encode_response(
+        &mut self,
+        slot: SlotNumber,
+        response: Response,
+        out: &mut Vec<EncodedReply>,
+    ) {
         if let Some(reply) = self.handle_response(slot, response) {
             out.push(EncodedReply { slot, bytes: reply });
         }
--- a/crates/gateway/src/client_protocol/sftp/path.rs
+++ b/crates/gateway/src/client_protocol/sftp/path.rs
@@ -4,6 +4,8 @@
 use super::error::SftpError;
 use super::shared::SftpShared;
 use crate::hex_id::HexId;
+use crate::storage_request::PlanIndex;
+use io_scheduler::{ObjectKey, VolumeId};
 
 /// Longest name of an object in bytes.
 const MAX_NAME_LENGTH: usize = 255;
@@ -16,11 +18,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Target {
     /// The id of the volume.
-    pub(super) volume: u64,
-    /// The volume's plan, as an index into the settings.
-    pub(super) plan: usize,
+    pub(super) volume: VolumeId,
+    /// The volume's plan.
+    pub(super) plan: PlanIndex,
     /// The id of the object; zero for a volume.
-    pub(super) object: u64,
+    pub(super) object: ObjectKey,
     /// The name of the object; `None` for a volume.
     pub(super) name: Option<Box<str>>,
 }
@@ -28,7 +30,7 @@
 impl Target {
     /// The shard of an object. SFTP clients cannot state it, so it is derived from the volume and the object.
     pub(super) fn shard(&self, shard_count: u64) -> u64 {
-        hash(&self.volume.to_be_bytes(), self.object) % shard_count
+        hash(&self.volume.0.to_be_bytes(), self.object.0) % shard_count
     }
 }
 
@@ -60,7 +62,7 @@
         let mut target = Target {
             volume: volume.id,
             plan: volume.plan,
-            object: 0,
+            object: ObjectKey(0),
             name: None,
         };
         let Some(object_name) = parts.next() else {
@@ -97,16 +99,16 @@
 
 /// The id of the object with this name. A name of 16 lower-case hex digits is the text form of the id; for any
 /// other name, the id is a hash of it.
-fn object_id(name: &str) -> u64 {
+fn object_id(name: &str) -> ObjectKey {
     let has_hex_digits_only = name
         .bytes()
         .all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
     if has_hex_digits_only {
         if let Ok(HexId(id)) = name.parse() {
-            return id;
+            return ObjectKey(id);
         }
     }
-    hash(name.as_bytes(), 0)
+    ObjectKey(hash(name.as_bytes(), 0))
 }
 
 /// 64-bit FNV-1a, with `seed` mixed into the offset basis. The high half of the result is folded into the low
--- a/crates/gateway/src/client_protocol/sftp/response.rs
+++ b/crates/gateway/src/client_protocol/sftp/response.rs
@@ -6,8 +6,8 @@
 use super::handle::Handle;
 use super::path::Target;
 use super::SftpProtocol;
-use crate::dispatcher::{Response, ResponseBody};
 use crate::sftp_packet::{encode_status, StatusCode};
+use crate::storage_request::{Response, ResponseBody, SlotNumber};
 use deployment_settings::milliseconds;
 
 /// A command whose requests are in flight.
@@ -38,7 +38,11 @@
 impl SftpProtocol {
     /// Handles a response to a request of the command at `slot`. Returns the encoded reply if it completes the
     /// command.
-    pub(super) fn handle_response(&mut self, slot: u64, response: Response) -> Option<Vec<u8>> {
+    pub(super) fn handle_response(
+        &mut self,
+        slot: SlotNumber,
+        response: Response,
+    ) -> Option<Vec<u8>> {
         let PendingCommand {
             request_id,
             operation,
--- a/crates/gateway/src/client_protocol/sftp/shared.rs
+++ b/crates/gateway/src/client_protocol/sftp/shared.rs
@@ -4,9 +4,10 @@
 use super::error::SftpError;
 use super::path::Target;
 use crate::config::SftpSettings;
-use crate::dispatcher::{Operation, RequestParameters, StorageRequest};
 use crate::hex_id::HexId;
+use crate::storage_request::{ClassIndex, Operation, RequestParameters, StorageRequest};
 use deployment_settings::{micros, DeploymentSettings};
+use io_scheduler::{ObjectKey, Shard, VolumeId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -37,7 +38,7 @@
     /// Upper bound on `buffered_bytes`.
     max_buffered_bytes: usize,
     /// Sizes of objects in bytes as last observed, from which the units of a read are estimated.
-    object_sizes: RefCell<BTreeMap<ObjectKey, u64>>,
+    object_sizes: RefCell<BTreeMap<CachedObject, u64>>,
 }
 
 /// A class of requests.
@@ -50,14 +51,14 @@
 
 /// Identifies an object by its volume's id and its own.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct ObjectKey {
-    volume: u64,
-    object: u64,
+struct CachedObject {
+    volume: VolumeId,
+    object: ObjectKey,
 }
 
-impl From<&Target> for ObjectKey {
-    fn from(target: &Target) -> ObjectKey {
-        ObjectKey {
+impl From<&Target> for CachedObject {
+    fn from(target: &Target) -> CachedObject {
+        CachedObject {
             volume: target.volume,
             object: target.object,
         }
@@ -156,9 +157,9 @@
         let RequestClass {
             name: class_name,
             deadline_ms,
-        } = &self.classes[class];
-        let prefix = format!("c={class_name},t={},d=", self.plans[target.plan]);
-        let volume_and_units = format!(",volume={},units={units}", HexId(target.volume));
+        } = &self.classes[class.0];
+        let prefix = format!("c={class_name},t={},d=", self.plans[target.plan.0]);
+        let volume_and_units = format!(",volume={},units={units}", HexId(target.volume.0));
         let suffix = format!("{volume_and_units},shard={shard},hosts={}", self.hosts);
         StorageRequest {
             operation,
@@ -169,7 +170,7 @@
             class,
             plan: target.plan,
             units,
-            shard: Some(shard),
+            shard: Some(Shard(shard)),
             hosts: self.hosts,
             client_timeout: micros(*deadline_ms),
             is_retry: false,
@@ -181,13 +182,13 @@
         }
     }
 
-    /// The class of a request, as an index into the settings, and its units.
+    /// The class of a request and its units.
     fn class_and_units(
         &self,
         operation: Operation,
         target: &Target,
         body_bytes: u64,
-    ) -> (usize, f64) {
+    ) -> (ClassIndex, f64) {
         match operation {
             Operation::Write => (self.config.write_class, self.units(Some(body_bytes))),
             Operation::List => (self.config.list_class, 1.0),
--- a/crates/gateway/src/config/sftp.rs
+++ b/crates/gateway/src/config/sftp.rs
@@ -5,7 +5,7 @@
 use super::sections::OperatorSftp;
 use super::sftp_volumes::{convert_volumes, SftpVolume};
 use super::validate::parse_address;
-use crate::storage_request::MAX_VALUE_BYTES;
+use crate::storage_request::{ClassIndex, MAX_VALUE_BYTES};
 use deployment_settings::DeploymentSettings;
 use std::net::SocketAddr;
 
@@ -21,15 +21,14 @@
     pub max_upload_bytes: usize,
     /// Bytes that count as one unit.
     pub unit_bytes: u64,
-    /// Class of reads, as an index into the classes of the settings.
-    pub read_class: usize,
-    /// Class of writes, as an index into the classes of the settings.
-    pub write_class: usize,
-    /// Class of listings, as an index into the classes of the settings.
-    pub list_class: usize,
-    /// Class of reads of objects known to have at least `large_bytes`, as an index into the
-    /// classes of the settings.
-    pub large_read_class: usize,
+    /// Class of reads.
+    pub read_class: ClassIndex,
+    /// Class of writes.
+    pub write_class: ClassIndex,
+    /// Class of listings.
+    pub list_class: ClassIndex,
+    /// Class of reads of objects known to have at least `large_bytes`.
+    pub large_read_class: ClassIndex,
     /// Smallest size in bytes of an object that counts as large.
     pub large_bytes: u64,
     /// Volumes that clients may access.
@@ -107,18 +106,18 @@
 }
 
 impl ClassLookup<'_> {
-    /// Index of the class `name`, whose requests must read. `key` is the key that names it.
-    fn reading(self, key: &str, name: &str) -> Result<usize, ConfigError> {
+    /// The class `name`, whose requests must read. `key` is the key that names it.
+    fn reading(self, key: &str, name: &str) -> Result<ClassIndex, ConfigError> {
         self.with_access(key, name, Access::Read)
     }
 
-    /// Index of the class `name`, whose requests must write. `key` is the key that names it.
-    fn writing(self, key: &str, name: &str) -> Result<usize, ConfigError> {
+    /// The class `name`, whose requests must write. `key` is the key that names it.
+    fn writing(self, key: &str, name: &str) -> Result<ClassIndex, ConfigError> {
         self.with_access(key, name, Access::Write)
     }
 
-    /// Index of the class `name`. Fails unless its requests do what `access` states.
-    fn with_access(self, key: &str, name: &str, access: Access) -> Result<usize, ConfigError> {
+    /// The class `name`. Fails unless its requests do what `access` states.
+    fn with_access(self, key: &str, name: &str, access: Access) -> Result<ClassIndex, ConfigError> {
         let classes = &self.settings.classes;
         let Some(index) = classes.iter().position(|class| class.name == name) else {
             let source = InvalidValue::UnknownClass(name.to_owned());
@@ -128,7 +127,7 @@
             let source = InvalidValue::WrongAccess(name.to_owned());
             return Err(ConfigError::invalid_value(key, source));
         }
-        Ok(index)
+        Ok(ClassIndex(index))
     }
 
     /// What the requests of a class do; they read if the settings do not state it.
--- a/crates/gateway/src/config/sftp_volumes.rs
+++ b/crates/gateway/src/config/sftp_volumes.rs
@@ -4,7 +4,9 @@
 use super::error::{ConfigError, InvalidValue};
 use super::sections::OperatorVolume;
 use super::validate::parse_hexadecimal;
+use crate::storage_request::PlanIndex;
 use deployment_settings::DeploymentSettings;
+use io_scheduler::VolumeId;
 
 /// A volume that clients may access.
 #[derive(Clone, Debug)]
@@ -12,9 +14,9 @@
     /// Name of the volume, which is the first part of the paths of its objects.
     pub name: String,
     /// Id of the volume.
-    pub id: u64,
-    /// Plan of the volume, as an index into the plans of the settings.
-    pub plan: usize,
+    pub id: VolumeId,
+    /// Plan of the volume.
+    pub plan: PlanIndex,
 }
 
 /// Validates and converts `sftp.volumes`.
@@ -60,7 +62,7 @@
     };
     Ok(SftpVolume {
         name: entry.name.clone(),
-        id,
-        plan,
+        id: VolumeId(id),
+        plan: PlanIndex(plan),
     })
 }
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -82,7 +82,7 @@
                 }
                 CommandStep::Submit(requests) => self.submit(token, client, requests, context),
             }
-            client.next_slot += 1;
+            client.next_slot = client.next_slot.next();
             client.eviction_priority = client.eviction_priority.max(EvictionPriority::Commands);
             client.last_active_at = context.now;
             client.queue_ready_replies();
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -4,6 +4,7 @@
 use crate::client_protocol::{ClientProtocol, EncodedReply};
 use crate::connections::socket::Socket;
 use crate::connections::CountedBytes;
+use crate::storage_request::SlotNumber;
 use io_scheduler::{Micros, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -29,9 +30,9 @@
     /// that order, so those that are ready wait for earlier ones.
     pub(super) replies: VecDeque<PendingReply>,
     /// The slot of the next command's reply. Slots number the commands of a connection from 0.
-    pub(super) next_slot: u64,
+    pub(super) next_slot: SlotNumber,
     /// The requests of each command that waits for its reply, by slot.
-    pub(super) open_requests: BTreeMap<u64, Vec<RequestId>>,
+    pub(super) open_requests: BTreeMap<SlotNumber, Vec<RequestId>>,
     /// Whether it takes commands or is closing.
     pub(super) lifecycle: Lifecycle,
     /// What the client has sent so far, which decides how soon the connection is evicted.
@@ -55,7 +56,7 @@
 /// The reply to one command.
 pub(super) struct PendingReply {
     /// Position among the replies of the connection.
-    pub(super) slot: u64,
+    pub(super) slot: SlotNumber,
     /// The encoded reply; `None` while responses to the command's requests are awaited.
     pub(super) bytes: Option<Vec<u8>>,
 }
@@ -86,7 +87,7 @@
             socket,
             protocol,
             replies: VecDeque::new(),
-            next_slot: 0,
+            next_slot: SlotNumber::FIRST,
             open_requests: BTreeMap::new(),
             lifecycle: Lifecycle::Open,
             eviction_priority: EvictionPriority::Silent,
@@ -174,7 +175,7 @@
             slot: self.next_slot,
             bytes: Some(reply),
         });
-        self.next_slot += 1;
+        self.next_slot = self.next_slot.next();
         self.queue_ready_replies();
     }
 
--- a/crates/gateway/src/console/tables.rs
+++ b/crates/gateway/src/console/tables.rs
@@ -3,7 +3,7 @@
 use crate::config::SftpVolume;
 use crate::dispatcher::{NodeState, VolumeCounters};
 use crate::hex_id::HexId;
-use io_scheduler::EndpointStatus;
+use io_scheduler::{EndpointStatus, Shard, VolumeId};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -23,7 +23,7 @@
 fn append_node(table: &mut String, node: &NodeState) {
     let NodeState {
         name,
-        shard,
+        shard: Shard(shard),
         status,
         units,
         attempts_in_flight,
@@ -50,7 +50,7 @@
 /// the volumes of the SFTP listener, and by its id otherwise.
 #[must_use]
 pub fn format_volumes(
-    volume_counters: &BTreeMap<u64, VolumeCounters>,
+    volume_counters: &BTreeMap<VolumeId, VolumeCounters>,
     named_volumes: &[SftpVolume],
 ) -> String {
     let mut table = format!(
@@ -81,9 +81,9 @@
 }
 
 /// The name of a volume if it is one of `named_volumes`, and else its id.
-fn volume_name(id: u64, named_volumes: &[SftpVolume]) -> String {
+fn volume_name(id: VolumeId, named_volumes: &[SftpVolume]) -> String {
     match named_volumes.iter().find(|volume| volume.id == id) {
         Some(volume) => volume.name.clone(),
-        None => HexId(id).to_string(),
+        None => HexId(id.0).to_string(),
     }
 }
--- a/crates/gateway/src/dispatcher/node_state.rs
+++ b/crates/gateway/src/dispatcher/node_state.rs
@@ -1,6 +1,6 @@
 //! The state of one storage node.
 
-use io_scheduler::{EndpointStatus, Micros};
+use io_scheduler::{EndpointStatus, Micros, Shard};
 
 /// The state of a node.
 #[derive(Clone, Debug)]
@@ -8,7 +8,7 @@
     /// Name in the endpoint list.
     pub name: String,
     /// Shard whose objects the node stores.
-    pub shard: u64,
+    pub shard: Shard,
     /// Status in the endpoint list.
     pub status: EndpointStatus,
     /// Units of service that the node has served to this gateway.
@@ -25,7 +25,7 @@
     pub(super) fn unlisted(name: &str) -> NodeState {
         NodeState {
             name: name.to_owned(),
-            shard: 0,
+            shard: Shard(0),
             status: EndpointStatus::Removed,
             units: 0.0,
             attempts_in_flight: 0,
--- a/crates/gateway/src/dispatcher/node_table.rs
+++ b/crates/gateway/src/dispatcher/node_table.rs
@@ -6,7 +6,7 @@
 
 use super::node_state::NodeState;
 use crate::endpoint::EndpointRecord;
-use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, Micros, NodeId, Shard, Zone};
+use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, Micros, NodeId, Zone};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// No attempt is written to a draining node in the last part of its drain grace, as it would reach
@@ -133,7 +133,7 @@
         Endpoint {
             node: id,
             zone,
-            shard: Shard(record.shard),
+            shard: record.shard,
             status: record.status,
             started_at: record.started_at,
         }
--- a/crates/gateway/src/dispatcher/state.rs
+++ b/crates/gateway/src/dispatcher/state.rs
@@ -8,7 +8,9 @@
 use crate::endpoint::EndpointRecord;
 use crate::memory_budget::MemoryBudget;
 use deployment_settings::{micros, DeploymentSettings, UnknownValue};
-use io_scheduler::{Action, EndpointListEvent, Event, Micros, NodeId, Scheduler, StateSizes};
+use io_scheduler::{
+    Action, EndpointListEvent, Event, Micros, NodeId, Scheduler, StateSizes, VolumeId,
+};
 use std::collections::BTreeMap;
 
 /// Joins clients, nodes and the scheduler; see the [module](super).
@@ -103,7 +105,7 @@
 
     /// The counters of the volumes with the most requests, by volume.
     #[must_use]
-    pub fn volume_counters(&self) -> &BTreeMap<u64, VolumeCounters> {
+    pub fn volume_counters(&self) -> &BTreeMap<VolumeId, VolumeCounters> {
         self.volume_counters.by_volume()
     }
 
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -8,7 +8,7 @@
 use crate::memory_budget::OVERLOADED_RETRY_AFTER;
 use crate::storage_request::{InvalidRequest, ReplySlot, Response, StorageRequest};
 use crate::timer_queue::{Timer, TimerQueue};
-use io_scheduler::{Event, Micros, ObjectKey, Request, RequestId, Shard, VolumeId};
+use io_scheduler::{Event, Micros, Request, RequestId};
 
 /// Time reserved for the final response to reach the client before the client's timeout, in
 /// microseconds; at most a quarter of that timeout.
@@ -88,11 +88,11 @@
 fn scheduler_request(id: RequestId, request: &StorageRequest, deadline: Micros) -> Request {
     Request {
         id,
-        volume: VolumeId(request.volume),
-        plan: request.plan,
-        class: request.class,
-        key: Some(ObjectKey(request.object)),
-        shard: request.shard.map(Shard),
+        volume: request.volume,
+        plan: request.plan.0,
+        class: request.class.0,
+        key: Some(request.object),
+        shard: request.shard,
         units: request.units,
         hosts: request.hosts,
         deadline,
--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -1,6 +1,7 @@
 //! Counters of the requests and the service of each volume, for the console.
 
 use crate::storage_request::Response;
+use io_scheduler::VolumeId;
 use std::collections::BTreeMap;
 
 /// How many volumes may have counters at once.
@@ -27,17 +28,17 @@
 #[derive(Debug, Default)]
 pub(super) struct VolumeCounterTable {
     /// The counters, by volume.
-    by_volume: BTreeMap<u64, VolumeCounters>,
+    by_volume: BTreeMap<VolumeId, VolumeCounters>,
 }
 
 impl VolumeCounterTable {
     /// All counters, by volume.
-    pub(super) fn by_volume(&self) -> &BTreeMap<u64, VolumeCounters> {
+    pub(super) fn by_volume(&self) -> &BTreeMap<VolumeId, VolumeCounters> {
         &self.by_volume
     }
 
     /// Counts a request received.
-    pub(super) fn record_received(&mut self, volume: u64) {
+    pub(super) fn record_received(&mut self, volume: VolumeId) {
         if self.by_volume.len() >= MAX_VOLUME_COUNTERS && !self.by_volume.contains_key(&volume) {
             self.evict_less_used_half();
         }
@@ -45,12 +46,12 @@
     }
 
     /// Counts an attempt started.
-    pub(super) fn record_attempt(&mut self, volume: u64) {
+    pub(super) fn record_attempt(&mut self, volume: VolumeId) {
         self.counters(volume).attempts += 1;
     }
 
     /// Counts a final response to a request of `units`.
-    pub(super) fn record_response(&mut self, volume: u64, units: f64, response: &Response) {
+    pub(super) fn record_response(&mut self, volume: VolumeId, units: f64, response: &Response) {
         let counters = self.counters(volume);
         match response {
             Response::Served(_) => {
@@ -63,7 +64,7 @@
     }
 
     /// The counters of a volume, which may have been evicted since its request was received.
-    fn counters(&mut self, volume: u64) -> &mut VolumeCounters {
+    fn counters(&mut self, volume: VolumeId) -> &mut VolumeCounters {
         self.by_volume.entry(volume).or_default()
     }
 
--- a/crates/gateway/src/endpoint/record.rs
+++ b/crates/gateway/src/endpoint/record.rs
@@ -1,6 +1,6 @@
 //! An entry of the endpoint list.
 
-use io_scheduler::{EndpointStatus, Micros};
+use io_scheduler::{EndpointStatus, Micros, Shard};
 
 /// A storage node as an endpoint list states it, without its address: connections are not the
 /// dispatcher's concern.
@@ -10,8 +10,8 @@
     pub name: String,
     /// Name of the node's zone.
     pub zone: String,
-    /// Number of the shard whose objects the node stores.
-    pub shard: u64,
+    /// The shard whose objects the node stores.
+    pub shard: Shard,
     /// Whether the node is in service, draining or removed.
     pub status: EndpointStatus,
     /// When the node's process last started, in microseconds since the Unix epoch; `None` if the
--- a/crates/gateway/src/endpoint/wire.rs
+++ b/crates/gateway/src/endpoint/wire.rs
@@ -6,7 +6,7 @@
 use super::record::EndpointRecord;
 use super::update::{EndpointEntry, EndpointListUpdate};
 use deployment_settings::micros;
-use io_scheduler::{EndpointStatus, Micros};
+use io_scheduler::{EndpointStatus, Micros, Shard};
 use serde::{Deserialize, Deserializer};
 
 /// One update of the endpoint list.
@@ -87,7 +87,7 @@
             record: EndpointRecord {
                 name: entry.name,
                 zone: entry.zone,
-                shard: entry.shard,
+                shard: Shard(entry.shard),
                 status: entry.status.into(),
                 started_at: started_at(entry.started_at_ms),
             },
--- a/crates/gateway/src/inventory/vars.rs
+++ b/crates/gateway/src/inventory/vars.rs
@@ -8,7 +8,7 @@
 use super::node::InventoryNode;
 use crate::endpoint::{EndpointRecord, Protocol};
 use deployment_settings::micros;
-use io_scheduler::{EndpointStatus, Micros};
+use io_scheduler::{EndpointStatus, Micros, Shard};
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
@@ -99,7 +99,7 @@
         let record = EndpointRecord {
             name: name.to_owned(),
             zone: self.zone.clone().unwrap_or_default(),
-            shard,
+            shard: Shard(shard),
             status,
             started_at: self.started_at(),
         };
--- a/crates/gateway/src/node_protocol/resp/mod.rs
+++ b/crates/gateway/src/node_protocol/resp/mod.rs
@@ -58,7 +58,7 @@
         };
         out.extend_from_slice(array_header);
         append_bulk_string(command, out);
-        append_bulk_string(HexId(request.object).to_string().as_bytes(), out);
+        append_bulk_string(HexId(request.object.0).to_string().as_bytes(), out);
         append_bulk_string(request.client_request_id.as_bytes(), out);
         let RequestParameters {
             before_timeout,
--- a/crates/gateway/src/node_protocol/sftp/mod.rs
+++ b/crates/gateway/src/node_protocol/sftp/mod.rs
@@ -130,10 +130,10 @@
         out: &mut Vec<u8>,
     ) -> usize {
         let start = out.len();
-        let directory = format!("/{}", HexId(request.volume));
+        let directory = format!("/{}", HexId(request.volume.0));
         let path = match &request.object_name {
             Some(name) => format!("{directory}/{name}"),
-            None => format!("{directory}/{}", HexId(request.object)),
+            None => format!("{directory}/{}", HexId(request.object.0)),
         };
         match request.operation {
             Operation::Read => self.send_open(&path, open_flags::READ, out),
--- a/crates/gateway/src/storage_request/reply_slot.rs
+++ b/crates/gateway/src/storage_request/reply_slot.rs
@@ -8,5 +8,20 @@
     /// Token of the client's connection.
     pub connection: ConnectionToken,
     /// Position among the replies of that connection.
-    pub slot: u64,
+    pub slot: SlotNumber,
+}
+
+/// Number of a command on its connection, counted from 0; replies are sent in this order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct SlotNumber(pub u64);
+
+impl SlotNumber {
+    /// The number of the first command.
+    pub const FIRST: SlotNumber = SlotNumber(0);
+
+    /// The number of the next command.
+    #[must_use]
+    pub fn next(self) -> SlotNumber {
+        SlotNumber(self.0 + 1)
+    }
 }
--- a/crates/gateway/src/storage_request/request.rs
+++ b/crates/gateway/src/storage_request/request.rs
@@ -1,6 +1,6 @@
 //! The request of a client, independent of the protocol that it came by.
 
-use io_scheduler::Micros;
+use io_scheduler::{Micros, ObjectKey, Shard, VolumeId};
 
 /// Largest value that is forwarded to a node, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 << 10;
@@ -18,28 +18,36 @@
     List,
 }
 
+/// A class of requests, as its index in the deployment settings.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ClassIndex(pub usize);
+
+/// A plan of volumes, as its index in the deployment settings.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct PlanIndex(pub usize);
+
 /// One request of a client.
 #[derive(Clone, Debug)]
 pub struct StorageRequest {
     /// The operation to run.
     pub operation: Operation,
-    /// The object, by its number.
-    pub object: u64,
+    /// The object.
+    pub object: ObjectKey,
     /// Name of the object, if the client's protocol names objects.
     pub object_name: Option<Box<str>>,
     /// The volume that the object belongs to.
-    pub volume: u64,
+    pub volume: VolumeId,
     /// The client's id of the request, which is also sent to the nodes. Unique among the requests
     /// in flight.
     pub client_request_id: Box<str>,
-    /// Class of the request, an index into the deployment settings.
-    pub class: usize,
-    /// Plan of the volume, an index into the deployment settings.
-    pub plan: usize,
+    /// Class of the request.
+    pub class: ClassIndex,
+    /// Plan of the volume.
+    pub plan: PlanIndex,
     /// Size of the request in units of service.
     pub units: f64,
     /// Shard that stores the object; `None` for a new object, which any node may take.
-    pub shard: Option<u64>,
+    pub shard: Option<Shard>,
     /// Number of gateways through which the requests of the volume arrive.
     pub hosts: f64,
     /// How long the client waits for the response, in microseconds.
--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -4,7 +4,10 @@
 mod random_numbers;
 
 use deployment_settings::DeploymentSettings;
-use io_scheduler::{EndpointListEvent, EndpointStatus, Micros, NodeId, Outcome, RequestId};
+use io_scheduler::{
+    EndpointListEvent, EndpointStatus, Micros, NodeId, ObjectKey, Outcome, RequestId, Shard,
+    VolumeId,
+};
 use random_numbers::RandomNumbers;
 use std::collections::{BTreeMap, BTreeSet};
 use storage_gateway::connection_token::ConnectionToken;
@@ -14,16 +17,17 @@
 };
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::memory_budget::MemoryBudget;
+use storage_gateway::storage_request::{ClassIndex, PlanIndex, SlotNumber};
 use storage_gateway::timer_queue::{AttemptId, TimerQueue};
 
 const MS: Micros = 1_000;
-/// Index of the class of reads in the settings.
-const READ_CLASS: usize = 0;
-/// Index of the class of writes in the settings.
-const WRITE_CLASS: usize = 1;
+/// The class of reads in the settings.
+const READ_CLASS: ClassIndex = ClassIndex(0);
+/// The class of writes in the settings.
+const WRITE_CLASS: ClassIndex = ClassIndex(1);
 const MEMORY_MB: usize = 64;
 const CLIENT_WAIT: Micros = 6_000 * MS;
-const DEFAULT_VOLUME: u64 = 1;
+const DEFAULT_VOLUME: VolumeId = VolumeId(1);
 
 /// A request that was submitted.
 struct Submitted {
@@ -66,7 +70,7 @@
     EndpointRecord {
         name: name.into(),
         zone: "a".into(),
-        shard,
+        shard: Shard(shard),
         status,
         started_at: None,
     }
@@ -100,7 +104,7 @@
     fn new_request(&self, operation: Operation, shard: Option<u64>) -> StorageRequest {
         StorageRequest {
             operation,
-            object: self.submitted,
+            object: ObjectKey(self.submitted),
             object_name: None,
             volume: DEFAULT_VOLUME,
             client_request_id: self.submitted.to_string().into(),
@@ -109,9 +113,9 @@
             } else {
                 READ_CLASS
             },
-            plan: 0,
+            plan: PlanIndex(0),
             units: 1.0,
-            shard,
+            shard: shard.map(Shard),
             hosts: 1.0,
             client_timeout: CLIENT_WAIT,
             is_retry: false,
@@ -129,7 +133,7 @@
         let slot = self.submitted;
         let reply_slot = ReplySlot {
             connection: ConnectionToken::from(0),
-            slot,
+            slot: SlotNumber(slot),
         };
         let id = self
             .dispatcher
@@ -189,7 +193,7 @@
                 response,
             } => {
                 responses.push(Responded {
-                    slot: reply_slot.slot,
+                    slot: reply_slot.slot.0,
                     response: response.clone(),
                 });
                 false
@@ -387,7 +391,7 @@
             let unknown_shard = Some(1_000_000 + harness.submitted);
             let request = harness.new_request(Operation::Read, unknown_shard);
             harness.submit_request(StorageRequest {
-                volume: 1_000_000 + number,
+                volume: VolumeId(1_000_000 + number),
                 ..request
             });
         }
@@ -519,7 +523,7 @@
     for volume in 0..2_500 {
         let request = harness.new_request(Operation::Read, Some(0));
         harness.submit_request(StorageRequest {
-            volume: 1_000_000 + volume,
+            volume: VolumeId(1_000_000 + volume),
             ..request
         });
     }
--- a/crates/gateway/tests/malformed_input.rs
+++ b/crates/gateway/tests/malformed_input.rs
@@ -13,6 +13,7 @@
 use storage_gateway::discovery::WatchParser;
 use storage_gateway::dispatcher::Operation;
 use storage_gateway::node_protocol::{self, NodeProtocol};
+use storage_gateway::storage_request::SlotNumber;
 
 /// Pieces that random input is made of: what the protocols use, so that it gets past their first bytes.
 const ALPHABET: [&[u8]; 17] = [
@@ -54,7 +55,12 @@
 /// A command of a client consumes input, unless it is incomplete or ends the connection.
 fn check_client_protocol(names: &Rc<RequestNames>, input: &[u8]) {
     let mut position = 0;
-    let step = RespProtocol::new(names.clone()).parse_command(input, &mut position, 0, true);
+    let step = RespProtocol::new(names.clone()).parse_command(
+        input,
+        &mut position,
+        SlotNumber::FIRST,
+        true,
+    );
     let may_consume_nothing = matches!(step, CommandStep::Incomplete | CommandStep::Close(_));
     assert!(position <= input.len() && (position > 0 || may_consume_nothing));
 }
