--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -1,6 +1,7 @@
 //! The attempts of requests at nodes: their start, their progress and their end.
 
 use super::command::Command;
+use super::in_flight_request::InFlightAttempt;
 use super::state::Dispatcher;
 use crate::storage_request::{AttemptId, AttemptResult, Response};
 use crate::timer_queue::{Timer, TimerQueue};
@@ -55,7 +56,7 @@
     pub fn complete_attempt(
         &mut self,
         attempt: AttemptId,
-        result: AttemptResult,
+        mut result: AttemptResult,
         now: Micros,
         timers: &mut TimerQueue,
     ) {
@@ -72,21 +73,32 @@
         let served_units = if is_served { units } else { 0.0 };
         self.nodes.attempt_completed(completed.node, served_units);
         if is_served {
-            if let Some(body) = result.body {
+            if let Some(body) = result.body.take() {
                 self.respond(attempt.request, Response::Served(body));
             }
         }
+        self.report_completed(attempt, &completed, &result, now);
+        self.remove_if_finished(attempt.request, timers);
+    }
+
+    /// Reports the end of an attempt to the scheduler.
+    fn report_completed(
+        &mut self,
+        id: AttemptId,
+        attempt: &InFlightAttempt,
+        result: &AttemptResult,
+        now: Micros,
+    ) {
         self.events.push(Event::AttemptCompleted(CompletedAttempt {
-            request: attempt.request,
-            number: attempt.number,
-            node: completed.node,
+            request: id.request,
+            number: id.number,
+            node: attempt.node,
             outcome: result.outcome,
-            request_closed: !self.awaits_response(attempt.request),
-            elapsed: now - completed.dispatched_at,
+            request_closed: !self.awaits_response(id.request),
+            elapsed: now - attempt.dispatched_at,
             remote_units: result.remote_units,
             utilization: result.utilization,
         }));
-        self.remove_if_finished(attempt.request, timers);
     }
 
     /// Ends an attempt that has no result: it was cancelled, has timed out or lost its connection.
--- a/crates/gateway/src/inventory/yaml_format.rs
+++ b/crates/gateway/src/inventory/yaml_format.rs
@@ -90,20 +90,13 @@
                 group: path.to_owned(),
             });
         }
-        let group_vars = match &group.vars {
-            Some(vars) => vars.with_defaults(inherited),
-            None => inherited.clone(),
-        };
+        let group_vars = with_inherited(group.vars.as_ref(), inherited);
         for (name, host_vars) in group.hosts.iter().flatten() {
             self.add_host(path, name, host_vars.as_ref(), &group_vars);
         }
         for (name, child) in group.children.iter().flatten() {
-            self.collect(
-                &format!("{path}.children.{name}"),
-                child.as_ref(),
-                &group_vars,
-                depth + 1,
-            )?;
+            let child_path = format!("{path}.children.{name}");
+            self.collect(&child_path, child.as_ref(), &group_vars, depth + 1)?;
         }
         Ok(())
     }
@@ -117,10 +110,7 @@
         host_vars: Option<&Vars>,
         group_vars: &Vars,
     ) {
-        let vars = match host_vars {
-            Some(vars) => vars.with_defaults(group_vars),
-            None => group_vars.clone(),
-        };
+        let vars = with_inherited(host_vars, group_vars);
         let host = self.hosts.entry(name.to_owned()).or_insert_with(|| Host {
             path: format!("{group_path}.hosts.{name}"),
             vars: Vars::default(),
@@ -145,3 +135,11 @@
         Ok(nodes)
     }
 }
+
+/// The vars of a host or group: its own, if it has any, and those that it inherits.
+fn with_inherited(own: Option<&Vars>, inherited: &Vars) -> Vars {
+    match own {
+        Some(own) => own.with_defaults(inherited),
+        None => inherited.clone(),
+    }
+}
