--- a/crates/gateway/src/client_protocol/resp/mod.rs
+++ b/crates/gateway/src/client_protocol/resp/mod.rs
@@ -116,7 +116,7 @@
         let bytes = match response {
             Response::Served(ResponseBody::Value(value)) => encode_bulk_string(&value),
             // A file server's reply to a write has no value; that of a RESP2 node has one.
-            Response::Served(ResponseBody::Size(_) | ResponseBody::Names(_)) => {
+            Response::Served(ResponseBody::Size(_) | ResponseBody::Entries(_)) => {
                 encode_bulk_string(b"")
             }
             Response::Served(ResponseBody::NotFound) => b"-ERR not found\r\n".to_vec(),
--- a/crates/gateway/src/client_protocol/sftp/directory.rs
+++ b/crates/gateway/src/client_protocol/sftp/directory.rs
@@ -73,7 +73,7 @@
     pub(super) fn add_shard(&mut self, body: ResponseBody) {
         self.remaining_shards -= 1;
         match body {
-            ResponseBody::Names(objects) => {
+            ResponseBody::Entries(objects) => {
                 self.entries
                     .extend(objects.into_iter().map(DirectoryEntry::from));
             }
--- a/crates/gateway/src/client_protocol/sftp/response.rs
+++ b/crates/gateway/src/client_protocol/sftp/response.rs
@@ -98,7 +98,7 @@
         let value = match body {
             ResponseBody::Value(value) => value,
             ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
-            ResponseBody::Size(_) | ResponseBody::Names(_) => return Err(SftpError::Failed),
+            ResponseBody::Size(_) | ResponseBody::Entries(_) => return Err(SftpError::Failed),
         };
         self.shared.record_size(target, value.len() as u64);
         let number = self.handles.insert(Handle::Reading(value))?;
@@ -115,7 +115,7 @@
         let size = match body {
             ResponseBody::Value(value) => value.len() as u64,
             ResponseBody::Size(size) => *size,
-            ResponseBody::Names(_) => 0,
+            ResponseBody::Entries(_) => 0,
             ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
         };
         self.shared.record_size(target, size);
--- a/crates/gateway/src/node_protocol/sftp/stage.rs
+++ b/crates/gateway/src/node_protocol/sftp/stage.rs
@@ -132,7 +132,7 @@
             Stage::Opening {
                 operation: Operation::List,
                 ..
-            } if is(StatusCode::NoSuchFile) => Some(served(ResponseBody::Names(Vec::new()))),
+            } if is(StatusCode::NoSuchFile) => Some(served(ResponseBody::Entries(Vec::new()))),
             Stage::Opening {
                 operation: Operation::Read,
                 ..
@@ -157,7 +157,7 @@
             Stage::Closing { size } if is(StatusCode::Ok) => Some(served(ResponseBody::Size(size))),
             Stage::Listing { handle, entries } if is(StatusCode::Eof) => {
                 self.close_ignoring_reply(&handle, out);
-                Some(served(ResponseBody::Names(entries)))
+                Some(served(ResponseBody::Entries(entries)))
             }
             failed_stage => {
                 if let Some(handle) = failed_stage.into_handle() {
--- a/crates/gateway/src/storage_request/response.rs
+++ b/crates/gateway/src/storage_request/response.rs
@@ -19,7 +19,7 @@
     /// The object's size in bytes, or for a write, the bytes that an SFTP node has stored.
     Size(u64),
     /// The objects of a volume on one shard.
-    Names(Vec<ObjectEntry>),
+    Entries(Vec<ObjectEntry>),
     /// The node has no such object.
     NotFound,
 }
