--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -4,7 +4,7 @@
 use super::in_flight_request::InFlightAttempt;
 use super::state::Dispatcher;
 use crate::storage_request::{AttemptId, AttemptResult, Response};
-use crate::timer_queue::{Timer, TimerQueue};
+use crate::timer_queue::{DispatcherTimer, TimerQueue};
 use io_scheduler::{CompletedAttempt, Event, Micros, NodeId, Outcome, RequestId};
 use std::sync::Arc;
 
@@ -27,7 +27,8 @@
             request: id,
             number,
         };
-        timers.set(deadline, Timer::AttemptTimeout(attempt));
+        let timer = DispatcherTimer::AttemptTimeout(attempt);
+        timers.set(deadline, timer.into());
         self.nodes.attempt_started(node);
         self.volume_counters.record_attempt(request.volume);
         self.commands.push(Command::StartAttempt {
@@ -68,7 +69,8 @@
             return;
         };
         let units = in_flight.storage_request().units;
-        timers.cancel(completed.deadline, Timer::AttemptTimeout(attempt));
+        let timer = DispatcherTimer::AttemptTimeout(attempt);
+        timers.cancel(completed.deadline, timer.into());
         let is_served = result.outcome == Outcome::Served;
         let served_units = if is_served { units } else { 0.0 };
         self.nodes.attempt_completed(completed.node, served_units);
--- a/crates/gateway/src/dispatcher/responses.rs
+++ b/crates/gateway/src/dispatcher/responses.rs
@@ -4,7 +4,7 @@
 use super::in_flight_request::InFlightRequest;
 use super::state::Dispatcher;
 use crate::storage_request::Response;
-use crate::timer_queue::{Timer, TimerQueue};
+use crate::timer_queue::{DispatcherTimer, TimerQueue};
 use io_scheduler::{Event, Micros, RequestId};
 
 impl Dispatcher {
@@ -70,7 +70,8 @@
     /// Removes a request that needs neither a final response nor the result of an attempt.
     pub(super) fn remove_if_finished(&mut self, id: RequestId, timers: &mut TimerQueue) {
         if let Some(removed) = self.in_flight.remove_finished(id) {
-            timers.cancel(removed.overdue_at(), Timer::RequestOverdue(id));
+            let timer = DispatcherTimer::RequestOverdue(id);
+            timers.cancel(removed.overdue_at(), timer.into());
         }
     }
 }
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -3,25 +3,21 @@
 use super::command::Command;
 use super::state::Dispatcher;
 use crate::storage_request::{AttemptId, Response};
-use crate::timer_queue::{Timer, TimerQueue};
+use crate::timer_queue::{DispatcherTimer, TimerQueue};
 use io_scheduler::{Action, Event, Micros, NodeId, Outcome};
 
 impl Dispatcher {
-    /// Handles an expired timer of the dispatcher; other timers are ignored.
-    pub fn handle_timer(&mut self, timer: Timer, now: Micros, timers: &mut TimerQueue) {
+    /// Handles an expired timer.
+    pub fn handle_timer(&mut self, timer: DispatcherTimer, now: Micros, timers: &mut TimerQueue) {
         match timer {
-            Timer::AttemptTimeout(attempt) => {
+            DispatcherTimer::AttemptTimeout(attempt) => {
                 self.abort_attempt(attempt, Outcome::TimedOut, now, timers);
             }
-            Timer::Scheduler => {
+            DispatcherTimer::Scheduler => {
                 self.scheduler_timer = None;
                 self.events.push(Event::TimerFired);
             }
-            Timer::RequestOverdue(id) => self.fail_overdue(id),
-            Timer::Connection(_)
-            | Timer::DiscoveryWatch
-            | Timer::Shutdown
-            | Timer::ResumeAccepting => {}
+            DispatcherTimer::RequestOverdue(id) => self.fail_overdue(id),
         }
     }
 
@@ -94,7 +90,8 @@
             Action::OpenWatch => self.commands.push(Command::OpenWatch),
             Action::HealthCheck(node) => self.fail_health_check(node),
             Action::SetTimer(at) => {
-                timers.reschedule(&mut self.scheduler_timer, Some(at), Timer::Scheduler);
+                let timer = DispatcherTimer::Scheduler.into();
+                timers.reschedule(&mut self.scheduler_timer, Some(at), timer);
             }
         }
     }
--- a/crates/gateway/src/dispatcher/state.rs
+++ b/crates/gateway/src/dispatcher/state.rs
@@ -29,8 +29,7 @@
     pub(super) actions: Vec<Action>,
     /// Commands that the event loop has not taken yet.
     pub(super) commands: Vec<Command>,
-    /// The time for which [`Timer::Scheduler`](crate::timer_queue::Timer::Scheduler) is set, if it
-    /// is set.
+    /// The time for which the timer of the scheduler is set, if it is set.
     pub(super) scheduler_timer: Option<Micros>,
 }
 
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -7,7 +7,7 @@
 use super::state::Dispatcher;
 use crate::memory_budget::OVERLOADED_RETRY_AFTER;
 use crate::storage_request::{InvalidRequest, ReplySlot, Response, StorageRequest};
-use crate::timer_queue::{Timer, TimerQueue};
+use crate::timer_queue::{DispatcherTimer, TimerQueue};
 use io_scheduler::{Event, Micros, Request, RequestId};
 
 /// Time reserved for the final response to reach the client before the client's timeout, in
@@ -58,7 +58,8 @@
         let deadline = response_deadline(now, request.client_timeout);
         let scheduler_request = scheduler_request(id, &request, deadline);
         let in_flight = InFlightRequest::new(request, reply_slot, deadline);
-        timers.set(in_flight.overdue_at(), Timer::RequestOverdue(id));
+        let timer = DispatcherTimer::RequestOverdue(id);
+        timers.set(in_flight.overdue_at(), timer.into());
         self.events.push(Event::RequestReceived(scheduler_request));
         self.in_flight.insert(id, in_flight);
     }
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -183,7 +183,7 @@
     fn handle_timer(&mut self, timer: Timer) {
         let context = &mut self.context;
         match timer {
-            Timer::AttemptTimeout(_) | Timer::Scheduler | Timer::RequestOverdue(_) => {
+            Timer::Dispatcher(timer) => {
                 context
                     .dispatcher
                     .handle_timer(timer, context.now, &mut context.timers);
--- a/crates/gateway/src/timer_queue.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -12,12 +12,8 @@
 /// Timers that are set for the same time expire in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// Abort an attempt that has timed out.
-    AttemptTimeout(AttemptId),
-    /// Call the scheduler, which has set this timer by [`io_scheduler::Action::SetTimer`].
-    Scheduler,
-    /// Fail a request that has no final response some time after its deadline.
-    RequestOverdue(RequestId),
+    /// A timer of the dispatcher.
+    Dispatcher(DispatcherTimer),
     /// Close a connection that has not been established in time or has made no progress for too
     /// long.
     Connection(ConnectionToken),
@@ -29,9 +25,29 @@
     ResumeAccepting,
 }
 
+/// What the dispatcher does when a timer expires.
+///
+/// Timers that are set for the same time expire in the order of the variants.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum DispatcherTimer {
+    /// Abort an attempt that has timed out.
+    AttemptTimeout(AttemptId),
+    /// Call the scheduler, which has set this timer by [`io_scheduler::Action::SetTimer`].
+    Scheduler,
+    /// Fail a request that has no final response some time after its deadline.
+    RequestOverdue(RequestId),
+}
+
+impl From<DispatcherTimer> for Timer {
+    fn from(timer: DispatcherTimer) -> Timer {
+        Timer::Dispatcher(timer)
+    }
+}
+
 /// The pending timers in the order of their times, in microseconds.
 #[derive(Debug, Default)]
 pub struct TimerQueue {
+    /// The timers, each with the time for which it is set.
     pending: BTreeSet<(Micros, Timer)>,
 }
 
@@ -48,7 +64,7 @@
 
     /// Moves a timer to `new_time`, or cancels it if that is `None`.
     ///
-    /// `set_for` is where the caller keeps the time for which the timer is set, `None` if it is
+    /// `set_for` is where the caller stores the time for which the timer is set, `None` if it is
     /// not set. The call replaces it by `new_time`.
     pub fn reschedule(
         &mut self,
--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -18,7 +18,7 @@
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::memory_budget::MemoryBudget;
 use storage_gateway::storage_request::{ClassIndex, PlanIndex, SlotNumber};
-use storage_gateway::timer_queue::{AttemptId, TimerQueue};
+use storage_gateway::timer_queue::{AttemptId, Timer, TimerQueue};
 
 const MS: Micros = 1_000;
 /// The class of reads in the settings.
@@ -149,6 +149,9 @@
     /// One turn of the event loop: expired timers, then the scheduler.
     fn run_turn(&mut self) {
         while let Some(timer) = self.timers.pop_expired(self.now) {
+            let Timer::Dispatcher(timer) = timer else {
+                panic!("the dispatcher has set {timer:?}");
+            };
             self.dispatcher
                 .handle_timer(timer, self.now, &mut self.timers);
         }
