--- a/crates/gateway/src/config/error.rs
+++ b/crates/gateway/src/config/error.rs
@@ -33,6 +33,14 @@
         /// The decoder's error.
         source: simd_json::Error,
     },
+    /// A value in the operator's file is missing or cannot be used.
+    #[error("{}: {source}", file.display())]
+    InFile {
+        /// Path of the file.
+        file: PathBuf,
+        /// What is wrong, with the key.
+        source: Box<ConfigError>,
+    },
     /// A required key is not set.
     #[error("{key}: not set")]
     Missing {
@@ -116,6 +124,20 @@
         }
     }
 
+    /// This error with the name of the file that states the key, if it does not name it yet.
+    pub(super) fn in_file(self, file: &Path) -> ConfigError {
+        match self {
+            ConfigError::Missing { .. } | ConfigError::InvalidValue { .. } => ConfigError::InFile {
+                file: file.to_owned(),
+                source: Box::new(self),
+            },
+            ConfigError::Unreadable { .. }
+            | ConfigError::Malformed { .. }
+            | ConfigError::Undecodable { .. }
+            | ConfigError::InFile { .. } => self,
+        }
+    }
+
     /// A required key that is not set.
     pub(super) fn missing(key: &str) -> ConfigError {
         ConfigError::Missing {
--- a/crates/gateway/src/config/operator.rs
+++ b/crates/gateway/src/config/operator.rs
@@ -22,6 +22,12 @@
 ///
 /// Returns what is wrong with the file.
 pub fn from_file(path: &Path) -> Result<Config, ConfigError> {
+    let loaded = load(path);
+    loaded.map_err(|error| error.in_file(path))
+}
+
+/// Loads an operator's file; errors of single values name the key, but not the file.
+fn load(path: &Path) -> Result<Config, ConfigError> {
     let file = read_operator_file(path)?;
     let sftp = match &file.sftp {
         Some(section) => Some(SftpSettings::from_section(section, &file.settings)?),
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -134,3 +134,17 @@
     let wrong_type = router_config_error(r#"{"settings":{"plans":[{"pays":"x"}]}}"#.to_owned());
     assert!(wrong_type.starts_with("ROUTER_CONFIG: settings.plans[0].pays:"));
 }
+
+#[test]
+fn operator_file_error_names_the_file_and_the_key() {
+    let example = include_str!("../../../deploy/operator.example.json");
+    let invalid = example.replace("\"sockets\": 1024", "\"sockets\": 4");
+    assert_ne!(invalid, example);
+    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("operator_with_few_sockets.json");
+    std::fs::write(&path, invalid).expect("a writable directory");
+    let error = config::from_file(&path).expect_err("an invalid configuration");
+    assert_eq!(
+        error.to_string(),
+        format!("{}: limits.sockets: must be at least 64", path.display())
+    );
+}
