--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test lint run
+.PHONY: build test lint lint-terms run
 
 # Both programs, into target/release/.
 build:
@@ -8,12 +8,17 @@
 test:
 	cargo test --workspace --locked
 
-# Formatting, clippy and documentation; every warning is an error.
-lint:
+# Names, formatting, clippy and documentation; every warning is an error.
+lint: lint-terms
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 
+# No withdrawn words in names and comments (lint/withdrawn-terms.txt); the check is tested first.
+lint-terms:
+	python3 -B lint/test_check_terms.py --quiet
+	python3 -B lint/check_terms.py
+
 # A gateway with a console, on the example configuration for operators.
 run: build
 	exec target/release/storage-gateway --config deploy/operator.example.json
