--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -205,6 +205,5 @@
         units: request.units,
         hosts: request.hosts,
         deadline,
-        is_retry: request.is_retry,
     }
 }
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -2,14 +2,14 @@
 
 use super::{Command, Dispatcher, Response};
 use crate::timer_queue::{AttemptId, Timer, TimerQueue};
-use io_scheduler::{Action, Event, Micros, NodeId, Outcome};
+use io_scheduler::{Action, Event, Micros, Outcome};
 
 impl Dispatcher {
     /// Handles an expired timer of the dispatcher; other timers are ignored.
     pub fn handle_timer(&mut self, timer: Timer, now: Micros, timers: &mut TimerQueue) {
         match timer {
             Timer::AttemptTimeout(attempt) => {
-                self.abort_attempt(attempt, Outcome::TimedOut, now, timers)
+                self.abort_attempt(attempt, Outcome::TimedOut, now, timers);
             }
             Timer::Scheduler => {
                 self.scheduler_timer = None;
@@ -90,21 +90,9 @@
                 );
             }
             Action::OpenWatch => self.commands.push(Command::OpenWatch),
-            Action::HealthCheck(node) => self.fail_health_check(node),
             Action::SetTimer(at) => {
                 timers.reschedule(&mut self.scheduler_timer, Some(at), Timer::Scheduler);
             }
         }
     }
-
-    /// Reports a failed health check: the gateway sends none, and the scheduler must get a result if it asks
-    /// for one.
-    fn fail_health_check(&mut self, node: NodeId) {
-        self.events.push(Event::HealthCheckCompleted {
-            node,
-            healthy: false,
-            elapsed: 0,
-            load: None,
-        });
-    }
 }
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -226,7 +226,7 @@
                     .start_attempt(attempt, node, deadline, request, context);
             }
             Command::AbandonAttempt(attempt) => {
-                self.node_connections.abandon_attempt(attempt, context)
+                self.node_connections.abandon_attempt(attempt, context);
             }
             Command::Respond {
                 reply_slot,
--- a/crates/gateway/src/node_protocol/resp/reply.rs
+++ b/crates/gateway/src/node_protocol/resp/reply.rs
@@ -107,7 +107,7 @@
         }
         match name {
             "used" if value <= MAX_UTILIZATION_PERCENT => {
-                result.utilization = Some(value / PERCENT)
+                result.utilization = Some(value / PERCENT);
             }
             "cost" if value <= MAX_REMOTE_UNITS => result.remote_units = value,
             _ => {}
--- a/crates/gateway/src/node_protocol/sftp/mod.rs
+++ b/crates/gateway/src/node_protocol/sftp/mod.rs
@@ -139,7 +139,7 @@
             Operation::Read => self.send_open(&path, open_flags::READ, out),
             Operation::Write => self.send_open(&path, REPLACE_FLAGS, out),
             Operation::Stat => {
-                self.send_command(packet_type::STAT, out, |packet| packet.string(path))
+                self.send_command(packet_type::STAT, out, |packet| packet.string(path));
             }
             Operation::List => {
                 self.send_command(packet_type::OPENDIR, out, |packet| packet.string(directory));
--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -32,8 +32,6 @@
     },
     /// Open a watch of the endpoint list.
     OpenWatch,
-    /// Send a health check to a node.
-    HealthCheck(NodeId),
     /// Deliver [`Event::TimerFired`](super::Event::TimerFired) at this time or later.
     SetTimer(Micros),
 }
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -64,8 +64,6 @@
     pub hosts: f64,
     /// When the client stops waiting.
     pub deadline: Micros,
-    /// Whether the client has marked it as a retry.
-    pub is_retry: bool,
 }
 
 /// How an attempt ended.
@@ -127,15 +125,4 @@
     ClientDisconnected(RequestId),
     /// An attempt completed.
     AttemptCompleted(CompletedAttempt),
-    /// A health check completed.
-    HealthCheckCompleted {
-        /// The node.
-        node: NodeId,
-        /// Whether it responded.
-        healthy: bool,
-        /// Time since the health check was sent, in microseconds.
-        elapsed: Micros,
-        /// Load report: requests queued or in service at the node, if it reports them.
-        load: Option<f64>,
-    },
 }
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -36,8 +36,6 @@
     pub latency_objective: Micros,
     /// Value of one request of mean size, relative to other classes.
     pub priority_weight: f64,
-    /// Fraction of the value that a response after the objective still has, from 0 to 1.
-    pub late_value: f64,
     /// Whether a request may be executed again.
     pub idempotency: Idempotency,
     /// Whether requests of one key are executed one after the other, in the order of their receipt.
@@ -56,10 +54,6 @@
     pub limit: f64,
     /// Capacity of the limit's token bucket, in units.
     pub burst_capacity: f64,
-    /// Units by which the token bucket may fall below zero.
-    pub overdraft: f64,
-    /// Multiplies the value of the volume's requests.
-    pub tenant_weight: f64,
     /// Provisioned rate.
     pub provisioned_rate: f64,
 }
@@ -92,7 +86,6 @@
 
 /// Settings of the deployment, fixed at start-up.
 #[derive(Clone, Debug)]
-#[allow(clippy::struct_excessive_bools)] // each is one independent setting of the deployment
 pub struct Settings {
     /// Classes of requests, by index.
     pub classes: Vec<RequestClass>,
@@ -102,20 +95,13 @@
     pub hosts: u32,
     /// Maximum number of attempts of one request, the first included.
     pub max_attempts: u32,
-    /// Whether two attempts of one request may be in flight at once.
-    pub hedging_allowed: bool,
     /// Whether attempts in flight may be cancelled.
     pub cancellation_allowed: bool,
-    /// Whether health checks may be sent to nodes.
-    pub health_checks_allowed: bool,
     /// Number of hosts that poll the same discovery service, this one included; 0 where the endpoint list is
     /// delivered without polls.
     pub discovery_clients: u32,
     /// Maximum time between two polls of the list without a watch, in microseconds; 0 for no maximum.
     pub max_poll_interval: Micros,
-    /// Time after the notification that a node is draining or removed from which on nothing may be dispatched
-    /// to it, in microseconds.
-    pub drain_grace: Micros,
     /// Capacity of nodes that warm up.
     pub slow_start: SlowStart,
     /// Time in microseconds for which no request of a key is dispatched after an attempt of that key ended
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -70,7 +70,7 @@
                 Event::ResponseStarted(id) => self.close_unserved(*id),
                 Event::ClientDisconnected(id) => self.on_client_disconnected(*id),
                 Event::AttemptCompleted(completed) => self.on_attempt_completed(completed),
-                Event::TimerFired | Event::HealthCheckCompleted { .. } => {}
+                Event::TimerFired => {}
             }
         }
         self.reject_expired();
--- a/crates/scheduler/tests/characterization/interface.rs
+++ b/crates/scheduler/tests/characterization/interface.rs
@@ -40,12 +40,9 @@
         plans: deployment.plans.iter().map(volume_plan).collect(),
         hosts: deployment.hosts,
         max_attempts: deployment.max_attempts,
-        hedging_allowed: false,
         cancellation_allowed: deployment.cancellation_allowed,
-        health_checks_allowed: false,
         discovery_clients: deployment.discovery_clients,
         max_poll_interval: deployment.max_poll_interval,
-        drain_grace: 0,
         slow_start: SlowStart {
             initial_capacity: deployment.warmup.initial_capacity,
             duration: deployment.warmup.duration,
@@ -72,7 +69,6 @@
     RequestClass {
         latency_objective: class.objective,
         priority_weight: class.priority,
-        late_value: 0.0,
         idempotency: match class.repeat {
             Repeat::Safe => Idempotency::Idempotent,
             Repeat::Keyed(scope, window) => keyed(scope, window),
@@ -97,8 +93,6 @@
         weight: plan.weight,
         limit: plan.limit,
         burst_capacity: plan.burst,
-        overdraft: 0.0,
-        tenant_weight: 1.0,
         provisioned_rate: plan.provisioned,
     }
 }
@@ -151,7 +145,6 @@
         units: arrival.units,
         hosts: arrival.hosts,
         deadline: arrival.deadline,
-        is_retry: false,
     }
 }
 
@@ -191,7 +184,6 @@
             Decision::Cancel { request, attempt: *attempt }
         }
         Action::OpenWatch => Decision::OpenWatch,
-        Action::HealthCheck(node) => panic!("no health check is expected, but one for {node:?}"),
         Action::SetTimer(at) => Decision::SetTimer(*at),
     }
 }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -13,26 +13,12 @@
 
 /// A class with a latency objective of 500 ms.
 pub fn request_class(idempotency: Idempotency) -> RequestClass {
-    RequestClass {
-        latency_objective: 500 * MILLISECOND,
-        priority_weight: 1.0,
-        late_value: 0.1,
-        idempotency,
-        ordered: false,
-    }
+    RequestClass { latency_objective: 500 * MILLISECOND, priority_weight: 1.0, idempotency, ordered: false }
 }
 
 /// A plan whose token bucket holds one second of the limit.
 pub fn volume_plan(reservation: f64, weight: f64, limit: f64) -> VolumePlan {
-    VolumePlan {
-        reservation,
-        weight,
-        limit,
-        burst_capacity: limit,
-        overdraft: limit * 0.1,
-        tenant_weight: 1.0,
-        provisioned_rate: reservation.max(1.0),
-    }
+    VolumePlan { reservation, weight, limit, burst_capacity: limit, provisioned_rate: reservation.max(1.0) }
 }
 
 /// One host, one idempotent class, and one plan without a reservation or a limit.
@@ -42,12 +28,9 @@
         plans: vec![volume_plan(0.0, 1.0, 0.0)],
         hosts: 1,
         max_attempts: 3,
-        hedging_allowed: false,
         cancellation_allowed: true,
-        health_checks_allowed: false,
         discovery_clients: 0,
         max_poll_interval: 10 * SECOND,
-        drain_grace: 250 * MILLISECOND,
         slow_start: SlowStart {
             initial_capacity: 0.2,
             duration: 10 * SECOND,
@@ -164,7 +147,6 @@
             units: 1.0,
             hosts: 1.0,
             deadline: self.now + 2 * SECOND,
-            is_retry: false,
         }
     }
 
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -96,9 +96,7 @@
 
 #[test]
 fn two_attempts_of_a_request_are_never_in_flight_at_once() {
-    let mut settings = settings();
-    settings.hedging_allowed = true;
-    let mut harness = SchedulerHarness::new(settings, 1);
+    let mut harness = SchedulerHarness::new(settings(), 1);
     let request = harness.request(Some(0));
     let mut attempts = dispatched(&harness.receive(request)).len();
     for elapsed_ms in 1..1_999 {
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -28,12 +28,9 @@
             plans: self.plans.iter().map(VolumePlan::from).collect(),
             hosts: self.gateway_count,
             max_attempts: permissions.max_attempts,
-            hedging_allowed: permissions.hedging,
             cancellation_allowed: permissions.cancellation,
-            health_checks_allowed: permissions.health_checks,
             discovery_clients: self.discovery_clients(),
             max_poll_interval: micros(rules.max_poll_interval_ms),
-            drain_grace: micros(rules.drain_grace_ms),
             slow_start: self.slow_start(),
             quiesce_period: micros(rules.quiesce_period_ms),
             retry_budget: self.retry_budget(),
@@ -88,7 +85,6 @@
         Ok(RequestClass {
             latency_objective: micros(class.latency_objective_ms),
             priority_weight: class.priority_weight,
-            late_value: class.late_value,
             idempotency: idempotency(class)?,
             ordered: class.ordered,
         })
@@ -133,8 +129,6 @@
             weight: plan.weight,
             limit: plan.limit,
             burst_capacity: plan.burst_capacity,
-            overdraft: plan.overdraft,
-            tenant_weight: plan.tenant_weight,
             provisioned_rate: plan.provisioned_rate,
         }
     }
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -49,10 +49,11 @@
     /// Whether an attempt in flight may be cancelled.
     #[serde(rename = "may_cancel")]
     pub cancellation: bool,
-    /// Whether health checks may be sent to nodes.
+    /// Whether health checks may be sent to nodes. The gateway sends none.
     #[serde(rename = "probes")]
     pub health_checks: bool,
-    /// Whether a request may be hedged, that is, have two attempts in flight at the same time.
+    /// Whether a request may be hedged, that is, have two attempts in flight at the same time. The gateway
+    /// hedges none.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
 }
@@ -79,7 +80,8 @@
     /// Time in milliseconds for which a node recognizes an idempotency key.
     #[serde(rename = "key_ttl_ms")]
     pub deduplication_window_ms: f64,
-    /// Fraction of its value that a response keeps after the latency objective has passed.
+    /// Fraction of its value that a response keeps after the latency objective has passed. No decision
+    /// depends on it.
     pub late_value: f64,
     /// Name of the class.
     pub name: String,
@@ -129,7 +131,7 @@
     /// Capacity in units of the token bucket that enforces the limit.
     #[serde(rename = "cap_depth")]
     pub burst_capacity: f64,
-    /// Units by which that token bucket may be overdrawn.
+    /// Units by which that token bucket may be overdrawn. The gateway does not use this overdraft.
     #[serde(rename = "limit_slack")]
     pub overdraft: f64,
     /// Name of the plan.
@@ -140,7 +142,7 @@
     /// dmClock weight: the volume's share of the capacity beyond the reservations, relative to other volumes.
     #[serde(rename = "parts")]
     pub weight: f64,
-    /// Factor on the value of the volume's requests.
+    /// Factor on the value of the volume's requests. No decision depends on it.
     #[serde(rename = "pays")]
     pub tenant_weight: f64,
     /// dmClock reservation: the reserved rate; 0 for none.
--- a/crates/settings/tests/conversion.rs
+++ b/crates/settings/tests/conversion.rs
@@ -27,12 +27,9 @@
     assert!(settings.plans.is_empty());
     assert_eq!(settings.hosts, 0);
     assert_eq!(settings.max_attempts, 0);
-    assert!(!settings.hedging_allowed);
     assert!(!settings.cancellation_allowed);
-    assert!(!settings.health_checks_allowed);
     assert_eq!(settings.discovery_clients, 0);
     assert_eq!(settings.max_poll_interval, 0);
-    assert_eq!(settings.drain_grace, 0);
     assert_eq!(settings.quiesce_period, 0);
     assert!(settings.retry_budget.is_none());
     assert_eq!(settings.usage_report_period, 0);
@@ -44,23 +41,27 @@
     let settings = convert(json!({"allowed": {"max_attempts": 4}}));
     assert_eq!(settings.max_attempts, 4);
     for key in ["may_cancel", "probes", "second_copies"] {
-        let settings = convert(json!({"allowed": { key: true }}));
+        let object = json!({"allowed": { key: true }});
+        let permissions = decode(object.clone()).permissions;
+        assert_eq!(permissions.cancellation, key == "may_cancel", "{key}");
+        assert_eq!(permissions.health_checks, key == "probes", "{key}");
+        assert_eq!(permissions.hedging, key == "second_copies", "{key}");
+        let settings = convert(object);
         assert_eq!(settings.cancellation_allowed, key == "may_cancel", "{key}");
-        assert_eq!(settings.health_checks_allowed, key == "probes", "{key}");
-        assert_eq!(settings.hedging_allowed, key == "second_copies", "{key}");
     }
 }
 
 #[test]
 fn each_key_of_a_class_reaches_its_setting() {
-    let settings = convert(json!({"classes": [
+    let object = json!({"classes": [
         {"aim_ms": 150.5, "points": 3.0, "late_value": 0.25, "effect": "pure", "by_arrival": true},
         {"effect": "side_effect"}
-    ]}));
+    ]});
+    assert_eq!(decode(object.clone()).classes[0].late_value, 0.25);
+    let settings = convert(object);
     let class = &settings.classes[0];
     assert_eq!(class.latency_objective, 150_500);
     assert_eq!(class.priority_weight, 3.0);
-    assert_eq!(class.late_value, 0.25);
     assert_eq!(class.idempotency, Idempotency::Idempotent);
     assert!(class.ordered);
     assert_eq!(settings.classes[1].idempotency, Idempotency::NonIdempotent);
@@ -87,17 +88,19 @@
 
 #[test]
 fn each_key_of_a_plan_reaches_its_setting() {
-    let settings = convert(json!({"plans": [{
+    let object = json!({"plans": [{
         "reservation": 1.0, "parts": 2.0, "never_over": 3.0, "cap_depth": 4.0, "limit_slack": 5.0,
         "pays": 6.0, "usual_rate": 7.0
-    }]}));
+    }]});
+    let decoded = &decode(object.clone()).plans[0];
+    assert_eq!(decoded.overdraft, 5.0);
+    assert_eq!(decoded.tenant_weight, 6.0);
+    let settings = convert(object);
     let plan = &settings.plans[0];
     assert_eq!(plan.reservation, 1.0);
     assert_eq!(plan.weight, 2.0);
     assert_eq!(plan.limit, 3.0);
     assert_eq!(plan.burst_capacity, 4.0);
-    assert_eq!(plan.overdraft, 5.0);
-    assert_eq!(plan.tenant_weight, 6.0);
     assert_eq!(plan.provisioned_rate, 7.0);
 }
 
@@ -118,18 +121,19 @@
 
 #[test]
 fn each_key_of_the_rules_reaches_its_setting() {
-    let settings = convert(json!({"rules": {
+    let object = json!({"rules": {
         "cold_from": 1.0, "cold_ms": 2.0, "fall_ms": 3.0, "tip_multiple": 4.0, "must_ask_in_ms": 5.0,
         "order_settle_ms": 6.0, "stop_sending_within_ms": 7.0, "resend_span_ms": 8.0, "extra_free": 9.0,
         "further_ratio": 10.0
-    }}));
+    }});
+    assert_eq!(decode(object.clone()).rules.drain_grace_ms, 7.0);
+    let settings = convert(object);
     assert_eq!(settings.slow_start.initial_capacity, 1.0);
     assert_eq!(settings.slow_start.duration, 2_000);
     assert_eq!(settings.slow_start.window, 3_000);
     assert_eq!(settings.slow_start.burst_factor, 4.0);
     assert_eq!(settings.max_poll_interval, 5_000);
     assert_eq!(settings.quiesce_period, 6_000);
-    assert_eq!(settings.drain_grace, 7_000);
     let budget = settings.retry_budget.expect("there is a window");
     assert_eq!(budget.window, 8_000);
     assert_eq!(budget.allowance, 9.0);
--- a/crates/simulator-adapter/src/instance/decode.rs
+++ b/crates/simulator-adapter/src/instance/decode.rs
@@ -4,7 +4,7 @@
 use crate::error::EventError;
 use crate::wire::{
     AttemptOutcomeMessage, EndpointCondition, EndpointListKind, EndpointRow, EventMessage,
-    HealthCheckMessage, IncomingRequest, StatusCode,
+    IncomingRequest,
 };
 use deployment_settings::micros;
 use io_scheduler::{
@@ -35,7 +35,10 @@
             EventMessage::ClientDisconnected { request } => {
                 self.requests.close(&request).map(Event::ClientDisconnected)
             }
-            EventMessage::HealthCheckCompleted(message) => Some(self.health_check(&message)),
+            EventMessage::HealthCheckCompleted(message) => {
+                self.note_node(&message.node);
+                None
+            }
             EventMessage::AttemptCompleted(message) => self
                 .completed_attempt(&message)?
                 .map(Event::AttemptCompleted),
@@ -50,6 +53,12 @@
         NodeId(self.nodes.id_of(name))
     }
 
+    /// Assigns an id to the node of a message that is otherwise ignored. Ids are numbered in the order in which
+    /// node names first appear, in any message.
+    fn note_node(&mut self, name: &str) {
+        self.nodes.id_of(name);
+    }
+
     /// Converts one row of the endpoint list.
     fn endpoint(&mut self, row: &EndpointRow) -> Endpoint {
         Endpoint {
@@ -85,26 +94,9 @@
             units: message.units,
             hosts: message.hosts.unwrap_or_default(),
             deadline: micros(message.deadline_ms),
-            is_retry: message.is_retry,
         })
     }
 
-    /// Converts the result of a health check.
-    fn health_check(&mut self, message: &HealthCheckMessage) -> Event {
-        Event::HealthCheckCompleted {
-            node: self.node(&message.node),
-            healthy: message.status == StatusCode::OK,
-            elapsed: micros(message.elapsed_ms),
-            load: self.load(message),
-        }
-    }
-
-    /// Number of requests that wait or run at the node, if its load report contains it.
-    fn load(&self, message: &HealthCheckMessage) -> Option<f64> {
-        let report = message.load_report.as_ref()?;
-        report.get(self.load_value_index?).copied()
-    }
-
     /// Converts the outcome of an attempt and updates its request. Returns `None` if the request is no longer
     /// tracked.
     fn completed_attempt(
--- a/crates/simulator-adapter/src/instance/encode.rs
+++ b/crates/simulator-adapter/src/instance/encode.rs
@@ -36,9 +36,6 @@
                 Some(ActionMessage::Cancel { request, attempt })
             }
             Action::OpenWatch => Some(ActionMessage::OpenWatch { open: true }),
-            Action::HealthCheck(node) => Some(ActionMessage::HealthCheck {
-                node: self.node_name(node),
-            }),
             Action::SetTimer(at) => {
                 let delay_ms = milliseconds((at - now).max(0));
                 Some(ActionMessage::SetTimer {
--- a/crates/simulator-adapter/src/instance/mod.rs
+++ b/crates/simulator-adapter/src/instance/mod.rs
@@ -12,9 +12,6 @@
 use names::NameTable;
 use requests::RequestTable;
 
-/// Names under which a load report may state the number of requests that wait or run at a node.
-const LOAD_VALUE_NAMES: [&str; 3] = ["queue", "pending", "busy_reqs"];
-
 /// One simulated gateway.
 pub struct Instance {
     scheduler: Scheduler,
@@ -26,9 +23,6 @@
     zones: NameTable,
     /// Ids of nodes by name.
     nodes: NameTable,
-    /// Index, within a load report, of the number of requests that wait or run at the node; `None` if load
-    /// reports do not contain it.
-    load_value_index: Option<usize>,
     /// Requests that messages may still refer to.
     requests: RequestTable,
 }
@@ -40,7 +34,6 @@
     ///
     /// If the settings cannot be converted for the scheduler.
     pub fn new(seed: u64, settings: &DeploymentSettings, now: Micros) -> Result<Self, EventError> {
-        let value_names = &settings.load_report.value_names;
         Ok(Instance {
             scheduler: Scheduler::new(settings.to_scheduler_settings()?, seed, now),
             class_names: settings
@@ -55,9 +48,6 @@
                 .collect(),
             zones: NameTable::from_names(&settings.zones),
             nodes: NameTable::default(),
-            load_value_index: value_names
-                .iter()
-                .position(|name| LOAD_VALUE_NAMES.contains(&name.as_str())),
             requests: RequestTable::default(),
         })
     }
--- a/crates/simulator-adapter/src/wire/actions.rs
+++ b/crates/simulator-adapter/src/wire/actions.rs
@@ -72,13 +72,6 @@
         #[serde(rename = "on")]
         open: bool,
     },
-    /// Send a health check.
-    #[serde(rename = "SOUND_OUT")]
-    HealthCheck {
-        /// Name of the node.
-        #[serde(rename = "server")]
-        node: String,
-    },
     /// Set a timer; it replaces the one of the same name.
     #[serde(rename = "DEFER")]
     SetTimer {
--- a/crates/simulator-adapter/src/wire/events.rs
+++ b/crates/simulator-adapter/src/wire/events.rs
@@ -159,9 +159,6 @@
     /// When the client gives up.
     #[serde(rename = "due_ms")]
     pub deadline_ms: f64,
-    /// Whether the request is a client's retry of an earlier one.
-    #[serde(default, rename = "resent")]
-    pub is_retry: bool,
     /// The shard that stores the object; negative for a new object. As for every number on the wire, an absent
     /// value counts as 0.
     #[serde(default)]
@@ -171,20 +168,12 @@
     pub units: f64,
 }
 
-/// The end of a health check.
+/// The end of a health check. The adapter requests none; other fields of the message are ignored.
 #[derive(Deserialize)]
 pub struct HealthCheckMessage {
-    /// Time since the health check was sent.
-    #[serde(default, rename = "time_taken_ms")]
-    pub elapsed_ms: f64,
-    /// [`StatusCode::OK`] if the node is healthy.
-    pub status: StatusCode,
     /// Name of the node.
     #[serde(rename = "server")]
     pub node: String,
-    /// The node's load report, in the order that the settings state.
-    #[serde(rename = "telemetry")]
-    pub load_report: Option<Vec<f64>>,
 }
 
 /// The end of an attempt.
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -8,7 +8,7 @@
 pub use actions::{ActionBatch, ActionMessage, InstanceActions};
 pub use events::{
     AttemptOutcomeMessage, EndpointCondition, EndpointListKind, EndpointRow, EventBatch,
-    EventMessage, HealthCheckMessage, IncomingRequest, InstanceEvents,
+    EventMessage, IncomingRequest, InstanceEvents,
 };
 pub use status::StatusCode;
 
