--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -4,7 +4,7 @@
 use super::state::Dispatcher;
 use crate::storage_request::{AttemptId, Response};
 use crate::timer_queue::{DispatcherTimer, TimerQueue};
-use io_scheduler::{Action, Event, Micros, NodeId, Outcome};
+use io_scheduler::{Action, Event, Micros, Outcome};
 
 impl Dispatcher {
     /// Handles an expired timer.
@@ -88,22 +88,10 @@
                 );
             }
             Action::OpenWatch => self.commands.push(Command::OpenWatch),
-            Action::HealthCheck(node) => self.fail_health_check(node),
             Action::SetTimer(at) => {
                 let timer = DispatcherTimer::Scheduler.into();
                 timers.reschedule(&mut self.scheduler_timer, Some(at), timer);
             }
         }
     }
-
-    /// Reports a failed health check: the gateway sends none, and the scheduler must get a result
-    /// if it asks for one.
-    fn fail_health_check(&mut self, node: NodeId) {
-        self.events.push(Event::HealthCheckCompleted {
-            node,
-            healthy: false,
-            elapsed: 0,
-            load: None,
-        });
-    }
 }
