--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -3,6 +3,7 @@
 
 mod decode;
 mod error;
+mod keys;
 mod model;
 mod operator;
 mod platform;
--- a/crates/gateway/src/config/sftp.rs
+++ b/crates/gateway/src/config/sftp.rs
@@ -2,6 +2,7 @@
 //! operator's file.
 
 use super::error::{ConfigError, InvalidValue};
+use super::keys;
 use super::sections::OperatorSftp;
 use super::sftp_volumes::{convert_volumes, SftpVolume};
 use super::validate::parse_address;
@@ -53,7 +54,7 @@
         // A path does not state a shard: it is derived from the object's name and the number of
         // shards.
         if settings.storage.shard_count == 0 {
-            return Err(ConfigError::missing("settings.domain.n_shards"));
+            return Err(ConfigError::missing(keys::SHARD_COUNT));
         }
         let classes = ClassLookup { settings };
         let volumes = convert_volumes(&section.volumes, settings)?;
--- a/crates/gateway/src/config/validate.rs
+++ b/crates/gateway/src/config/validate.rs
@@ -1,6 +1,7 @@
 //! Validation of values that have the right type but may still be unusable.
 
 use super::error::{ConfigError, InvalidValue};
+use super::keys;
 use super::sections::Limits;
 use deployment_settings::{ClassSettings, DeploymentSettings};
 use log::LevelFilter;
@@ -30,19 +31,18 @@
     deadline_rule: DeadlineRule,
 ) -> Result<(), ConfigError> {
     if settings.classes.is_empty() {
-        return Err(ConfigError::missing("settings.classes"));
+        return Err(ConfigError::missing(keys::CLASSES));
     }
     if settings.plans.is_empty() {
-        return Err(ConfigError::missing("settings.plans"));
+        return Err(ConfigError::missing(keys::PLANS));
     }
     check_words(settings)?;
     for (index, class) in settings.classes.iter().enumerate() {
         check_class(index, class, deadline_rule)?;
     }
     if settings.permissions.max_attempts == 0 {
-        let key = "settings.allowed.max_attempts";
         let source = InvalidValue::BelowMinimum { min: 1 };
-        return Err(ConfigError::invalid_value(key, source));
+        return Err(ConfigError::invalid_value(keys::MAX_ATTEMPTS, source));
     }
     check_limits(limits)
 }
@@ -52,7 +52,7 @@
     match settings.to_scheduler_settings() {
         Ok(_) => Ok(()),
         Err(unknown) => {
-            let key = format!("settings.{}", unknown.key);
+            let key = keys::of_settings(unknown.key);
             let source = InvalidValue::UnknownWord(unknown.value);
             Err(ConfigError::invalid_value(&key, source))
         }
@@ -68,12 +68,12 @@
     let deadline_too_short =
         class.deadline_ms.is_nan() || class.deadline_ms < class.latency_objective_ms;
     if deadline_rule == DeadlineRule::AtLeastObjective && deadline_too_short {
-        let key = format!("settings.classes[{index}].deadline_ms");
+        let key = keys::deadline(index);
         let source = InvalidValue::DeadlineBelowObjective;
         return Err(ConfigError::invalid_value(&key, source));
     }
     if class.latency_objective_ms.is_nan() || class.latency_objective_ms <= 0.0 {
-        let key = format!("settings.classes[{index}].aim_ms");
+        let key = keys::latency_objective(index);
         return Err(ConfigError::invalid_value(&key, InvalidValue::NotPositive));
     }
     Ok(())
@@ -86,13 +86,13 @@
             min: MIN_MEMORY_MB,
             max: MAX_MEMORY_MB,
         };
-        return Err(ConfigError::invalid_value("limits.memory_mb", source));
+        return Err(ConfigError::invalid_value(keys::MEMORY_MB, source));
     }
     if limits.max_descriptors < MIN_MAX_DESCRIPTORS {
         let source = InvalidValue::BelowMinimum {
             min: MIN_MAX_DESCRIPTORS,
         };
-        return Err(ConfigError::invalid_value("limits.sockets", source));
+        return Err(ConfigError::invalid_value(keys::MAX_DESCRIPTORS, source));
     }
     Ok(())
 }
