--- a/crates/gateway/src/config/keys.rs
+++ b/crates/gateway/src/config/keys.rs
@@ -1,4 +1,5 @@
-//! Keys of the configuration files that errors quote where their words differ from the code's terms.
+//! Keys of the configuration files that errors quote where their words differ from the code's
+//! terms.
 //!
 //! The decoders map the same keys in `sections` and in the types of `deployment_settings`.
 
--- a/crates/gateway/src/discovery/framing.rs
+++ b/crates/gateway/src/discovery/framing.rs
@@ -1,4 +1,5 @@
-//! How the HTTP/1.1 response to a watch is divided into a head and a body, and the body into chunks.
+//! How the HTTP/1.1 response to a watch is divided into a head and a body, and the body into
+//! chunks.
 
 use super::error::{FramingError, WatchError};
 
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -80,12 +80,8 @@
                 request,
                 attempt: number,
             } => {
-                self.abort_attempt(
-                    AttemptId { request, number },
-                    Outcome::Cancelled,
-                    now,
-                    timers,
-                );
+                let attempt = AttemptId { request, number };
+                self.abort_attempt(attempt, Outcome::Cancelled, now, timers);
             }
             Action::OpenWatch => self.commands.push(Command::OpenWatch),
             Action::SetTimer(at) => {
