--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -42,7 +42,7 @@
     /// If the settings or the inventory can't be used, or the system refuses an address or a resource.
     pub fn new(mut config: Config) -> Result<Gateway, GatewayError> {
         let cached = std::mem::take(&mut config.cached_endpoints);
-        let limits = ConnectionLimits::for_descriptors(config.descriptors);
+        let limits = ConnectionLimits::for_descriptors(config.max_descriptors);
         let mut context = Context::new(config)?;
         context.update_now();
         let mut gateway = Gateway {
@@ -183,7 +183,7 @@
     fn handle_timer(&mut self, timer: Timer) {
         let context = &mut self.context;
         match timer {
-            Timer::AttemptTimeout(_) | Timer::Scheduler | Timer::RequestOverdue(_) => {
+            Timer::Dispatcher(timer) => {
                 context
                     .dispatcher
                     .handle_timer(timer, context.now, &mut context.timers);
