--- a/crates/gateway/src/event_loop/listener.rs
+++ b/crates/gateway/src/event_loop/listener.rs
@@ -19,7 +19,7 @@
 pub(crate) enum ListenerProtocol {
     /// RESP2.
     Resp,
-    /// SFTP-style file commands.
+    /// SFTP packets, without the SSH transport.
     Sftp,
 }
 
@@ -44,7 +44,7 @@
     socket.set_nonblocking(true)?;
     let protocol_name = match protocol {
         ListenerProtocol::Resp => "RESP2",
-        ListenerProtocol::Sftp => "file commands",
+        ListenerProtocol::Sftp => "SFTP",
     };
     log::info!("listening for {protocol_name} on {}", socket.local_addr()?);
     let token = context.connections.reserve();
--- a/crates/gateway/tests/harness/log_lines.rs
+++ b/crates/gateway/tests/harness/log_lines.rs
@@ -3,7 +3,7 @@
 /// The gateway accepts RESP2 clients; the address ends the line.
 pub const LISTENING_FOR_RESP: &str = "listening for RESP2 on";
 /// The gateway accepts SFTP clients; the address ends the line.
-pub const LISTENING_FOR_SFTP: &str = "listening for file commands on";
+pub const LISTENING_FOR_SFTP: &str = "listening for SFTP on";
 /// A message of two endpoints arrived from discovery.
 pub const RECEIVED_TWO_ENDPOINTS: &str = "discovery: received 2 endpoints";
 /// A message of one endpoint arrived from discovery.
