--- a/crates/gateway/src/event_loop/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -121,8 +121,12 @@
             ConsoleCommand::Nodes => console::format_nodes(self.context.dispatcher.nodes()),
             ConsoleCommand::Volumes => self.volumes(),
             ConsoleCommand::Status => self.status(),
-            ConsoleCommand::Drain(name) => self.override_node(&name, OperatorOverride::Drain),
-            ConsoleCommand::Undrain(name) => self.override_node(&name, OperatorOverride::None),
+            ConsoleCommand::Drain(name) => {
+                self.override_from_console(&name, OperatorOverride::Drain)
+            }
+            ConsoleCommand::Undrain(name) => {
+                self.override_from_console(&name, OperatorOverride::None)
+            }
             ConsoleCommand::Reload => self.reload_from_console(),
             ConsoleCommand::Quit => {
                 self.request_shutdown();
@@ -157,17 +161,13 @@
     }
 
     /// Drains a node or ends its draining by the operator; returns the output.
-    fn override_node(&mut self, name: &str, operator_override: OperatorOverride) -> String {
-        let result = self.endpoints.set_override(
-            name,
-            operator_override,
-            &mut self.node_connections,
-            &mut self.context,
-        );
-        match (result, operator_override) {
-            (Ok(()), OperatorOverride::Drain) => format!("{name} drains\n"),
-            (Ok(()), OperatorOverride::None) => format!("{name} serves as listed\n"),
-            (Err(error), _) => format!("{error}\n"),
+    fn override_from_console(&mut self, name: &str, operator_override: OperatorOverride) -> String {
+        if let Err(error) = self.override_node(name, operator_override) {
+            return format!("{error}\n");
+        }
+        match operator_override {
+            OperatorOverride::Drain => format!("{name} drains\n"),
+            OperatorOverride::None => format!("{name} serves as listed\n"),
         }
     }
 
--- a/crates/gateway/src/event_loop/discovery_watch.rs
+++ b/crates/gateway/src/event_loop/discovery_watch.rs
@@ -3,10 +3,8 @@
 //! A watch is one HTTP request whose response never ends: discovery sends the changes of the list as they
 //! happen. The scheduler decides when to open a watch; this module owns its connection and detects its end.
 
-use super::endpoint_table::EndpointTable;
 use super::{Connection, Context};
 use crate::connection_token::ConnectionToken;
-use crate::connections::node::NodeConnections;
 use crate::connections::socket::{Interest, Socket, StreamStatus};
 use crate::discovery::{watch_request, EndpointListUpdate, WatchError, WatchParser};
 use crate::timer_queue::Timer;
@@ -50,10 +48,18 @@
     is_requested: bool,
 }
 
-/// The result of one read of a watch.
+/// What a connection to discovery has brought since it was handled last.
+#[must_use]
+pub(super) struct WatchOutcome {
+    /// The updates that are complete, in their order. They apply even if the watch has failed.
+    pub(super) updates: Vec<EndpointListUpdate>,
+    /// Why the watch must be closed, if it must; to be passed to [`DiscoveryWatch::fail`] after the
+    /// updates have been applied.
+    pub(super) failure: Option<WatchFailure>,
+}
+
+/// The result of one read of a watch, besides its updates.
 struct WatchInput {
-    /// The updates that are complete, in their order.
-    updates: Vec<EndpointListUpdate>,
     /// The error in the input after the updates, if it is invalid.
     parsed: Result<(), WatchError>,
     /// Whether discovery has closed the connection or completed its response.
@@ -81,18 +87,17 @@
         Ok(true)
     }
 
-    /// Reads and decodes what has arrived.
-    fn receive(&mut self) -> io::Result<WatchInput> {
+    /// Reads and decodes what has arrived; appends the updates that are complete to `updates`.
+    fn receive(&mut self, updates: &mut Vec<EndpointListUpdate>) -> io::Result<WatchInput> {
         let status = self.socket.read_available(MAX_BYTES_PER_TURN)?;
         let bytes = std::mem::take(&mut self.socket.input);
-        let mut updates = Vec::new();
         let was_mid_object = self.parser.is_mid_object();
-        let parsed = self.parser.feed(&bytes, &mut updates);
+        let parsed = self.parser.feed(&bytes, updates);
+        let completes_object = !updates.is_empty();
         Ok(WatchInput {
             parsed,
             is_ended: status == StreamStatus::Ended || self.parser.is_complete(),
-            extends_deadline: !bytes.is_empty() && (!was_mid_object || !updates.is_empty()),
-            updates,
+            extends_deadline: !bytes.is_empty() && (!was_mid_object || completes_object),
         })
     }
 }
@@ -168,42 +173,41 @@
         registered
     }
 
-    /// Handles a connection that the poller reported.
+    /// Handles a connection that the poller reported. The caller applies the outcome.
     pub(super) fn handle_ready(
         &mut self,
         token: ConnectionToken,
         mut connection: WatchConnection,
-        endpoints: &mut EndpointTable,
-        node_connections: &mut NodeConnections,
         context: &mut Context,
-    ) {
-        let result = self.advance(token, &mut connection, endpoints, node_connections, context);
+    ) -> WatchOutcome {
+        let mut updates = Vec::new();
+        let result = self.advance(token, &mut connection, &mut updates, context);
         if self.token == Some(token) {
             context
                 .connections
                 .put(token, Connection::Watch(connection));
         }
-        if let Err(failure) = result {
-            self.fail(&failure, context);
+        WatchOutcome {
+            updates,
+            failure: result.err(),
         }
     }
 
-    /// Takes the next steps on the connection: sends the request, reads updates and applies them.
+    /// Takes the next steps on the connection: sends the request, and appends the updates that have
+    /// arrived to `updates`, also where an error follows them.
     fn advance(
         &mut self,
         token: ConnectionToken,
         connection: &mut WatchConnection,
-        endpoints: &mut EndpointTable,
-        node_connections: &mut NodeConnections,
+        updates: &mut Vec<EndpointListUpdate>,
         context: &mut Context,
     ) -> Result<(), WatchFailure> {
         if !connection.send_request(context.config.discovery, self.list_index)? {
             return Ok(());
         }
-        let input = connection.receive()?;
-        for update in &input.updates {
+        let input = connection.receive(updates)?;
+        for update in updates {
             self.note_update(update, context.now);
-            endpoints.apply_update(update, update.kind(), node_connections, context);
         }
         input.parsed?;
         if input.is_ended {
@@ -235,7 +239,7 @@
     }
 
     /// Closes a watch that has failed or ended. The scheduler decides when to open another one.
-    fn fail(&mut self, failure: &WatchFailure, context: &mut Context) {
+    pub(super) fn fail(&mut self, failure: &WatchFailure, context: &mut Context) {
         log::info!(
             "discovery: {failure}, {} ms after the call",
             self.elapsed_ms(context.now)
--- a/crates/gateway/src/event_loop/endpoint_table.rs
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -1,11 +1,6 @@
-//! The endpoint list as the gateway uses it: the nodes that discovery or the inventory lists, with the
-//! operator's overrides.
+//! The endpoint list as last received from discovery or the inventory, with the operator's overrides.
 
-use super::Context;
-use crate::connections::node::{NodeAddress, NodeConnections};
-use crate::discovery::{EndpointListUpdate, ListedEndpoint};
 use crate::endpoint::EndpointRecord;
-use crate::inventory::{self, InventoryError, Protocol};
 use io_scheduler::{EndpointListEvent, EndpointStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,115 +28,55 @@
 }
 
 impl EndpointTable {
-    /// Applies a list or a delta from discovery: addresses go to the connection pools, records to the
-    /// dispatcher.
-    pub(super) fn apply_update(
-        &mut self,
-        update: &EndpointListUpdate,
-        kind: EndpointListEvent,
-        node_connections: &mut NodeConnections,
-        context: &mut Context,
-    ) {
-        let mut records = Vec::with_capacity(update.endpoints.len());
-        for ListedEndpoint { record, address } in update.listed_endpoints() {
-            let node = context.dispatcher.node_id(&record.name);
-            node_connections.set_address(
-                node,
-                NodeAddress {
-                    address,
-                    protocol: Protocol::Resp2,
-                },
-                context,
-            );
-            records.push(record);
-        }
-        self.apply(kind, records, node_connections, context);
+    /// Number of listed nodes.
+    pub(super) fn count(&self) -> usize {
+        self.records.len()
     }
 
-    /// Reads the inventory again and applies it as the complete list; returns how many nodes it lists. An
-    /// invalid one changes nothing.
-    pub(super) fn reload_inventory(
+    /// Stores records as listed, and returns them with the operator's overrides. Any event but a
+    /// delta replaces the complete list.
+    #[must_use]
+    pub(super) fn update(
         &mut self,
-        node_connections: &mut NodeConnections,
-        context: &mut Context,
-    ) -> Result<usize, InventoryError> {
-        let Some(path) = context.config.inventory.clone() else {
-            return Ok(self.records.len());
-        };
-        let entries = inventory::read(&path)?;
-        for entry in &entries {
-            let node = context.dispatcher.node_id(&entry.record.name);
-            let address = NodeAddress {
-                address: entry.address,
-                protocol: entry.protocol,
-            };
-            node_connections.set_address(node, address, context);
+        kind: EndpointListEvent,
+        listed: Vec<EndpointRecord>,
+    ) -> Vec<EndpointRecord> {
+        if kind != EndpointListEvent::Delta {
+            self.records.clear();
+        }
+        for record in &listed {
+            self.records.insert(record.name.clone(), record.clone());
         }
-        let count = entries.len();
-        let records = entries.into_iter().map(|entry| entry.record).collect();
-        self.apply(
-            EndpointListEvent::Snapshot,
-            records,
-            node_connections,
-            context,
-        );
-        Ok(count)
+        self.records
+            .retain(|_, record| record.status != EndpointStatus::Removed);
+        listed
+            .into_iter()
+            .map(|record| self.with_override(record))
+            .collect()
     }
 
-    /// Sets the operator's override of a listed node and applies the node's record with it.
+    /// Sets the operator's override of a listed node. Returns the node's record as listed.
     pub(super) fn set_override(
         &mut self,
         name: &str,
         operator_override: OperatorOverride,
-        node_connections: &mut NodeConnections,
-        context: &mut Context,
-    ) -> Result<(), UnknownNode> {
-        let record = self.record(name)?;
+    ) -> Result<EndpointRecord, UnknownNode> {
+        let Some(record) = self.records.get(name) else {
+            return Err(UnknownNode(name.to_owned()));
+        };
         match operator_override {
             OperatorOverride::Drain => self.drained_by_operator.insert(name.to_owned()),
             OperatorOverride::None => self.drained_by_operator.remove(name),
         };
-        self.apply(
-            EndpointListEvent::Delta,
-            vec![record],
-            node_connections,
-            context,
-        );
-        Ok(())
+        Ok(record.clone())
     }
 
-    /// The record of a node as listed.
-    fn record(&self, name: &str) -> Result<EndpointRecord, UnknownNode> {
-        self.records
-            .get(name)
-            .cloned()
-            .ok_or_else(|| UnknownNode(name.to_owned()))
-    }
-
-    /// Stores records as listed and passes them to the dispatcher with the operator's overrides. Any event
-    /// but a delta replaces the whole list.
-    fn apply(
-        &mut self,
-        kind: EndpointListEvent,
-        mut records: Vec<EndpointRecord>,
-        node_connections: &mut NodeConnections,
-        context: &mut Context,
-    ) {
-        if kind != EndpointListEvent::Delta {
-            self.records.clear();
-        }
-        for record in &mut records {
-            self.records.insert(record.name.clone(), record.clone());
-            let is_in_service = record.status == EndpointStatus::InService;
-            if is_in_service && self.drained_by_operator.contains(&record.name) {
-                record.status = EndpointStatus::Draining;
-            }
+    /// A listed record with the operator's override of its node.
+    fn with_override(&self, mut record: EndpointRecord) -> EndpointRecord {
+        let is_in_service = record.status == EndpointStatus::InService;
+        if is_in_service && self.drained_by_operator.contains(&record.name) {
+            record.status = EndpointStatus::Draining;
         }
-        context
-            .dispatcher
-            .update_endpoints(kind, &records, context.now);
-        self.records
-            .retain(|_, record| record.status != EndpointStatus::Removed);
-        node_connections.remove_unlisted(context);
+        record
     }
 }
--- /dev/null
+++ b/crates/gateway/src/event_loop/endpoint_updates.rs
@@ -0,0 +1,98 @@
+//! Applying changes of the endpoint list: addresses go to the connection pools, records to the
+//! dispatcher.
+
+use super::discovery_watch::{WatchConnection, WatchOutcome};
+use super::endpoint_table::{OperatorOverride, UnknownNode};
+use super::Gateway;
+use crate::connection_token::ConnectionToken;
+use crate::connections::node::NodeAddress;
+use crate::discovery::EndpointListUpdate;
+use crate::endpoint::EndpointRecord;
+use crate::inventory::{self, InventoryError, Protocol};
+use io_scheduler::EndpointListEvent;
+
+impl Gateway {
+    /// Handles the connection to discovery, which the poller reported.
+    pub(super) fn handle_watch_ready(
+        &mut self,
+        token: ConnectionToken,
+        connection: WatchConnection,
+    ) {
+        let WatchOutcome { updates, failure } =
+            self.watch
+                .handle_ready(token, connection, &mut self.context);
+        for update in &updates {
+            self.apply_endpoint_update(update, update.kind());
+        }
+        // The end of the watch is reported after the updates that arrived before it.
+        if let Some(failure) = failure {
+            self.watch.fail(&failure, &mut self.context);
+        }
+    }
+
+    /// Applies a list or a delta from discovery. `kind` is the event to report for it.
+    pub(super) fn apply_endpoint_update(
+        &mut self,
+        update: &EndpointListUpdate,
+        kind: EndpointListEvent,
+    ) {
+        let mut records = Vec::with_capacity(update.endpoints.len());
+        for endpoint in update.listed_endpoints() {
+            let address = NodeAddress {
+                address: endpoint.address,
+                protocol: Protocol::Resp2,
+            };
+            self.set_node_address(&endpoint.record.name, address);
+            records.push(endpoint.record);
+        }
+        self.apply_records(kind, records);
+    }
+
+    /// Reads the inventory again and applies it as the complete list; returns how many nodes it
+    /// lists. An invalid one changes nothing.
+    pub(super) fn reload_inventory(&mut self) -> Result<usize, InventoryError> {
+        let Some(path) = &self.context.config.inventory else {
+            return Ok(self.endpoints.count());
+        };
+        let entries = inventory::read(path)?;
+        let mut records = Vec::with_capacity(entries.len());
+        for entry in entries {
+            let address = NodeAddress {
+                address: entry.address,
+                protocol: entry.protocol,
+            };
+            self.set_node_address(&entry.record.name, address);
+            records.push(entry.record);
+        }
+        let count = records.len();
+        self.apply_records(EndpointListEvent::Snapshot, records);
+        Ok(count)
+    }
+
+    /// Sets the operator's override of a listed node and applies the node's record with it.
+    pub(super) fn override_node(
+        &mut self,
+        name: &str,
+        operator_override: OperatorOverride,
+    ) -> Result<(), UnknownNode> {
+        let record = self.endpoints.set_override(name, operator_override)?;
+        self.apply_records(EndpointListEvent::Delta, vec![record]);
+        Ok(())
+    }
+
+    /// Sets the address of the node with this name.
+    fn set_node_address(&mut self, name: &str, address: NodeAddress) {
+        let node = self.context.dispatcher.node_id(name);
+        self.node_connections
+            .set_address(node, address, &mut self.context);
+    }
+
+    /// Stores records as listed and passes them to the dispatcher with the operator's overrides.
+    fn apply_records(&mut self, kind: EndpointListEvent, listed: Vec<EndpointRecord>) {
+        let records = self.endpoints.update(kind, listed);
+        self.context
+            .dispatcher
+            .update_endpoints(kind, &records, self.context.now);
+        self.node_connections.remove_unlisted(&mut self.context);
+    }
+}
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -53,13 +53,7 @@
             context,
         };
         gateway.context.update_now();
-        let cached_event = EndpointListEvent::Cached;
-        gateway.endpoints.apply_update(
-            &cached,
-            cached_event,
-            &mut gateway.node_connections,
-            &mut gateway.context,
-        );
+        gateway.apply_endpoint_update(&cached, EndpointListEvent::Cached);
         gateway.open()?;
         Ok(gateway)
     }
@@ -153,13 +147,7 @@
                     .handle_ready(token, connection, context);
             }
             Some(Connection::Watch(connection)) => {
-                self.watch.handle_ready(
-                    token,
-                    connection,
-                    &mut self.endpoints,
-                    &mut self.node_connections,
-                    context,
-                );
+                self.handle_watch_ready(token, connection);
             }
             Some(Connection::Console(console)) => self.handle_console_ready(token, console),
             Some(Connection::Signal(pipe)) => self.handle_signal(token, pipe),
--- a/crates/gateway/src/event_loop/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -12,6 +12,7 @@
 mod context;
 mod discovery_watch;
 mod endpoint_table;
+mod endpoint_updates;
 mod error;
 mod gateway;
 pub(crate) mod listener;
--- a/crates/gateway/src/event_loop/reload.rs
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -2,7 +2,6 @@
 
 use super::Gateway;
 use crate::config::Config;
-use crate::inventory::InventoryError;
 use crate::logger;
 use io_scheduler::EndpointListEvent;
 use std::net::SocketAddr;
@@ -43,10 +42,4 @@
         self.watch
             .close(EndpointListEvent::WatchLost, &mut self.context);
     }
-
-    /// Reads the inventory again; returns how many nodes it lists. An invalid inventory changes nothing.
-    pub(super) fn reload_inventory(&mut self) -> Result<usize, InventoryError> {
-        self.endpoints
-            .reload_inventory(&mut self.node_connections, &mut self.context)
-    }
 }
