--- a/crates/gateway/src/connections/counted_bytes.rs
+++ b/crates/gateway/src/connections/counted_bytes.rs
@@ -2,8 +2,8 @@
 
 /// The part of one connection in a total of bytes over all connections.
 ///
-/// Each connection remembers its part, so that the total can be updated when the part changes and reduced
-/// when the connection closes.
+/// Each connection remembers its part, so that the total can be updated when the part changes and
+/// reduced when the connection closes.
 #[derive(Debug, Default)]
 pub(crate) struct CountedBytes {
     bytes: usize,
--- a/crates/gateway/src/connections/node/idle_timeout.rs
+++ b/crates/gateway/src/connections/node/idle_timeout.rs
@@ -1,14 +1,18 @@
-//! An estimate of how long a node keeps an idle connection open, learned from resets and responses.
+//! An estimate of how long a node keeps an idle connection open, learned from resets and
+//! responses.
 //!
-//! The settings state the node's idle timeout. Some nodes drop the state of a connection earlier and answer
-//! the next request with a TCP reset, after which the gateway cannot know whether the request has run. So a
-//! connection that was idle for longer than the estimate is not used again: a new one is opened instead.
+//! The settings state the node's idle timeout. Some nodes drop the state of a connection earlier
+//! and answer the next request with a TCP reset, after which the gateway cannot know whether the
+//! request has run. So a connection that was idle for longer than the estimate is not used again:
+//! a new one is opened instead.
 
 use io_scheduler::Micros;
 
-/// Lower bound of the estimate. A reset after a shorter idle time is put down to another cause.
+/// Lower bound of the estimate, in microseconds. A reset after a shorter idle time is put down to
+/// another cause.
 const MIN_IDLE_TIMEOUT: Micros = 20_000;
-/// A reset that comes later than this after the start of a request is not caused by the idle time before it.
+/// A reset that comes later than this, in microseconds, after the start of a request is not caused
+/// by the idle time before it.
 const MAX_RESET_DELAY: Micros = 10_000;
 
 /// The estimated idle timeout of one node; see the [module](self). All times are in microseconds.
@@ -18,8 +22,8 @@
     estimate: Micros,
     /// Upper bound of the estimate, from the settings.
     maximum: Micros,
-    /// The longest idle time after which a request got its response; halved after a reset that contradicts
-    /// it.
+    /// The longest idle time after which a request got its response; halved after a reset that
+    /// contradicts it.
     longest_answered: Micros,
 }
 
@@ -46,20 +50,22 @@
         idle <= self.estimate
     }
 
-    /// Whether a non-idempotent request can use a connection that was idle for this long. The bound is half
-    /// of the estimate, as such a request cannot be retried after a reset.
+    /// Whether a non-idempotent request can use a connection that was idle for this long. The
+    /// bound is half of the estimate, as such a request cannot be retried after a reset.
     #[must_use]
     pub fn allows_non_idempotent(&self, idle: Micros) -> bool {
         idle <= self.estimate / 2
     }
 
-    /// Records a reset: it came `after` the start of a request on a connection that had been idle for `idle`.
+    /// Records a reset: it came `after` the start of a request on a connection that had been idle
+    /// for `idle`.
     pub fn record_reset(&mut self, idle: Micros, after: Micros) {
         if idle <= MIN_IDLE_TIMEOUT || after > MAX_RESET_DELAY {
             return;
         }
-        // A request got its response after a longer idle time, so a single reset is put down to another
-        // cause. Each such reset halves the contrary evidence: repeated resets lower the estimate in the end.
+        // A request got its response after a longer idle time, so a single reset is put down to
+        // another cause. Each such reset halves the contrary evidence: repeated resets lower the
+        // estimate in the end.
         if idle < self.longest_answered {
             self.longest_answered /= 2;
         } else {
@@ -67,8 +73,8 @@
         }
     }
 
-    /// Records a response to a request on a connection that had been idle for `idle`. The estimate rises by
-    /// an eighth if that was more than half of it.
+    /// Records a response to a request on a connection that had been idle for `idle`. The estimate
+    /// rises by an eighth if that was more than half of it.
     pub fn record_response(&mut self, idle: Micros) {
         self.longest_answered = self.longest_answered.max(idle);
         if idle > self.estimate / 2 {
--- a/crates/gateway/src/logger.rs
+++ b/crates/gateway/src/logger.rs
@@ -1,4 +1,5 @@
-//! The logger: each record becomes one line on standard error, which starts with the seconds since the start.
+//! The logger: each record becomes one line on standard error, which starts with the seconds since
+//! the start.
 
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::Write;
@@ -34,7 +35,8 @@
 
 /// Installs the logger. A further call keeps the installed logger and changes its level.
 pub fn install(level: LevelFilter) {
-    // An error means that a logger is already installed; it keeps counting the seconds from its own start.
+    // An error means that a logger is already installed; it keeps counting the seconds from its
+    // own start.
     let _ = log::set_boxed_logger(Box::new(Logger {
         started_at: Instant::now(),
     }));
