--- a/crates/gateway/src/connection_token.rs
+++ b/crates/gateway/src/connection_token.rs
@@ -1,9 +1,10 @@
 //! The token by which the event loop, the poller and the timers refer to a connection.
 
-/// Identifies a connection in the [`Slab`](crate::connections::slab::Slab) of the event loop.
+/// Identifies a connection in the [`Slab`](crate::context::slab::Slab) of the event loop.
 ///
-/// The low 32 bits are the index of the connection's slot, the high 32 bits the generation of that slot.
-/// Tokens are ordered by their number, and epoll stores that number with each registered descriptor.
+/// The low 32 bits are the index of the connection's slot, the high 32 bits the generation of that
+/// slot. Tokens are ordered by their number, and epoll stores that number with each registered
+/// descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionToken(u64);
 
--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -1,94 +1,10 @@
-//! Eviction: which idle client connections are closed when descriptors run short.
+//! Eviction: closing idle client connections when descriptors run short.
 
-use super::{ClientConnection, ClientConnections, MAX_INPUT_BYTES};
+use super::client_connections::ClientConnections;
+use super::connection::MAX_INPUT_BYTES;
 use crate::connection_token::ConnectionToken;
 use crate::connections::socket::StreamStatus;
-use crate::event_loop::Context;
-use io_scheduler::Micros;
-use std::collections::BTreeSet;
-
-/// The first command of a connection that was accepted less than this long ago may still be in transit.
-const FIRST_COMMAND_GRACE: Micros = 50_000;
-
-/// What a client has sent so far. Connections of the lowest priority are evicted first.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum EvictionPriority {
-    /// No complete command yet.
-    Silent,
-    /// Complete commands, but none with a request to a storage node.
-    Commands,
-    /// Commands with requests to storage nodes.
-    Requests,
-    /// Part of a command that may still become complete. Used in the eviction queue only.
-    MidCommand,
-}
-
-/// A connection that may be evicted. Candidates are evicted in their order, which compares the fields in the
-/// order of their declaration.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct EvictionCandidate {
-    /// What the client has sent so far.
-    pub(super) priority: EvictionPriority,
-    /// When the client was last active.
-    pub(super) last_active_at: Micros,
-    /// The connection's token.
-    pub(super) token: ConnectionToken,
-}
-
-impl EvictionCandidate {
-    /// Start of the range of this priority: it sorts before every connection of it.
-    fn first_of(priority: EvictionPriority) -> EvictionCandidate {
-        EvictionCandidate {
-            priority,
-            last_active_at: Micros::MIN,
-            token: ConnectionToken::MIN,
-        }
-    }
-}
-
-/// The connections that have no reply pending and may be evicted.
-#[derive(Debug, Default)]
-pub(super) struct EvictionQueue {
-    candidates: BTreeSet<EvictionCandidate>,
-}
-
-impl EvictionQueue {
-    /// Adds a connection.
-    pub(super) fn insert(&mut self, candidate: EvictionCandidate) {
-        self.candidates.insert(candidate);
-    }
-
-    /// Removes a connection, if it is in the queue. Done before any change to the fields that order the
-    /// queue.
-    pub(super) fn remove(&mut self, client: &mut ClientConnection) {
-        if let Some(candidate) = client.eviction_candidate.take() {
-            self.candidates.remove(&candidate);
-        }
-    }
-
-    /// The connection to evict for a new one: the first candidate, unless it was active within
-    /// [`FIRST_COMMAND_GRACE`]. In that case the first candidate that has sent a command is preferred, if
-    /// there is one.
-    fn next_to_evict(&self, now: Micros) -> Option<ConnectionToken> {
-        let first = self.candidates.first()?;
-        if now - first.last_active_at >= FIRST_COMMAND_GRACE {
-            return Some(first.token);
-        }
-        let with_commands = EvictionCandidate::first_of(EvictionPriority::Commands);
-        let first_with_commands = self.candidates.range(with_commands..).next();
-        Some(first_with_commands.unwrap_or(first).token)
-    }
-
-    /// The connection that has been idle for longest among those that have sent a request.
-    fn longest_idle_requester(&self) -> Option<ConnectionToken> {
-        let first = EvictionCandidate::first_of(EvictionPriority::Requests);
-        let end = EvictionCandidate::first_of(EvictionPriority::MidCommand);
-        self.candidates
-            .range(first..end)
-            .next()
-            .map(|candidate| candidate.token)
-    }
-}
+use crate::context::Context;
 
 impl ClientConnections {
     /// Evicts a connection without pending replies; returns false if there is none.
@@ -101,26 +17,24 @@
         true
     }
 
-    /// Closes a connection at once, without a lingering close, as its descriptor is needed now. It stays open
-    /// if input has arrived that was not read yet.
+    /// Closes a connection at once, without a lingering close, as its descriptor is needed now. It
+    /// stays open if input has arrived that was not read yet.
     fn evict(&mut self, token: ConnectionToken, context: &mut Context) {
-        let Some(mut client) = self.take(token, context) else {
+        let Some(mut client) = self.take(token) else {
             return;
         };
         let length_before = client.socket.input.len();
-        match client.socket.read_available(MAX_INPUT_BYTES) {
-            Ok(StreamStatus::Open)
-                if client.socket.input.len() > length_before && !client.is_lingering() =>
-            {
-                self.advance(token, client, context);
-            }
-            _ => self.drop_connection(token, client, context),
+        let status = client.socket.read_available(MAX_INPUT_BYTES);
+        let has_new_input = client.socket.input.len() > length_before;
+        if matches!(status, Ok(StreamStatus::Open)) && has_new_input && !client.is_lingering() {
+            return self.advance(client, context);
         }
+        self.drop_connection(client, context);
     }
 
-    /// Closes idle connections of clients that have sent a request, those idle for longest first, until their
-    /// number is within its limit. Some clients never close a connection after a single request, and would
-    /// leave no descriptors for new connections.
+    /// Closes idle connections of clients that have sent a request, those idle for longest first,
+    /// until their number is within its limit. Some clients never close a connection after a
+    /// single request, and would leave no descriptors for new connections.
     pub(crate) fn close_excess_requesters(&mut self, context: &mut Context) {
         while self.requesters > self.limits.requesters {
             let Some(token) = self.eviction_queue.longest_idle_requester() else {
--- /dev/null
+++ b/crates/gateway/src/connections/client/reply_queue.rs
@@ -0,0 +1,111 @@
+//! The replies of one client connection, in the order of its commands.
+
+use crate::client_protocol::EncodedReply;
+use io_scheduler::RequestId;
+use std::collections::VecDeque;
+
+/// The replies that are not in the output buffer yet. Replies must leave in the order of their
+/// commands, so those that are ready wait for earlier ones.
+#[derive(Debug, Default)]
+pub(super) struct ReplyQueue {
+    pending: VecDeque<PendingReply>,
+    /// The slot of the next command's reply. Slots number the commands of a connection from 0.
+    next_slot: u64,
+}
+
+/// The reply to one command.
+#[derive(Debug)]
+struct PendingReply {
+    /// Position among the replies of the connection.
+    slot: u64,
+    content: ReplyContent,
+}
+
+/// What a reply waits for.
+#[derive(Debug)]
+enum ReplyContent {
+    /// The reply is encoded and waits for earlier ones.
+    Encoded(Vec<u8>),
+    /// The responses to these requests of the command are awaited.
+    AwaitingResponses(Vec<RequestId>),
+}
+
+impl ReplyQueue {
+    /// Whether every command that was run has its reply in the output buffer.
+    pub(super) fn is_empty(&self) -> bool {
+        self.pending.is_empty()
+    }
+
+    /// Number of commands whose reply is not in the output buffer yet.
+    pub(super) fn len(&self) -> usize {
+        self.pending.len()
+    }
+
+    /// The slot of the next command's reply.
+    pub(super) fn next_slot(&self) -> u64 {
+        self.next_slot
+    }
+
+    /// Adds the reply to the next command.
+    pub(super) fn push_encoded(&mut self, bytes: Vec<u8>) {
+        self.push(ReplyContent::Encoded(bytes));
+    }
+
+    /// Adds a place for the reply to the next command, which has submitted these requests.
+    pub(super) fn push_awaiting(&mut self, requests: Vec<RequestId>) {
+        self.push(ReplyContent::AwaitingResponses(requests));
+    }
+
+    fn push(&mut self, content: ReplyContent) {
+        self.pending.push_back(PendingReply {
+            slot: self.next_slot,
+            content,
+        });
+        self.next_slot += 1;
+    }
+
+    /// Stores the encoded reply to a command. Returns the requests of the command, some of which
+    /// may still be without a response.
+    pub(super) fn complete(&mut self, reply: EncodedReply) -> Vec<RequestId> {
+        let mut pending = self.pending.iter_mut();
+        let Some(pending) = pending.find(|pending| pending.slot == reply.slot) else {
+            return Vec::new();
+        };
+        let encoded = ReplyContent::Encoded(reply.bytes);
+        match std::mem::replace(&mut pending.content, encoded) {
+            ReplyContent::AwaitingResponses(requests) => requests,
+            ReplyContent::Encoded(_) => Vec::new(),
+        }
+    }
+
+    /// Moves encoded replies to `output`, up to the first that is not encoded yet.
+    pub(super) fn append_ready(&mut self, output: &mut Vec<u8>) {
+        while let Some(PendingReply {
+            content: ReplyContent::Encoded(bytes),
+            ..
+        }) = self.pending.front_mut()
+        {
+            output.append(bytes);
+            self.pending.pop_front();
+        }
+    }
+
+    /// Bytes of encoded replies that wait for earlier ones.
+    pub(super) fn encoded_bytes(&self) -> usize {
+        let lengths = self.pending.iter().map(|reply| match &reply.content {
+            ReplyContent::Encoded(bytes) => bytes.len(),
+            ReplyContent::AwaitingResponses(_) => 0,
+        });
+        lengths.sum()
+    }
+
+    /// The requests of all commands that wait for responses, in the order of the commands.
+    pub(super) fn into_open_requests(self) -> impl Iterator<Item = RequestId> {
+        self.pending
+            .into_iter()
+            .flat_map(|reply| match reply.content {
+                ReplyContent::AwaitingResponses(requests) => requests,
+                ReplyContent::Encoded(_) => Vec::new(),
+            })
+    }
+}
--- a/crates/gateway/src/event_loop/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -1,30 +1,33 @@
 //! The watch on the endpoint list of the discovery service.
 //!
-//! A watch is one HTTP request whose response never ends: discovery sends the changes of the list as they
-//! happen. The scheduler decides when to open a watch; this module owns its connection and detects its end.
+//! A watch is one HTTP request whose response never ends: discovery sends the changes of the list
+//! as they happen. The scheduler decides when to open a watch; this module owns its connection and
+//! detects its end.
 
-use super::{Connection, Context};
-use crate::connection_token::ConnectionToken;
-use crate::connections::socket::{Interest, Socket, StreamStatus};
+use crate::connections::socket::{start_connecting, Interest, Socket, StreamStatus};
+use crate::context::{ConnectionKind, Context};
 use crate::discovery::{watch_request, EndpointListUpdate, WatchError, WatchParser};
 use crate::timer_queue::Timer;
 use io_scheduler::{EndpointListEvent, Micros};
 use std::io;
 use std::net::SocketAddr;
 
-/// A watch is closed if it has delivered nothing this long after it was opened. Discovery itself ends a
-/// request that it cannot serve after 2 s.
+/// A watch is closed if it has delivered nothing this long, in microseconds, after it was opened.
+/// Discovery itself ends a request that it cannot serve after 2 s.
 const FIRST_RESPONSE_TIMEOUT: Micros = 2_500_000;
-/// A watch is closed if nothing arrives on it for this long. Discovery sends an empty line as a heartbeat
-/// every 2 s, so a longer silence means that the connection is broken. Every update must take effect within
-/// 6 s even then, which leaves time for one failed attempt to open another watch.
+/// A watch is closed if nothing arrives on it for this long, in microseconds. Discovery sends an
+/// empty line as a heartbeat every 2 s, so a longer silence means that the connection is broken.
+/// Every update must take effect within 6 s even then, which leaves time for one failed attempt to
+/// open another watch.
 const SILENCE_TIMEOUT: Micros = 2_800_000;
 /// How many bytes of a watch are read in one turn.
 const MAX_BYTES_PER_TURN: usize = 256 << 10;
+/// Microseconds per millisecond.
+const MICROS_PER_MILLI: Micros = 1_000;
 
 /// Why a watch has ended.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum WatchFailure {
+pub(crate) enum WatchFailure {
     /// Neither an update nor a heartbeat has arrived in time.
     #[error("no data received in time")]
     TimedOut,
@@ -40,7 +43,7 @@
 }
 
 /// The connection of a watch.
-pub(crate) struct WatchConnection {
+struct WatchConnection {
     socket: Socket,
     /// Decodes the response.
     parser: WatchParser,
@@ -50,12 +53,12 @@
 
 /// What a connection to discovery has brought since it was handled last.
 #[must_use]
-pub(super) struct WatchOutcome {
+pub(crate) struct WatchOutcome {
     /// The updates that are complete, in their order. They apply even if the watch has failed.
-    pub(super) updates: Vec<EndpointListUpdate>,
-    /// Why the watch must be closed, if it must; to be passed to [`DiscoveryWatch::fail`] after the
-    /// updates have been applied.
-    pub(super) failure: Option<WatchFailure>,
+    pub(crate) updates: Vec<EndpointListUpdate>,
+    /// Why the watch must be closed, if it must; to be passed to [`DiscoveryWatch::fail`] after
+    /// the updates have been applied.
+    pub(crate) failure: Option<WatchFailure>,
 }
 
 /// The result of one read of a watch, besides its updates.
@@ -64,14 +67,25 @@
     parsed: Result<(), WatchError>,
     /// Whether discovery has closed the connection or completed its response.
     is_ended: bool,
-    /// Whether the input restarts [`SILENCE_TIMEOUT`]. Parts of an object that was incomplete before do not:
-    /// the object must become complete in time.
+    /// Whether the input restarts [`SILENCE_TIMEOUT`]. Parts of an object that was incomplete
+    /// before do not: the object must become complete in time.
     extends_deadline: bool,
 }
 
 impl WatchConnection {
-    /// Sends the request for the changes after version `list_index`, once the connection is established;
-    /// returns false until then.
+    /// Starts to connect, and registers the connection with the poller.
+    fn open(address: SocketAddr, context: &mut Context) -> io::Result<WatchConnection> {
+        let stream = start_connecting(address)?;
+        let kind = ConnectionKind::Discovery;
+        Ok(WatchConnection {
+            socket: Socket::register(stream, kind, Interest::Connect, context)?,
+            parser: WatchParser::default(),
+            is_requested: false,
+        })
+    }
+
+    /// Sends the request for the changes after version `list_index`, once the connection is
+    /// established; returns false until then.
     fn send_request(&mut self, address: Option<SocketAddr>, list_index: u64) -> io::Result<bool> {
         if !self.is_requested {
             if !self.socket.is_connected()? {
@@ -103,10 +117,9 @@
 }
 
 /// The state of the watch on discovery, which continues over its successive connections.
-#[derive(Debug)]
-pub(super) struct DiscoveryWatch {
-    /// The token of its connection, if it is open.
-    token: Option<ConnectionToken>,
+pub(crate) struct DiscoveryWatch {
+    /// Its connection, if it is open.
+    connection: Option<WatchConnection>,
     /// When [`Timer::DiscoveryWatch`] expires, if it is set.
     timer_deadline: Option<Micros>,
     /// When its connection was opened.
@@ -118,10 +131,11 @@
 }
 
 impl DiscoveryWatch {
-    /// A watch without a connection; the first request asks for the changes after version `list_index`.
-    pub(super) fn new(list_index: u64) -> DiscoveryWatch {
+    /// A watch without a connection; the first request asks for the changes after version
+    /// `list_index`.
+    pub(crate) fn new(list_index: u64) -> DiscoveryWatch {
         DiscoveryWatch {
-            token: None,
+            connection: None,
             timer_deadline: None,
             opened_at: 0,
             has_delivered: false,
@@ -130,78 +144,53 @@
     }
 
     /// Whether a connection is open or being established.
-    pub(super) fn is_open(&self) -> bool {
-        self.token.is_some()
+    pub(crate) fn is_open(&self) -> bool {
+        self.connection.is_some()
     }
 
-    /// Makes the next request ask for the complete list: another discovery service numbers its versions on
-    /// its own.
-    pub(super) fn reset_list_index(&mut self) {
+    /// Makes the next request ask for the complete list: another discovery service numbers its
+    /// versions on its own.
+    pub(crate) fn reset_list_index(&mut self) {
         self.list_index = 0;
     }
 
-    /// Opens a watch, if an address of discovery is configured. A watch that is still open is closed first.
-    pub(super) fn open(&mut self, context: &mut Context) {
+    /// Opens a watch, if an address of discovery is configured. A watch that is still open is
+    /// closed first.
+    pub(crate) fn open(&mut self, context: &mut Context) {
         let Some(address) = context.config.discovery else {
             return;
         };
-        if let Some(previous) = self.token.take() {
-            context.connections.free(previous);
-        }
-        self.has_delivered = false;
+        self.close_connection(context);
         self.opened_at = context.now;
-        match self.connect(address, context) {
-            Ok(()) => self.set_timer(Some(context.now + FIRST_RESPONSE_TIMEOUT), context),
+        match WatchConnection::open(address, context) {
+            Ok(connection) => {
+                self.connection = Some(connection);
+                self.set_timer(Some(context.now + FIRST_RESPONSE_TIMEOUT), context);
+            }
             Err(error) => self.fail(&error.into(), context),
         }
     }
 
-    /// Starts to connect and registers the connection with the poller.
-    fn connect(&mut self, address: SocketAddr, context: &mut Context) -> io::Result<()> {
-        let mut socket = Socket::connect(address)?;
-        let token = context.connections.reserve();
-        let registered = socket.set_interest(&context.poller, token, Interest::Connect);
-        let connection = WatchConnection {
-            socket,
-            parser: WatchParser::default(),
-            is_requested: false,
-        };
-        context
-            .connections
-            .put(token, Connection::Watch(connection));
-        self.token = Some(token);
-        registered
-    }
-
-    /// Handles a connection that the poller reported. The caller applies the outcome.
-    pub(super) fn handle_ready(
-        &mut self,
-        token: ConnectionToken,
-        mut connection: WatchConnection,
-        context: &mut Context,
-    ) -> WatchOutcome {
+    /// Handles the connection, which the poller reported. The caller applies the outcome.
+    pub(crate) fn handle_ready(&mut self, context: &mut Context) -> WatchOutcome {
         let mut updates = Vec::new();
-        let result = self.advance(token, &mut connection, &mut updates, context);
-        if self.token == Some(token) {
-            context
-                .connections
-                .put(token, Connection::Watch(connection));
-        }
+        let result = self.advance(&mut updates, context);
         WatchOutcome {
             updates,
             failure: result.err(),
         }
     }
 
-    /// Takes the next steps on the connection: sends the request, and appends the updates that have
-    /// arrived to `updates`, also where an error follows them.
+    /// Takes the next steps on the connection: sends the request, and appends the updates that
+    /// have arrived to `updates`, also where an error follows them.
     fn advance(
         &mut self,
-        token: ConnectionToken,
-        connection: &mut WatchConnection,
         updates: &mut Vec<EndpointListUpdate>,
         context: &mut Context,
     ) -> Result<(), WatchFailure> {
+        let Some(connection) = &mut self.connection else {
+            return Ok(());
+        };
         if !connection.send_request(context.config.discovery, self.list_index)? {
             return Ok(());
         }
@@ -216,9 +205,10 @@
         if input.extends_deadline {
             self.set_timer(Some(context.now + SILENCE_TIMEOUT), context);
         }
-        connection
-            .socket
-            .set_interest(&context.poller, token, Interest::Read)?;
+        if let Some(connection) = &mut self.connection {
+            let socket = &mut connection.socket;
+            socket.set_interest(Interest::Read, &context.poller)?;
+        }
         Ok(())
     }
 
@@ -226,20 +216,21 @@
     fn note_update(&mut self, update: &EndpointListUpdate, now: Micros) {
         if !self.has_delivered {
             self.has_delivered = true;
-            let (count, elapsed_ms) = (update.endpoints.len(), self.elapsed_ms(now));
+            let count = update.endpoints.len();
+            let elapsed_ms = self.elapsed_ms(now);
             log::info!("discovery: received {count} endpoints {elapsed_ms} ms after the call");
         }
         self.list_index = update.index;
     }
 
     /// Handles the watch's timer.
-    pub(super) fn handle_timeout(&mut self, context: &mut Context) {
+    pub(crate) fn handle_timeout(&mut self, context: &mut Context) {
         self.timer_deadline = None;
         self.fail(&WatchFailure::TimedOut, context);
     }
 
     /// Closes a watch that has failed or ended. The scheduler decides when to open another one.
-    pub(super) fn fail(&mut self, failure: &WatchFailure, context: &mut Context) {
+    pub(crate) fn fail(&mut self, failure: &WatchFailure, context: &mut Context) {
         log::info!(
             "discovery: {failure}, {} ms after the call",
             self.elapsed_ms(context.now)
@@ -253,15 +244,21 @@
     }
 
     /// Closes the connection, if it is open, and reports `event` to the dispatcher.
-    pub(super) fn close(&mut self, event: EndpointListEvent, context: &mut Context) {
-        if let Some(token) = self.token.take() {
-            context.connections.free(token);
-        }
-        self.has_delivered = false;
+    pub(crate) fn close(&mut self, event: EndpointListEvent, context: &mut Context) {
+        self.close_connection(context);
         self.set_timer(None, context);
         context.dispatcher.update_endpoints(event, &[], context.now);
     }
 
+    /// Closes the connection, if it is open.
+    fn close_connection(&mut self, context: &mut Context) {
+        if let Some(connection) = self.connection.take() {
+            context.free(connection.socket.token());
+        }
+        self.has_delivered = false;
+    }
+
+    /// Sets the watch's timer for another time, or cancels it if that is `None`.
     fn set_timer(&mut self, at: Option<Micros>, context: &mut Context) {
         context
             .timers
@@ -270,6 +267,6 @@
 
     /// Milliseconds since the connection was opened.
     fn elapsed_ms(&self, now: Micros) -> Micros {
-        (now - self.opened_at) / 1000
+        (now - self.opened_at) / MICROS_PER_MILLI
     }
 }
--- a/crates/gateway/src/connections/mod.rs
+++ b/crates/gateway/src/connections/mod.rs
@@ -1,14 +1,15 @@
-//! Connections of clients and to storage nodes, and what they are built from.
+//! Connections and their owners: of clients, to storage nodes, to discovery, and the listeners.
 //!
-//! `client::ClientConnections` and `node::NodeConnections` own the state of all connections of their kind
-//! together. The connections themselves are in one table, the slab of the event loop's context, which finds
-//! each by its [`ConnectionToken`](crate::connection_token::ConnectionToken).
+//! Each owner keeps its connections by
+//! [`ConnectionToken`](crate::connection_token::ConnectionToken) and the state of all of them
+//! together. Owners don't know each other or the event loop: they get the
+//! [`Context`](crate::context), and return what concerns others as a value.
 
 pub(crate) mod client;
+mod connection_timer;
 mod counted_bytes;
 pub(crate) mod descriptors;
+pub(crate) mod discovery_watch;
+pub(crate) mod listener;
 pub mod node;
-pub mod slab;
-pub(crate) mod socket;
-
-use counted_bytes::CountedBytes;
+mod socket;
--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -1,86 +1,78 @@
 //! Connections that no longer carry a request: returned to their pool, or closed.
 
+use super::connection::NodeConnection;
+use super::node_connections::NodeConnections;
 use super::pool::ConnectionPool;
-use super::{NodeConnection, NodeConnections};
 use crate::connection_token::ConnectionToken;
-use crate::event_loop::{Connection, Context};
-use crate::timer_queue::Timer;
-use io_scheduler::Outcome;
+use crate::context::Context;
+use io_scheduler::{Micros, NodeId, Outcome};
 
 impl NodeConnections {
-    /// Puts a connection that carries no request into its pool. It is closed instead if its node has another
-    /// address by now or is no longer listed: another process may listen at the previous address.
-    pub(super) fn return_to_pool(
-        &mut self,
-        token: ConnectionToken,
-        mut connection: NodeConnection,
-        context: &mut Context,
-    ) {
+    /// Puts a connection that carries no request into its pool. It is closed instead if its node
+    /// has another address by now or is no longer listed: another process may listen at the
+    /// previous address.
+    pub(super) fn return_to_pool(&mut self, mut connection: NodeConnection, context: &mut Context) {
         let Some(pool) = self.current_pool(&connection, context) else {
-            return self.drop_connection(token, connection, context);
+            return self.drop_connection(connection, context);
         };
-        if !pool.idle.contains(&token) {
-            pool.idle.push(token);
+        if !pool.idle.contains(&connection.token()) {
+            pool.idle.push(connection.token());
             connection.idle_since = Some(context.now);
         }
         if connection.is_ready() {
             let close_at = context.now + pool.idle_timeout_estimate.max_idle_time();
-            context.timers.reschedule(
-                &mut connection.timer_deadline,
-                Some(close_at),
-                Timer::Connection(token),
-            );
+            connection.timer.set(Some(close_at), &mut context.timers);
         }
-        context.connections.put(token, Connection::Node(connection));
+        self.store(connection);
     }
 
-    /// The pool of a connection, if its node is listed and still has the address of the connection.
+    /// The pool of a connection, if its node is listed and still has the address of the
+    /// connection.
     fn current_pool(
         &mut self,
         connection: &NodeConnection,
         context: &Context,
     ) -> Option<&mut ConnectionPool> {
-        let is_listed = context.dispatcher.knows_node(connection.node);
+        if !context.dispatcher.knows_node(connection.node) {
+            return None;
+        }
         let pool = self.pools.get_mut(&connection.node)?;
-        (is_listed && pool.address == Some(connection.address)).then_some(pool)
+        if pool.address != Some(connection.address) {
+            return None;
+        }
+        Some(pool)
     }
 
     /// Closes an idle connection by its token.
     pub(super) fn close_idle_connection(&mut self, token: ConnectionToken, context: &mut Context) {
-        if let Some(Connection::Node(connection)) = context.connections.free(token) {
-            self.drop_connection(token, connection, context);
+        if let Some(connection) = self.take(token) {
+            self.drop_connection(connection, context);
         }
     }
 
     /// Closes a connection that carries no attempt, and removes it from its pool.
     pub(super) fn drop_connection(
         &mut self,
-        token: ConnectionToken,
         mut connection: NodeConnection,
         context: &mut Context,
     ) {
-        context.connections.free(token);
-        context.timers.reschedule(
-            &mut connection.timer_deadline,
-            None,
-            Timer::Connection(token),
-        );
+        context.free(connection.token());
+        connection.timer.cancel(&mut context.timers);
         self.count -= 1;
         connection
             .counted_large_response_bytes
             .set(0, &mut self.large_response_bytes);
         if let Some(pool) = self.pools.get_mut(&connection.node) {
-            pool.count -= 1;
-            pool.idle.retain(|idle| *idle != token);
+            pool.remove(connection.token());
         }
         self.remove_pool_if_unused(connection.node, context);
     }
 
-    /// Closes a connection that failed and aborts the attempt in flight, if there is one. Its outcome is
-    /// `outcome` if the request may have run; see [`crate::dispatcher::Dispatcher::abort_attempt`].
+    /// Closes a connection that failed and aborts the attempt in flight, if there is one. Its
+    /// outcome is `outcome` if the request may have run; see
+    /// [`crate::dispatcher::Dispatcher::abort_attempt`].
     pub(super) fn fail_connection(
         &mut self,
-        token: ConnectionToken,
         mut connection: NodeConnection,
         outcome: Outcome,
         context: &mut Context,
@@ -88,16 +80,21 @@
         let in_flight = connection.in_flight.take();
         let node = connection.node;
         let idle_before_request = connection.idle_before_request;
-        self.drop_connection(token, connection, context);
+        self.drop_connection(connection, context);
         let Some(in_flight) = in_flight else { return };
         if outcome == Outcome::Reset && in_flight.is_marked_written {
-            if let Some(pool) = self.pools.get_mut(&node) {
-                let reset_after = context.now - in_flight.started_at;
-                pool.idle_timeout_estimate
-                    .record_reset(idle_before_request, reset_after);
-            }
+            let reset_after = context.now - in_flight.started_at;
+            self.record_reset(node, idle_before_request, reset_after);
+        }
+        self.attempt_connections.remove(&in_flight.attempt.id);
+        context.abort_attempt(in_flight.attempt.id, outcome);
+    }
+
+    /// Lets the node's idle timeout estimate learn from a reset; see
+    /// [`super::idle_timeout::IdleTimeoutEstimate::record_reset`].
+    fn record_reset(&mut self, node: NodeId, idle: Micros, reset_after: Micros) {
+        if let Some(pool) = self.pools.get_mut(&node) {
+            pool.idle_timeout_estimate.record_reset(idle, reset_after);
         }
-        self.attempt_connections.remove(&in_flight.attempt);
-        context.abort_attempt(in_flight.attempt, outcome);
     }
 }
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -2,23 +2,25 @@
 
 use super::pool::NodeAddress;
 use crate::connection_token::ConnectionToken;
+use crate::connections::connection_timer::ConnectionTimer;
+use crate::connections::counted_bytes::CountedBytes;
 use crate::connections::socket::{Interest, Socket, StreamStatus};
-use crate::connections::CountedBytes;
-use crate::dispatcher::StorageRequest;
-use crate::event_loop::Context;
+use crate::dispatcher::{AttemptResult, StorageRequest};
 use crate::inventory::Protocol;
-use crate::node_protocol::{resp, sftp, NodeProtocol};
-use crate::timer_queue::{AttemptId, Timer};
+use crate::node_protocol::{resp, sftp, NodeProtocol, ProtocolError};
+use crate::timer_queue::{AttemptId, TimerQueue};
 use io_scheduler::{Micros, NodeId};
 use std::io;
 use std::sync::Arc;
 
+/// Microseconds per millisecond.
+const MICROS_PER_MILLI: Micros = 1_000;
 /// Bytes of input buffered for a connection, besides the announced length of a large response.
 pub(super) const MAX_BUFFERED_INPUT_BYTES: usize = 80 << 10;
 
-/// A connection to a node. It carries one request at a time, so that a request can be abandoned by closing
-/// its connection without effect on any other.
-pub(crate) struct NodeConnection {
+/// A connection to a node. It carries one request at a time, so that a request can be abandoned by
+/// closing its connection without effect on any other.
+pub(super) struct NodeConnection {
     /// The TCP stream with its buffers.
     pub(super) socket: Socket,
     /// The node at the other end.
@@ -31,8 +33,8 @@
     pub(super) is_connected: bool,
     /// The attempt that it carries, if any.
     pub(super) in_flight: Option<InFlight>,
-    /// When its [`Timer::Connection`] expires, if it is set: the connect timeout or the idle timeout.
-    pub(super) timer_deadline: Option<Micros>,
+    /// The connect timeout or the idle timeout; not set while a request is in flight.
+    pub(super) timer: ConnectionTimer,
     /// Its part of [`super::NodeConnections::large_response_bytes`].
     pub(super) counted_large_response_bytes: CountedBytes,
     /// When it was last put into its pool; `None` before the first time.
@@ -41,24 +43,44 @@
     pub(super) idle_before_request: Micros,
 }
 
-/// The attempt that a connection carries.
-pub(super) struct InFlight {
+/// An attempt to start.
+pub(crate) struct Attempt {
     /// Id of the attempt.
-    pub(super) attempt: AttemptId,
-    /// The request to encode.
-    pub(super) request: Arc<StorageRequest>,
+    pub(crate) id: AttemptId,
+    /// The node to forward the request to.
+    pub(crate) node: NodeId,
     /// When the attempt times out.
-    pub(super) deadline: Micros,
-    /// Position in the connection's output stream, in bytes, beyond which the request may take effect at the
-    /// node; compared with [`Socket::bytes_sent`]. `None` before the request is encoded.
-    pub(super) effect_offset: Option<u64>,
-    /// Whether [`crate::dispatcher::Dispatcher::mark_written`] was called for the attempt.
+    pub(crate) deadline: Micros,
+    /// The request to encode.
+    pub(crate) request: Arc<StorageRequest>,
+}
+
+/// The attempt that a connection carries.
+pub(super) struct InFlight {
+    /// The attempt.
+    pub(super) attempt: Attempt,
+    /// Position in the connection's output stream, in bytes, beyond which the request may take
+    /// effect at the node; compared with [`Socket::bytes_sent`]. `None` before the request is
+    /// encoded.
+    effect_offset: Option<u64>,
+    /// Whether the dispatcher was notified that the request may take effect; see
+    /// [`crate::dispatcher::Dispatcher::mark_written`].
     pub(super) is_marked_written: bool,
     /// When the connection was assigned to the attempt.
     pub(super) started_at: Micros,
 }
 
 impl InFlight {
+    /// An attempt that is assigned to a connection at the time `now`.
+    pub(super) fn new(attempt: Attempt, now: Micros) -> InFlight {
+        InFlight {
+            attempt,
+            effect_offset: None,
+            is_marked_written: false,
+            started_at: now,
+        }
+    }
+
     /// Whether the request is in the output buffer or was sent from there, at least in part.
     pub(super) fn is_encoded(&self) -> bool {
         self.effect_offset.is_some()
@@ -66,33 +88,44 @@
 }
 
 impl NodeConnection {
-    /// A connection that is being established. Values of more than `max_value` bytes in its responses are
-    /// protocol errors.
+    /// A connection that is being established. Values of more than `max_value_bytes` in its
+    /// responses are protocol errors.
     pub(super) fn new(
         socket: Socket,
         node: NodeId,
         address: NodeAddress,
-        max_value: usize,
+        max_value_bytes: usize,
     ) -> NodeConnection {
         let protocol: Box<dyn NodeProtocol> = match address.protocol {
-            Protocol::Resp2 => Box::new(resp::RespProtocol::new(max_value)),
-            Protocol::Sftp => Box::new(sftp::SftpProtocol::new(max_value)),
+            Protocol::Resp2 => Box::new(resp::RespProtocol::new(max_value_bytes)),
+            Protocol::Sftp => Box::new(sftp::SftpProtocol::new(max_value_bytes)),
         };
         NodeConnection {
+            timer: ConnectionTimer::new(socket.token()),
             socket,
             node,
             address,
             protocol,
             is_connected: false,
             in_flight: None,
-            timer_deadline: None,
             counted_large_response_bytes: CountedBytes::default(),
             idle_since: None,
             idle_before_request: 0,
         }
     }
 
-    /// Whether requests may be written: the TCP connection and the protocol's handshake are complete.
+    /// The connection's token.
+    pub(super) fn token(&self) -> ConnectionToken {
+        self.socket.token()
+    }
+
+    /// For how many microseconds it has been idle at the time `now`; 0 if it never was.
+    pub(super) fn idle_for(&self, now: Micros) -> Micros {
+        self.idle_since.map_or(0, |since| now - since)
+    }
+
+    /// Whether requests may be written: the TCP connection and the protocol's handshake are
+    /// complete.
     pub(super) fn is_ready(&self) -> bool {
         self.is_connected && self.protocol.ready()
     }
@@ -106,8 +139,8 @@
         }
     }
 
-    /// Checks whether the TCP connection is established, and starts the protocol's handshake when it is for
-    /// the first time. Returns false while it is still being established.
+    /// Checks whether the TCP connection is established, and starts the protocol's handshake when
+    /// it is for the first time. Returns false while it is still being established.
     pub(super) fn finish_connecting(&mut self) -> io::Result<bool> {
         if !self.is_connected {
             if !self.socket.is_connected()? {
@@ -119,9 +152,9 @@
         Ok(true)
     }
 
-    /// Whether an idle connection can carry another request. Reads what has arrived: the node must neither
-    /// have closed the connection nor sent data without a request, which would be taken for the next
-    /// response.
+    /// Whether an idle connection can carry another request. Reads what has arrived: the node must
+    /// neither have closed the connection nor sent data without a request, which would be taken
+    /// for the next response.
     pub(super) fn is_reusable(&mut self) -> bool {
         let Ok(StreamStatus::Open) = self.socket.read_available(MAX_BUFFERED_INPUT_BYTES) else {
             return false;
@@ -134,39 +167,58 @@
             )
     }
 
-    /// Encodes the request in flight into the output buffer. Cancels the connection's timer (connect timeout
-    /// or idle timeout), as the timeout of the attempt applies from here on.
-    pub(super) fn encode_request(&mut self, token: ConnectionToken, context: &mut Context) {
+    /// Reads what has arrived; a large response may exceed the usual size of the input buffer.
+    pub(super) fn read_available(&mut self) -> io::Result<StreamStatus> {
+        let max_buffered = MAX_BUFFERED_INPUT_BYTES + self.counted_large_response_bytes.get();
+        self.socket.read_available(max_buffered)
+    }
+
+    /// Decodes the buffered input. Returns the result of the request in flight once its response
+    /// is complete. Further commands of the same request go to the output buffer.
+    pub(super) fn decode_input(&mut self) -> Result<Option<AttemptResult>, ProtocolError> {
+        if self.socket.input.is_empty() {
+            return Ok(None);
+        }
+        let mut output = Vec::new();
+        let result = self.protocol.decode(&mut self.socket.input, &mut output);
+        self.socket.output().append(&mut output);
+        result
+    }
+
+    /// Encodes the request in flight into the output buffer. Cancels the connection's timer
+    /// (connect timeout or idle timeout), as the timeout of the attempt applies from here on.
+    pub(super) fn encode_request(&mut self, now: Micros, timers: &mut TimerQueue) {
         let Some(in_flight) = &mut self.in_flight else {
             return;
         };
-        let wait_ms = (in_flight.deadline - context.now) / 1000;
+        let attempt = &in_flight.attempt;
+        let wait_ms = (attempt.deadline - now) / MICROS_PER_MILLI;
         let start_offset = self.socket.bytes_sent + self.socket.unsent_bytes() as u64;
-        let bytes_without_effect =
-            self.protocol
-                .encode_request(&in_flight.request, wait_ms, self.socket.output());
+        let output = self.socket.output();
+        let bytes_without_effect = self
+            .protocol
+            .encode_request(&attempt.request, wait_ms, output);
         in_flight.effect_offset = Some(start_offset + bytes_without_effect as u64);
-        context
-            .timers
-            .reschedule(&mut self.timer_deadline, None, Timer::Connection(token));
+        self.timer.cancel(timers);
     }
 
-    /// Notifies the dispatcher, once for each attempt, when enough of the request has been sent for it to
-    /// take effect at the node.
-    pub(super) fn mark_written(&mut self, context: &mut Context) {
-        let bytes_sent = self.socket.bytes_sent;
-        let Some(in_flight) = &mut self.in_flight else {
-            return;
-        };
-        if in_flight.is_marked_written {
-            return;
+    /// Writes pending output, once the TCP connection is established.
+    pub(super) fn flush(&mut self) -> io::Result<()> {
+        if !self.is_connected {
+            return Ok(());
         }
-        if in_flight
-            .effect_offset
-            .is_some_and(|offset| bytes_sent > offset)
-        {
-            in_flight.is_marked_written = true;
-            context.dispatcher.mark_written(in_flight.attempt);
+        self.socket.flush()
+    }
+
+    /// Returns the attempt in flight, once, when enough of its request has been sent for it to
+    /// take effect at the node.
+    pub(super) fn take_newly_written(&mut self) -> Option<AttemptId> {
+        let in_flight = self.in_flight.as_mut()?;
+        let effect_offset = in_flight.effect_offset?;
+        if in_flight.is_marked_written || self.socket.bytes_sent <= effect_offset {
+            return None;
         }
+        in_flight.is_marked_written = true;
+        Some(in_flight.attempt.id)
     }
 }
--- /dev/null
+++ b/crates/gateway/src/connections/node/node_connections.rs
@@ -0,0 +1,102 @@
+//! The owner of all connections to nodes.
+
+use super::connection::NodeConnection;
+use super::pool::{ConnectionPool, NodeAddress};
+use crate::connection_token::ConnectionToken;
+use crate::context::Context;
+use crate::timer_queue::AttemptId;
+use io_scheduler::NodeId;
+use std::collections::HashMap;
+
+/// All connections to nodes, and the state of them together.
+pub(crate) struct NodeConnections {
+    /// The connections, except one that is being handled.
+    connections: HashMap<ConnectionToken, NodeConnection>,
+    /// The pools of the listed nodes, and of removed nodes that still have open connections.
+    pub(super) pools: HashMap<NodeId, ConnectionPool>,
+    /// The token of the connection that carries an attempt.
+    pub(super) attempt_connections: HashMap<AttemptId, ConnectionToken>,
+    /// Number of open connections.
+    pub(super) count: usize,
+    /// How many connections may be open at once.
+    pub(super) max_count: usize,
+    /// Bytes of large responses that are being received; see
+    /// [`crate::memory_budget::MemoryBudget::large_response_bytes`].
+    pub(super) large_response_bytes: usize,
+}
+
+impl NodeConnections {
+    /// Without nodes at first; at most `max_count` connections are open at once.
+    pub(crate) fn new(max_count: usize) -> NodeConnections {
+        NodeConnections {
+            connections: HashMap::new(),
+            pools: HashMap::new(),
+            attempt_connections: HashMap::new(),
+            count: 0,
+            max_count,
+            large_response_bytes: 0,
+        }
+    }
+
+    /// Number of open connections.
+    pub(crate) fn count(&self) -> usize {
+        self.count
+    }
+
+    /// Takes a connection out to handle it.
+    pub(super) fn take(&mut self, token: ConnectionToken) -> Option<NodeConnection> {
+        self.connections.remove(&token)
+    }
+
+    /// Stores a connection after it was handled.
+    pub(super) fn store(&mut self, connection: NodeConnection) {
+        self.connections.insert(connection.token(), connection);
+    }
+
+    /// Sets the address of a node. Idle connections to a previous address are closed; others are
+    /// closed as soon as their request has ended.
+    pub(crate) fn set_address(
+        &mut self,
+        node: NodeId,
+        address: NodeAddress,
+        context: &mut Context,
+    ) {
+        let settings = &context.config.settings;
+        let pool = self
+            .pools
+            .entry(node)
+            .or_insert_with(|| ConnectionPool::new(settings));
+        let previous = pool.address.replace(address);
+        if previous.is_some_and(|previous| previous != address) {
+            for token in pool.take_idle_tokens() {
+                self.close_idle_connection(token, context);
+            }
+        }
+    }
+
+    /// Closes the idle connections to nodes that are no longer listed, and removes their pools.
+    pub(crate) fn remove_unlisted(&mut self, context: &mut Context) {
+        let nodes = self.pools.keys().copied();
+        let unlisted: Vec<NodeId> = nodes
+            .filter(|node| !context.dispatcher.knows_node(*node))
+            .collect();
+        for node in unlisted {
+            let idle = self
+                .pools
+                .get_mut(&node)
+                .map(ConnectionPool::take_idle_tokens);
+            for token in idle.unwrap_or_default() {
+                self.close_idle_connection(token, context);
+            }
+            self.remove_pool_if_unused(node, context);
+        }
+    }
+
+    /// Removes the pool of a node that is no longer listed once it has no connection left.
+    pub(super) fn remove_pool_if_unused(&mut self, node: NodeId, context: &Context) {
+        let is_empty = self.pools.get(&node).is_some_and(|pool| pool.count == 0);
+        if is_empty && !context.dispatcher.knows_node(node) {
+            self.pools.remove(&node);
+        }
+    }
+}
--- a/crates/gateway/src/connections/node/pool.rs
+++ b/crates/gateway/src/connections/node/pool.rs
@@ -7,8 +7,9 @@
 use io_scheduler::Micros;
 use std::net::SocketAddr;
 
-/// Part of the node's idle timeout after which the gateway closes an idle connection. It must do so before
-/// the node does: a request that crosses the node's close on the wire would count as one that may have run.
+/// Part of the node's idle timeout after which the gateway closes an idle connection. It must do
+/// so before the node does: a request that crosses the node's close on the wire would count as one
+/// that may have run.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 /// Upper bound of the idle time, in microseconds, where the settings state no idle timeout.
 const DEFAULT_IDLE_TIMEOUT: Micros = 20_000_000;
@@ -29,8 +30,8 @@
     pub(super) address: Option<NodeAddress>,
     /// How long a connection to the node may be idle.
     pub(super) idle_timeout_estimate: IdleTimeoutEstimate,
-    /// Tokens of the connections that carry no request, sorted by when they became idle: the first one has
-    /// been idle for longest, the last one is used next.
+    /// Tokens of the connections that carry no request, sorted by when they became idle: the first
+    /// one has been idle for longest, the last one is used next.
     pub(super) idle: Vec<ConnectionToken>,
     /// Number of open connections, idle or not.
     pub(super) count: usize,
@@ -52,4 +53,23 @@
             count: 0,
         }
     }
+
+    /// Takes out the tokens of all idle connections.
+    pub(super) fn take_idle_tokens(&mut self) -> Vec<ConnectionToken> {
+        std::mem::take(&mut self.idle)
+    }
+
+    /// Takes out the token of the connection that has been idle for longest.
+    pub(super) fn pop_longest_idle(&mut self) -> Option<ConnectionToken> {
+        if self.idle.is_empty() {
+            return None;
+        }
+        Some(self.idle.remove(0))
+    }
+
+    /// Removes a connection that is closed.
+    pub(super) fn remove(&mut self, token: ConnectionToken) {
+        self.count -= 1;
+        self.idle.retain(|idle| *idle != token);
+    }
 }
--- /dev/null
+++ b/crates/gateway/src/connections/node/responses.rs
@@ -0,0 +1,121 @@
+//! What happens to a connection to a node: it is ready, its timer expires, a response is complete.
+
+use super::connection::{NodeConnection, MAX_BUFFERED_INPUT_BYTES};
+use super::node_connections::NodeConnections;
+use crate::connection_token::ConnectionToken;
+use crate::connections::socket::StreamStatus;
+use crate::context::Context;
+use crate::dispatcher::AttemptResult;
+use crate::node_protocol::ProtocolError;
+use io_scheduler::Outcome;
+
+/// Bytes of an invalid response that the log shows.
+const MAX_LOGGED_BYTES: usize = 80;
+/// The first bytes of each response, half an input buffer, are not counted against the budget of
+/// large responses.
+const UNCOUNTED_RESPONSE_BYTES: usize = MAX_BUFFERED_INPUT_BYTES / 2;
+
+impl NodeConnections {
+    /// Handles the timer of a connection: it was not established in time or has reached its idle
+    /// timeout.
+    pub(crate) fn handle_timeout(&mut self, token: ConnectionToken, context: &mut Context) {
+        let Some(mut connection) = self.take(token) else {
+            return;
+        };
+        connection.timer.note_expired();
+        self.fail_connection(connection, Outcome::Reset, context);
+    }
+
+    /// Handles a connection that the poller reported.
+    pub(crate) fn handle_ready(&mut self, token: ConnectionToken, context: &mut Context) {
+        let Some(mut connection) = self.take(token) else {
+            return;
+        };
+        match connection.finish_connecting() {
+            Ok(true) => self.receive(connection, context),
+            Ok(false) => self.store(connection),
+            Err(_) => self.fail_connection(connection, Outcome::Reset, context),
+        }
+    }
+
+    /// Reads and decodes what has arrived on a connection, and takes the steps that follow from
+    /// it.
+    fn receive(&mut self, mut connection: NodeConnection, context: &mut Context) {
+        let Ok(status) = connection.read_available() else {
+            return self.fail_connection(connection, Outcome::Reset, context);
+        };
+        match self.decode(&mut connection, context) {
+            // The node is reachable, so an invalid response counts as an error response, not as a
+            // lost connection.
+            Err(ProtocolError) => {
+                log_invalid_response(&connection);
+                return self.fail_connection(connection, Outcome::Error, context);
+            }
+            Ok(Some(result)) => {
+                self.complete_attempt(&mut connection, result, context);
+                if !connection.is_reusable() {
+                    return self.drop_connection(connection, context);
+                }
+                connection.socket.shrink_empty_input();
+            }
+            Ok(None) => {}
+        }
+        if status == StreamStatus::Ended {
+            return self.fail_connection(connection, Outcome::Reset, context);
+        }
+        self.advance(connection, context);
+    }
+
+    /// Decodes the buffered input. Returns the result of the attempt once its response is
+    /// complete, and an error for an invalid response or when all large responses together exceed
+    /// their memory budget.
+    fn decode(
+        &mut self,
+        connection: &mut NodeConnection,
+        context: &Context,
+    ) -> Result<Option<AttemptResult>, ProtocolError> {
+        let result = connection.decode_input();
+        let buffered = connection.protocol.buffered_bytes();
+        let large_bytes = buffered.saturating_sub(UNCOUNTED_RESPONSE_BYTES);
+        connection
+            .counted_large_response_bytes
+            .set(large_bytes, &mut self.large_response_bytes);
+        if self.large_response_bytes > context.config.budget.large_response_bytes {
+            let node = connection.node.0;
+            log::warn!("node {node}: no memory for a response of {buffered} bytes");
+            return Err(ProtocolError);
+        }
+        result
+    }
+
+    /// Reports the result of the attempt in flight, whose response is complete, to the dispatcher.
+    fn complete_attempt(
+        &mut self,
+        connection: &mut NodeConnection,
+        result: AttemptResult,
+        context: &mut Context,
+    ) {
+        let Some(in_flight) = connection.in_flight.take() else {
+            return;
+        };
+        let attempt = in_flight.attempt.id;
+        self.attempt_connections.remove(&attempt);
+        context.dispatcher.mark_written(attempt);
+        context.complete_attempt(attempt, result);
+        if let Some(pool) = self.pools.get_mut(&connection.node) {
+            pool.idle_timeout_estimate
+                .record_response(connection.idle_before_request);
+        }
+    }
+}
+
+/// Logs the first bytes of the input that could not be decoded.
+fn log_invalid_response(connection: &NodeConnection) {
+    let input = &connection.socket.input;
+    let head = &input[..input.len().min(MAX_LOGGED_BYTES)];
+    log::debug!(
+        "node {}: invalid response: {}",
+        connection.node.0,
+        head.escape_ascii()
+    );
+}
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -1,7 +1,7 @@
-//! A non-blocking TCP stream with its input and output buffers.
+//! A non-blocking TCP stream with its input and output buffers, registered with the poller.
 
 use crate::connection_token::ConnectionToken;
-use crate::event_loop::Poller;
+use crate::context::{ConnectionKind, Context, Poller};
 use rustix::event::epoll::EventFlags;
 use rustix::fd::OwnedFd;
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
@@ -13,8 +13,8 @@
 /// Bytes of capacity that an empty buffer keeps; small, as there are many idle connections.
 const RETAINED_CAPACITY_BYTES: usize = 1 << 10;
 
-/// The events that a socket waits for. Two more are always included: that the peer has closed its side
-/// (`RDHUP`), and that the socket is writable while there is unsent output.
+/// The events that a socket waits for. Two more are always included: that the peer has closed its
+/// side (`RDHUP`), and that the socket is writable while there is unsent output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Interest {
     /// The connection is established (the socket becomes writable), or input arrives.
@@ -25,6 +25,19 @@
     Paused,
 }
 
+impl Interest {
+    /// The events to register with the poller.
+    fn events(self, has_unsent_output: bool) -> EventFlags {
+        let mut events = EventFlags::RDHUP;
+        events.set(EventFlags::IN, self != Interest::Paused);
+        events.set(
+            EventFlags::OUT,
+            self == Interest::Connect || has_unsent_output,
+        );
+        events
+    }
+}
+
 /// State of the receiving side of the stream after a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StreamStatus {
@@ -34,10 +47,22 @@
     Ended,
 }
 
-/// A non-blocking TCP stream with its buffers.
+/// The result of one call of `read`.
+enum Chunk {
+    /// This many bytes were read.
+    Bytes(usize),
+    /// All input that has arrived has been read.
+    NoneAvailable,
+    /// The peer has closed its side, and all input has been read.
+    Ended,
+}
+
+/// A non-blocking TCP stream with its buffers, registered with the poller.
 #[derive(Debug)]
 pub(crate) struct Socket {
     stream: TcpStream,
+    /// The token by which the poller reports it.
+    token: ConnectionToken,
     /// Bytes that were read and not consumed yet.
     pub(crate) input: Vec<u8>,
     /// Bytes to write; emptied once all of them are written.
@@ -46,41 +71,53 @@
     flushed: usize,
     /// Bytes written to the socket since it was opened.
     pub(crate) bytes_sent: u64,
-    /// The events registered with the poller; empty before the first registration.
-    registered: EventFlags,
+    /// The events registered with the poller.
+    registered_events: EventFlags,
+}
+
+/// Starts to connect. The socket becomes writable once the connection is established or has
+/// failed; see [`Socket::is_connected`].
+pub(crate) fn start_connecting(address: SocketAddr) -> io::Result<TcpStream> {
+    let family = if address.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
+    let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
+    let descriptor: OwnedFd = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
+    match rustix::net::connect(&descriptor, &address) {
+        Ok(()) | Err(rustix::io::Errno::INPROGRESS) => Ok(TcpStream::from(descriptor)),
+        Err(error) => Err(error.into()),
+    }
 }
 
 impl Socket {
-    /// Wraps an accepted or connecting stream, which becomes non-blocking and sends without delay
-    /// (`TCP_NODELAY`).
-    pub(crate) fn new(stream: TcpStream) -> io::Result<Socket> {
+    /// Registers an accepted or connecting stream with the poller. It becomes non-blocking and
+    /// sends without delay (`TCP_NODELAY`).
+    pub(crate) fn register(
+        stream: TcpStream,
+        kind: ConnectionKind,
+        interest: Interest,
+        context: &mut Context,
+    ) -> io::Result<Socket> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
+        let events = interest.events(false);
+        let token = context.register(&stream, kind, events)?;
         Ok(Socket {
             stream,
+            token,
             input: Vec::new(),
             output: Vec::new(),
             flushed: 0,
             bytes_sent: 0,
-            registered: EventFlags::empty(),
+            registered_events: events,
         })
     }
 
-    /// Starts to connect. The socket becomes writable once the connection is established or has failed; see
-    /// [`Socket::is_connected`].
-    pub(crate) fn connect(address: SocketAddr) -> io::Result<Socket> {
-        let family = if address.is_ipv4() {
-            AddressFamily::INET
-        } else {
-            AddressFamily::INET6
-        };
-        let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-        let descriptor: OwnedFd =
-            rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
-        match rustix::net::connect(&descriptor, &address) {
-            Ok(()) | Err(rustix::io::Errno::INPROGRESS) => Socket::new(TcpStream::from(descriptor)),
-            Err(error) => Err(error.into()),
-        }
+    /// The token by which the poller reports the socket.
+    pub(crate) fn token(&self) -> ConnectionToken {
+        self.token
     }
 
     /// Whether the connection is established. Returns the error if connecting has failed.
@@ -96,48 +133,34 @@
     }
 
     /// Sets the events that the poller reports. Calls the system only if they have changed.
-    pub(crate) fn set_interest(
-        &mut self,
-        poller: &Poller,
-        token: ConnectionToken,
-        interest: Interest,
-    ) -> io::Result<()> {
-        let mut wanted = EventFlags::RDHUP;
-        wanted.set(EventFlags::IN, interest != Interest::Paused);
-        wanted.set(
-            EventFlags::OUT,
-            interest == Interest::Connect || self.unsent_bytes() > 0,
-        );
-        if self.registered.is_empty() {
-            poller.register(&self.stream, token, wanted)?;
-        } else if wanted != self.registered {
-            poller.modify(&self.stream, token, wanted)?;
+    pub(crate) fn set_interest(&mut self, interest: Interest, poller: &Poller) -> io::Result<()> {
+        let events = interest.events(self.unsent_bytes() > 0);
+        if events != self.registered_events {
+            poller.modify(&self.stream, self.token, events)?;
+            self.registered_events = events;
         }
-        self.registered = wanted;
         Ok(())
     }
 
     /// Reads what has arrived, until `input` holds `max_buffered` bytes.
     ///
-    /// An error such as a reset is returned only if this call has read nothing before it. Otherwise the
-    /// result is [`StreamStatus::Ended`], and the caller handles the bytes that arrived before the error.
+    /// An error such as a reset is returned only if this call has read nothing before it.
+    /// Otherwise the result is [`StreamStatus::Ended`], and the caller handles the bytes that
+    /// arrived before the error.
     pub(crate) fn read_available(&mut self, max_buffered: usize) -> io::Result<StreamStatus> {
-        let mut chunk = [0; READ_CHUNK_BYTES];
+        let mut buffer = [0; READ_CHUNK_BYTES];
         let length_before = self.input.len();
         while self.input.len() < max_buffered {
             let wanted = READ_CHUNK_BYTES.min(max_buffered - self.input.len());
-            match self.stream.read(&mut chunk[..wanted]) {
-                Ok(0) => return Ok(StreamStatus::Ended),
-                Ok(count) => {
-                    self.input.extend_from_slice(&chunk[..count]);
+            match self.read_chunk(&mut buffer[..wanted]) {
+                Ok(Chunk::Bytes(count)) => {
+                    self.input.extend_from_slice(&buffer[..count]);
                     if count < wanted {
                         return Ok(StreamStatus::Open);
                     }
                 }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    return Ok(StreamStatus::Open)
-                }
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Ok(Chunk::NoneAvailable) => return Ok(StreamStatus::Open),
+                Ok(Chunk::Ended) => return Ok(StreamStatus::Ended),
                 Err(_) if self.input.len() > length_before => return Ok(StreamStatus::Ended),
                 Err(error) => return Err(error),
             }
@@ -145,17 +168,28 @@
         Ok(StreamStatus::Open)
     }
 
-    /// Reads and drops what has arrived. `remaining` is lowered by the bytes dropped; the stream counts as
-    /// ended once they reach it.
+    /// Reads and drops what has arrived. `remaining` is lowered by the bytes dropped; the stream
+    /// counts as ended once they reach it.
     pub(crate) fn discard_available(&mut self, remaining: &mut usize) -> io::Result<StreamStatus> {
-        let mut chunk = [0; READ_CHUNK_BYTES];
+        let mut buffer = [0; READ_CHUNK_BYTES];
         loop {
-            match self.stream.read(&mut chunk) {
-                Ok(0) => return Ok(StreamStatus::Ended),
-                Ok(count) if count >= *remaining => return Ok(StreamStatus::Ended),
-                Ok(count) => *remaining -= count,
+            match self.read_chunk(&mut buffer)? {
+                Chunk::Bytes(count) if count >= *remaining => return Ok(StreamStatus::Ended),
+                Chunk::Bytes(count) => *remaining -= count,
+                Chunk::NoneAvailable => return Ok(StreamStatus::Open),
+                Chunk::Ended => return Ok(StreamStatus::Ended),
+            }
+        }
+    }
+
+    /// Calls `read` once, or again if a signal has interrupted it.
+    fn read_chunk(&mut self, buffer: &mut [u8]) -> io::Result<Chunk> {
+        loop {
+            match self.stream.read(buffer) {
+                Ok(0) => return Ok(Chunk::Ended),
+                Ok(count) => return Ok(Chunk::Bytes(count)),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    return Ok(StreamStatus::Open)
+                    return Ok(Chunk::NoneAvailable)
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
@@ -202,6 +236,17 @@
     /// Drops the first `count` bytes of the input, and shrinks the input buffer once it is empty.
     pub(crate) fn consume(&mut self, count: usize) {
         self.input.drain(..count);
+        self.shrink_empty_input();
+    }
+
+    /// Drops all input.
+    pub(crate) fn consume_all(&mut self) {
+        self.consume(self.input.len());
+    }
+
+    /// Shrinks the input buffer if it is empty: an idle connection must not keep the memory of a
+    /// large value.
+    pub(crate) fn shrink_empty_input(&mut self) {
         if self.input.is_empty() {
             self.input.shrink_to(RETAINED_CAPACITY_BYTES);
         }
--- a/crates/gateway/src/event_loop/clock.rs
+++ b/crates/gateway/src/context/clock.rs
@@ -3,8 +3,8 @@
 use io_scheduler::Micros;
 use std::time::{Duration, Instant, SystemTime};
 
-/// A clock that starts at the system's time and continues by a monotonic clock: later changes of the system's
-/// time have no effect.
+/// A clock that starts at the system's time and continues by a monotonic clock: later changes of
+/// the system's time have no effect.
 #[derive(Debug)]
 pub(crate) struct Clock {
     /// The system's time at the start, in microseconds since the Unix epoch.
--- a/crates/gateway/src/event_loop/poller.rs
+++ b/crates/gateway/src/context/poller.rs
@@ -8,7 +8,13 @@
 use rustix::io::Errno;
 use std::io;
 
-/// An epoll instance. It reports each descriptor with the token that was given at its registration.
+/// Microseconds per second.
+const MICROS_PER_SECOND: Micros = 1_000_000;
+/// Nanoseconds per microsecond.
+const NANOS_PER_MICRO: Micros = 1_000;
+
+/// An epoll instance. It reports each descriptor with the token that was given at its
+/// registration.
 #[derive(Debug)]
 pub(crate) struct Poller {
     epoll: OwnedFd,
@@ -22,19 +28,18 @@
     }
 
     /// Registers a descriptor: `events` of it are reported until it is closed.
-    pub(crate) fn register(
+    pub(super) fn register(
         &self,
         descriptor: impl AsFd,
         token: ConnectionToken,
         events: EventFlags,
     ) -> io::Result<()> {
-        epoll::add(
+        Ok(epoll::add(
             &self.epoll,
             descriptor,
-            EventData::new_u64(token.into()),
+            event_data(token),
             events,
-        )?;
-        Ok(())
+        )?)
     }
 
     /// Changes which events of a registered descriptor are reported.
@@ -44,33 +49,39 @@
         token: ConnectionToken,
         events: EventFlags,
     ) -> io::Result<()> {
-        epoll::modify(
+        Ok(epoll::modify(
             &self.epoll,
             descriptor,
-            EventData::new_u64(token.into()),
+            event_data(token),
             events,
-        )?;
-        Ok(())
+        )?)
     }
 
-    /// Waits until a descriptor is ready or `timeout` microseconds have passed; without a timeout, for any
-    /// time.
+    /// Waits until a descriptor is ready or `timeout` microseconds have passed; without a timeout,
+    /// for any time.
     ///
-    /// `events` is replaced by the events that are ready, at most as many as its capacity. It is empty after
-    /// a timeout, and if a signal has interrupted the wait.
+    /// `events` is replaced by the events that are ready, at most as many as its capacity. It is
+    /// empty after a timeout, and if a signal has interrupted the wait.
     pub(crate) fn wait(&self, events: &mut Vec<Event>, timeout: Option<Micros>) -> io::Result<()> {
-        let timeout = timeout.map(|micros| Timespec {
-            tv_sec: micros / 1_000_000,
-            tv_nsec: (micros % 1_000_000) * 1_000,
-        });
+        let timeout = timeout.map(timespec);
         events.clear();
-        match epoll::wait(
-            &self.epoll,
-            rustix::buffer::spare_capacity(events),
-            timeout.as_ref(),
-        ) {
+        let buffer = rustix::buffer::spare_capacity(events);
+        match epoll::wait(&self.epoll, buffer, timeout.as_ref()) {
             Ok(_) | Err(Errno::INTR) => Ok(()),
             Err(error) => Err(error.into()),
         }
     }
 }
+
+/// The data that epoll stores with a descriptor: its token.
+fn event_data(token: ConnectionToken) -> EventData {
+    EventData::new_u64(token.into())
+}
+
+/// A duration in microseconds as the system call takes it.
+fn timespec(micros: Micros) -> Timespec {
+    Timespec {
+        tv_sec: micros / MICROS_PER_SECOND,
+        tv_nsec: (micros % MICROS_PER_SECOND) * NANOS_PER_MICRO,
+    }
+}
--- a/crates/gateway/src/connections/slab.rs
+++ b/crates/gateway/src/context/slab.rs
@@ -1,5 +1,6 @@
-//! A table of connections by token. A token is never used twice: an event for a connection that was closed
-//! earlier in the same turn finds nothing, even if its slot has been taken by another connection.
+//! A table of values by connection token. A token is never used twice: an event for a connection
+//! that was closed earlier in the same turn finds nothing, even if its slot has been taken by
+//! another one.
 
 use crate::connection_token::ConnectionToken;
 
@@ -45,7 +46,20 @@
     /// The place of a token's value; `None` if the token is freed.
     fn value_mut(&mut self, token: ConnectionToken) -> Option<&mut Option<T>> {
         let slot = self.slots.get_mut(token.index())?;
-        (slot.generation == token.generation()).then_some(&mut slot.value)
+        if slot.generation != token.generation() {
+            return None;
+        }
+        Some(&mut slot.value)
+    }
+
+    /// The value of a token; `None` if the token is freed or its value taken out.
+    #[must_use]
+    pub fn get(&self, token: ConnectionToken) -> Option<&T> {
+        let slot = self.slots.get(token.index())?;
+        if slot.generation != token.generation() {
+            return None;
+        }
+        slot.value.as_ref()
     }
 
     /// Takes a value out of the table; its token stays reserved until [`Slab::free`].
@@ -60,8 +74,8 @@
         }
     }
 
-    /// Frees a token for good and returns its value, unless that is taken out. Has no effect on a token that
-    /// is freed already.
+    /// Frees a token for good and returns its value, unless that is taken out. Has no effect on a
+    /// token that is freed already.
     pub fn free(&mut self, token: ConnectionToken) -> Option<T> {
         let value = self.value_mut(token)?.take();
         let index = token.index();
--- a/crates/gateway/src/event_loop/endpoint_table.rs
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -1,4 +1,5 @@
-//! The endpoint list as last received from discovery or the inventory, with the operator's overrides.
+//! The endpoint list as last received from discovery or the inventory, with the operator's
+//! overrides.
 
 use crate::endpoint::EndpointRecord;
 use io_scheduler::{EndpointListEvent, EndpointStatus};
--- a/crates/gateway/src/event_loop/endpoint_updates.rs
+++ b/crates/gateway/src/event_loop/endpoint_updates.rs
@@ -1,10 +1,8 @@
 //! Applying changes of the endpoint list: addresses go to the connection pools, records to the
 //! dispatcher.
 
-use super::discovery_watch::{WatchConnection, WatchOutcome};
 use super::endpoint_table::{OperatorOverride, UnknownNode};
-use super::Gateway;
-use crate::connection_token::ConnectionToken;
+use super::gateway::Gateway;
 use crate::connections::node::NodeAddress;
 use crate::discovery::EndpointListUpdate;
 use crate::endpoint::EndpointRecord;
@@ -12,24 +10,6 @@
 use io_scheduler::EndpointListEvent;
 
 impl Gateway {
-    /// Handles the connection to discovery, which the poller reported.
-    pub(super) fn handle_watch_ready(
-        &mut self,
-        token: ConnectionToken,
-        connection: WatchConnection,
-    ) {
-        let WatchOutcome { updates, failure } =
-            self.watch
-                .handle_ready(token, connection, &mut self.context);
-        for update in &updates {
-            self.apply_endpoint_update(update, update.kind());
-        }
-        // The end of the watch is reported after the updates that arrived before it.
-        if let Some(failure) = failure {
-            self.watch.fail(&failure, &mut self.context);
-        }
-    }
-
     /// Applies a list or a delta from discovery. `kind` is the event to report for it.
     pub(super) fn apply_endpoint_update(
         &mut self,
--- /dev/null
+++ b/crates/gateway/src/event_loop/events.rs
@@ -0,0 +1,130 @@
+//! Passing what happens in a turn to its owner: readiness, timers and the dispatcher's commands.
+
+use super::gateway::Gateway;
+use super::signals::SignalKind;
+use crate::connection_token::ConnectionToken;
+use crate::connections::client::AcceptOutcome;
+use crate::connections::discovery_watch::WatchOutcome;
+use crate::connections::node::Attempt;
+use crate::context::ConnectionKind;
+use crate::dispatcher::Command;
+use crate::timer_queue::Timer;
+use rustix::event::epoll::EventFlags;
+
+impl Gateway {
+    /// Handles a connection that the poller reported; it may have been closed earlier in the turn.
+    pub(super) fn handle_ready(&mut self, token: ConnectionToken, flags: EventFlags) {
+        let context = &mut self.context;
+        match context.connection_kind(token) {
+            None => {}
+            Some(ConnectionKind::Listener) => self.handle_listener_ready(token),
+            Some(ConnectionKind::Client) => {
+                self.client_connections.handle_ready(token, flags, context);
+            }
+            Some(ConnectionKind::Node) => self.node_connections.handle_ready(token, context),
+            Some(ConnectionKind::Discovery) => self.handle_watch_ready(),
+            Some(ConnectionKind::Signal) => self.handle_signal(token),
+            Some(ConnectionKind::Console) => self.handle_console_ready(),
+        }
+    }
+
+    /// Accepts the connections that wait at a listener.
+    fn handle_listener_ready(&mut self, token: ConnectionToken) {
+        let context = &mut self.context;
+        let Some(listener) = self.listeners.get(token) else {
+            return;
+        };
+        match self.client_connections.accept(listener, context) {
+            AcceptOutcome::Done => {}
+            AcceptOutcome::Blocked => self.listeners.pause_others(token, context),
+        }
+    }
+
+    /// Applies the updates that have arrived from discovery.
+    fn handle_watch_ready(&mut self) {
+        let WatchOutcome { updates, failure } = self.watch.handle_ready(&mut self.context);
+        for update in &updates {
+            self.apply_endpoint_update(update, update.kind());
+        }
+        // The end of the watch is reported after the updates that arrived before it.
+        if let Some(failure) = failure {
+            self.watch.fail(&failure, &mut self.context);
+        }
+    }
+
+    /// Starts what a signal asks for.
+    fn handle_signal(&mut self, token: ConnectionToken) {
+        match self.signals.drain(token) {
+            Some(SignalKind::Shutdown) => self.request_shutdown(),
+            Some(SignalKind::Reload) => self.reload_config(),
+            None => {}
+        }
+    }
+
+    /// Passes an expired timer to its owner.
+    pub(super) fn handle_timer(&mut self, timer: Timer) {
+        let context = &mut self.context;
+        match timer {
+            Timer::AttemptTimeout(_) | Timer::Scheduler | Timer::RequestOverdue(_) => {
+                context
+                    .dispatcher
+                    .handle_timer(timer, context.now, &mut context.timers);
+            }
+            Timer::Connection(token) => self.handle_connection_timer(token),
+            Timer::DiscoveryWatch => self.watch.handle_timeout(context),
+            Timer::Shutdown => self.drain_clients(),
+            Timer::ResumeAccepting => self.listeners.resume(context),
+        }
+    }
+
+    /// Passes the timer of a connection to the connection's owner.
+    fn handle_connection_timer(&mut self, token: ConnectionToken) {
+        let context = &mut self.context;
+        match context.connection_kind(token) {
+            Some(ConnectionKind::Client) => self.client_connections.handle_timeout(token, context),
+            Some(ConnectionKind::Node) => self.node_connections.handle_timeout(token, context),
+            // The others set no timer of this variant.
+            Some(
+                ConnectionKind::Listener
+                | ConnectionKind::Discovery
+                | ConnectionKind::Signal
+                | ConnectionKind::Console,
+            )
+            | None => {}
+        }
+    }
+
+    /// Carries out a command of the dispatcher.
+    pub(super) fn run_command(&mut self, command: Command) {
+        let context = &mut self.context;
+        match command {
+            Command::StartAttempt {
+                attempt,
+                node,
+                deadline,
+                request,
+            } => {
+                let attempt = Attempt {
+                    id: attempt,
+                    node,
+                    deadline,
+                    request,
+                };
+                self.node_connections.start_attempt(attempt, context);
+            }
+            Command::AbandonAttempt(attempt) => {
+                self.node_connections.abandon_attempt(attempt, context);
+            }
+            Command::Respond {
+                reply_slot,
+                response,
+            } => {
+                self.client_connections
+                    .respond(reply_slot, response, context);
+            }
+            // A watch that is open already keeps its own timeout.
+            Command::OpenWatch if self.watch.is_open() => {}
+            Command::OpenWatch => self.watch.open(context),
+        }
+    }
+}
--- a/crates/gateway/src/event_loop/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -1,27 +1,25 @@
 //! The event loop: one thread that never blocks.
 //!
-//! Each turn handles the connections that are ready, then the timers that have expired. Then it calls the
-//! scheduler once with all events that these have caused, carries out the commands that follow from the
-//! scheduler's actions, and closes excess client connections.
+//! Each turn handles the connections that are ready, then the timers that have expired. Then it
+//! calls the scheduler once with all events that these have caused, carries out the commands that
+//! follow from the scheduler's actions, and closes excess client connections.
 //!
-//! [`Gateway`] joins the owners of the state: client connections, node connections, the endpoint table and
-//! the discovery watch. The state that they share is in `Context`, which is passed to each of them.
+//! [`Gateway`] joins the owners of the state: client connections, node connections, listeners, the
+//! endpoint table and the discovery watch. The state that they share is in
+//! [`Context`](crate::context), which is passed to each of them. Nothing below imports this
+//! module.
 
-mod clock;
 mod console;
-mod context;
-mod discovery_watch;
+mod console_input;
 mod endpoint_table;
 mod endpoint_updates;
 mod error;
+mod events;
 mod gateway;
-pub(crate) mod listener;
-mod poller;
 mod reload;
 mod shutdown;
 mod signals;
+mod turn;
 
-pub(crate) use context::{Connection, Context};
 pub use error::GatewayError;
 pub use gateway::Gateway;
-pub(crate) use poller::Poller;
--- a/crates/gateway/src/event_loop/reload.rs
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -1,21 +1,22 @@
 //! Reloading the configuration while the gateway runs.
 
-use super::Gateway;
+use super::gateway::Gateway;
 use crate::config::Config;
 use crate::logger;
 use io_scheduler::EndpointListEvent;
 use std::net::SocketAddr;
 
 impl Gateway {
-    /// Reads the configuration again and applies the parts that can change while the gateway runs. An invalid
-    /// configuration changes nothing. Requests in flight are not affected.
+    /// Reads the configuration again and applies the parts that can change while the gateway runs.
+    /// An invalid configuration changes nothing. Requests in flight are not affected.
     pub(super) fn reload_config(&mut self) {
-        let new = match self.context.config.reload(|key| std::env::var(key).ok()) {
-            Ok(new) => new,
-            Err(error) => return log::warn!("configuration not reloaded: {error}"),
-        };
-        log::info!("configuration reloaded");
-        self.apply_config(new);
+        match self.context.config.reload(|key| std::env::var(key).ok()) {
+            Ok(config) => {
+                log::info!("configuration reloaded");
+                self.apply_config(config);
+            }
+            Err(error) => log::warn!("configuration not reloaded: {error}"),
+        }
     }
 
     /// Applies the log level, the inventory and the address of discovery of a new configuration.
@@ -34,8 +35,8 @@
         }
     }
 
-    /// Changes the address of the discovery service. The watch at the previous address is closed; the
-    /// scheduler then asks for one at the new address.
+    /// Changes the address of the discovery service. The watch at the previous address is closed;
+    /// the scheduler then requests one at the new address.
     fn set_discovery_address(&mut self, address: Option<SocketAddr>) {
         self.context.config.discovery = address;
         self.watch.reset_list_index();
--- a/crates/gateway/src/event_loop/shutdown.rs
+++ b/crates/gateway/src/event_loop/shutdown.rs
@@ -1,70 +1,42 @@
-//! Graceful shutdown.
-//!
-//! After the request the gateway serves unchanged for a grace period, [`SHUTDOWN_GRACE`], as clients may
-//! still connect. Then it drains: client connections are closed as soon as they are idle, and the gateway
-//! ends once it has been idle for [`DRAIN_GRACE`].
-
-use crate::timer_queue::{Timer, TimerQueue};
-use io_scheduler::Micros;
-
-/// How long the gateway serves unchanged after the request: clients may not know yet that it ends.
-const SHUTDOWN_GRACE: Micros = 750_000;
-/// How long the gateway must be idle before it ends. A client whose request crossed the close of its
-/// connection on the wire repeats it on a new connection, which the gateway must still accept.
-pub(super) const DRAIN_GRACE: Micros = 100_000;
-
-/// Progress of a graceful shutdown.
-#[derive(Debug, Default)]
-pub(crate) struct Shutdown {
-    is_requested: bool,
-    /// Whether the grace period is over.
-    is_draining: bool,
-    /// Since when there is no client connection and no open request while draining.
-    idle_since: Option<Micros>,
-}
-
-impl Shutdown {
-    /// Starts the grace period; further requests change nothing.
-    pub(super) fn request(&mut self, now: Micros, timers: &mut TimerQueue) {
-        if !self.is_requested {
-            log::info!("shutdown requested: serving until idle");
-            self.is_requested = true;
-            timers.set(now + SHUTDOWN_GRACE, Timer::Shutdown);
-        }
+//! The steps of a graceful shutdown; see [`crate::context::Shutdown`].
+
+use super::gateway::Gateway;
+use crate::context::DRAIN_GRACE;
+use crate::timer_queue::Timer;
+use rustix::event::epoll::Event;
+
+impl Gateway {
+    /// Requests a graceful shutdown.
+    pub(super) fn request_shutdown(&mut self) {
+        self.context
+            .shutdown
+            .request(self.context.now, &mut self.context.timers);
     }
 
-    /// Whether a shutdown was requested.
-    pub(super) fn is_requested(&self) -> bool {
-        self.is_requested
+    /// Closes idle client connections, and sets the timer to do so again until the shutdown is
+    /// complete.
+    pub(super) fn drain_clients(&mut self) {
+        let min_idle_time = self.context.shutdown.drain();
+        self.client_connections
+            .close_idle_for(min_idle_time, &mut self.context);
+        self.context
+            .timers
+            .set(self.context.now + DRAIN_GRACE, Timer::Shutdown);
     }
 
-    /// Whether connections are closed as soon as they are idle.
-    pub(crate) fn is_draining(&self) -> bool {
-        self.is_draining
-    }
-
-    /// Starts or continues draining. Returns for how many microseconds a connection must have been idle to be
-    /// closed now: 0 at the first call, later [`DRAIN_GRACE`], so that new connections have time to send a
-    /// request.
-    pub(super) fn drain(&mut self) -> Micros {
-        let min_idle_time = if self.is_draining { DRAIN_GRACE } else { 0 };
-        self.is_draining = true;
-        min_idle_time
-    }
-
-    /// When the gateway will have been idle for long enough to end; `None` if it is not idle.
-    pub(super) fn completes_at(&self) -> Option<Micros> {
-        self.idle_since.map(|since| since + DRAIN_GRACE)
-    }
-
-    /// Records that the gateway is not idle.
-    pub(super) fn note_busy(&mut self) {
-        self.idle_since = None;
+    /// Updates the idle state of the shutdown after a turn. Returns whether the gateway can end:
+    /// it is draining, has been idle for long enough, and the poller reported no event in this
+    /// turn.
+    pub(super) fn update_shutdown(&mut self, events: &[Event]) -> bool {
+        if !(self.context.shutdown.is_draining() && self.is_idle()) {
+            self.context.shutdown.note_busy();
+            return false;
+        }
+        self.context.shutdown.note_idle(self.context.now) && events.is_empty()
     }
 
-    /// Records that the gateway is idle; returns whether it has been so for long enough to end.
-    pub(super) fn note_idle(&mut self, now: Micros) -> bool {
-        let idle_since = *self.idle_since.get_or_insert(now);
-        now - idle_since >= DRAIN_GRACE
+    /// Whether there is no client connection and no open request.
+    fn is_idle(&self) -> bool {
+        self.client_connections.count() == 0 && self.context.dispatcher.open_requests() == 0
     }
 }
--- a/crates/gateway/src/event_loop/signals.rs
+++ b/crates/gateway/src/event_loop/signals.rs
@@ -1,6 +1,7 @@
 //! Signals, which reach the event loop through pipes.
 
-use super::{Connection, Context};
+use crate::connection_token::ConnectionToken;
+use crate::context::{ConnectionKind, Context};
 use rustix::event::epoll::EventFlags;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::ffi::c_int;
@@ -17,36 +18,52 @@
 }
 
 /// The end of a pipe that becomes readable when a signal arrives.
-pub(crate) struct SignalPipe {
+struct SignalPipe {
+    token: ConnectionToken,
     stream: UnixStream,
     /// The meaning of the signals that this pipe reports.
-    pub(super) kind: SignalKind,
+    kind: SignalKind,
 }
 
-impl SignalPipe {
-    /// Reads all bytes out of the pipe; each stands for one signal.
-    pub(super) fn drain(&mut self) {
-        while self.stream.read(&mut [0; 64]).is_ok_and(|count| count > 0) {}
-    }
+/// The pipes of all signals that the gateway handles.
+#[derive(Default)]
+pub(super) struct SignalPipes {
+    pipes: Vec<SignalPipe>,
 }
 
-/// Registers the signals that the gateway handles.
-pub(super) fn register_signals(context: &mut Context) -> io::Result<()> {
-    register(SignalKind::Shutdown, &[SIGTERM, SIGINT], context)?;
-    register(SignalKind::Reload, &[SIGHUP], context)
-}
+impl SignalPipes {
+    /// Registers the signals that the gateway handles.
+    pub(super) fn register(&mut self, context: &mut Context) -> io::Result<()> {
+        self.register_kind(SignalKind::Shutdown, &[SIGTERM, SIGINT], context)?;
+        self.register_kind(SignalKind::Reload, &[SIGHUP], context)
+    }
+
+    /// Creates the pipe for signals of one kind, and registers it with the poller.
+    fn register_kind(
+        &mut self,
+        kind: SignalKind,
+        signals: &[c_int],
+        context: &mut Context,
+    ) -> io::Result<()> {
+        let (stream, writer) = UnixStream::pair()?;
+        stream.set_nonblocking(true)?;
+        for signal in signals {
+            signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
+        }
+        let token = context.register(&stream, ConnectionKind::Signal, EventFlags::IN)?;
+        self.pipes.push(SignalPipe {
+            token,
+            stream,
+            kind,
+        });
+        Ok(())
+    }
 
-/// Creates the pipe for signals of one kind, and registers it with the poller.
-fn register(kind: SignalKind, signals: &[c_int], context: &mut Context) -> io::Result<()> {
-    let (stream, writer) = UnixStream::pair()?;
-    stream.set_nonblocking(true)?;
-    for signal in signals {
-        signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
+    /// Empties the pipe with this token, and returns what its signals ask for.
+    pub(super) fn drain(&mut self, token: ConnectionToken) -> Option<SignalKind> {
+        let pipe = self.pipes.iter_mut().find(|pipe| pipe.token == token)?;
+        // Each byte stands for one signal.
+        while pipe.stream.read(&mut [0; 64]).is_ok_and(|count| count > 0) {}
+        Some(pipe.kind)
     }
-    let token = context.connections.reserve();
-    context.poller.register(&stream, token, EventFlags::IN)?;
-    context
-        .connections
-        .put(token, Connection::Signal(SignalPipe { stream, kind }));
-    Ok(())
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! A storage gateway that shares storage nodes fairly among volumes.
 //!
-//! [`event_loop::Gateway`] runs the program. `docs/architecture.md` describes its parts, the owners of its
-//! state and the path of a request.
+//! [`event_loop::Gateway`] runs the program. `docs/architecture.md` describes its parts, the
+//! owners of its state and the path of a request.
 #![forbid(unsafe_code)]
 
 pub mod client_protocol;
@@ -9,6 +9,7 @@
 pub mod connection_token;
 pub mod connections;
 pub mod console;
+pub mod context;
 pub mod discovery;
 pub mod dispatcher;
 pub mod endpoint;
--- a/crates/gateway/tests/slab.rs
+++ b/crates/gateway/tests/slab.rs
@@ -1,6 +1,6 @@
 //! The slab of connections.
 
-use storage_gateway::connections::slab::Slab;
+use storage_gateway::context::slab::Slab;
 
 /// An event for a connection that was closed in the same turn must not reach the connection that took its
 /// place in the slab.
