--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -1,10 +1,10 @@
 //! Closing client connections: idle ones, after a last reply, or at once.
 
 use super::client_connections::ClientConnections;
-use super::connection::{ClientConnection, MAX_INPUT_BYTES};
+use super::connection::{ClientConnection, LateActivity};
 use super::eviction_queue::EvictionPriority;
 use crate::connection_token::ConnectionToken;
-use crate::connections::socket::{Interest, StreamStatus};
+use crate::connections::socket::Interest;
 use crate::context::{ConnectionKind, Context};
 use io_scheduler::Micros;
 
@@ -42,15 +42,11 @@
         mut client: ClientConnection,
         context: &mut Context,
     ) {
-        let length_before = client.socket.input.len();
-        let status = client.socket.read_available(MAX_INPUT_BYTES);
-        if !matches!(status, Ok(StreamStatus::Open)) {
-            return self.drop_connection(client, context);
-        }
-        if client.socket.input.len() > length_before {
-            return self.advance(client, context);
+        match client.read_late_input() {
+            LateActivity::None => self.linger(client, context),
+            LateActivity::Input => self.advance(client, context),
+            LateActivity::Ended => self.drop_connection(client, context),
         }
-        self.linger(client, context);
     }
 
     /// Starts or continues the lingering close of a connection on which every reply is written.
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -7,7 +7,7 @@
 use crate::connection_token::ConnectionToken;
 use crate::connections::connection_timer::ConnectionTimer;
 use crate::connections::counted_bytes::CountedBytes;
-use crate::connections::socket::{Interest, Socket};
+use crate::connections::socket::{Interest, Socket, StreamStatus};
 use io_scheduler::{Micros, RequestId};
 
 /// Bytes of input buffered for a connection: enough for the largest command with the length
@@ -60,6 +60,17 @@
     pub(super) counted_partial_command_bytes: CountedBytes,
 }
 
+/// What has happened on a connection that is about to be closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum LateActivity {
+    /// Nothing has arrived.
+    None,
+    /// Input has arrived that was not read yet.
+    Input,
+    /// The client has closed its side, or the connection has failed.
+    Ended,
+}
+
 /// The stages of a connection, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lifecycle {
@@ -180,6 +191,18 @@
         self.queue_ready_replies();
     }
 
+    /// Reads what has arrived since the connection was handled last, before it is closed.
+    pub(super) fn read_late_input(&mut self) -> LateActivity {
+        let length_before = self.socket.input.len();
+        match self.socket.read_available(MAX_INPUT_BYTES) {
+            Ok(StreamStatus::Open) if self.socket.input.len() > length_before => {
+                LateActivity::Input
+            }
+            Ok(StreamStatus::Open) => LateActivity::None,
+            Ok(StreamStatus::Ended) | Err(_) => LateActivity::Ended,
+        }
+    }
+
     /// The events that the poller is to report while commands are run.
     pub(super) fn interest(&self, input_is_full: bool) -> Interest {
         if input_is_full || self.is_closing() {
--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -1,9 +1,8 @@
 //! Eviction: closing idle client connections when descriptors run short.
 
 use super::client_connections::ClientConnections;
-use super::connection::MAX_INPUT_BYTES;
+use super::connection::LateActivity;
 use crate::connection_token::ConnectionToken;
-use crate::connections::socket::StreamStatus;
 use crate::context::Context;
 
 impl ClientConnections {
@@ -23,13 +22,12 @@
         let Some(mut client) = self.take(token) else {
             return;
         };
-        let length_before = client.socket.input.len();
-        let status = client.socket.read_available(MAX_INPUT_BYTES);
-        let has_new_input = client.socket.input.len() > length_before;
-        if matches!(status, Ok(StreamStatus::Open)) && has_new_input && !client.is_lingering() {
-            return self.advance(client, context);
+        let is_active = client.read_late_input() == LateActivity::Input;
+        if is_active && !client.is_lingering() {
+            self.advance(client, context);
+        } else {
+            self.drop_connection(client, context);
         }
-        self.drop_connection(client, context);
     }
 
     /// Closes idle connections of clients that have sent a request, those idle for longest first,
--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -5,7 +5,7 @@
 //! detects its end.
 
 use crate::connections::socket::{start_connecting, Interest, Socket, StreamStatus};
-use crate::context::{ConnectionKind, Context};
+use crate::context::{ConnectionKind, Context, MICROS_PER_MILLI};
 use crate::discovery::{watch_request, EndpointListUpdate, WatchError, WatchParser};
 use crate::timer_queue::Timer;
 use io_scheduler::{EndpointListEvent, Micros};
@@ -22,8 +22,6 @@
 const SILENCE_TIMEOUT: Micros = 2_800_000;
 /// How many bytes of a watch are read in one turn.
 const MAX_BYTES_PER_TURN: usize = 256 << 10;
-/// Microseconds per millisecond.
-const MICROS_PER_MILLI: Micros = 1_000;
 
 /// Why a watch has ended.
 #[derive(Debug, thiserror::Error)]
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -5,6 +5,7 @@
 use crate::connections::connection_timer::ConnectionTimer;
 use crate::connections::counted_bytes::CountedBytes;
 use crate::connections::socket::{Interest, Socket, StreamStatus};
+use crate::context::MICROS_PER_MILLI;
 use crate::dispatcher::{AttemptResult, StorageRequest};
 use crate::inventory::Protocol;
 use crate::node_protocol::{resp, sftp, NodeProtocol, ProtocolError};
@@ -13,8 +14,6 @@
 use std::io;
 use std::sync::Arc;
 
-/// Microseconds per millisecond.
-const MICROS_PER_MILLI: Micros = 1_000;
 /// Bytes of input buffered for a connection, besides the announced length of a large response.
 pub(super) const MAX_BUFFERED_INPUT_BYTES: usize = 80 << 10;
 
@@ -33,7 +32,7 @@
     pub(super) is_connected: bool,
     /// The attempt that it carries, if any.
     pub(super) in_flight: Option<InFlight>,
-    /// The connect timeout or the idle timeout; not set while a request is in flight.
+    /// The connect timeout or the idle timeout; cancelled once a request is encoded.
     pub(super) timer: ConnectionTimer,
     /// Its part of [`super::NodeConnections::large_response_bytes`].
     pub(super) counted_large_response_bytes: CountedBytes,
--- a/crates/gateway/src/context/clock.rs
+++ b/crates/gateway/src/context/clock.rs
@@ -3,6 +3,11 @@
 use io_scheduler::Micros;
 use std::time::{Duration, Instant, SystemTime};
 
+/// Microseconds per millisecond.
+pub(crate) const MICROS_PER_MILLI: Micros = 1_000;
+/// Microseconds per second.
+pub(super) const MICROS_PER_SECOND: Micros = 1_000_000;
+
 /// A clock that starts at the system's time and continues by a monotonic clock: later changes of
 /// the system's time have no effect.
 #[derive(Debug)]
--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -9,7 +9,7 @@
 mod shutdown;
 pub mod slab;
 
-pub(crate) use clock::Clock;
+pub(crate) use clock::{Clock, MICROS_PER_MILLI};
 pub(crate) use poller::Poller;
 pub(crate) use shutdown::{Shutdown, DRAIN_GRACE};
 
--- a/crates/gateway/src/context/poller.rs
+++ b/crates/gateway/src/context/poller.rs
@@ -1,5 +1,6 @@
 //! Waits until file descriptors are ready, by epoll (level-triggered).
 
+use super::clock::MICROS_PER_SECOND;
 use crate::connection_token::ConnectionToken;
 use io_scheduler::Micros;
 use rustix::event::epoll::{self, Event, EventData, EventFlags};
@@ -8,8 +9,6 @@
 use rustix::io::Errno;
 use std::io;
 
-/// Microseconds per second.
-const MICROS_PER_SECOND: Micros = 1_000_000;
 /// Nanoseconds per microsecond.
 const NANOS_PER_MICRO: Micros = 1_000;
 
