--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -7,7 +7,7 @@
 use crate::connections::socket::{start_connecting, Interest, Socket, StreamStatus};
 use crate::context::{ConnectionKind, Context, MICROS_PER_MILLI};
 use crate::discovery::{watch_request, EndpointListUpdate, WatchError, WatchParser};
-use crate::timer_queue::Timer;
+use crate::timer_queue::{Timer, TimerQueue};
 use io_scheduler::{EndpointListEvent, Micros};
 use std::io;
 use std::net::SocketAddr;
@@ -163,7 +163,10 @@
         match WatchConnection::open(address, context) {
             Ok(connection) => {
                 self.connection = Some(connection);
-                self.set_timer(Some(context.now + FIRST_RESPONSE_TIMEOUT), context);
+                self.set_timer(
+                    Some(context.now + FIRST_RESPONSE_TIMEOUT),
+                    &mut context.timers,
+                );
             }
             Err(error) => self.fail(&error.into(), context),
         }
@@ -201,7 +204,7 @@
             return Err(WatchFailure::Ended);
         }
         if input.extends_deadline {
-            self.set_timer(Some(context.now + SILENCE_TIMEOUT), context);
+            self.set_timer(Some(context.now + SILENCE_TIMEOUT), &mut context.timers);
         }
         if let Some(connection) = &mut self.connection {
             let socket = &mut connection.socket;
@@ -244,7 +247,7 @@
     /// Closes the connection, if it is open, and reports `event` to the dispatcher.
     pub(crate) fn close(&mut self, event: EndpointListEvent, context: &mut Context) {
         self.close_connection(context);
-        self.set_timer(None, context);
+        self.set_timer(None, &mut context.timers);
         context.dispatcher.update_endpoints(event, &[], context.now);
     }
 
@@ -257,10 +260,8 @@
     }
 
     /// Sets the watch's timer for another time, or cancels it if that is `None`.
-    fn set_timer(&mut self, at: Option<Micros>, context: &mut Context) {
-        context
-            .timers
-            .reschedule(&mut self.timer_deadline, at, Timer::DiscoveryWatch);
+    fn set_timer(&mut self, at: Option<Micros>, timers: &mut TimerQueue) {
+        timers.reschedule(&mut self.timer_deadline, at, Timer::DiscoveryWatch);
     }
 
     /// Milliseconds since the connection was opened.
--- a/crates/gateway/src/connections/mod.rs
+++ b/crates/gateway/src/connections/mod.rs
@@ -12,4 +12,5 @@
 pub(crate) mod discovery_watch;
 pub(crate) mod listener;
 pub mod node;
+pub(crate) mod nonblocking;
 mod socket;
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -1,11 +1,12 @@
 //! A non-blocking TCP stream with its input and output buffers, registered with the poller.
 
+use super::nonblocking::{read_chunk, Chunk};
 use crate::connection_token::ConnectionToken;
 use crate::context::{ConnectionKind, Context, Poller};
 use rustix::event::epoll::EventFlags;
 use rustix::fd::OwnedFd;
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
-use std::io::{self, Read, Write};
+use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
 /// Most bytes that one call of `read` returns.
@@ -47,16 +48,6 @@
     Ended,
 }
 
-/// The result of one call of `read`.
-enum Chunk {
-    /// This many bytes were read.
-    Bytes(usize),
-    /// All input that has arrived has been read.
-    NoneAvailable,
-    /// The peer has closed its side, and all input has been read.
-    Ended,
-}
-
 /// A non-blocking TCP stream with its buffers, registered with the poller.
 #[derive(Debug)]
 pub(crate) struct Socket {
@@ -152,7 +143,7 @@
         let length_before = self.input.len();
         while self.input.len() < max_buffered {
             let wanted = READ_CHUNK_BYTES.min(max_buffered - self.input.len());
-            match self.read_chunk(&mut buffer[..wanted]) {
+            match read_chunk(&mut self.stream, &mut buffer[..wanted]) {
                 Ok(Chunk::Bytes(count)) => {
                     self.input.extend_from_slice(&buffer[..count]);
                     if count < wanted {
@@ -173,7 +164,7 @@
     pub(crate) fn discard_available(&mut self, remaining: &mut usize) -> io::Result<StreamStatus> {
         let mut buffer = [0; READ_CHUNK_BYTES];
         loop {
-            match self.read_chunk(&mut buffer)? {
+            match read_chunk(&mut self.stream, &mut buffer)? {
                 Chunk::Bytes(count) if count >= *remaining => return Ok(StreamStatus::Ended),
                 Chunk::Bytes(count) => *remaining -= count,
                 Chunk::NoneAvailable => return Ok(StreamStatus::Open),
@@ -182,21 +173,6 @@
         }
     }
 
-    /// Calls `read` once, or again if a signal has interrupted it.
-    fn read_chunk(&mut self, buffer: &mut [u8]) -> io::Result<Chunk> {
-        loop {
-            match self.stream.read(buffer) {
-                Ok(0) => return Ok(Chunk::Ended),
-                Ok(count) => return Ok(Chunk::Bytes(count)),
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    return Ok(Chunk::NoneAvailable)
-                }
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) => return Err(error),
-            }
-        }
-    }
-
     /// Closes the sending side of the connection; the peer reads the end of the stream.
     pub(crate) fn shutdown_write(&self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
--- a/crates/gateway/src/event_loop/console_input.rs
+++ b/crates/gateway/src/event_loop/console_input.rs
@@ -4,9 +4,10 @@
 //! blocks on it.
 
 use crate::connection_token::ConnectionToken;
+use crate::connections::nonblocking::{read_chunk, Chunk};
 use crate::context::{ConnectionKind, Context};
 use rustix::event::epoll::EventFlags;
-use std::io::{self, Read};
+use std::io;
 use std::os::unix::net::UnixStream;
 
 /// Longest line in bytes; a longer one is dropped.
@@ -58,12 +59,10 @@
     fn read_available(&mut self) -> Result<(), InputClosed> {
         let mut bytes = [0; READ_CHUNK_BYTES];
         loop {
-            match self.stream.read(&mut bytes) {
-                Ok(0) => return Err(InputClosed),
-                Ok(count) => self.buffer.extend_from_slice(&bytes[..count]),
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Err(InputClosed),
+            match read_chunk(&mut self.stream, &mut bytes) {
+                Ok(Chunk::Bytes(count)) => self.buffer.extend_from_slice(&bytes[..count]),
+                Ok(Chunk::NoneAvailable) => return Ok(()),
+                Ok(Chunk::Ended) | Err(_) => return Err(InputClosed),
             }
         }
     }
