--- a/crates/gateway/src/storage_request/reply_slot.rs
+++ b/crates/gateway/src/storage_request/reply_slot.rs
@@ -12,7 +12,7 @@
 }
 
 /// Number of a command on its connection, counted from 0; replies are sent in this order.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SlotNumber(pub u64);
 
 impl SlotNumber {
