--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -2,20 +2,18 @@
 
 use crate::time::micros;
 use crate::types::{ClassSettings, DeploymentSettings, PlanSettings};
+use crate::values::{DeduplicationScopeSetting, DiscoverySetting, IdempotencySetting};
 use crate::UnknownValue;
 use io_scheduler::{
     DeduplicationScope, Idempotency, RequestClass, RetryBudget, Settings, SlowStart, VolumePlan,
 };
 
-/// Value of the key `discovery` if every gateway polls the discovery service itself.
-const DISCOVERY_SUBSCRIBE: &str = "subscribe";
-
 impl DeploymentSettings {
     /// Converts the settings for the scheduler.
     ///
     /// # Errors
     ///
-    /// If the idempotency or the deduplication scope of a class is not one of the known values.
+    /// If the idempotency or the deduplication scope of a class is not a known word.
     pub fn to_scheduler_settings(&self) -> Result<Settings, UnknownValue> {
         let DeploymentSettings {
             permissions,
@@ -47,13 +45,14 @@
         self.classes.iter().map(RequestClass::try_from).collect()
     }
 
-    /// Number of gateways that poll the same discovery endpoint: all of them if they poll the discovery service
-    /// itself, only this one if it polls the agent on its own host, and 0 if there is neither.
+    /// Number of gateways that poll the same discovery endpoint: all of them if they poll the
+    /// discovery service itself, only this one if it polls the agent on its own host, and 0 if
+    /// there is neither.
     fn discovery_clients(&self) -> u32 {
-        if self.discovery == DISCOVERY_SUBSCRIBE {
-            return self.gateway_count.max(1);
+        match self.discovery {
+            DiscoverySetting::PollService => self.gateway_count.max(1),
+            DiscoverySetting::Other(_) => u32::from(self.has_discovery_agent),
         }
-        u32::from(self.has_discovery_agent)
     }
 
     /// Slow start of nodes, gathered from the rules and from the properties of the nodes.
@@ -91,33 +90,37 @@
     }
 }
 
-/// Whether requests of the class may run twice. The deduplication scope is validated for every class, although
-/// only idempotency by key uses it, so that a misspelled scope is always reported.
+/// Whether requests of the class may run twice. The deduplication scope is converted for every
+/// class, and first, so that an unknown one is reported even where it is not used.
 fn idempotency(class: &ClassSettings) -> Result<Idempotency, UnknownValue> {
     let scope = deduplication_scope(&class.deduplication_scope)?;
-    match class.idempotency.as_str() {
-        "pure" => Ok(Idempotency::Idempotent),
-        "token" => Ok(Idempotency::Keyed {
+    match &class.idempotency {
+        IdempotencySetting::Idempotent => Ok(Idempotency::Idempotent),
+        IdempotencySetting::WithKey => Ok(Idempotency::Keyed {
             scope,
             window: micros(class.deduplication_window_ms),
         }),
-        "side_effect" => Ok(Idempotency::NonIdempotent),
-        other => Err(UnknownValue {
-            key: "classes.effect",
-            value: other.to_owned(),
+        IdempotencySetting::NonIdempotent => Ok(Idempotency::NonIdempotent),
+        IdempotencySetting::Unknown(word) => Err(UnknownValue {
+            key: IdempotencySetting::KEY,
+            value: word.clone(),
         }),
     }
 }
 
-/// Parses the key `group` of a class.
-fn deduplication_scope(text: &str) -> Result<DeduplicationScope, UnknownValue> {
-    match text {
-        "zone" => Ok(DeduplicationScope::Zone),
-        "cell" => Ok(DeduplicationScope::Shard),
-        "all" | "" => Ok(DeduplicationScope::All),
-        other => Err(UnknownValue {
-            key: "classes.group",
-            value: other.to_owned(),
+/// Which nodes recognize the idempotency keys of each other's requests.
+fn deduplication_scope(
+    setting: &DeduplicationScopeSetting,
+) -> Result<DeduplicationScope, UnknownValue> {
+    match setting {
+        DeduplicationScopeSetting::Unstated | DeduplicationScopeSetting::All => {
+            Ok(DeduplicationScope::All)
+        }
+        DeduplicationScopeSetting::Zone => Ok(DeduplicationScope::Zone),
+        DeduplicationScopeSetting::Shard => Ok(DeduplicationScope::Shard),
+        DeduplicationScopeSetting::Unknown(word) => Err(UnknownValue {
+            key: DeduplicationScopeSetting::KEY,
+            value: word.clone(),
         }),
     }
 }
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -1,6 +1,7 @@
 //! The settings object as serde decodes it. An absent number is 0, an absent flag is false, an absent string or
 //! list is empty; unknown keys are ignored. The decoder's error messages contain the names of these types.
 
+use crate::values::{DeduplicationScopeSetting, DiscoverySetting, IdempotencySetting};
 use serde::Deserialize;
 
 /// Everything that a deployment states about its gateways, volumes and storage nodes.
@@ -12,8 +13,8 @@
     pub permissions: AllowedFeatures,
     /// Classes of request; requests refer to them by index.
     pub classes: Vec<ClassSettings>,
-    /// How gateways learn the endpoint list; `subscribe` if each of them polls the discovery service.
-    pub discovery: String,
+    /// How gateways learn the endpoint list.
+    pub discovery: DiscoverySetting,
     /// Whether a discovery agent runs on the gateway's host. The discovery service pushes the endpoint list to
     /// the agent, and the gateway polls the agent. This is not a key of the settings object: the program sets
     /// it from its own configuration.
@@ -70,13 +71,12 @@
     pub ordered: bool,
     /// Time in milliseconds after which the client gives up waiting for the response.
     pub deadline_ms: f64,
-    /// Whether a request may run twice: `pure` (idempotent), `token` (idempotent by key) or `side_effect`.
+    /// Whether a request may run twice.
     #[serde(rename = "effect")]
-    pub idempotency: String,
-    /// Which nodes share their record of idempotency keys, so that each recognizes a key that another has seen:
-    /// `zone` (the nodes of one zone), `cell` (the nodes of one shard) or `all`. An empty string means `all`.
+    pub idempotency: IdempotencySetting,
+    /// Which nodes share their record of idempotency keys.
     #[serde(rename = "group")]
-    pub deduplication_scope: String,
+    pub deduplication_scope: DeduplicationScopeSetting,
     /// Time in milliseconds for which a node recognizes an idempotency key.
     #[serde(rename = "key_ttl_ms")]
     pub deduplication_window_ms: f64,
--- a/crates/settings/tests/conversion.rs
+++ b/crates/settings/tests/conversion.rs
@@ -122,9 +122,9 @@
 #[test]
 fn each_key_of_the_rules_reaches_its_setting() {
     let object = json!({"rules": {
-        "cold_from": 1.0, "cold_ms": 2.0, "fall_ms": 3.0, "tip_multiple": 4.0, "must_ask_in_ms": 5.0,
-        "order_settle_ms": 6.0, "stop_sending_within_ms": 7.0, "resend_span_ms": 8.0, "extra_free": 9.0,
-        "further_ratio": 10.0
+        "cold_from": 1.0, "cold_ms": 2.0, "fall_ms": 3.0, "tip_multiple": 4.0,
+        "must_ask_in_ms": 5.0, "order_settle_ms": 6.0, "stop_sending_within_ms": 7.0,
+        "resend_span_ms": 8.0, "extra_free": 9.0, "further_ratio": 10.0
     }});
     assert_eq!(decode(object.clone()).rules.drain_grace_ms, 7.0);
     let settings = convert(object);
@@ -223,6 +223,19 @@
     assert_eq!(error.to_string(), "field classes.group: 'rack' is unknown");
 }
 
+/// A gateway compares the settings before and after a reload.
+#[test]
+fn settings_differ_if_a_word_differs() {
+    let class = |key: &str, word: &str| decode(json!({"classes": [{ key: word }]}));
+    assert_eq!(class("group", ""), decode(json!({"classes": [{}]})));
+    assert_ne!(class("group", ""), class("group", "all"));
+    assert_ne!(class("group", "rack"), class("group", "row"));
+    assert_ne!(class("effect", "often"), class("effect", "sometimes"));
+    let discovery = |word: &str| decode(json!({ "discovery": word }));
+    assert_eq!(discovery(""), decode(json!({})));
+    assert_ne!(discovery(""), discovery("automatic"));
+}
+
 #[test]
 fn an_absent_idempotency_is_unknown() {
     let error = conversion_error(json!({"classes": [{"name": "read"}]}));
