--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,7 +1,6 @@
 //! The errors that end the program.
 
-use crate::wire::{ParseError, StatusCode};
-use deployment_settings::UnknownValue;
+use crate::wire::{EventError, ParseError};
 use std::io;
 use thiserror::Error;
 
@@ -39,35 +38,3 @@
     #[error("cannot write: {0}")]
     Write(#[source] io::Error),
 }
-
-/// An event that is well-formed but cannot be handled.
-#[derive(Debug, Error)]
-pub enum EventError {
-    /// The instance has not been started.
-    #[error("dispatcher_id {instance}: event before ENLIST")]
-    NotStarted {
-        /// Id of the instance.
-        instance: u64,
-    },
-    /// The settings of an instance have a value that is not known.
-    #[error("ENLIST: {0}")]
-    Settings(#[from] UnknownValue),
-    /// A request refers to a plan or a class that the settings do not have.
-    #[error("INCOMING {request}: field {field}: '{name}' is not in the settings")]
-    UnknownName {
-        /// Name of the request.
-        request: String,
-        /// Field of the message.
-        field: &'static str,
-        /// The unknown name.
-        name: String,
-    },
-    /// The status of an attempt is not one of the simulator's.
-    #[error("OUTCOME {request}: field status: {status} is not an outcome")]
-    UnknownStatus {
-        /// Name of the request.
-        request: String,
-        /// The unknown status.
-        status: StatusCode,
-    },
-}
--- a/crates/simulator-adapter/src/instance/decode.rs
+++ b/crates/simulator-adapter/src/instance/decode.rs
@@ -1,127 +1,140 @@
 //! Conversion of the simulator's messages to events for the scheduler.
 
 use super::Instance;
-use crate::error::EventError;
 use crate::wire::{
-    AttemptOutcomeMessage, EndpointCondition, EndpointListKind, EndpointRow, EventMessage,
-    IncomingRequest,
+    AttemptOutcomeMessage, EndpointListKind, EndpointRow, EventError, EventMessage, IncomingRequest,
 };
 use deployment_settings::micros;
-use io_scheduler::{
-    CompletedAttempt, Endpoint, EndpointListEvent, EndpointStatus, Event, NodeId, ObjectKey,
-    Request, Shard, VolumeId, Zone,
-};
+use io_scheduler::{CompletedAttempt, Endpoint, Event, ObjectKey, Request, Shard, VolumeId};
 
 impl Instance {
-    /// Converts a message. Returns `None` if the scheduler need not handle it, for instance because its request
-    /// is no longer tracked.
+    /// Converts a message. Returns `None` if the scheduler need not handle it, for instance because
+    /// its request is not tracked.
     ///
     /// # Errors
     ///
     /// If the message names an unknown class, plan or status.
     pub fn decode_event(&mut self, message: EventMessage) -> Result<Option<Event>, EventError> {
-        Ok(match message {
+        let event = match message {
             EventMessage::EndpointList { kind, endpoints } => {
-                let endpoints = endpoints.iter().map(|row| self.endpoint(row)).collect();
-                Some(Event::EndpointList(kind.into(), endpoints))
+                Some(self.decode_endpoint_list(kind, &endpoints))
             }
             EventMessage::RequestReceived(message) => {
-                Some(Event::RequestReceived(self.request(message)?))
+                let request = self.decode_request(message)?;
+                Some(Event::RequestReceived(request))
             }
             EventMessage::TimerFired {} => Some(Event::TimerFired),
             EventMessage::ResponseStarted { request } => {
-                self.requests.close(&request).map(Event::ResponseStarted)
+                let id = self.requests.close_by_name(&request);
+                id.map(Event::ResponseStarted)
             }
             EventMessage::ClientDisconnected { request } => {
-                self.requests.close(&request).map(Event::ClientDisconnected)
+                let id = self.requests.close_by_name(&request);
+                id.map(Event::ClientDisconnected)
             }
             EventMessage::HealthCheckCompleted(message) => {
-                self.note_node(&message.node);
+                // The message may be the first to name the node, which then gets the next id.
+                self.nodes.id(&message.node);
                 None
             }
-            EventMessage::AttemptCompleted(message) => self
-                .completed_attempt(&message)?
-                .map(Event::AttemptCompleted),
+            EventMessage::AttemptCompleted(message) => {
+                let attempt = self.decode_attempt(&message)?;
+                attempt.map(Event::AttemptCompleted)
+            }
+            // The registry handles starts and stops, and no decision depends on other instances.
             EventMessage::Start { .. } | EventMessage::Stop {} | EventMessage::PeerMessage {} => {
                 None
             }
-        })
-    }
-
-    /// Id of the node with this name; a new name gets a new id.
-    fn node(&mut self, name: &str) -> NodeId {
-        NodeId(self.nodes.id_of(name))
+        };
+        Ok(event)
     }
 
-    /// Assigns an id to the node of a message that is otherwise ignored. Ids are numbered in the order in which
-    /// node names first appear, in any message.
-    fn note_node(&mut self, name: &str) {
-        self.nodes.id_of(name);
+    /// Converts the endpoint list.
+    fn decode_endpoint_list(&mut self, kind: EndpointListKind, rows: &[EndpointRow]) -> Event {
+        let mut endpoints = Vec::with_capacity(rows.len());
+        for row in rows {
+            endpoints.push(self.decode_endpoint(row));
+        }
+        Event::EndpointList(kind.into(), endpoints)
     }
 
     /// Converts one row of the endpoint list.
-    fn endpoint(&mut self, row: &EndpointRow) -> Endpoint {
+    fn decode_endpoint(&mut self, row: &EndpointRow) -> Endpoint {
         Endpoint {
-            node: self.node(&row.node),
-            zone: Zone(self.zones.id_of(&row.zone)),
+            node: self.nodes.id(&row.node),
+            zone: self.zones.id(&row.zone),
             shard: Shard(row.shard),
             status: row.condition.into(),
-            started_at: row
-                .started_at_ms
-                .filter(|started_at| *started_at > 0.0)
-                .map(micros),
+            started_at: row.started_at(),
         }
     }
 
     /// Converts a client's request and starts to track it.
-    fn request(&mut self, message: IncomingRequest) -> Result<Request, EventError> {
-        let unknown_name = |field: &'static str, name: &str| EventError::UnknownName {
-            request: message.request.clone(),
-            field,
-            name: name.to_owned(),
-        };
-        let plan = index_of(&self.plan_names, &message.plan)
-            .ok_or_else(|| unknown_name("qos_class", &message.plan))?;
-        let class = index_of(&self.class_names, &message.class)
-            .ok_or_else(|| unknown_name("lane", &message.class))?;
+    fn decode_request(&mut self, message: IncomingRequest) -> Result<Request, EventError> {
+        let plan = self.plan_index(&message)?;
+        let class = self.class_index(&message)?;
+        let shard = message.shard();
         Ok(Request {
             id: self.requests.add(message.request),
             volume: VolumeId(message.volume),
             plan,
             class,
             key: message.object_key.map(ObjectKey),
-            shard: shard(message.shard),
+            shard,
             units: message.units,
             hosts: message.hosts.unwrap_or_default(),
             deadline: micros(message.deadline_ms),
         })
     }
 
-    /// Converts the outcome of an attempt and updates its request. Returns `None` if the request is no longer
+    /// Index of a request's plan in the settings.
+    fn plan_index(&self, message: &IncomingRequest) -> Result<usize, EventError> {
+        let index = self
+            .plan_names
+            .iter()
+            .position(|name| *name == message.plan);
+        index.ok_or_else(|| EventError::UnknownPlan {
+            request: message.request.clone(),
+            plan: message.plan.clone(),
+        })
+    }
+
+    /// Index of a request's class in the settings.
+    fn class_index(&self, message: &IncomingRequest) -> Result<usize, EventError> {
+        let index = self
+            .class_names
+            .iter()
+            .position(|name| *name == message.class);
+        index.ok_or_else(|| EventError::UnknownClass {
+            request: message.request.clone(),
+            class: message.class.clone(),
+        })
+    }
+
+    /// Converts the end of an attempt and updates its request. Returns `None` if the request is not
     /// tracked.
-    fn completed_attempt(
+    fn decode_attempt(
         &mut self,
         message: &AttemptOutcomeMessage,
     ) -> Result<Option<CompletedAttempt>, EventError> {
         let Some(outcome) = message.status.outcome() else {
-            let request = message.request.clone();
             return Err(EventError::UnknownStatus {
-                request,
+                request: message.request.clone(),
                 status: message.status,
             });
         };
-        // Looked up even if the request is no longer tracked: ids are numbered in the order in which node names
-        // first appear, and this message may be the first to name its node.
-        let node = self.node(&message.node);
-        let Some(id) = self.requests.id(&message.request) else {
+        // Before the request, as the message may be the first to name the node, which then gets the
+        // next id, whether the request is tracked or not.
+        let node = self.nodes.id(&message.node);
+        let Some(request) = self.requests.id(&message.request) else {
             return Ok(None);
         };
-        if let Some(request) = self.requests.get_mut(id) {
-            request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
-            request.open &= !message.request_closed;
+        self.requests.end_attempt(request);
+        if message.request_closed {
+            self.requests.close(request);
         }
         Ok(Some(CompletedAttempt {
-            request: id,
+            request,
             number: message.attempt,
             node,
             outcome,
@@ -132,38 +145,3 @@
         }))
     }
 }
-
-/// Index of a name in a list of names.
-fn index_of(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|known| known == name)
-}
-
-/// Shard of a request. A negative number stands for a new object, which has no shard yet.
-fn shard(number: f64) -> Option<Shard> {
-    if number >= 0.0 {
-        Some(Shard(number as u64))
-    } else {
-        None
-    }
-}
-
-impl From<EndpointListKind> for EndpointListEvent {
-    fn from(kind: EndpointListKind) -> Self {
-        match kind {
-            EndpointListKind::Cached => EndpointListEvent::Cached,
-            EndpointListKind::Snapshot => EndpointListEvent::Snapshot,
-            EndpointListKind::Delta => EndpointListEvent::Delta,
-            EndpointListKind::PollFailed => EndpointListEvent::PollFailed,
-        }
-    }
-}
-
-impl From<EndpointCondition> for EndpointStatus {
-    fn from(condition: EndpointCondition) -> Self {
-        match condition {
-            EndpointCondition::InService => EndpointStatus::InService,
-            EndpointCondition::Draining => EndpointStatus::Draining,
-            EndpointCondition::Removed => EndpointStatus::Removed,
-        }
-    }
-}
--- a/crates/simulator-adapter/src/instance/encode.rs
+++ b/crates/simulator-adapter/src/instance/encode.rs
@@ -1,15 +1,13 @@
 //! Conversion of the scheduler's actions to messages for the simulator.
 
 use super::Instance;
-use crate::wire::ActionMessage;
+use crate::wire::{ActionMessage, TimerName};
 use deployment_settings::milliseconds;
 use io_scheduler::{Action, Micros, NodeId, RequestId};
 
-/// Name of the timer of an instance; each instance has only this one.
-const TIMER_NAME: &str = "wake";
-
 impl Instance {
-    /// Converts an action and updates its request's entry. Returns `None` if the request is no longer tracked.
+    /// Converts an action and updates the entry of its request. Returns `None` if the request is
+    /// not tracked.
     pub fn encode_action(&mut self, action: &Action, now: Micros) -> Option<ActionMessage> {
         match *action {
             Action::Dispatch {
@@ -20,57 +18,66 @@
             Action::Reject {
                 request,
                 retry_after,
-            } => {
-                let request = self.close_request(request)?;
-                Some(ActionMessage::Reject {
-                    request,
-                    retry_after_ms: milliseconds(retry_after),
-                })
-            }
-            Action::Fail(request) => {
-                let request = self.close_request(request)?;
-                Some(ActionMessage::Fail { request })
-            }
-            Action::Cancel { request, attempt } => {
-                let request = self.requests.get_mut(request)?.name.clone();
-                Some(ActionMessage::Cancel { request, attempt })
-            }
+            } => self.encode_rejection(request, retry_after),
+            Action::Fail(request) => self.encode_failure(request),
+            Action::Cancel { request, attempt } => self.encode_cancellation(request, attempt),
             Action::OpenWatch => Some(ActionMessage::OpenWatch { open: true }),
-            Action::SetTimer(at) => {
-                let delay_ms = milliseconds((at - now).max(0));
-                Some(ActionMessage::SetTimer {
-                    timer: TIMER_NAME.to_owned(),
-                    delay_ms,
-                })
-            }
+            Action::SetTimer(at) => Some(encode_timer(at, now)),
         }
     }
 
     /// Converts a dispatch, which adds one to the request's attempts in flight.
     fn encode_dispatch(
         &mut self,
-        id: RequestId,
+        request: RequestId,
         node: NodeId,
         deadline: Micros,
     ) -> Option<ActionMessage> {
-        let request = self.requests.get_mut(id)?;
-        request.attempts_in_flight += 1;
+        let request = self.requests.start_attempt(request)?;
         Some(ActionMessage::Dispatch {
-            request: request.name.clone(),
-            node: self.node_name(node),
+            request: request.clone(),
+            node: self.nodes.name(node).clone(),
             deadline_ms: milliseconds(deadline),
         })
     }
 
-    /// Marks a request as closed and returns its name.
-    fn close_request(&mut self, id: RequestId) -> Option<String> {
-        let request = self.requests.get_mut(id)?;
-        request.open = false;
-        Some(request.name.clone())
+    /// Converts the final response "rejected", which closes the request.
+    fn encode_rejection(
+        &mut self,
+        request: RequestId,
+        retry_after: Micros,
+    ) -> Option<ActionMessage> {
+        let request = self.requests.close(request)?;
+        Some(ActionMessage::Reject {
+            request: request.clone(),
+            retry_after_ms: milliseconds(retry_after),
+        })
     }
 
-    /// Name of a node on the wire.
-    fn node_name(&self, node: NodeId) -> String {
-        self.nodes.name(node.0).to_owned()
+    /// Converts the final response "failed", which closes the request.
+    fn encode_failure(&mut self, request: RequestId) -> Option<ActionMessage> {
+        let request = self.requests.close(request)?;
+        Some(ActionMessage::Fail {
+            request: request.clone(),
+        })
+    }
+
+    /// Converts a cancellation. The attempt stays in flight until its outcome is received.
+    fn encode_cancellation(&self, request: RequestId, attempt: u32) -> Option<ActionMessage> {
+        let request = self.requests.name(request)?;
+        Some(ActionMessage::Cancel {
+            request: request.clone(),
+            attempt,
+        })
+    }
+}
+
+/// Converts the time at which the timer is to fire, which on the wire is relative. A time that has
+/// passed counts as now.
+fn encode_timer(at: Micros, now: Micros) -> ActionMessage {
+    let delay = (at - now).max(0);
+    ActionMessage::SetTimer {
+        timer: TimerName::Scheduler,
+        delay_ms: milliseconds(delay),
     }
 }
--- a/crates/simulator-adapter/src/instance/mod.rs
+++ b/crates/simulator-adapter/src/instance/mod.rs
@@ -1,29 +1,30 @@
-//! One simulated gateway: its scheduler, and the tables that map names on the wire to the scheduler's ids.
+//! One simulated gateway: its scheduler, and the tables that map names on the wire to the
+//! scheduler's ids.
 
 mod decode;
 mod encode;
-mod names;
+mod nodes;
 mod requests;
+mod zones;
 
-use crate::error::EventError;
-use crate::wire::ActionMessage;
+use crate::wire::{ActionMessage, ClassName, EventError, PlanName};
 use deployment_settings::DeploymentSettings;
 use io_scheduler::{Event, Micros, Scheduler};
-use names::NameTable;
+use nodes::NodeTable;
 use requests::RequestTable;
+use zones::ZoneTable;
 
 /// One simulated gateway.
 pub struct Instance {
     scheduler: Scheduler,
-    /// Names of the classes; a class's index is its id.
-    class_names: Vec<String>,
-    /// Names of the plans; a plan's index is its id.
-    plan_names: Vec<String>,
-    /// Ids of zones by name.
-    zones: NameTable,
-    /// Ids of nodes by name.
-    nodes: NameTable,
-    /// Requests that messages may still refer to.
+    /// Names of the classes, in the order of the settings: the scheduler refers to a class by its
+    /// index.
+    class_names: Vec<ClassName>,
+    /// Names of the plans, in the order of the settings: the scheduler refers to a plan by its
+    /// index.
+    plan_names: Vec<PlanName>,
+    zones: ZoneTable,
+    nodes: NodeTable,
     requests: RequestTable,
 }
 
@@ -34,20 +35,13 @@
     ///
     /// If the settings cannot be converted for the scheduler.
     pub fn new(seed: u64, settings: &DeploymentSettings, now: Micros) -> Result<Self, EventError> {
+        let scheduler_settings = settings.to_scheduler_settings()?;
         Ok(Instance {
-            scheduler: Scheduler::new(settings.to_scheduler_settings()?, seed, now),
-            class_names: settings
-                .classes
-                .iter()
-                .map(|class| class.name.clone())
-                .collect(),
-            plan_names: settings
-                .plans
-                .iter()
-                .map(|plan| plan.name.clone())
-                .collect(),
-            zones: NameTable::from_names(&settings.zones),
-            nodes: NameTable::default(),
+            scheduler: Scheduler::new(scheduler_settings, seed, now),
+            class_names: class_names(settings),
+            plan_names: plan_names(settings),
+            zones: ZoneTable::new(&settings.zones),
+            nodes: NodeTable::default(),
             requests: RequestTable::default(),
         })
     }
@@ -58,9 +52,29 @@
         self.scheduler.handle(now, events, &mut actions);
         let mut messages = Vec::new();
         for action in &actions {
-            messages.extend(self.encode_action(action, now));
+            if let Some(message) = self.encode_action(action, now) {
+                messages.push(message);
+            }
         }
         self.requests.remove_finished();
         messages
     }
 }
+
+/// Names of the classes in the settings.
+fn class_names(settings: &DeploymentSettings) -> Vec<ClassName> {
+    settings
+        .classes
+        .iter()
+        .map(|class| ClassName(class.name.clone()))
+        .collect()
+}
+
+/// Names of the plans in the settings.
+fn plan_names(settings: &DeploymentSettings) -> Vec<PlanName> {
+    settings
+        .plans
+        .iter()
+        .map(|plan| PlanName(plan.name.clone()))
+        .collect()
+}
--- a/crates/simulator-adapter/src/instance/requests.rs
+++ b/crates/simulator-adapter/src/instance/requests.rs
@@ -1,65 +1,91 @@
 //! The table of requests that messages may still refer to.
 
+use crate::wire::RequestName;
 use io_scheduler::RequestId;
 use std::collections::HashMap;
 
 /// A request that is open or has attempts in flight.
-pub struct TrackedRequest {
-    /// Name of the request on the wire.
-    pub name: String,
+struct TrackedRequest {
+    name: RequestName,
     /// Number of dispatched attempts whose outcome has not been received.
-    pub attempts_in_flight: u32,
+    attempts_in_flight: u32,
     /// Whether the client still waits for the final response.
-    pub open: bool,
+    is_open: bool,
 }
 
-/// Requests by their names on the wire and by their ids.
+/// Requests by name and by id. A request is tracked until it is closed and no attempt of it is in
+/// flight.
 #[derive(Default)]
 pub struct RequestTable {
-    ids: HashMap<String, RequestId>,
+    ids: HashMap<RequestName, RequestId>,
     tracked: HashMap<RequestId, TrackedRequest>,
     next_id: u64,
 }
 
 impl RequestTable {
-    /// Adds an open request. If its name is already in use, the name refers to the new request from now on.
-    pub fn add(&mut self, name: String) -> RequestId {
+    /// Adds an open request. If its name is already in use, the name refers to the new request from
+    /// now on.
+    pub fn add(&mut self, name: RequestName) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
         self.ids.insert(name.clone(), id);
-        self.tracked.insert(
-            id,
-            TrackedRequest {
-                name,
-                attempts_in_flight: 0,
-                open: true,
-            },
-        );
+        let request = TrackedRequest {
+            name,
+            attempts_in_flight: 0,
+            is_open: true,
+        };
+        self.tracked.insert(id, request);
         id
     }
 
-    /// The id of a request; `None` if it is no longer tracked.
+    /// The id of a request; `None` if it is not tracked.
     #[must_use]
-    pub fn id(&self, name: &str) -> Option<RequestId> {
+    pub fn id(&self, name: &RequestName) -> Option<RequestId> {
         self.ids.get(name).copied()
     }
 
-    /// A request by its id; `None` if it is no longer tracked.
-    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut TrackedRequest> {
-        self.tracked.get_mut(&id)
+    /// The name of a request; `None` if it is not tracked.
+    #[must_use]
+    pub fn name(&self, id: RequestId) -> Option<&RequestName> {
+        let request = self.tracked.get(&id)?;
+        Some(&request.name)
+    }
+
+    /// Closes a request, which has its final response or needs none. Returns its name; `None` if it
+    /// is not tracked.
+    pub fn close(&mut self, id: RequestId) -> Option<&RequestName> {
+        let request = self.tracked.get_mut(&id)?;
+        request.is_open = false;
+        Some(&request.name)
     }
 
-    /// Closes a request and returns its id; `None` if it is no longer tracked.
-    pub fn close(&mut self, name: &str) -> Option<RequestId> {
+    /// Closes the request with this name and returns its id; `None` if it is not tracked.
+    pub fn close_by_name(&mut self, name: &RequestName) -> Option<RequestId> {
         let id = self.id(name)?;
-        self.get_mut(id)?.open = false;
+        self.close(id)?;
         Some(id)
     }
 
+    /// Counts an attempt as in flight. Returns the name of its request; `None` if that is not
+    /// tracked.
+    pub fn start_attempt(&mut self, id: RequestId) -> Option<&RequestName> {
+        let request = self.tracked.get_mut(&id)?;
+        request.attempts_in_flight += 1;
+        Some(&request.name)
+    }
+
+    /// Counts an attempt as ended. The count stays at 0 if the simulator reports more outcomes than
+    /// there were attempts.
+    pub fn end_attempt(&mut self, id: RequestId) {
+        if let Some(request) = self.tracked.get_mut(&id) {
+            request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
+        }
+    }
+
     /// Removes the closed requests that have no attempt in flight.
     pub fn remove_finished(&mut self) {
         self.tracked
-            .retain(|_, request| request.open || request.attempts_in_flight > 0);
+            .retain(|_, request| request.is_open || request.attempts_in_flight > 0);
         self.ids.retain(|_, id| self.tracked.contains_key(id));
     }
 }
--- a/crates/simulator-adapter/src/registry.rs
+++ b/crates/simulator-adapter/src/registry.rs
@@ -1,18 +1,17 @@
 //! The table of simulated gateways that this process hosts.
 
-use crate::error::EventError;
 use crate::instance::Instance;
 use crate::wire::{
-    ActionBatch, ActionMessage, EventBatch, EventMessage, InstanceActions, InstanceEvents,
+    ActionBatch, ActionMessage, EventBatch, EventError, EventMessage, InstanceActions, InstanceId,
 };
 use deployment_settings::micros;
-use io_scheduler::Micros;
+use io_scheduler::{Event, Micros};
 use std::collections::BTreeMap;
 
-/// The running instances by their ids on the wire. They share no state.
+/// The running instances. They share no state.
 #[derive(Default)]
 pub struct InstanceRegistry {
-    instances: BTreeMap<u64, Instance>,
+    instances: BTreeMap<InstanceId, Instance>,
 }
 
 impl InstanceRegistry {
@@ -24,50 +23,68 @@
     pub fn handle(&mut self, batch: EventBatch) -> Result<ActionBatch, EventError> {
         let now = micros(batch.now_ms);
         let mut reply = ActionBatch {
-            frame: batch.frame,
+            number: batch.number,
             instances: Vec::new(),
         };
-        for instance_events in batch.instances {
-            let instance = instance_events.instance;
-            let actions = self.handle_instance(instance_events, now)?;
+        for part in batch.instances {
+            let events = self.decode_events(part.instance, part.events, now)?;
+            let actions = self.run_instance(part.instance, &events, now);
             if !actions.is_empty() {
-                reply.instances.push(InstanceActions { instance, actions });
+                reply.instances.push(InstanceActions {
+                    instance: part.instance,
+                    actions,
+                });
             }
         }
         Ok(reply)
     }
 
-    /// Passes one instance its events and returns its actions. A start or a stop discards the earlier events of
-    /// the batch, as the state that they would change is lost.
-    fn handle_instance(
+    /// Starts and stops the instance as the messages say, and decodes the others for its scheduler.
+    /// A start or a stop discards the events before it, as the state that they would change is
+    /// lost.
+    fn decode_events(
         &mut self,
-        instance_events: InstanceEvents,
+        id: InstanceId,
+        messages: Vec<EventMessage>,
         now: Micros,
-    ) -> Result<Vec<ActionMessage>, EventError> {
-        let id = instance_events.instance;
+    ) -> Result<Vec<Event>, EventError> {
         let mut events = Vec::new();
-        for message in instance_events.events {
+        for message in messages {
             match message {
                 EventMessage::Start { seed, settings } => {
                     events.clear();
-                    self.instances
-                        .insert(id, Instance::new(seed, &settings, now)?);
+                    let instance = Instance::new(seed, &settings, now)?;
+                    self.instances.insert(id, instance);
                 }
                 EventMessage::Stop {} => {
                     events.clear();
                     self.instances.remove(&id);
                 }
-                other => events.extend(self.instance(id)?.decode_event(other)?),
+                other => {
+                    if let Some(event) = self.running_instance(id)?.decode_event(other)? {
+                        events.push(event);
+                    }
+                }
             }
         }
+        Ok(events)
+    }
+
+    /// Passes the events to the instance and returns its actions; none if it is not running.
+    fn run_instance(
+        &mut self,
+        id: InstanceId,
+        events: &[Event],
+        now: Micros,
+    ) -> Vec<ActionMessage> {
         match self.instances.get_mut(&id) {
-            Some(instance) => Ok(instance.handle(now, &events)),
-            None => Ok(Vec::new()),
+            Some(instance) => instance.handle(now, events),
+            None => Vec::new(),
         }
     }
 
-    /// The running instance with this id.
-    fn instance(&mut self, id: u64) -> Result<&mut Instance, EventError> {
+    /// The instance with this id, which has to run.
+    fn running_instance(&mut self, id: InstanceId) -> Result<&mut Instance, EventError> {
         self.instances
             .get_mut(&id)
             .ok_or(EventError::NotStarted { instance: id })
--- a/crates/simulator-adapter/src/wire/actions.rs
+++ b/crates/simulator-adapter/src/wire/actions.rs
@@ -1,12 +1,15 @@
-//! Messages to the simulator. Times are milliseconds of the simulated clock, durations are milliseconds.
+//! Messages to the simulator. A field in `_ms` is in milliseconds: a point in time of the simulated
+//! clock, or a duration, as its comment says.
 
+use super::{BatchNumber, InstanceId, NodeName, RequestName, TimerName};
 use serde::Serialize;
 
 /// One line: the reply to one batch of events.
 #[derive(Serialize)]
 pub struct ActionBatch {
     /// Number of the batch that is answered.
-    pub frame: u64,
+    #[serde(rename = "frame")]
+    pub number: BatchNumber,
     /// The actions of each instance that has any.
     #[serde(rename = "parts")]
     pub instances: Vec<InstanceActions>,
@@ -15,9 +18,9 @@
 /// The actions of one instance, in order.
 #[derive(Serialize)]
 pub struct InstanceActions {
-    /// Id of the instance.
+    /// The instance.
     #[serde(rename = "dispatcher_id")]
-    pub instance: u64,
+    pub instance: InstanceId,
     /// Its actions.
     #[serde(rename = "output")]
     pub actions: Vec<ActionMessage>,
@@ -29,39 +32,40 @@
     /// Dispatch an attempt.
     #[serde(rename = "FORWARD")]
     Dispatch {
-        /// Name of the request.
+        /// The request.
         #[serde(rename = "ref")]
-        request: String,
-        /// Name of the node.
+        request: RequestName,
+        /// The node that it goes to.
         #[serde(rename = "server")]
-        node: String,
-        /// When the attempt times out.
+        node: NodeName,
+        /// Point in time at which the attempt times out.
         #[serde(rename = "try_until_ms")]
         deadline_ms: f64,
     },
-    /// Reject a request.
+    /// Final response: rejected; the client may safely retry.
     #[serde(rename = "SHED")]
     Reject {
-        /// Name of the request.
+        /// The request.
         #[serde(rename = "ref")]
-        request: String,
-        /// For how long the client should wait before it retries; 0 for no advice.
+        request: RequestName,
+        /// Duration for which the client should wait before it retries (Retry-After); 0 for none
+        /// given.
         retry_after_ms: f64,
     },
-    /// Fail a request.
+    /// Final response: failed; the request may have been executed.
     #[serde(rename = "ABORT")]
     Fail {
-        /// Name of the request.
+        /// The request.
         #[serde(rename = "ref")]
-        request: String,
+        request: RequestName,
     },
     /// Cancel an attempt.
     #[serde(rename = "DROP_ATTEMPT")]
     Cancel {
-        /// Name of the request.
+        /// The request.
         #[serde(rename = "ref")]
-        request: String,
-        /// Number of the attempt, from 0.
+        request: RequestName,
+        /// Number among the attempts of the request, from 0.
         #[serde(rename = "go")]
         attempt: u32,
     },
@@ -72,13 +76,13 @@
         #[serde(rename = "on")]
         open: bool,
     },
-    /// Set a timer; it replaces the one of the same name.
+    /// Set a timer.
     #[serde(rename = "DEFER")]
     SetTimer {
-        /// Name of the timer.
+        /// The timer.
         #[serde(rename = "ref")]
-        timer: String,
-        /// Time until it fires.
+        timer: TimerName,
+        /// Duration until it fires.
         #[serde(rename = "wait_ms")]
         delay_ms: f64,
     },
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,35 +1,32 @@
-//! The simulator's messages. Fields and variants have standard names; `serde(rename)` states their spelling on
-//! the wire.
+//! The simulator's messages.
+//!
+//! The names on the wire stand only in this module: fields and variants bear the project's terms,
+//! and `serde(rename)` states their spelling on the wire. Numbers that stand for something else,
+//! such as a negative shard for a new object, are interpreted here as well.
+//!
+//! serde's error texts contain the names of the types and variants, and the number of fields. They
+//! are part of the program's output, so they change with a rename here.
 
 mod actions;
+mod attempt;
+mod endpoint_list;
+mod error;
 mod events;
+mod ids;
+mod request;
 mod status;
 
 pub use actions::{ActionBatch, ActionMessage, InstanceActions};
-pub use events::{
-    AttemptOutcomeMessage, EndpointCondition, EndpointListKind, EndpointRow, EventBatch,
-    EventMessage, IncomingRequest, InstanceEvents,
+pub use attempt::AttemptOutcomeMessage;
+pub use endpoint_list::{EndpointListKind, EndpointRow};
+pub use error::{EventError, ParseError};
+pub use events::{EventBatch, EventMessage};
+pub use ids::{
+    BatchNumber, ClassName, InstanceId, NodeName, PlanName, RequestName, TimerName, ZoneName,
 };
+pub use request::IncomingRequest;
 pub use status::StatusCode;
 
-use thiserror::Error;
-
-/// Why a line of input is not a valid batch of events.
-#[derive(Debug, Error)]
-pub enum ParseError {
-    /// The line is not JSON, or a field is missing or of the wrong type.
-    #[error("field {path}: {source}")]
-    Field {
-        /// Path of the field within the batch.
-        path: String,
-        /// The cause.
-        source: serde_json::Error,
-    },
-    /// Something follows the batch.
-    #[error("after the batch: {0}")]
-    TrailingData(#[source] serde_json::Error),
-}
-
 /// Parses one line of input.
 ///
 /// # Errors
