--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,22 +1,22 @@
-//! Runs the scheduler under the simulator: reads batches of events from standard input, one JSON object a line,
-//! and writes one line of actions to standard output for each batch.
+//! Runs the scheduler under the simulator: reads batches of events from standard input, one JSON
+//! object a line, and writes one line of actions to standard output for each batch.
 //!
-//! The process hosts any number of simulated gateways ([`registry`]); each has a scheduler of its own and
-//! shares no state with the others ([`instance`]). [`wire`] defines the messages.
+//! The process hosts any number of simulated gateways ([`registry`]); each has a scheduler of its
+//! own and shares no state with the others ([`instance`]). [`wire`] defines the messages.
 
 mod error;
 mod instance;
 mod registry;
 mod wire;
 
-use error::AdapterError;
+use error::{AdapterError, LineError, LineNumber};
 use registry::InstanceRegistry;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 use wire::ActionBatch;
 
 fn main() -> ExitCode {
-    match run() {
+    match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("simulator-adapter: {error}");
@@ -25,35 +25,37 @@
     }
 }
 
-/// Answers every line of standard input until it ends.
-fn run() -> Result<(), AdapterError> {
+/// Answers every line of the input until it ends.
+fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut registry = InstanceRegistry::default();
-    let mut output = io::stdout().lock();
-    for (index, line) in io::stdin().lock().split(b'\n').enumerate() {
-        let line_number = index + 1;
-        let line = line.map_err(|source| AdapterError::Read {
-            line: line_number,
+    for (index, line) in input.split(b'\n').enumerate() {
+        let reply = answer(&mut registry, line).map_err(|source| AdapterError::Line {
+            line: LineNumber::of_index(index),
             source,
         })?;
-        if line.iter().all(u8::is_ascii_whitespace) {
-            continue;
+        if let Some(reply) = reply {
+            write_reply(&mut output, &reply)?;
         }
-        let batch = wire::parse(&line).map_err(|source| AdapterError::Parse {
-            line: line_number,
-            source,
-        })?;
-        let reply = registry
-            .handle(batch)
-            .map_err(|source| AdapterError::Event {
-                line: line_number,
-                source,
-            })?;
-        write_reply(&mut output, &reply)?;
     }
     Ok(())
 }
 
-/// Writes one line and flushes it, because the simulator waits for each reply before it sends the next batch.
+/// Handles the batch of one line and returns the reply; `None` for a blank line.
+fn answer(
+    registry: &mut InstanceRegistry,
+    line: io::Result<Vec<u8>>,
+) -> Result<Option<ActionBatch>, LineError> {
+    let line = line.map_err(LineError::Read)?;
+    if line.iter().all(u8::is_ascii_whitespace) {
+        return Ok(None);
+    }
+    let batch = wire::parse(&line)?;
+    let reply = registry.handle(batch)?;
+    Ok(Some(reply))
+}
+
+/// Writes one line and flushes it, because the simulator waits for each reply before it sends the
+/// next batch.
 fn write_reply(output: &mut impl Write, reply: &ActionBatch) -> Result<(), AdapterError> {
     serde_json::to_writer(&mut *output, reply).map_err(AdapterError::Encode)?;
     output.write_all(b"\n").map_err(AdapterError::Write)?;
