--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -4,9 +4,54 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Id of the instance on the wire, and its events.
-type InstanceEvents = (u64, Vec<Value>);
+/// The events of one instance within a batch.
+#[derive(Clone)]
+struct InstanceEvents {
+    instance: u64,
+    events: Vec<Value>,
+}
+
+/// One line of input.
+struct Batch {
+    frame: u64,
+    now_ms: f64,
+    parts: Vec<InstanceEvents>,
+}
+
+impl Batch {
+    /// A batch without events.
+    fn new(frame: u64, now_ms: f64) -> Batch {
+        Batch {
+            frame,
+            now_ms,
+            parts: Vec::new(),
+        }
+    }
+
+    /// Adds the events of an instance.
+    fn with(mut self, instance: u64, events: Vec<Value>) -> Batch {
+        self.parts.push(InstanceEvents { instance, events });
+        self
+    }
+
+    /// The batch with the events of these instances only.
+    fn only_of(&self, instances: &[u64]) -> Batch {
+        let mut parts = self.parts.clone();
+        parts.retain(|part| instances.contains(&part.instance));
+        Batch { parts, ..*self }
+    }
+
+    /// The batch as the simulator sends it.
+    fn line(&self) -> String {
+        let mut parts = Vec::new();
+        for InstanceEvents { instance, events } in &self.parts {
+            parts.push(json!({"dispatcher_id": instance, "msgs": events}));
+        }
+        json!({"sim_time_ms": self.now_ms, "frame": self.frame, "parts": parts}).to_string()
+    }
+}
 
+/// Runs the adapter until it has read these lines or stops at one of them.
 fn run_adapter(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -21,8 +66,10 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn replies(lines: &[String]) -> Vec<Value> {
-    let output = run_adapter(lines);
+/// The replies to batches that are all valid.
+fn replies(batches: &[Batch]) -> Vec<Value> {
+    let lines: Vec<String> = batches.iter().map(Batch::line).collect();
+    let output = run_adapter(&lines);
     assert!(
         output.status.success(),
         "{}",
@@ -34,9 +81,10 @@
         .collect()
 }
 
-/// The error text for a line that follows a valid one.
+/// The error text for a line that follows a valid one, which starts instance 0.
 fn error_text(line: &str) -> String {
-    let output = run_adapter(&[batch(0, 1.0, &[(0, start_events())]), line.to_owned()]);
+    let start = Batch::new(0, 1.0).with(0, start_events());
+    let output = run_adapter(&[start.line(), line.to_owned()]);
     assert!(!output.status.success());
     let text = String::from_utf8(output.stderr).expect("error texts are UTF-8");
     assert!(!text.contains("panicked"), "{text}");
@@ -45,17 +93,23 @@
 }
 
 fn error_text_of_event(event: Value) -> String {
-    error_text(&batch(1, 2.0, &[(0, vec![event])]))
+    error_text(&Batch::new(1, 2.0).with(0, vec![event]).line())
 }
 
 fn settings() -> Value {
     json!({
         "allowed": {"max_attempts": 3, "may_cancel": true},
-        "classes": [{"aim_ms": 150.0, "effect": "pure", "group": "all", "name": "read", "points": 3.0}],
+        "classes": [{
+            "aim_ms": 150.0, "effect": "pure", "group": "all", "name": "read", "points": 3.0
+        }],
         "discovery": "subscribe", "group_size": 1,
         "domain": {"cold_bears": 19.0, "unit_mean": 2.0, "units_top": 6},
-        "plans": [{"name": "basic", "parts": 1.0, "pays": 1.0, "reservation": 0.9, "usual_rate": 3.0}],
-        "rules": {"cold_from": 0.2, "cold_ms": 17000.0, "fall_ms": 1000.0, "must_ask_in_ms": 10000.0},
+        "plans": [{
+            "name": "basic", "parts": 1.0, "pays": 1.0, "reservation": 0.9, "usual_rate": 3.0
+        }],
+        "rules": {
+            "cold_from": 0.2, "cold_ms": 17000.0, "fall_ms": 1000.0, "must_ask_in_ms": 10000.0
+        },
         "unheard_of": {"x": [1, 2]}
     })
 }
@@ -64,28 +118,24 @@
 fn start_events() -> Vec<Value> {
     vec![
         json!({"ENLIST": {"rng_seed": 5, "info": settings()}}),
-        json!({"TARGETS": {"kind": "SAVED", "stamp": 1, "rows_in": [
-            {"az": "a", "server": "10.0.0.1:1", "unit_group": 0, "condition": "SERVING", "weight": 1}]}}),
+        json!({"TARGETS": {"kind": "SAVED", "stamp": 1, "rows_in": [{
+            "az": "a", "server": "10.0.0.1:1", "unit_group": 0, "condition": "SERVING", "weight": 1
+        }]}}),
     ]
 }
 
 fn request_received(request: &str, deadline_ms: f64) -> Value {
-    json!({"INCOMING": {"ref": request, "qos_class": "basic", "lane": "read", "share_id": 7, "set_size": 1,
-        "due_ms": deadline_ms, "shard": 0, "cost_units": 1}})
+    json!({"INCOMING": {
+        "ref": request, "qos_class": "basic", "lane": "read", "share_id": 7, "set_size": 1,
+        "due_ms": deadline_ms, "shard": 0, "cost_units": 1
+    }})
 }
 
 fn timer_fired() -> Value {
     json!({"ELAPSED": {"ref": "wake"}})
 }
 
-fn batch(frame: u64, now_ms: f64, instances: &[InstanceEvents]) -> String {
-    let mut parts = Vec::new();
-    for (instance, events) in instances {
-        parts.push(json!({"dispatcher_id": instance, "msgs": events}));
-    }
-    json!({"sim_time_ms": now_ms, "frame": frame, "parts": parts}).to_string()
-}
-
+/// The actions of an instance in a reply.
 fn actions_of(reply: &Value, instance: u64) -> Vec<Value> {
     let parts = reply["parts"].as_array().expect("parts is a list");
     let part = parts.iter().find(|part| part["dispatcher_id"] == instance);
@@ -101,9 +151,9 @@
 #[test]
 fn a_request_is_dispatched_and_an_empty_batch_gets_an_empty_reply() {
     let replies = replies(&[
-        batch(0, 1.0, &[]),
-        batch(1, 2.0, &[(3, start_events())]),
-        batch(2, 3.25, &[(3, vec![request_received("c:a", 1203.25)])]),
+        Batch::new(0, 1.0),
+        Batch::new(1, 2.0).with(3, start_events()),
+        Batch::new(2, 3.25).with(3, vec![request_received("c:a", 1203.25)]),
     ]);
     assert_eq!(replies[0], json!({"frame": 0, "parts": []}));
     assert!(has_action(&actions_of(&replies[1], 3), "OBSERVE"));
@@ -112,6 +162,40 @@
     assert_eq!(actions_of(&replies[2], 3)[0], dispatch);
 }
 
+#[test]
+fn each_action_has_its_message() {
+    let mut start = start_events();
+    start[0]["ENLIST"]["info"]["classes"][0]["effect"] = json!("side_effect");
+    let timed_out = json!({"OUTCOME": {"ref": "c:a", "status": 408, "server": "10.0.0.1:1"}});
+    let mut without_node = request_received("c:c", 500.0);
+    without_node["INCOMING"]["shard"] = json!(9);
+    let replies = replies(&[
+        Batch::new(0, 1.0).with(0, start),
+        Batch::new(1, 2.0).with(0, vec![request_received("c:a", 900.0)]),
+        Batch::new(2, 3.0).with(0, vec![timed_out]),
+        Batch::new(3, 4.0).with(0, vec![request_received("c:b", 900.0)]),
+        Batch::new(4, 5.0).with(0, vec![json!({"VANISHED": {"ref": "c:b"}})]),
+        Batch::new(5, 6.0).with(0, vec![without_node]),
+        Batch::new(6, 400.0).with(0, vec![timer_fired()]),
+    ]);
+    let actions = |frame: usize| actions_of(&replies[frame], 0);
+    assert_eq!(actions(0)[0], json!({"OBSERVE": {"on": true}}));
+    let timer = &actions(0)[1]["DEFER"];
+    let delay_ms = timer["wait_ms"].as_f64().expect("the delay is a number");
+    assert!(delay_ms > 0.0);
+    assert_eq!(*timer, json!({"ref": "wake", "wait_ms": delay_ms}));
+    assert_eq!(actions(2), [json!({"ABORT": {"ref": "c:a"}})]);
+    let cancellation = json!({"DROP_ATTEMPT": {"ref": "c:b", "go": 0}});
+    assert_eq!(actions(4), [cancellation]);
+    let rejection = &actions(6)[0]["SHED"];
+    let retry_after_ms = rejection["retry_after_ms"].as_f64();
+    let retry_after_ms = retry_after_ms.expect("Retry-After is a number");
+    assert_eq!(
+        *rejection,
+        json!({"ref": "c:c", "retry_after_ms": retry_after_ms})
+    );
+}
+
 #[test]
 fn events_of_unknown_requests_and_nodes_cause_no_action() {
     let event_of_unknown_request = |name: &str| json!({ name: {"ref": "c:none"} });
@@ -124,8 +208,8 @@
         json!({"FROM_PEER": {"sender": 1, "content": "00"}}),
     ];
     let replies = replies(&[
-        batch(0, 1.0, &[(0, start_events())]),
-        batch(1, 2.0, &[(0, events)]),
+        Batch::new(0, 1.0).with(0, start_events()),
+        Batch::new(1, 2.0).with(0, events),
     ]);
     let only_timers = actions_of(&replies[1], 0)
         .iter()
@@ -139,9 +223,9 @@
     restart.extend(start_events());
     let late_outcome = json!({"OUTCOME": {"ref": "c:a", "status": 502, "server": "10.0.0.1:1"}});
     let replies = replies(&[
-        batch(0, 1.0, &[(0, start_events())]),
-        batch(1, 2.0, &[(0, restart)]),
-        batch(2, 950.0, &[(0, vec![timer_fired(), late_outcome])]),
+        Batch::new(0, 1.0).with(0, start_events()),
+        Batch::new(1, 2.0).with(0, restart),
+        Batch::new(2, 950.0).with(0, vec![timer_fired(), late_outcome]),
     ]);
     let after_restart = actions_of(&replies[1], 0);
     assert!(has_action(&after_restart, "OBSERVE") && !has_action(&after_restart, "FORWARD"));
@@ -149,13 +233,17 @@
     assert!(!has_action(&after_outcome, "SHED") && !has_action(&after_outcome, "FORWARD"));
 }
 
-/// The batches of 40 requests to each of two instances; the first also learns how its attempts ended.
-fn batches_of_two_instances() -> Vec<(f64, Vec<InstanceEvents>)> {
+/// The batches of 40 requests to each of two instances; the first also learns how its attempts
+/// ended.
+fn batches_of_two_instances() -> Vec<Batch> {
     let served = |request: &str| {
         json!({"OUTCOME": {"ref": request, "status": 200, "complete": true, "server": "10.0.0.1:1",
             "time_taken_ms": 18.5, "go": 0}})
     };
-    let mut batches = vec![(1.0, vec![(0, start_events()), (1, start_events())])];
+    let start = Batch::new(0, 1.0)
+        .with(0, start_events())
+        .with(1, start_events());
+    let mut batches = vec![start];
     for number in 0..40u64 {
         let now_ms = 10.0 + 20.0 * number as f64;
         let mut first = vec![request_received(&format!("c:a{number}"), now_ms + 600.0)];
@@ -166,7 +254,10 @@
             first.push(served(&format!("c:a{}", number - 1)));
         }
         let second = vec![request_received(&format!("c:b{number}"), now_ms + 600.0)];
-        batches.push((now_ms, vec![(0, first), (1, second)]));
+        let batch = Batch::new(number + 1, now_ms)
+            .with(0, first)
+            .with(1, second);
+        batches.push(batch);
     }
     batches
 }
@@ -174,18 +265,16 @@
 #[test]
 fn instances_act_the_same_in_one_process_and_in_separate_ones() {
     let batches = batches_of_two_instances();
-    let lines_for = |instances: &[u64]| -> Vec<String> {
-        let mut lines = Vec::new();
-        for (frame, (now_ms, parts)) in batches.iter().enumerate() {
-            let mut parts = parts.clone();
-            parts.retain(|(instance, _)| instances.contains(instance));
-            lines.push(batch(frame as u64, *now_ms, &parts));
-        }
-        lines
+    let replies_for = |instances: &[u64]| {
+        let batches: Vec<Batch> = batches
+            .iter()
+            .map(|batch| batch.only_of(instances))
+            .collect();
+        replies(&batches)
     };
-    let together = replies(&lines_for(&[0, 1]));
-    let first_alone = replies(&lines_for(&[0]));
-    let second_alone = replies(&lines_for(&[1]));
+    let together = replies_for(&[0, 1]);
+    let first_alone = replies_for(&[0]);
+    let second_alone = replies_for(&[1]);
     for frame in 0..batches.len() {
         assert_eq!(
             actions_of(&together[frame], 0),
@@ -212,8 +301,8 @@
     assert!(error_text_of_event(unknown_class).contains("lane"));
     let unknown_status = json!({"OUTCOME": {"ref": "c:a", "status": 299, "server": "10.0.0.1:1"}});
     assert!(error_text_of_event(unknown_status).contains("299"));
-    let not_started = batch(1, 2.0, &[(7, vec![request_received("c:a", 5.0)])]);
-    assert!(error_text(&not_started).contains("ENLIST"));
+    let not_started = Batch::new(1, 2.0).with(7, vec![request_received("c:a", 5.0)]);
+    assert!(error_text(&not_started.line()).contains("ENLIST"));
 }
 
 #[test]
@@ -247,10 +336,10 @@
             format!("simulator-adapter: line 2: {cause}\n")
         );
     }
-    let not_started = batch(1, 2.0, &[(7, vec![timer_fired()])]);
+    let not_started = Batch::new(1, 2.0).with(7, vec![timer_fired()]);
     let expected = "simulator-adapter: line 2: dispatcher_id 7: event before ENLIST\n";
-    assert_eq!(error_text(&not_started), expected);
-    let trailing = batch(1, 2.0, &[]) + "{}";
+    assert_eq!(error_text(&not_started.line()), expected);
+    let trailing = Batch::new(1, 2.0).line() + "{}";
     assert!(
         error_text(&trailing).starts_with("simulator-adapter: line 2: after the batch: trailing")
     );
