--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -12,11 +12,11 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(from = "String")]
 pub enum IdempotencySetting {
-    /// It may.
+    /// It may: running it again has no further effect.
     Idempotent,
-    /// It may where nodes recognize its idempotency key.
+    /// It may where nodes recognize its idempotency key and drop the duplicate.
     WithKey,
-    /// It may not, as it would take effect twice.
+    /// It may not: it would take effect twice.
     NonIdempotent,
     /// Any other word.
     Unknown(String),
--- a/crates/settings/tests/conversion.rs
+++ b/crates/settings/tests/conversion.rs
@@ -1,4 +1,4 @@
-//! Every key of the settings object reaches the right setting of the decision module.
+//! Every key of the settings object reaches the right setting of the scheduler.
 
 use deployment_settings::{micros, DeploymentSettings, UnknownValue};
 use io_scheduler::{DeduplicationScope, Idempotency, Micros, Settings};
--- a/crates/simulator-adapter/src/registry.rs
+++ b/crates/simulator-adapter/src/registry.rs
@@ -2,7 +2,8 @@
 
 use crate::instance::Instance;
 use crate::wire::{
-    ActionBatch, ActionMessage, EventBatch, EventError, EventMessage, InstanceActions, InstanceId,
+    ActionBatch, ActionMessage, EventBatch, EventError, EventMessage, InstanceActions,
+    InstanceEvents, InstanceId,
 };
 use deployment_settings::micros;
 use io_scheduler::{Event, Micros};
@@ -26,14 +27,11 @@
             number: batch.number,
             instances: Vec::new(),
         };
-        for part in batch.instances {
-            let events = self.decode_events(part.instance, part.events, now)?;
-            let actions = self.run_instance(part.instance, &events, now);
+        for InstanceEvents { instance, events } in batch.instances {
+            let events = self.decode_events(instance, events, now)?;
+            let actions = self.run_instance(instance, &events, now);
             if !actions.is_empty() {
-                reply.instances.push(InstanceActions {
-                    instance: part.instance,
-                    actions,
-                });
+                reply.instances.push(InstanceActions { instance, actions });
             }
         }
         Ok(reply)
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -4,8 +4,8 @@
 //! and `serde(rename)` states their spelling on the wire. Numbers that stand for something else,
 //! such as a negative shard for a new object, are interpreted here as well.
 //!
-//! serde's error texts contain the names of the types and variants, and the number of fields. They
-//! are part of the program's output, so they change with a rename here.
+//! serde's error texts contain the names of these types and variants and their number of fields.
+//! They are output of the program, which a rename here changes.
 
 mod actions;
 mod attempt;
@@ -20,7 +20,7 @@
 pub use attempt::AttemptOutcomeMessage;
 pub use endpoint_list::{EndpointListKind, EndpointRow};
 pub use error::{EventError, ParseError};
-pub use events::{EventBatch, EventMessage};
+pub use events::{EventBatch, EventMessage, InstanceEvents};
 pub use ids::{
     BatchNumber, ClassName, InstanceId, NodeName, PlanName, RequestName, TimerName, ZoneName,
 };
