--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -5,7 +5,7 @@
 use super::state::Dispatcher;
 use crate::storage_request::{AttemptId, AttemptResult, Response};
 use crate::timer_queue::{DispatcherTimer, TimerQueue};
-use io_scheduler::{CompletedAttempt, Event, Micros, NodeId, Outcome, RequestId};
+use io_scheduler::{CompletedAttempt, Event, Micros, NodeId, Outcome, RequestId, Units};
 use std::sync::Arc;
 
 impl Dispatcher {
@@ -98,7 +98,7 @@
             outcome: result.outcome,
             request_closed: !self.awaits_response(id.request),
             elapsed: now - attempt.dispatched_at,
-            remote_units: result.remote_units,
+            remote_units: Units(result.remote_units),
             utilization: result.utilization,
         }));
     }
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -8,7 +8,7 @@
 use crate::memory_budget::OVERLOADED_RETRY_AFTER;
 use crate::storage_request::{InvalidRequest, ReplySlot, Response, StorageRequest};
 use crate::timer_queue::{DispatcherTimer, TimerQueue};
-use io_scheduler::{Event, Micros, Request, RequestId};
+use io_scheduler::{Event, Micros, Request, RequestId, Units};
 
 /// Time reserved for the final response to reach the client before the client's timeout, in
 /// microseconds; at most a quarter of that timeout.
@@ -94,7 +94,7 @@
         class: request.class.0,
         key: Some(request.object),
         shard: request.shard,
-        units: request.units,
+        units: Units(request.units),
         hosts: request.hosts,
         deadline,
     }
--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -18,7 +18,8 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// Time in microseconds after which the client should retry (Retry-After); 0 for none given.
+        /// Time in microseconds after which the client should retry (Retry-After); 0 for none
+        /// given.
         retry_after: Micros,
     },
     /// Final response: failed; the request may have been executed.
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -1,6 +1,6 @@
 //! Events: what the caller reports to the scheduler.
 
-use super::{Micros, NodeId, ObjectKey, RequestId, Shard, VolumeId, Zone};
+use super::{Micros, NodeId, ObjectKey, RequestId, Shard, Units, VolumeId, Zone};
 
 /// State of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,8 +58,8 @@
     pub key: Option<ObjectKey>,
     /// The shard that holds the object; `None` for a new object, which may be placed on any node.
     pub shard: Option<Shard>,
-    /// Its size in units.
-    pub units: f64,
+    /// Its size.
+    pub units: Units,
     /// Number of hosts that receive the volume's requests.
     pub hosts: f64,
     /// When the client stops waiting.
@@ -102,11 +102,11 @@
     pub request_closed: bool,
     /// Time since its dispatch, in microseconds.
     pub elapsed: Micros,
-    /// Units that the node served for the volume through other hosts since its last response; 0 if not
+    /// Service that the node gave the volume through other hosts since its last response; 0 if not
     /// reported.
-    pub remote_units: f64,
-    /// Usage report, if there is one: the volume's service at all nodes in a past period, as a fraction of
-    /// its provisioned rate.
+    pub remote_units: Units,
+    /// Usage report, if there is one: the volume's service at all nodes in a past period, as a
+    /// fraction of its provisioned rate.
     pub utilization: Option<f64>,
 }
 
--- a/crates/scheduler/src/api/mod.rs
+++ b/crates/scheduler/src/api/mod.rs
@@ -3,14 +3,14 @@
 mod actions;
 mod events;
 mod settings;
+mod units;
 
 pub use actions::*;
 pub use events::*;
 pub use settings::*;
+pub use units::*;
 
-/// A point in time or a span of time, in microseconds of the caller's clock.
-pub type Micros = i64;
-
+/// Defines the types of ids: numbers that cannot be mistaken for each other.
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident),*) => {$(
         $(#[$doc])*
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the deployment, fixed at start-up.
 
-use super::Micros;
+use super::{Micros, Units, UnitsPerSecond};
 
 /// Whether a request that may have been executed can safely be executed again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -8,7 +8,7 @@
     /// Executing it again is safe.
     Idempotent,
     /// It carries an idempotency key: the nodes of a scope drop duplicates for some time.
-    Keyed {
+    WithKey {
         /// The nodes that recognize duplicates of each other's requests.
         scope: DeduplicationScope,
         /// Time after the first dispatch for which they do, in microseconds.
@@ -18,7 +18,7 @@
     NonIdempotent,
 }
 
-/// Nodes that share the record of keyed requests by which duplicates are dropped.
+/// Nodes that share the record of idempotency keys by which duplicates are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every node.
@@ -42,20 +42,19 @@
     pub ordered: bool,
 }
 
-/// Reservation, weight, limit and provisioned rate of a volume; rates are in units a second over all hosts
-/// and nodes.
+/// Reservation, weight, limit and provisioned rate of a volume; rates are over all hosts and nodes.
 #[derive(Clone, Debug, Default)]
 pub struct VolumePlan {
     /// Reserved rate; 0 where there is none.
-    pub reservation: f64,
+    pub reservation: UnitsPerSecond,
     /// dmClock weight: the volume's share of the capacity that remains after the reservations.
     pub weight: f64,
     /// Maximum rate; 0 where there is none.
-    pub limit: f64,
-    /// Capacity of the limit's token bucket, in units.
-    pub burst_capacity: f64,
+    pub limit: UnitsPerSecond,
+    /// Capacity of the limit's token bucket.
+    pub burst_capacity: Units,
     /// Provisioned rate.
-    pub provisioned_rate: f64,
+    pub provisioned_rate: UnitsPerSecond,
 }
 
 /// Limit on retries within a sliding window: `allowance` plus `ratio` times the requests received.
@@ -80,8 +79,8 @@
     pub window: Micros,
     /// Burst that a node can take within a window, as a multiple of its capacity at that time.
     pub burst_factor: f64,
-    /// Units that a node can take within a window at its start, from all hosts together.
-    pub units: f64,
+    /// Service that a node can take within a window at its start, from all hosts together.
+    pub units: Units,
 }
 
 /// Settings of the deployment, fixed at start-up.
@@ -97,27 +96,29 @@
     pub max_attempts: u32,
     /// Whether attempts in flight may be cancelled.
     pub cancellation_allowed: bool,
-    /// Number of hosts that poll the same discovery service, this one included; 0 where the endpoint list is
-    /// delivered without polls.
+    /// Number of hosts that poll the same discovery service, this one included; 0 where the
+    /// endpoint list is delivered without polls.
     pub discovery_clients: u32,
-    /// Maximum time between two polls of the list without a watch, in microseconds; 0 for no maximum.
+    /// Maximum time between two polls of the list without a watch, in microseconds; 0 for no
+    /// maximum.
     pub max_poll_interval: Micros,
     /// Capacity of nodes that warm up.
     pub slow_start: SlowStart,
-    /// Time in microseconds for which no request of a key is dispatched after an attempt of that key ended
-    /// while it may still be executing.
+    /// Time in microseconds for which no request of a key is dispatched after an attempt of that
+    /// key ended while it may still be executing.
     pub quiesce_period: Micros,
     /// Limit on retries, if there is one.
     pub retry_budget: Option<RetryBudget>,
-    /// Mean size of a request, in units.
-    pub mean_units: f64,
-    /// Largest size of a request, in units.
-    pub max_units: f64,
+    /// Mean size of a request.
+    pub mean_units: Units,
+    /// Largest size of a request.
+    pub max_units: Units,
     /// Period of usage reports, in microseconds; 0 where responses carry none.
     pub usage_report_period: Micros,
     /// Whether responses report the units that the node served for the volume through other hosts.
     pub reports_remote_units: bool,
-    /// Fraction of the value of units within the volume's provisioned rate, but beyond its reservation.
+    /// Fraction of the value of units within the volume's provisioned rate, but beyond its
+    /// reservation.
     pub within_share_value: f64,
     /// Fraction of the value of units beyond the volume's provisioned rate.
     pub surplus_value: f64,
--- a/crates/scheduler/src/state/deadline_queue.rs
+++ b/crates/scheduler/src/collections/deadline_queue.rs
@@ -5,12 +5,15 @@
 
 /// Entries in the order of their deadlines, and by `Ord` within one deadline.
 pub struct DeadlineQueue<T> {
+    /// The entries with their deadlines.
     entries: BTreeSet<(Micros, T)>,
 }
 
 impl<T> Default for DeadlineQueue<T> {
     fn default() -> Self {
-        DeadlineQueue { entries: BTreeSet::new() }
+        DeadlineQueue {
+            entries: BTreeSet::new(),
+        }
     }
 }
 
@@ -27,7 +30,10 @@
 
     /// Removes and returns the entry of the earliest deadline, if that has passed.
     pub fn pop_expired(&mut self, now: Micros) -> Option<T> {
-        self.next_deadline().filter(|deadline| *deadline <= now)?;
+        let (deadline, _) = self.entries.first()?;
+        if *deadline > now {
+            return None;
+        }
         self.entries.pop_first().map(|(_, entry)| entry)
     }
 
--- /dev/null
+++ b/crates/scheduler/src/collections/mod.rs
@@ -0,0 +1,9 @@
+//! Containers without any rule of the scheduler.
+
+mod deadline_queue;
+mod moving_fraction;
+mod sliding_window;
+
+pub use deadline_queue::DeadlineQueue;
+pub use moving_fraction::MovingFraction;
+pub use sliding_window::SlidingWindow;
--- a/crates/scheduler/src/state/sliding_window.rs
+++ b/crates/scheduler/src/collections/sliding_window.rs
@@ -3,16 +3,22 @@
 use crate::api::Micros;
 use std::collections::VecDeque;
 
-/// Values in the order of their times; those that are too old are dropped when a new one is recorded.
+/// Values in the order of their times; those that are too old are dropped when a new one is
+/// recorded.
 #[derive(Default)]
 pub struct SlidingWindow<T> {
+    /// Values with their times, oldest first.
     entries: VecDeque<(Micros, T)>,
 }
 
 impl<T> SlidingWindow<T> {
     /// Adds a value and drops those that are older than `window`.
     pub fn record(&mut self, value: T, window: Micros, now: Micros) {
-        while self.entries.front().is_some_and(|(at, _)| now - at > window) {
+        while self
+            .entries
+            .front()
+            .is_some_and(|(at, _)| now - at > window)
+        {
             self.entries.pop_front();
         }
         self.entries.push_back((now, value));
@@ -20,6 +26,9 @@
 
     /// The values that are no older than `window`.
     pub fn within(&self, window: Micros, now: Micros) -> impl Iterator<Item = &T> {
-        self.entries.iter().filter(move |(at, _)| now - at <= window).map(|(_, value)| value)
+        self.entries
+            .iter()
+            .filter(move |(at, _)| now - at <= window)
+            .map(|(_, value)| value)
     }
 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,24 +1,40 @@
-//! The loop of events and the timers; the decisions are in the modules below. Its interface is `src/api`.
+//! The order of work for a batch of events.
+//!
+//! [`Scheduler`] joins the owners of the state, each of which keeps a rule of its own; its
+//! submodules pass events to them and carry out what they decide:
+//!
+//! - `intake`: a request is registered and queued;
+//! - `dispatch`: attempts are started, as far as `admission` allows;
+//! - `completion`: attempts end, and each request gets its one final response;
+//! - `wakeup`: when the scheduler has to be called without an event;
+//! - `cleanup`: when state is forgotten.
+//!
+//! The interface is in `src/api`.
 
 mod admission;
+mod cleanup;
 mod completion;
 mod dispatch;
-mod endpoints;
-mod ordering;
-mod retry;
+mod intake;
+mod wakeup;
 
-use crate::api::{Action, Event, Micros, Request, Settings, Shard, StateSizes};
-use crate::hash::scatter;
-use crate::node_health::{relative_latency, MAX_IN_FLIGHT};
-use crate::state::{PendingRequest, Position, RepeatKey, Seconds, State, Volume};
-use crate::volumes::VOLUME_RETENTION;
-use std::collections::BTreeSet;
-
-/// Interval at which requests that wait for a tag, a token bucket or a budget are checked again.
-const RECHECK_INTERVAL: Micros = 4_000;
+use crate::api::{
+    Action, Endpoint, EndpointListEvent, Event, Micros, RequestId, Settings, StateSizes,
+};
+use crate::dmclock::ShardQueues;
+use crate::endpoints::{EndpointPolling, NodeTable};
+use crate::request::key_ordering::KeySequences;
+use crate::request::latency_objective::LatencyObjectives;
+use crate::request::shedding::RejectionTimes;
+use crate::request::PendingRequest;
+use crate::retry::retry_budget::RetryBudgetUsage;
+use crate::time::Seconds;
+use crate::volume::VolumeTable;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// The scheduler of one host: takes events in order and returns actions to be carried out in order.
 pub struct Scheduler {
+    /// Settings of the deployment.
     settings: Settings,
     /// Input of the hashes that stand in for random numbers; differs from host to host.
     seed: u64,
@@ -28,16 +44,35 @@
     now: Micros,
     /// Actions for the events that are being handled.
     actions: Vec<Action>,
-    state: State,
-    /// When the next call of the discovery service is due.
-    next_poll_at: Option<Micros>,
+    /// The nodes and which of them holds each shard.
+    nodes: NodeTable,
+    /// The requests that wait, by shard.
+    queues: ShardQueues,
+    /// What each volume may use and has used.
+    volumes: VolumeTable,
+    /// Requests that are open or have attempts in flight.
+    requests: BTreeMap<RequestId, PendingRequest>,
+    /// Open requests that name no shard and for which there is no node at present.
+    unroutable: BTreeSet<RequestId>,
+    /// When open requests are shed.
+    rejections: RejectionTimes,
+    /// Latency objectives for requests that clients send again.
+    objectives: LatencyObjectives,
+    /// The order of requests of one key.
+    sequences: KeySequences,
+    /// How many retries may be dispatched.
+    retry_budget: RetryBudgetUsage,
+    /// When to poll for the endpoint list.
+    polling: EndpointPolling,
     /// The earliest timer requested that has not fired yet.
     timer_at: Option<Micros>,
+    /// When idle state was last looked for.
     last_cleanup_at: Micros,
 }
 
 impl Scheduler {
-    /// A scheduler that starts at `now`; `seed` replaces random numbers and should differ between hosts.
+    /// A scheduler that starts at `now`; `seed` replaces random numbers and should differ between
+    /// hosts.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Scheduler {
@@ -45,8 +80,16 @@
             started_at: now,
             now,
             actions: Vec::new(),
-            state: State::default(),
-            next_poll_at: endpoints::poll_at(&settings, now, scatter(seed), endpoints::MAX_JITTER),
+            nodes: NodeTable::default(),
+            queues: ShardQueues::default(),
+            volumes: VolumeTable::default(),
+            requests: BTreeMap::new(),
+            unroutable: BTreeSet::new(),
+            rejections: RejectionTimes::default(),
+            objectives: LatencyObjectives::default(),
+            sequences: KeySequences::default(),
+            retry_budget: RetryBudgetUsage::new(settings.retry_budget.clone()),
+            polling: EndpointPolling::new(&settings, seed, now),
             timer_at: None,
             last_cleanup_at: now,
             settings,
@@ -56,115 +99,68 @@
     /// The number of nodes, volumes and shards in the state.
     #[must_use]
     pub fn state_sizes(&self) -> StateSizes {
-        let State { nodes, volumes, queues, .. } = &self.state;
-        StateSizes { nodes: nodes.len(), volumes: volumes.len(), shards: queues.len() }
+        StateSizes {
+            nodes: self.nodes.len(),
+            volumes: self.volumes.len(),
+            shards: self.queues.len(),
+        }
     }
 
     /// Handles all events that occurred at `now`, then appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         for event in events {
-            match event {
-                Event::EndpointList(event, endpoints) => self.on_endpoint_list(*event, endpoints),
-                Event::RequestReceived(request) => self.on_request(request),
-                Event::ResponseStarted(id) => self.close_unserved(*id),
-                Event::ClientDisconnected(id) => self.on_client_disconnected(*id),
-                Event::AttemptCompleted(completed) => self.on_attempt_completed(completed),
-                Event::TimerFired => {}
-            }
+            self.handle_event(event);
         }
         self.reject_expired();
         self.dispatch_pending();
         self.poll_if_due();
-        self.remove_idle();
+        self.clean_up();
         self.set_timer();
         actions.append(&mut self.actions);
     }
 
-    /// Registers a request with its volume and queues it, unless an earlier one of its key has to run first.
-    fn on_request(&mut self, request: &Request) {
-        let known_shard = request.shard.filter(|shard| self.state.node_of(*shard).is_some());
-        let Some(class) = self.settings.classes.get(request.class) else { return };
-        let Some(plan) = self.settings.plans.get(request.plan) else { return };
-        let new_volume = || Volume::new(plan, &self.settings, self.started_at);
-        let volume = self.state.volumes.entry(request.volume).or_insert_with(new_volume);
-        volume.record_request(plan, request.hosts, self.now);
-        volume.shards.extend(known_shard);
-        if let Some(budget) = &self.settings.retry_budget {
-            self.state.recent_requests.record((), budget.window, self.now);
-        }
-        // A client's retry keeps the first objective: with a new one it would compete as timely work again.
-        let first_objective = RepeatKey::of(request).and_then(|key| self.state.objectives.remove(&key));
-        let objective_at = first_objective.unwrap_or(self.now + class.latency_objective);
-        // The client does not wait longer than its deadline, so a later objective is moved up to it.
-        let objective_at = objective_at.min(request.deadline);
-        let reject_at = self.now + (request.deadline - self.now).max(0) / 2;
-        let relative_latency = relative_latency(request.units, &self.settings);
-        let pending = PendingRequest::new(request, class, relative_latency, objective_at, reject_at);
-        let key = pending.ordering_key();
-        self.state.rejections.insert(reject_at, request.id);
-        self.state.requests.insert(request.id, pending);
-        if key.is_none_or(|key| self.join_sequence(key, request.id)) {
-            self.enqueue(request.id, Position::ByPriority);
+    /// Passes one event to the rules that it concerns.
+    fn handle_event(&mut self, event: &Event) {
+        match event {
+            Event::EndpointList(event, endpoints) => self.on_endpoint_list(*event, endpoints),
+            Event::RequestReceived(request) => self.on_request(request),
+            Event::ResponseStarted(id) => self.close_unserved(*id),
+            Event::ClientDisconnected(id) => self.on_client_disconnected(*id),
+            Event::AttemptCompleted(completed) => self.on_attempt_completed(completed),
+            Event::TimerFired => {}
         }
     }
 
-    /// Queues requests whose quiesce period is over or whose node is back, then dispatches from the queues.
-    fn dispatch_pending(&mut self) {
-        while let Some(key) = self.state.quiescing.pop_expired(self.now) {
-            self.run_first(key);
-        }
-        for id in std::mem::take(&mut self.state.unroutable) {
-            self.enqueue(id, Position::ByPriority);
-        }
-        for shard in Vec::from_iter(self.state.backlogged.iter().copied()) {
-            self.dispatch_from(shard);
-            if self.state.queues[&shard].is_empty() {
-                self.state.backlogged.remove(&shard);
+    /// Applies an endpoint list, or schedules the next poll if there is none.
+    fn on_endpoint_list(&mut self, event: EndpointListEvent, endpoints: &[Endpoint]) {
+        match event {
+            EndpointListEvent::PollFailed => {
+                self.polling.record_failed_poll(self.now);
+                return;
             }
+            EndpointListEvent::WatchLost => {
+                self.polling.record_lost_watch(self.now);
+                return;
+            }
+            EndpointListEvent::Snapshot | EndpointListEvent::Delta => self.polling.record_update(),
+            EndpointListEvent::Cached => {}
         }
-    }
-
-    /// Removes idle volumes with their flows, and shards without a node, a flow or a queued request.
-    fn remove_idle(&mut self) {
-        if self.now - self.last_cleanup_at < VOLUME_RETENTION / 8 {
-            return;
-        }
-        self.last_cleanup_at = self.now;
-        let State { requests, volumes, queues, backlogged, .. } = &mut self.state;
-        let in_use: BTreeSet<_> = requests.values().map(|pending| pending.request.volume).collect();
-        volumes.retain(|id, volume| in_use.contains(id) || !volume.is_removable(self.now));
-        for queue in queues.values_mut() {
-            queue.flows.retain(|id, flow| !flow.queue.is_empty() || volumes.contains_key(id));
+        self.nodes.apply(event, endpoints);
+        for endpoint in endpoints {
+            self.queues.add(endpoint.shard);
         }
-        queues.retain(|shard, queue| !queue.is_unused() || backlogged.contains(shard));
     }
 
-    /// Requests a timer for the next time at which a decision may change without an event.
-    fn set_timer(&mut self) {
-        self.timer_at = self.timer_at.filter(|at| *at > self.now);
-        let recheck = self.state.backlogged.iter().filter_map(|shard| self.recheck_at(*shard)).min();
-        let unroutable = (!self.state.unroutable.is_empty()).then_some(self.now + RECHECK_INTERVAL);
-        let deadlines = [self.state.rejections.next_deadline(), self.state.quiescing.next_deadline()];
-        let others = [recheck, unroutable, self.next_poll_at];
-        let Some(at) = deadlines.into_iter().chain(others).flatten().min() else { return };
-        if self.timer_at.is_none_or(|timer_at| at < timer_at) {
-            self.timer_at = Some(at);
-            self.actions.push(Action::SetTimer(at));
+    /// Opens a watch of the endpoint list if a poll is due.
+    fn poll_if_due(&mut self) {
+        if self.polling.take_due(self.now) {
+            self.actions.push(Action::OpenWatch);
         }
     }
 
-    /// When to check a queue again; `None` where only a completed attempt can let a request be dispatched.
-    fn recheck_at(&self, shard: Shard) -> Option<Micros> {
-        let queue = &self.state.queues[&shard];
-        let node = self.state.node_of(shard).filter(|node| node.in_flight < MAX_IN_FLIGHT)?;
-        let may_dispatch_late = node.health.is_idle(node.in_flight) && !queue.late.is_empty();
-        (queue.has_timely() || may_dispatch_late)
-            .then_some(node.health.paused_until.max(self.now + RECHECK_INTERVAL))
-    }
-
-    /// The current time on the tags' time axis.
-    fn now_seconds(&self) -> Seconds {
-        (self.now - self.started_at) as f64 / 1e6
+    /// The current time on the tags' axis.
+    fn tag_time(&self) -> Seconds {
+        Seconds::between(self.started_at, self.now)
     }
 }
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -1,26 +1,35 @@
-//! Completed attempts, and the single final response of each request.
+//! Attempts end, and each request gets its one final response.
+//!
+//! What can end a request: an attempt that is served or whose response has started, an attempt that
+//! fails and may not be retried, the time at which it is shed, and its client's disconnect. All of
+//! them go through `close`.
 
-use super::{retry::client_may_retry, Scheduler};
-use crate::api::{Action, CompletedAttempt, Micros, Outcome, RequestId};
-use crate::state::{Attempt, RepeatKey};
+use super::Scheduler;
+use crate::api::{Action, CompletedAttempt, Micros, NodeId, Outcome, RequestId, Units};
+use crate::dmclock::Position;
+use crate::node::Measurement;
+use crate::request::{Attempt, PendingRequest};
+use crate::retry::idempotency::{client_may_retry, may_be_executing, may_have_executed};
+use crate::retry::retry_after::retry_after;
 
-/// A request that a client sends again is recognized for this long after the first latency objective.
-const REPEAT_WINDOW: Micros = 1_000_000;
+/// Age of the last usage report, in periods of these reports, above which the next one is ignored.
+const MAX_REPORT_AGE: Micros = 2;
 
 impl Scheduler {
     /// Records how an attempt ended, then closes, retries or rejects its request.
     pub(super) fn on_attempt_completed(&mut self, completed: &CompletedAttempt) {
-        let (id, outcome) = (completed.request, completed.outcome);
-        let Some(pending) = self.state.requests.get_mut(&id) else { return };
-        let Some(attempt) = pending.take_attempt(completed.number) else { return };
-        if !matches!(outcome, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotDispatched) {
-            pending.first_executed.get_or_insert(attempt);
-        }
-        let needs_attempt = pending.open && pending.in_flight.is_empty();
-        let may_be_executing = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        let sequence = pending.request.key.and_then(|key| self.state.sequences.get_mut(&key));
-        if let Some(sequence) = sequence.filter(|_| may_be_executing) {
-            sequence.quiesced_until = sequence.quiesced_until.max(self.now + self.settings.quiesce_period);
+        let id = completed.request;
+        let outcome = completed.outcome;
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let executed = may_have_executed(outcome);
+        let Some(attempt) = pending.complete_attempt(completed.number, executed) else {
+            return;
+        };
+        let needs_attempt = pending.needs_attempt();
+        if may_be_executing(outcome) {
+            self.quiesce_key(id);
         }
         self.record_attempt(attempt, completed);
         if outcome == Outcome::Served {
@@ -34,90 +43,172 @@
         }
     }
 
-    /// Updates the usage of the volume and the health of the node after an attempt.
+    /// Starts the quiesce period of a request's key.
+    fn quiesce_key(&mut self, id: RequestId) {
+        let key = self.requests[&id].request().key;
+        if let Some(key) = key {
+            let until = self.now + self.settings.quiesce_period;
+            self.sequences.quiesce(key, until);
+        }
+    }
+
+    /// Updates the usage of the volume, the node and the flow after an attempt.
     fn record_attempt(&mut self, attempt: Attempt, completed: &CompletedAttempt) {
-        let Some(pending) = self.state.requests.get(&completed.request) else { return };
-        let request = &pending.request;
+        let pending = &self.requests[&completed.request];
+        let request = pending.request();
         let is_served = completed.outcome == Outcome::Served;
-        let served_units = if is_served { request.units } else { 0.0 };
-        if let Some(volume) = self.state.volumes.get_mut(&request.volume) {
-            volume.record_usage(served_units, completed, 2 * self.settings.usage_report_period, self.now);
+        if let Some(volume) = self.volumes.get_mut(request.volume) {
+            let served = if is_served {
+                request.units
+            } else {
+                Units::ZERO
+            };
+            let max_report_age = MAX_REPORT_AGE * self.settings.usage_report_period;
+            volume.record_usage(served, completed, max_report_age, self.now);
         }
-        let Some(node) = self.state.nodes.get_mut(&attempt.node) else { return };
-        node.remove_attempt(request.units);
-        node.health.record(pending, completed, self.now);
-        node.health.adjust_limit(attempt, completed, pending.class.latency_objective, self.now);
-        let queue = self.state.queues.get_mut(&node.endpoint.shard).filter(|_| !is_served);
-        if let Some(flow) = queue.and_then(|queue| queue.flows.get_mut(&request.volume)) {
-            flow.counted_units -= request.units;
+        let Some(node) = self.nodes.get_mut(attempt.node) else {
+            return;
+        };
+        let measurement = measurement(pending, attempt, completed);
+        node.complete_attempt(request.units, &measurement, self.now);
+        if is_served {
+            return;
+        }
+        if let Some(queue) = self.queues.get_mut(node.endpoint().shard) {
+            queue.uncount(request.volume, request.units);
+        }
+    }
+
+    /// Queues a request for another attempt if that is allowed and safe, else gives it its final
+    /// response.
+    fn retry_or_reject(&mut self, id: RequestId, failed_at: NodeId, outcome: Outcome) {
+        let pending = &self.requests[&id];
+        let retry = self.retry_eligibility();
+        if retry.may_queue_again(pending, failed_at, outcome) {
+            self.enqueue(id, Position::Front);
+        } else {
+            self.reject(id);
         }
     }
 
-    /// Rejects requests that were not dispatched within half of their time to the deadline, so that their
-    /// clients have time to retry. One that a node may have executed is kept until its deadline.
+    /// Rejects requests that have waited too long.
     pub(super) fn reject_expired(&mut self) {
-        while let Some(id) = self.state.rejections.pop_expired(self.now) {
-            let Some(pending) = self.state.requests.get_mut(&id) else { continue };
-            let deadline = pending.request.deadline;
-            if pending.may_have_executed() && pending.reject_at < deadline {
-                pending.reject_at = deadline;
-                self.state.rejections.insert(deadline, id);
-            } else {
+        while let Some(id) = self.rejections.pop_expired(self.now) {
+            let Some(pending) = self.requests.get_mut(&id) else {
+                continue;
+            };
+            if !self.rejections.postpone(pending) {
                 self.reject(id);
             }
         }
     }
 
-    /// Gives an open request its final response: a rejection if the client may safely retry, else a failure.
-    pub(super) fn reject(&mut self, id: RequestId) {
-        let Some(pending) = self.state.requests.get(&id).filter(|pending| pending.open) else { return };
-        self.actions.push(if client_may_retry(pending) {
-            Action::Reject { request: id, retry_after: self.retry_after(pending) }
+    /// Gives an open request its final response: a rejection if the client may safely retry, else a
+    /// failure.
+    fn reject(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get(&id) else {
+            return;
+        };
+        if !pending.is_open() {
+            return;
+        }
+        let action = if client_may_retry(pending) {
+            let node = pending
+                .request()
+                .shard
+                .and_then(|shard| self.nodes.node_of(shard));
+            let retry_after = retry_after(node, self.now);
+            Action::Reject {
+                request: id,
+                retry_after,
+            }
         } else {
             Action::Fail(id)
-        });
+        };
+        self.actions.push(action);
         self.close_unserved(id);
     }
 
     /// Cancels the attempts of a request whose client is gone, if allowed, and closes the request.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
-        if let Some(pending) = self.state.requests.get(&id).filter(|_| self.settings.cancellation_allowed) {
-            let numbers = pending.in_flight.iter().map(|attempt| attempt.number);
-            self.actions.extend(numbers.map(|attempt| Action::Cancel { request: id, attempt }));
+        if self.settings.cancellation_allowed {
+            self.cancel_attempts(id);
         }
         self.close_unserved(id);
     }
 
-    /// Closes a request before any attempt was served; keeps its objective in case the client sends it again.
+    /// Requests the cancellation of all attempts in flight.
+    fn cancel_attempts(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get(&id) else {
+            return;
+        };
+        for attempt in pending.in_flight() {
+            self.actions.push(Action::Cancel {
+                request: id,
+                attempt: attempt.number,
+            });
+        }
+    }
+
+    /// Closes a request before any attempt was served; keeps its objective in case the client sends
+    /// it again.
     pub(super) fn close_unserved(&mut self, id: RequestId) {
-        let pending = self.state.requests.get(&id).filter(|pending| pending.open);
-        let key = pending.and_then(|pending| RepeatKey::of(&pending.request));
-        if let (Some(pending), Some(key)) = (pending, key) {
-            self.state.objectives.retain(|_, objective_at| *objective_at > self.now - REPEAT_WINDOW);
-            self.state.objectives.insert(key, pending.objective_at);
+        let Some(pending) = self.requests.get(&id) else {
+            return;
+        };
+        if pending.is_open() {
+            self.objectives.keep(pending, self.now);
         }
         self.close(id);
     }
 
     /// Closes a request, if it is open, and removes it from its queue without service.
     fn close(&mut self, id: RequestId) {
-        self.state.unroutable.remove(&id);
-        let Some(pending) = self.state.requests.get_mut(&id) else { return };
-        if let Some(queue) = pending.queued_at.take().and_then(|shard| self.state.queues.get_mut(&shard)) {
-            queue.remove(&pending.request, &self.state.volumes[&pending.request.volume]);
+        self.unroutable.remove(&id);
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let queue = pending
+            .dequeue()
+            .and_then(|shard| self.queues.get_mut(shard));
+        if let Some(queue) = queue {
+            let request = pending.request();
+            queue.remove(request, &self.volumes[request.volume]);
         }
-        pending.open = false;
-        self.state.rejections.remove(pending.reject_at, id);
+        pending.close();
+        self.rejections.remove(pending);
         self.remove_if_over(id);
     }
 
-    /// Removes a request that is closed and has no attempt in flight; the next one of its key may then run.
+    /// Removes a request that is closed and has no attempt in flight; the next one of its key may
+    /// then run.
     fn remove_if_over(&mut self, id: RequestId) {
-        let Some(pending) = self.state.requests.get(&id).filter(|pending| pending.is_over()) else { return };
+        let Some(pending) = self.requests.get(&id) else {
+            return;
+        };
+        if !pending.is_over() {
+            return;
+        }
         let key = pending.ordering_key();
-        self.state.requests.remove(&id);
+        self.requests.remove(&id);
         if let Some(key) = key {
-            self.leave_sequence(key, id);
+            let next = self.sequences.leave(key, id, self.now);
+            self.run_first_of_key(next);
         }
     }
 }
+
+/// What an attempt shows of its node.
+fn measurement(
+    pending: &PendingRequest,
+    attempt: Attempt,
+    completed: &CompletedAttempt,
+) -> Measurement {
+    Measurement {
+        outcome: completed.outcome,
+        elapsed: completed.elapsed,
+        dispatched_at: attempt.dispatched_at,
+        relative_latency: pending.relative_latency(),
+        latency_objective: pending.class().latency_objective,
+    }
+}
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -1,146 +1,159 @@
-//! Which request is dispatched next, and to which node.
+//! Attempts are started, for as long as nodes have capacity.
 
-use super::{admission::warming_up_since, Scheduler};
-use crate::api::{Action, Micros, NodeId, RequestId, Shard};
-use crate::node_health::MAX_IN_FLIGHT;
-use crate::state::{Candidate, Node, PendingRequest, Phase, Position, Seconds};
-
-/// A volume whose nominal tag is ahead of the time by more than this exceeds its provisioned rate.
-const SURPLUS_LEAD: Seconds = 1.0;
-/// Part of a slow-start quota that such surplus requests and late ones may use.
-const SURPLUS_QUOTA: f64 = 0.5;
+use super::admission::DispatchAdmission;
+use super::Scheduler;
+use crate::api::{Action, NodeId, Request, Shard};
+use crate::dmclock::{Position, Selected, Selection};
+use crate::node::attempt_timeout::{attempt_deadline, AttemptTerms};
+use crate::node::outlier_ejection::exceeds_panic_threshold;
+use crate::node::Node;
+use crate::request::latency_objective::misses_objective;
+use crate::request::PendingRequest;
 
 impl Scheduler {
-    /// Queues an open request for the node of its shard; a new object's shard is chosen here.
-    pub(super) fn enqueue(&mut self, id: RequestId, position: Position) {
-        let now = self.now_seconds();
-        let pending = self.state.requests.get(&id).filter(|pending| pending.is_waiting());
-        let Some(pending) = pending else { return };
-        let Some(shard) = pending.request.shard.or_else(|| self.choose_shard(pending)) else {
-            self.state.unroutable.insert(id);
-            return;
-        };
-        let volume = &self.state.volumes[&pending.request.volume];
-        self.state.queues.entry(shard).or_default().insert(pending, position, volume, now);
-        self.state.backlogged.insert(shard);
-        self.state.requests.get_mut(&id).expect("invariant: checked above").queued_at = Some(shard);
+    /// Queues requests whose quiesce period is over or whose node is back, then dispatches from the
+    /// queues.
+    pub(super) fn dispatch_pending(&mut self) {
+        while let Some(key) = self.sequences.pop_quiesced(self.now) {
+            let first = self.sequences.first_ready(key, self.now);
+            self.run_first_of_key(first);
+        }
+        for id in std::mem::take(&mut self.unroutable) {
+            self.enqueue(id, Position::ByPriority);
+        }
+        let backlogged: Vec<Shard> = self.queues.backlogged().collect();
+        for shard in backlogged {
+            self.dispatch_from(shard);
+            self.queues.note_if_empty(shard);
+        }
     }
 
     /// Dispatches from a shard's queue for as long as its node takes requests.
-    pub(super) fn dispatch_from(&mut self, shard: Shard) {
+    fn dispatch_from(&mut self, shard: Shard) {
         self.set_late_requests_aside(shard);
-        while let Some(node) = self.state.node_of(shard) {
-            let node_id = node.endpoint.node;
-            let is_trial = node.health.is_ejected() && !self.most_are_ejected();
-            let max_in_flight = if is_trial { 1 } else { MAX_IN_FLIGHT };
-            if node.in_flight >= max_in_flight || node.health.paused_until > self.now {
+        while let Some(node) = self.nodes.node_of(shard) {
+            let node_id = node.endpoint().node;
+            let is_trial = self.is_limited_to_trials(node);
+            if self.is_blocked(node, is_trial) {
                 return;
             }
-            let Some(selected) = self.select_next(shard, node) else { return };
+            let Some(selected) = self.select_next(shard, node) else {
+                return;
+            };
             self.dispatch(&selected, node_id);
-            if let Some(node) = self.state.nodes.get_mut(&node_id).filter(|_| is_trial) {
-                node.health.start_half_open_interval(self.now);
+            if is_trial {
+                self.start_half_open_interval(node_id);
             }
         }
     }
 
-    /// Whether most nodes are ejected: the fault is then likely not theirs, and none is treated as ejected.
-    fn most_are_ejected(&self) -> bool {
-        let ejected = self.state.nodes_in_service().filter(|node| node.health.is_ejected()).count();
-        2 * ejected > self.state.nodes_in_service().count()
+    /// Whether a node gets trial attempts only: it is ejected, and most other nodes are not.
+    fn is_limited_to_trials(&self, node: &Node) -> bool {
+        node.is_ejected() && !exceeds_panic_threshold(self.nodes.in_service())
     }
 
-    /// Moves requests at the head of flows that can no longer meet their objective to the late requests.
-    fn set_late_requests_aside(&mut self, shard: Shard) {
-        let Some(node) = self.state.node_of(shard) else { return };
-        let now = self.now;
-        let latency = node.health.expected_latency(now);
-        let completes_at = |pending: &PendingRequest| now + (latency * pending.relative_latency) as Micros;
-        let Some(queue) = self.state.queues.get_mut(&shard) else { return };
-        let mut late = Vec::new();
-        for flow in queue.flows.values() {
-            let queued = flow.queue.iter().filter_map(|queued| self.state.requests.get(&queued.id));
-            late.extend(queued.take_while(|pending| completes_at(pending) > pending.objective_at));
-        }
-        for pending in late {
-            queue.set_aside(&pending.request, &self.state.volumes[&pending.request.volume]);
-        }
+    /// Whether nothing can be dispatched to a node now, whatever is queued for it.
+    fn is_blocked(&self, node: &Node, is_trial: bool) -> bool {
+        node.is_full() || node.is_paused(self.now) || (is_trial && node.has_trial_in_flight())
     }
 
-    /// Selects the earliest due reservation tag, else the smallest share tag of a flow within its limit, else
-    /// the late request of the earliest deadline, but only at an idle node: it has little value.
-    fn select_next(&self, shard: Shard, node: &Node) -> Option<Candidate> {
-        let queue = &self.state.queues[&shard];
-        let now = self.now_seconds();
-        let has_capacity = |value| node.health.has_capacity(node.in_flight, value, self.now);
-        let mut best: Option<Candidate> = None;
-        for (volume, head) in queue.heads() {
-            let (plan, tags) = (&self.state.volumes[&volume].plan, &head.tags);
-            let is_reserved = plan.reservation > 0.0 && tags.reservation <= now;
-            let is_surplus = tags.nominal > now + SURPLUS_LEAD;
-            let quota_part = if is_surplus && !is_reserved { SURPLUS_QUOTA } else { 1.0 };
-            if !self.may_dispatch(head.id, quota_part, node) {
-                continue;
-            }
-            // A limit tag may run ahead by a whole burst; rate and burst are split evenly over the hosts.
-            let is_within_limit = plan.limit <= 0.0 || tags.limit <= now + plan.burst_capacity / plan.limit;
-            let settings = &self.settings;
-            let value = if is_surplus { settings.surplus_value } else { settings.within_share_value };
-            let (phase, tag) = if is_reserved && has_capacity(1.0) {
-                (Phase::Reservation, tags.reservation)
-            } else if is_within_limit && has_capacity(value) {
-                (Phase::Weight, tags.share)
-            } else {
-                continue;
-            };
-            if best.as_ref().is_none_or(|best| (phase, tag) < (best.phase, best.tag)) {
-                best = Some(Candidate { request: head.id, phase, tag });
-            }
-        }
-        if best.is_some() || !node.health.is_idle(node.in_flight) {
-            return best;
+    /// Pauses an ejected node after a trial attempt.
+    fn start_half_open_interval(&mut self, node: NodeId) {
+        if let Some(node) = self.nodes.get_mut(node) {
+            node.start_half_open_interval(self.now);
         }
-        let request = queue.late.iter().find(|id| self.may_dispatch(*id, SURPLUS_QUOTA, node))?;
-        Some(Candidate { request, phase: Phase::Late, tag: f64::MAX })
     }
 
-    /// Whether limit, retry rules and slow start allow the dispatch of a request to a node now.
-    fn may_dispatch(&self, id: RequestId, quota_part: f64, node: &Node) -> bool {
-        let Some(pending) = self.state.requests.get(&id) else { return false };
-        let request = &pending.request;
-        if !pending.open || !node.is_in_service() || request.deadline <= self.now {
-            return false;
+    /// Moves requests at the head of flows that can no longer meet their objective to the late
+    /// requests.
+    fn set_late_requests_aside(&mut self, shard: Shard) {
+        let Some(node) = self.nodes.node_of(shard) else {
+            return;
+        };
+        let expected_latency = node.latency().expected(self.now);
+        let Some(queue) = self.queues.get_mut(shard) else {
+            return;
+        };
+        let late = queue.leading_requests(|id| {
+            let pending = &self.requests[&id];
+            misses_objective(pending, expected_latency, self.now)
+        });
+        for id in late {
+            let request = self.requests[&id].request();
+            queue.set_aside(request, &self.volumes[request.volume]);
         }
-        let is_allowed = match pending.attempts {
-            0 => self.state.volumes[&request.volume].has_tokens(request.units, self.now),
-            _ => self.may_retry_at(pending, node),
+    }
+
+    /// Selects the request of a shard that its node is sent next.
+    fn select_next(&self, shard: Shard, node: &Node) -> Option<Selected> {
+        let queue = &self.queues[shard];
+        let admission = DispatchAdmission {
+            scheduler: self,
+            queue,
+            node,
         };
-        is_allowed && self.slow_start_admits(request.units, quota_part, node)
+        let selection = Selection {
+            queue,
+            volumes: &self.volumes,
+            node,
+            settings: &self.settings,
+            admission,
+            now: self.now,
+            tag_time: self.tag_time(),
+        };
+        selection.next()
     }
 
     /// Starts an attempt of the selected request.
-    fn dispatch(&mut self, selected: &Candidate, node_id: NodeId) {
-        let (state, now) = (&mut self.state, self.now);
-        let pending =
-            state.requests.get_mut(&selected.request).expect("invariant: queued requests are pending");
-        let request = &pending.request;
-        let volume = state.volumes.get_mut(&request.volume).expect("invariant: volumes of requests are kept");
-        let node = state.nodes.get_mut(&node_id).expect("invariant: the node of a shard is listed");
-        let shard = pending.queued_at.take().expect("invariant: the request selected is queued");
-        let queue = state.queues.get_mut(&shard).expect("invariant: the queue of a request exists");
-        queue.take(request, selected.phase, volume.plan.reservation);
-        if pending.attempts == 0 {
-            volume.spend_tokens(request.units, now);
-        } else if let Some(budget) = &self.settings.retry_budget {
-            state.recent_retries.record((), budget.window, now);
-        }
-        node.add_attempt(request.units);
-        let slow_start = &self.settings.slow_start;
-        if warming_up_since(node, slow_start, now).is_some() {
-            node.health.slow_start_units.record(request.units, slow_start.window, now);
+    fn dispatch(&mut self, selected: &Selected, node_id: NodeId) {
+        let request = self.take_from_queue(selected);
+        let pending = self
+            .requests
+            .get_mut(&selected.request)
+            .expect("invariant: queued requests are pending");
+        let node = self
+            .nodes
+            .get_mut(node_id)
+            .expect("invariant: the node of a shard is listed");
+        if pending.attempts() > 0 {
+            self.retry_budget.record_retry(self.now);
+        } else if let Some(volume) = self.volumes.get_mut(request.volume) {
+            volume.spend(request.units, self.now);
         }
-        let deadline = node.health.attempt_deadline(pending, now).min(request.deadline);
-        pending.start_attempt(node_id, now);
-        self.actions.push(Action::Dispatch { request: selected.request, node: node_id, deadline });
+        node.start_attempt(request.units, &self.settings.slow_start, self.now);
+        let timeout_at = attempt_deadline(node, &attempt_terms(pending), self.now);
+        pending.start_attempt(node_id, self.now);
+        self.actions.push(Action::Dispatch {
+            request: selected.request,
+            node: node_id,
+            deadline: timeout_at.min(request.deadline),
+        });
+    }
+
+    /// Removes the selected request from its queue.
+    fn take_from_queue(&mut self, selected: &Selected) -> Request {
+        let pending = self
+            .requests
+            .get_mut(&selected.request)
+            .expect("invariant: queued requests are pending");
+        let request = pending.request().clone();
+        let reservation = self.volumes[request.volume].plan().reservation;
+        let shard = pending
+            .dequeue()
+            .expect("invariant: the request selected is queued");
+        self.queues
+            .get_mut(shard)
+            .expect("invariant: the queue of a request exists")
+            .take(&request, selected.phase, reservation);
+        request
+    }
+}
+
+/// What the timeout of an attempt depends on besides its node.
+fn attempt_terms(pending: &PendingRequest) -> AttemptTerms {
+    AttemptTerms {
+        relative_latency: pending.relative_latency(),
+        latency_objective: pending.class().latency_objective,
+        objective_at: pending.objective_at(),
     }
 }
--- /dev/null
+++ b/crates/scheduler/src/scheduler/intake.rs
@@ -0,0 +1,104 @@
+//! A request is registered, and joins the queue of the shard that holds its object.
+
+use super::Scheduler;
+use crate::api::{Request, RequestId, Shard};
+use crate::dmclock::Position;
+use crate::node::latency_estimate::relative_latency;
+use crate::placement::Placement;
+use crate::request::shedding::reject_at;
+use crate::request::PendingRequest;
+
+impl Scheduler {
+    /// Registers a request with its volume and queues it, unless an earlier one of its key has to
+    /// run first. A request whose class or plan is not in the settings is ignored.
+    pub(super) fn on_request(&mut self, request: &Request) {
+        let known_shard = self.served_shard(request);
+        let Some(class) = self.settings.classes.get(request.class) else {
+            return;
+        };
+        let Some(plan) = self.settings.plans.get(request.plan) else {
+            return;
+        };
+        self.volumes
+            .entry(request.volume, plan, &self.settings, self.started_at)
+            .record_request(plan, request.hosts, known_shard, self.now);
+        self.retry_budget.record_request(self.now);
+        let pending = PendingRequest::new(
+            request,
+            class,
+            relative_latency(request.units, self.settings.mean_units),
+            self.objectives.start(request, class, self.now),
+            reject_at(request.deadline, self.now),
+        );
+        let key = pending.ordering_key();
+        self.rejections.add(&pending);
+        self.requests.insert(request.id, pending);
+        let may_run = match key {
+            Some(key) => self.sequences.join(key, request.id, self.now),
+            None => true,
+        };
+        if may_run {
+            self.enqueue(request.id, Position::ByPriority);
+        }
+    }
+
+    /// The shard that a request names, if a node in service holds it.
+    fn served_shard(&self, request: &Request) -> Option<Shard> {
+        let shard = request.shard?;
+        self.nodes.node_of(shard)?;
+        Some(shard)
+    }
+
+    /// Queues an open request for the node of its shard; the shard of a new object is chosen here.
+    pub(super) fn enqueue(&mut self, id: RequestId, position: Position) {
+        let tag_time = self.tag_time();
+        let Some(pending) = self.requests.get(&id) else {
+            return;
+        };
+        if !pending.is_waiting() {
+            return;
+        }
+        let Some(shard) = self.shard_of(pending) else {
+            self.unroutable.insert(id);
+            return;
+        };
+        let volume = &self.volumes[pending.request().volume];
+        self.queues
+            .backlog(shard)
+            .insert(pending, position, volume, tag_time);
+        if let Some(pending) = self.requests.get_mut(&id) {
+            pending.enqueue(shard);
+        }
+    }
+
+    /// The shard that a request names, or the one chosen for a new object; `None` if no node may
+    /// take it.
+    fn shard_of(&self, pending: &PendingRequest) -> Option<Shard> {
+        let named_shard = pending.request().shard;
+        named_shard.or_else(|| self.placement().choose_shard(pending))
+    }
+
+    /// The choice of a node for a new object, now.
+    fn placement(&self) -> Placement<'_> {
+        Placement {
+            nodes: &self.nodes,
+            queues: &self.queues,
+            slow_start: &self.settings.slow_start,
+            now: self.now,
+        }
+    }
+
+    /// Queues the first request of a key, unless it was dispatched before.
+    pub(super) fn run_first_of_key(&mut self, first: Option<RequestId>) {
+        let Some(id) = first else {
+            return;
+        };
+        let was_dispatched = self
+            .requests
+            .get(&id)
+            .is_none_or(|pending| pending.attempts() > 0);
+        if !was_dispatched {
+            self.enqueue(id, Position::ByPriority);
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/volume/table.rs
@@ -0,0 +1,74 @@
+//! The volumes with recent requests, and when an idle one is forgotten.
+//!
+//! Clients may name an unbounded number of volumes, so the table drops a volume after a time
+//! without requests.
+
+use super::Volume;
+use crate::api::{Micros, Settings, VolumeId, VolumePlan};
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Index;
+
+/// Time without requests after which a volume is removed, in microseconds.
+const VOLUME_RETENTION: Micros = 60_000_000;
+/// Number of cleanups within [`VOLUME_RETENTION`].
+const CLEANUPS_PER_RETENTION: Micros = 8;
+/// Interval at which idle volumes are looked for, in microseconds.
+pub const CLEANUP_INTERVAL: Micros = VOLUME_RETENTION / CLEANUPS_PER_RETENTION;
+
+/// Volumes by id.
+#[derive(Default)]
+pub struct VolumeTable {
+    /// The volumes by id.
+    volumes: BTreeMap<VolumeId, Volume>,
+}
+
+impl VolumeTable {
+    /// The volume of a request; one that is not in the table is added with the plan.
+    pub fn entry(
+        &mut self,
+        id: VolumeId,
+        plan: &VolumePlan,
+        settings: &Settings,
+        started_at: Micros,
+    ) -> &mut Volume {
+        self.volumes
+            .entry(id)
+            .or_insert_with(|| Volume::new(plan, settings, started_at))
+    }
+
+    /// A volume, unless it was removed.
+    pub fn get(&self, id: VolumeId) -> Option<&Volume> {
+        self.volumes.get(&id)
+    }
+
+    /// A volume to be changed, unless it was removed.
+    pub fn get_mut(&mut self, id: VolumeId) -> Option<&mut Volume> {
+        self.volumes.get_mut(&id)
+    }
+
+    /// Whether the table has a volume.
+    pub fn contains(&self, id: VolumeId) -> bool {
+        self.volumes.contains_key(&id)
+    }
+
+    /// Number of volumes.
+    pub fn len(&self) -> usize {
+        self.volumes.len()
+    }
+
+    /// Removes the volumes that have no pending request and had none for [`VOLUME_RETENTION`].
+    pub fn remove_idle(&mut self, in_use: &BTreeSet<VolumeId>, now: Micros) {
+        self.volumes.retain(|id, volume| {
+            in_use.contains(id) || !volume.is_removable(VOLUME_RETENTION, now)
+        });
+    }
+}
+
+impl Index<VolumeId> for VolumeTable {
+    type Output = Volume;
+
+    /// The volume of a pending request, which is never removed.
+    fn index(&self, id: VolumeId) -> &Volume {
+        &self.volumes[&id]
+    }
+}
--- a/crates/scheduler/tests/characterization/churn.rs
+++ b/crates/scheduler/tests/characterization/churn.rs
@@ -41,14 +41,21 @@
 impl Effect {
     /// One entry changed.
     fn of(line: Line) -> Self {
-        Effect { lines: vec![line], repairs: Vec::new() }
+        Effect {
+            lines: vec![line],
+            repairs: Vec::new(),
+        }
     }
 }
 
 /// The ids of the nodes in service.
 fn in_service(nodes: &Nodes) -> Vec<u64> {
     let in_service = |node: &&NodeModel| node.line.status == Status::InService;
-    nodes.values().filter(in_service).map(|node| node.line.node).collect()
+    nodes
+        .values()
+        .filter(in_service)
+        .map(|node| node.line.node)
+        .collect()
 }
 
 /// The id that the next new node gets.
@@ -80,7 +87,12 @@
             Effect::of(join(nodes, NodeModel::new(id, zone + 1, shard, started_at)))
         }
         6 => overlap(nodes, successor, random.pick(&[id, new_id]), pause),
-        7 => leave(nodes, id, NodeModel::new(id, zone, shard, started_at), pause),
+        7 => leave(
+            nodes,
+            id,
+            NodeModel::new(id, zone, shard, started_at),
+            pause,
+        ),
         _ => Effect::of(join(nodes, NodeModel::new(id, zone, shard, None))),
     }
 }
@@ -92,7 +104,9 @@
     if early {
         effect.lines.push(join(nodes, successor));
     } else {
-        effect.repairs.push((pause + 200 * MILLISECOND, Repair::Join(successor)));
+        effect
+            .repairs
+            .push((pause + 200 * MILLISECOND, Repair::Join(successor)));
     }
     effect
 }
--- a/crates/scheduler/tests/characterization/cluster.rs
+++ b/crates/scheduler/tests/characterization/cluster.rs
@@ -85,7 +85,9 @@
     pub fn nodes(&self, now: Time) -> Nodes {
         let mut nodes = Nodes::new();
         for id in 0..self.shards {
-            let started_at = self.known_starts.then(|| now - 700 * MILLISECOND * id as Time);
+            let started_at = self
+                .known_starts
+                .then(|| now - 700 * MILLISECOND * id as Time);
             nodes.insert(id, NodeModel::new(id, id % self.zones, id, started_at));
         }
         nodes
@@ -99,7 +101,9 @@
         time_left: Time,
         random: &mut Random,
     ) -> Fate {
-        let Some(node) = node else { return Fate::new(300, Ending::ConnectFailed) };
+        let Some(node) = node else {
+            return Fate::new(300, Ending::ConnectFailed);
+        };
         let latency = self.latency_at(node, relative_size, random);
         let is_lucky = random.chance(500);
         let rare_fate = self.rare_fate(latency, time_left, random);
@@ -144,7 +148,11 @@
 
     /// Latency at a node: it grows with its queue, with the size, and varies.
     fn latency_at(&self, node: &NodeModel, relative_size: f64, random: &mut Random) -> Time {
-        let slowness = if let Condition::Slow(factor) = node.condition { factor } else { 1 };
+        let slowness = if let Condition::Slow(factor) = node.condition {
+            factor
+        } else {
+            1
+        };
         let queued = 1 + node.load as Time / 2;
         let mean = self.latency * slowness * queued;
         let sized = (mean as f64 * (0.5 + 0.5 * relative_size.clamp(0.0, 20.0))) as Time;
@@ -156,7 +164,13 @@
     /// A healthy node in service.
     pub fn new(node: u64, zone: u64, shard: u64, started_at: Option<Time>) -> Self {
         NodeModel {
-            line: Line { node, zone, shard, status: Status::InService, started_at },
+            line: Line {
+                node,
+                zone,
+                shard,
+                status: Status::InService,
+                started_at,
+            },
             condition: Condition::Healthy,
             load: 0,
         }
--- a/crates/scheduler/tests/characterization/driver.rs
+++ b/crates/scheduler/tests/characterization/driver.rs
@@ -132,7 +132,9 @@
     /// Hands over all that happens at the next time and carries out the decisions; false at the
     /// end.
     fn step(&mut self) -> bool {
-        let Some((&(at, _), _)) = self.happenings.first_key_value() else { return false };
+        let Some((&(at, _), _)) = self.happenings.first_key_value() else {
+            return false;
+        };
         if at > self.end {
             return false;
         }
@@ -156,7 +158,8 @@
 
     fn schedule(&mut self, after: Time, happening: Happening) {
         self.scheduled += 1;
-        self.happenings.insert((self.now + after.max(0), self.scheduled), happening);
+        self.happenings
+            .insert((self.now + after.max(0), self.scheduled), happening);
     }
 
     fn feed(&mut self, after: Time, input: Input) {
@@ -217,7 +220,10 @@
     /// Sends a burst of requests and schedules the next one.
     fn send_burst(&mut self, inputs: &mut Vec<Input>) {
         let traffic = &self.scenario.traffic;
-        let size = 1 + self.random.below(traffic.burst).min(self.random.below(traffic.burst));
+        let size = 1 + self
+            .random
+            .below(traffic.burst)
+            .min(self.random.below(traffic.burst));
         for _ in 0..size.min(self.unsent) {
             let id = self.record.requests;
             let deployment = &self.scenario.deployment;
@@ -241,16 +247,29 @@
 
     /// A request reaches the host.
     fn receive(&mut self, arrival: Arrival, inputs: &mut Vec<Input>) {
-        let arrival = Arrival { id: self.record.requests, ..arrival };
+        let arrival = Arrival {
+            id: self.record.requests,
+            ..arrival
+        };
         self.record.requests += 1;
         inputs.push(Input::Arrival(arrival));
-        self.clients.insert(arrival.id, Client { arrival, attempts: 0, open: true });
+        self.clients.insert(
+            arrival.id,
+            Client {
+                arrival,
+                attempts: 0,
+                open: true,
+            },
+        );
         let client_timeout = (arrival.deadline - self.now).max(0);
         if self.random.chance(self.scenario.traffic.disconnects) {
             let after = self.random.between(0, client_timeout.min(SECOND) + 1);
             self.schedule(after, Happening::Disconnect(arrival.id));
         } else if self.random.chance(800) {
-            self.schedule(client_timeout + 5 * MILLISECOND, Happening::Disconnect(arrival.id));
+            self.schedule(
+                client_timeout + 5 * MILLISECOND,
+                Happening::Disconnect(arrival.id),
+            );
         }
     }
 
@@ -279,7 +298,13 @@
         let mean_client_timeout = 2 * self.scenario.traffic.min_client_timeout;
         let after = after + self.random.between(0, 300 * MILLISECOND);
         let deadline = self.now + after + self.random.between(MILLISECOND, mean_client_timeout);
-        self.schedule(after, Happening::Again(Arrival { deadline, ..arrival }));
+        self.schedule(
+            after,
+            Happening::Again(Arrival {
+                deadline,
+                ..arrival
+            }),
+        );
     }
 
     fn close(&mut self, request: u64) {
@@ -290,7 +315,9 @@
 
     /// Reports the end of an attempt that has not ended yet, sometimes with unknown ones beside it.
     fn end_attempt(&mut self, request: u64, number: u32, ending: Ending, inputs: &mut Vec<Input>) {
-        let Some(attempt) = self.attempts.remove(&(request, number)) else { return };
+        let Some(attempt) = self.attempts.remove(&(request, number)) else {
+            return;
+        };
         if let Some(node) = self.nodes.get_mut(&attempt.node) {
             node.load = node.load.saturating_sub(1);
         }
@@ -313,9 +340,15 @@
         };
         inputs.push(Input::Completed(completion));
         if self.random.chance(20) {
-            let unknown = Completion { number: number + 5, ..completion };
+            let unknown = Completion {
+                number: number + 5,
+                ..completion
+            };
             inputs.push(Input::Completed(unknown));
-            inputs.push(Input::Completed(Completion { request: 3_000_000, ..completion }));
+            inputs.push(Input::Completed(Completion {
+                request: 3_000_000,
+                ..completion
+            }));
         }
     }
 
@@ -342,10 +375,17 @@
 
     fn carry_out(&mut self, decision: &Decision) {
         match *decision {
-            Decision::Dispatch { request, node, deadline } => {
+            Decision::Dispatch {
+                request,
+                node,
+                deadline,
+            } => {
                 self.start_attempt(request, node, deadline);
             }
-            Decision::Reject { request, retry_after } => {
+            Decision::Reject {
+                request,
+                retry_after,
+            } => {
                 self.close(request);
                 self.send_again(request, retry_after);
             }
@@ -361,7 +401,11 @@
             Decision::OpenWatch => self.open_watch(),
             Decision::SetTimer(at) => {
                 let is_late = self.random.chance(self.scenario.late_timers);
-                let delay = if is_late { self.random.between(0, 20 * MILLISECOND) } else { 0 };
+                let delay = if is_late {
+                    self.random.between(0, 20 * MILLISECOND)
+                } else {
+                    0
+                };
                 self.feed(at - self.now + delay, Input::Timer);
             }
         }
@@ -370,7 +414,10 @@
     /// Starts an attempt and decides its fate.
     fn start_attempt(&mut self, request: u64, node: u64, deadline: Time) {
         let scenario = self.scenario;
-        let client = self.clients.get_mut(&request).expect("a dispatched request was sent");
+        let client = self
+            .clients
+            .get_mut(&request)
+            .expect("a dispatched request was sent");
         let number = client.attempts;
         client.attempts += 1;
         self.record.retries += u64::from(number > 0);
@@ -379,11 +426,19 @@
         let model = self.nodes.get(&node);
         let model = model.filter(|model| model.line.status != Status::Removed);
         let time_left = (deadline - self.now).max(0);
-        let fate = scenario.cluster.fate(model, size, time_left, &mut self.random);
+        let fate = scenario
+            .cluster
+            .fate(model, size, time_left, &mut self.random);
         if let Some(model) = self.nodes.get_mut(&node) {
             model.load += 1;
         }
-        self.attempts.insert((request, number), Attempt { node, dispatched_at: self.now });
+        self.attempts.insert(
+            (request, number),
+            Attempt {
+                node,
+                dispatched_at: self.now,
+            },
+        );
         let after = self.aligned(fate.after);
         let answers = matches!(fate.ending, Ending::Served | Ending::Reset);
         if answers && self.random.chance(scenario.traffic.early_responses) {
@@ -422,7 +477,11 @@
         }
         if self.random.chance(250) {
             let is_cached = self.random.chance(200);
-            let kind = if is_cached { ListKind::Cached } else { ListKind::Snapshot };
+            let kind = if is_cached {
+                ListKind::Cached
+            } else {
+                ListKind::Snapshot
+            };
             inputs.push(Input::List(kind, self.listed()));
         } else {
             inputs.push(Input::List(ListKind::Delta, effect.lines));
@@ -435,7 +494,9 @@
     /// The complete endpoint list.
     fn listed(&self) -> Vec<Line> {
         let lines = self.nodes.values().map(|node| node.line);
-        lines.filter(|line| line.status != Status::Removed).collect()
+        lines
+            .filter(|line| line.status != Status::Removed)
+            .collect()
     }
 
     /// A poll reaches the discovery service: it responds, fails, or is lost.
--- a/crates/scheduler/tests/characterization/interface.rs
+++ b/crates/scheduler/tests/characterization/interface.rs
@@ -4,9 +4,12 @@
 use crate::plain::{Arrival, Class, Completion, Decision, Deployment, Ending, Input, Line};
 use crate::plain::{ListKind, Plan, Repeat, Scope, Sizes, Status, Time};
 use io_scheduler::{Action, CompletedAttempt, Event, Outcome, Request, Scheduler};
-use io_scheduler::{DeduplicationScope, Idempotency, RequestClass, RetryBudget, Settings, SlowStart};
+use io_scheduler::{
+    DeduplicationScope, Idempotency, RequestClass, RetryBudget, Settings, SlowStart,
+};
 use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, VolumePlan};
 use io_scheduler::{NodeId, ObjectKey, RequestId, Shard, VolumeId, Zone};
+use io_scheduler::{Units, UnitsPerSecond};
 
 /// The scheduler under test.
 pub struct Subject {
@@ -16,7 +19,9 @@
 impl Subject {
     /// A scheduler that starts at `now`.
     pub fn new(deployment: &Deployment, seed: u64, now: Time) -> Self {
-        Subject { scheduler: Scheduler::new(settings(deployment), seed, now) }
+        Subject {
+            scheduler: Scheduler::new(settings(deployment), seed, now),
+        }
     }
 
     /// Hands over what happened at `now` and returns the decisions in order.
@@ -30,7 +35,11 @@
     /// The numbers of entries in the scheduler's state.
     pub fn sizes(&self) -> Sizes {
         let sizes = self.scheduler.state_sizes();
-        Sizes { nodes: sizes.nodes, volumes: sizes.volumes, shards: sizes.shards }
+        Sizes {
+            nodes: sizes.nodes,
+            volumes: sizes.volumes,
+            shards: sizes.shards,
+        }
     }
 }
 
@@ -48,7 +57,7 @@
             duration: deployment.warmup.duration,
             window: deployment.warmup.window,
             burst_factor: deployment.warmup.burst_factor,
-            units: deployment.warmup.units,
+            units: Units(deployment.warmup.units),
         },
         quiesce_period: deployment.quiesce_period,
         retry_budget: deployment.retry_budget.map(|budget| RetryBudget {
@@ -56,8 +65,8 @@
             allowance: budget.allowance,
             ratio: budget.ratio,
         }),
-        mean_units: deployment.mean_units,
-        max_units: deployment.max_units,
+        mean_units: Units(deployment.mean_units),
+        max_units: Units(deployment.max_units),
         usage_report_period: deployment.usage_report_period,
         reports_remote_units: deployment.reports_remote_units,
         within_share_value: deployment.within_share_value,
@@ -84,16 +93,16 @@
         Scope::Zone => DeduplicationScope::Zone,
         Scope::Shard => DeduplicationScope::Shard,
     };
-    Idempotency::Keyed { scope, window }
+    Idempotency::WithKey { scope, window }
 }
 
 fn volume_plan(plan: &Plan) -> VolumePlan {
     VolumePlan {
-        reservation: plan.reservation,
+        reservation: UnitsPerSecond(plan.reservation),
         weight: plan.weight,
-        limit: plan.limit,
-        burst_capacity: plan.burst,
-        provisioned_rate: plan.provisioned,
+        limit: UnitsPerSecond(plan.limit),
+        burst_capacity: Units(plan.burst),
+        provisioned_rate: UnitsPerSecond(plan.provisioned),
     }
 }
 
@@ -142,7 +151,7 @@
         class: arrival.class,
         key: arrival.key.map(ObjectKey),
         shard: arrival.shard.map(Shard),
-        units: arrival.units,
+        units: Units(arrival.units),
         hosts: arrival.hosts,
         deadline: arrival.deadline,
     }
@@ -165,23 +174,36 @@
         },
         request_closed: completion.closed,
         elapsed: completion.elapsed,
-        remote_units: completion.remote_units,
+        remote_units: Units(completion.remote_units),
         utilization: completion.utilization,
     }
 }
 
 fn decision(action: &Action) -> Decision {
     match action {
-        Action::Dispatch { request, node, deadline } => {
-            Decision::Dispatch { request: request.0, node: node.0, deadline: *deadline }
-        }
-        Action::Reject { request, retry_after } => {
-            Decision::Reject { request: request.0, retry_after: *retry_after }
-        }
+        Action::Dispatch {
+            request,
+            node,
+            deadline,
+        } => Decision::Dispatch {
+            request: request.0,
+            node: node.0,
+            deadline: *deadline,
+        },
+        Action::Reject {
+            request,
+            retry_after,
+        } => Decision::Reject {
+            request: request.0,
+            retry_after: *retry_after,
+        },
         Action::Fail(request) => Decision::Fail(request.0),
         Action::Cancel { request, attempt } => {
             let request = request.0;
-            Decision::Cancel { request, attempt: *attempt }
+            Decision::Cancel {
+                request,
+                attempt: *attempt,
+            }
         }
         Action::OpenWatch => Decision::OpenWatch,
         Action::SetTimer(at) => Decision::SetTimer(*at),
--- a/crates/scheduler/tests/characterization/record.rs
+++ b/crates/scheduler/tests/characterization/record.rs
@@ -51,11 +51,18 @@
     /// Adds a decision made at a time.
     pub fn add(&mut self, now: Time, decision: &Decision) {
         let line = match *decision {
-            Decision::Dispatch { request, node, deadline } => {
+            Decision::Dispatch {
+                request,
+                node,
+                deadline,
+            } => {
                 self.dispatches += 1;
                 format!("{now} dispatch {request} {node} {deadline}")
             }
-            Decision::Reject { request, retry_after } => {
+            Decision::Reject {
+                request,
+                retry_after,
+            } => {
                 self.rejections += u64::from(retry_after == 0);
                 self.rejections_with_retry_after += u64::from(retry_after != 0);
                 format!("{now} reject {request} {retry_after}")
@@ -87,7 +94,11 @@
             return;
         }
         self.sizes = sizes;
-        let Sizes { nodes, volumes, shards } = sizes;
+        let Sizes {
+            nodes,
+            volumes,
+            shards,
+        } = sizes;
         self.line = format!("{now} sizes {nodes} {volumes} {shards}");
         self.hash_line();
     }
@@ -107,7 +118,10 @@
             ("retries dispatched", self.retries),
             ("served", self.served),
             ("rejections without retry-after", self.rejections),
-            ("rejections with retry-after", self.rejections_with_retry_after),
+            (
+                "rejections with retry-after",
+                self.rejections_with_retry_after,
+            ),
             ("failures", self.failures),
             ("cancellations", self.cancellations),
             ("watches", self.watches),
--- a/crates/scheduler/tests/characterization/scenarios.rs
+++ b/crates/scheduler/tests/characterization/scenarios.rs
@@ -55,15 +55,29 @@
 ];
 
 fn class(objective: Time, priority: f64, repeat: Repeat) -> Class {
-    Class { objective, priority, repeat, ordered: false }
+    Class {
+        objective,
+        priority,
+        repeat,
+        ordered: false,
+    }
 }
 
 fn ordered(objective: Time, repeat: Repeat) -> Class {
-    Class { ordered: true, ..class(objective, 1.0, repeat) }
+    Class {
+        ordered: true,
+        ..class(objective, 1.0, repeat)
+    }
 }
 
 fn plan(reservation: f64, weight: f64, limit: f64, provisioned: f64) -> Plan {
-    Plan { reservation, weight, limit, burst: limit * 0.6, provisioned }
+    Plan {
+        reservation,
+        weight,
+        limit,
+        burst: limit * 0.6,
+        provisioned,
+    }
 }
 
 fn all_fates(latency: Time, shards: u64) -> Cluster {
@@ -165,7 +179,10 @@
         plan(0.0, 1.0, 120.0, 100.0),
         plan(0.0, 2.0, 40.0, 50.0),
         plan(15.0, 2.0, 60.0, 50.0),
-        Plan { burst: 2.5, ..plan(0.0, 1.0, 90.0, 80.0) },
+        Plan {
+            burst: 2.5,
+            ..plan(0.0, 1.0, 90.0, 80.0)
+        },
         plan(0.0, 0.5, 0.0, 30.0),
     ];
     scenario.traffic.hosts = &[1.0, 3.0, 0.0, 2.0];
@@ -186,7 +203,10 @@
         plan(5.0, 0.2, 0.0, 10.0),
     ];
     scenario.deployment.reports_remote_units = true;
-    scenario.cluster = Cluster { capacity: 8, ..all_fates(14 * MILLISECOND, 2) };
+    scenario.cluster = Cluster {
+        capacity: 8,
+        ..all_fates(14 * MILLISECOND, 2)
+    };
     scenario.traffic.volumes = 7;
     scenario.traffic.hosts = &[2.0, 1.0];
     scenario.traffic.units = &[1.0, 2.0, 6.0];
@@ -199,11 +219,20 @@
 pub fn slow_start() -> Scenario {
     let mut scenario = plain_service();
     scenario.deployment.hosts = 4;
-    scenario.deployment.classes.push(class(60 * MILLISECOND, 1.0, Repeat::Safe));
-    scenario.deployment.plans =
-        vec![plan(10.0, 1.0, 0.0, 40.0), plan(0.0, 2.0, 0.0, 5.0), plan(0.0, 1.0, 0.0, 200.0)];
+    scenario
+        .deployment
+        .classes
+        .push(class(60 * MILLISECOND, 1.0, Repeat::Safe));
+    scenario.deployment.plans = vec![
+        plan(10.0, 1.0, 0.0, 40.0),
+        plan(0.0, 2.0, 0.0, 5.0),
+        plan(0.0, 1.0, 0.0, 200.0),
+    ];
     scenario.deployment.warmup.units = 30.0;
-    scenario.cluster = Cluster { known_starts: true, ..all_fates(10 * MILLISECOND, 5) };
+    scenario.cluster = Cluster {
+        known_starts: true,
+        ..all_fates(10 * MILLISECOND, 5)
+    };
     scenario.churn.membership_gap = 900 * MILLISECOND;
     scenario.traffic.hosts = &[4.0, 2.0];
     scenario.traffic.volumes = 8;
@@ -214,10 +243,18 @@
 /// A retry budget under many losses and failed connects.
 pub fn retry_budget() -> Scenario {
     let mut scenario = plain_service();
-    let budget = Budget { window: 700 * MILLISECOND, allowance: 2.0, ratio: 0.1 };
+    let budget = Budget {
+        window: 700 * MILLISECOND,
+        allowance: 2.0,
+        ratio: 0.1,
+    };
     scenario.deployment.retry_budget = Some(budget);
     scenario.deployment.max_attempts = 4;
-    scenario.cluster = Cluster { lost: 60, connect_failed: 80, ..all_fates(9 * MILLISECOND, 6) };
+    scenario.cluster = Cluster {
+        lost: 60,
+        connect_failed: 80,
+        ..all_fates(9 * MILLISECOND, 6)
+    };
     scenario.churn.condition_gap = SECOND;
     scenario.churn.conditions = ALL_CONDITIONS;
     scenario.quantum = 5 * MILLISECOND;
@@ -234,7 +271,10 @@
         ordered(400 * MILLISECOND, Repeat::Safe),
     ];
     scenario.deployment.quiesce_period = 60 * MILLISECOND;
-    scenario.cluster = Cluster { reset: 120, ..all_fates(25 * MILLISECOND, 6) };
+    scenario.cluster = Cluster {
+        reset: 120,
+        ..all_fates(25 * MILLISECOND, 6)
+    };
     scenario.churn.membership_gap = 4 * SECOND;
     scenario.traffic.with_object_key = 800;
     scenario.traffic.keys = 12;
@@ -275,12 +315,20 @@
 fn idempotency_key(scope: Scope) -> Scenario {
     let mut scenario = plain_service();
     scenario.deployment.classes = vec![
-        class(200 * MILLISECOND, 1.0, Repeat::WithKey(scope, 400 * MILLISECOND)),
+        class(
+            200 * MILLISECOND,
+            1.0,
+            Repeat::WithKey(scope, 400 * MILLISECOND),
+        ),
         class(100 * MILLISECOND, 2.0, Repeat::WithKey(scope, 10 * SECOND)),
         class(80 * MILLISECOND, 2.0, Repeat::WithKey(scope, 0)),
     ];
     scenario.deployment.max_attempts = 6;
-    scenario.cluster = Cluster { reset: 60, error: 60, ..all_fates(10 * MILLISECOND, 4) };
+    scenario.cluster = Cluster {
+        reset: 60,
+        error: 60,
+        ..all_fates(10 * MILLISECOND, 4)
+    };
     scenario.churn.membership_gap = 800 * MILLISECOND;
     scenario.churn.condition_gap = 1_500 * MILLISECOND;
     scenario.churn.conditions = ALL_CONDITIONS;
@@ -301,8 +349,11 @@
 pub fn usage_reports() -> Scenario {
     let mut scenario = plain_service();
     scenario.deployment.usage_report_period = 500 * MILLISECOND;
-    scenario.deployment.plans =
-        vec![plan(30.0, 1.0, 0.0, 60.0), plan(0.0, 2.0, 90.0, 60.0), plan(10.0, 0.5, 0.0, 20.0)];
+    scenario.deployment.plans = vec![
+        plan(30.0, 1.0, 0.0, 60.0),
+        plan(0.0, 2.0, 90.0, 60.0),
+        plan(10.0, 0.5, 0.0, 20.0),
+    ];
     scenario.traffic.volumes = 5;
     scenario.traffic.hosts = &[3.0, 1.0];
     scenario.traffic.pause = 4 * SECOND;
@@ -318,7 +369,9 @@
     let mut scenario = plain_service();
     scenario.deployment.discovery_clients = 300;
     scenario.deployment.max_poll_interval = 2 * SECOND;
-    scenario.discovery = Discovery::Polled { interval: 1_500 * MILLISECOND };
+    scenario.discovery = Discovery::Polled {
+        interval: 1_500 * MILLISECOND,
+    };
     scenario.churn.membership_gap = 2 * SECOND;
     scenario.cluster = all_fates(12 * MILLISECOND, 8);
     scenario.cluster.known_starts = true;
@@ -346,7 +399,10 @@
 pub fn few_faulty_nodes() -> Scenario {
     let mut scenario = plain_service();
     scenario.deployment.max_attempts = 5;
-    scenario.deployment.classes.push(class(120 * MILLISECOND, 2.0, Repeat::Safe));
+    scenario
+        .deployment
+        .classes
+        .push(class(120 * MILLISECOND, 2.0, Repeat::Safe));
     scenario.cluster = all_fates(10 * MILLISECOND, 4);
     scenario.churn.condition_gap = 600 * MILLISECOND;
     scenario.churn.conditions = ALL_CONDITIONS;
@@ -382,6 +438,22 @@
     scenario
 }
 
+/// Plans with a limit, with a reservation, and with neither; the other values are zero.
+fn plans_with_zeros() -> Vec<Plan> {
+    vec![
+        Plan::default(),
+        Plan {
+            limit: 30.0,
+            ..Plan::default()
+        },
+        Plan {
+            reservation: 10.0,
+            weight: 1.0,
+            ..Plan::default()
+        },
+    ]
+}
+
 /// Settings of zero wherever they are allowed.
 pub fn zero_settings() -> Scenario {
     let mut scenario = plain_service();
@@ -391,11 +463,7 @@
             ordered(50 * MILLISECOND, Repeat::WithKey(Scope::Zone, 0)),
             class(90 * MILLISECOND, 1.0, Repeat::Safe),
         ],
-        plans: vec![
-            Plan::default(),
-            Plan { limit: 30.0, ..Plan::default() },
-            Plan { reservation: 10.0, weight: 1.0, ..Plan::default() },
-        ],
+        plans: plans_with_zeros(),
         hosts: 0,
         max_attempts: 0,
         cancellation_allowed: true,
@@ -409,7 +477,11 @@
             units: 0.0,
         },
         quiesce_period: 0,
-        retry_budget: Some(Budget { window: 0, allowance: 0.0, ratio: 0.0 }),
+        retry_budget: Some(Budget {
+            window: 0,
+            allowance: 0.0,
+            ratio: 0.0,
+        }),
         mean_units: 0.0,
         max_units: 0.0,
         usage_report_period: 0,
@@ -418,7 +490,10 @@
         surplus_value: 0.0,
     };
     scenario.discovery = Discovery::Watched { mean: 3 * SECOND };
-    scenario.cluster = Cluster { known_starts: true, ..all_fates(10 * MILLISECOND, 5) };
+    scenario.cluster = Cluster {
+        known_starts: true,
+        ..all_fates(10 * MILLISECOND, 5)
+    };
     scenario.churn.membership_gap = 5 * SECOND;
     scenario.traffic.hosts = &[0.0, 1.0];
     scenario.traffic.units = &[0.0, 1.0, 2.0];
@@ -441,7 +516,10 @@
     scenario.traffic.burst = 12;
     scenario.traffic.min_client_timeout = 100 * MILLISECOND;
     scenario.traffic.max_client_timeout = 900 * MILLISECOND;
-    scenario.cluster = Cluster { lost: 90, ..all_fates(9 * MILLISECOND, 4) };
+    scenario.cluster = Cluster {
+        lost: 90,
+        ..all_fates(9 * MILLISECOND, 4)
+    };
     scenario.churn.conditions = &[Condition::Slow(4), Condition::Slow(12), Condition::Lossy];
     scenario.churn.condition_gap = SECOND;
     scenario.traffic.mean_gap = 50 * MILLISECOND;
@@ -469,9 +547,16 @@
     let mut scenario = plain_service();
     let classes = &mut scenario.deployment.classes;
     classes.push(class(100 * MILLISECOND, 1.0, Repeat::Unsafe));
-    classes.push(class(400 * MILLISECOND, 1.0, Repeat::WithKey(Scope::All, 5 * SECOND)));
+    classes.push(class(
+        400 * MILLISECOND,
+        1.0,
+        Repeat::WithKey(Scope::All, 5 * SECOND),
+    ));
     scenario.deployment.warmup.duration = SECOND;
-    scenario.cluster = Cluster { reset: 80, ..all_fates(16 * MILLISECOND, 4) };
+    scenario.cluster = Cluster {
+        reset: 80,
+        ..all_fates(16 * MILLISECOND, 4)
+    };
     scenario.cluster.zones = 3;
     scenario.churn.membership_gap = 250 * MILLISECOND;
     scenario.churn.conditions = ALL_CONDITIONS;
@@ -490,6 +575,9 @@
     scenario.traffic.pause = 100 * SECOND;
     scenario.traffic.mean_gap = 40 * MILLISECOND;
     scenario.churn.membership_gap = 5 * SECOND;
-    scenario.deployment.plans.push(Plan { burst: 900.0, ..plan(0.0, 1.0, 4.0, 10.0) });
+    scenario.deployment.plans.push(Plan {
+        burst: 900.0,
+        ..plan(0.0, 1.0, 4.0, 10.0)
+    });
     scenario
 }
--- a/crates/scheduler/tests/characterization/traffic.rs
+++ b/crates/scheduler/tests/characterization/traffic.rs
@@ -65,12 +65,24 @@
         // Lower volumes send more.
         let volume = random.below(self.volumes).min(random.below(self.volumes));
         let change = random.chance(self.plan_changes);
-        let plan = if change { random.below(plans as u64) } else { volume % plans as u64 };
-        let hosts = if change { random.pick(self.hosts) } else { self.usual_hosts(volume) };
+        let plan = if change {
+            random.below(plans as u64)
+        } else {
+            volume % plans as u64
+        };
+        let hosts = if change {
+            random.pick(self.hosts)
+        } else {
+            self.usual_hosts(volume)
+        };
         let is_new = random.chance(self.new_objects);
         let has_object_key = random.chance(self.with_object_key);
         let key = random.below(self.keys);
-        let shard = if has_object_key { key % shards } else { random.below(shards) };
+        let shard = if has_object_key {
+            key % shards
+        } else {
+            random.below(shards)
+        };
         let arrival = Arrival {
             id,
             volume,
@@ -97,15 +109,45 @@
 /// A request with one oddity.
 fn odd(arrival: Arrival, now: Time, random: &mut Random) -> Arrival {
     match random.below(10) {
-        0 => Arrival { class: UNKNOWN_CLASS, ..arrival },
-        1 => Arrival { plan: UNKNOWN_PLAN, ..arrival },
-        2 => Arrival { shard: Some(UNKNOWN_SHARD), ..arrival },
-        3 => Arrival { units: 0.0, ..arrival },
-        4 => Arrival { units: -1.5, ..arrival },
-        5 => Arrival { units: 400.0, ..arrival },
-        6 => Arrival { deadline: now - 5 * MILLISECOND, ..arrival },
-        7 => Arrival { deadline: now + 900, ..arrival },
-        8 => Arrival { deadline: now, ..arrival },
-        _ => Arrival { deadline: now + 150 * SECOND, ..arrival },
+        0 => Arrival {
+            class: UNKNOWN_CLASS,
+            ..arrival
+        },
+        1 => Arrival {
+            plan: UNKNOWN_PLAN,
+            ..arrival
+        },
+        2 => Arrival {
+            shard: Some(UNKNOWN_SHARD),
+            ..arrival
+        },
+        3 => Arrival {
+            units: 0.0,
+            ..arrival
+        },
+        4 => Arrival {
+            units: -1.5,
+            ..arrival
+        },
+        5 => Arrival {
+            units: 400.0,
+            ..arrival
+        },
+        6 => Arrival {
+            deadline: now - 5 * MILLISECOND,
+            ..arrival
+        },
+        7 => Arrival {
+            deadline: now + 900,
+            ..arrival
+        },
+        8 => Arrival {
+            deadline: now,
+            ..arrival
+        },
+        _ => Arrival {
+            deadline: now + 150 * SECOND,
+            ..arrival
+        },
     }
 }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! Fixtures of the scheduler's tests: settings to change, a harness that feeds events on a clock of its own,
-//! and views of the actions.
+//! Fixtures of the scheduler's tests: settings to change, a harness that feeds events on a clock of
+//! its own, and views of the actions.
 #![allow(dead_code)] // Each test program uses some of them.
 
 use io_scheduler::{
-    Action, CompletedAttempt, Endpoint, EndpointListEvent, EndpointStatus, Event, Idempotency, Micros,
-    NodeId, Outcome, Request, RequestClass, RequestId, Scheduler, Settings, Shard, SlowStart, VolumeId,
-    VolumePlan, Zone,
+    Action, CompletedAttempt, Endpoint, EndpointListEvent, EndpointStatus, Event, Idempotency,
+    Micros, NodeId, Outcome, Request, RequestClass, RequestId, Scheduler, Settings, Shard,
+    SlowStart, Units, UnitsPerSecond, VolumeId, VolumePlan, Zone,
 };
 
 pub const MILLISECOND: Micros = 1_000;
@@ -13,12 +13,23 @@
 
 /// A class with a latency objective of 500 ms.
 pub fn request_class(idempotency: Idempotency) -> RequestClass {
-    RequestClass { latency_objective: 500 * MILLISECOND, priority_weight: 1.0, idempotency, ordered: false }
+    RequestClass {
+        latency_objective: 500 * MILLISECOND,
+        priority_weight: 1.0,
+        idempotency,
+        ordered: false,
+    }
 }
 
 /// A plan whose token bucket holds one second of the limit.
 pub fn volume_plan(reservation: f64, weight: f64, limit: f64) -> VolumePlan {
-    VolumePlan { reservation, weight, limit, burst_capacity: limit, provisioned_rate: reservation.max(1.0) }
+    VolumePlan {
+        reservation: UnitsPerSecond(reservation),
+        weight,
+        limit: UnitsPerSecond(limit),
+        burst_capacity: Units(limit),
+        provisioned_rate: UnitsPerSecond(reservation.max(1.0)),
+    }
 }
 
 /// One host, one idempotent class, and one plan without a reservation or a limit.
@@ -36,12 +47,12 @@
             duration: 10 * SECOND,
             window: SECOND,
             burst_factor: 3.0,
-            units: 20.0,
+            units: Units(20.0),
         },
         quiesce_period: 0,
         retry_budget: None,
-        mean_units: 2.0,
-        max_units: 6.0,
+        mean_units: Units(2.0),
+        max_units: Units(6.0),
         usage_report_period: 0,
         reports_remote_units: false,
         within_share_value: 0.35,
@@ -51,7 +62,13 @@
 
 /// A node that stores the shard of its own number.
 pub fn endpoint(node: u64, status: EndpointStatus, started_at: Option<Micros>) -> Endpoint {
-    Endpoint { node: NodeId(node), zone: Zone(node % 2), shard: Shard(node), status, started_at }
+    Endpoint {
+        node: NodeId(node),
+        zone: Zone(node % 2),
+        shard: Shard(node),
+        status,
+        started_at,
+    }
 }
 
 /// A complete endpoint list.
@@ -65,7 +82,13 @@
 }
 
 /// The end of an attempt; a request that was served is closed with it.
-pub fn attempt_completed(request: u64, number: u32, node: u64, outcome: Outcome, elapsed: Micros) -> Event {
+pub fn attempt_completed(
+    request: u64,
+    number: u32,
+    node: u64,
+    outcome: Outcome,
+    elapsed: Micros,
+) -> Event {
     Event::AttemptCompleted(CompletedAttempt {
         request: RequestId(request),
         number,
@@ -73,7 +96,7 @@
         outcome,
         request_closed: outcome == Outcome::Served,
         elapsed,
-        remote_units: 0.0,
+        remote_units: Units(0.0),
         utilization: None,
     })
 }
@@ -100,7 +123,11 @@
     /// As [`SchedulerHarness::new`], with another sequence of random numbers.
     pub fn with_seed(settings: Settings, nodes: u64, seed: u64) -> Self {
         let scheduler = Scheduler::new(settings, seed, 0);
-        let mut harness = SchedulerHarness { scheduler, now: 0, next_request: 0 };
+        let mut harness = SchedulerHarness {
+            scheduler,
+            now: 0,
+            next_request: 0,
+        };
         let mut endpoints = Vec::new();
         for node in 0..nodes {
             endpoints.push(endpoint(node, EndpointStatus::InService, None));
@@ -132,8 +159,8 @@
         self.handle(&[Event::RequestReceived(request)])
     }
 
-    /// A request with the next id for a shard, or for a new object: volume 0, plan 0, class 0, one unit, a
-    /// deadline in two seconds.
+    /// A request with the next id for a shard, or for a new object: volume 0, plan 0, class 0, one
+    /// unit, a deadline in two seconds.
     pub fn request(&mut self, shard: Option<u64>) -> Request {
         let id = RequestId(self.next_request);
         self.next_request += 1;
@@ -144,7 +171,7 @@
             class: 0,
             key: None,
             shard: shard.map(Shard),
-            units: 1.0,
+            units: Units(1.0),
             hosts: 1.0,
             deadline: self.now + 2 * SECOND,
         }
@@ -152,11 +179,16 @@
 
     /// A request for the shard of node 0 from a volume, with a deadline at this time.
     pub fn request_of_volume(&mut self, volume: u64, plan: usize, deadline: Micros) -> Request {
-        Request { volume: VolumeId(volume), plan, deadline, ..self.request(Some(0)) }
+        Request {
+            volume: VolumeId(volume),
+            plan,
+            deadline,
+            ..self.request(Some(0))
+        }
     }
 
-    /// Has a node serve a request at once, with a response that is said to have taken this long. Returns the
-    /// request's id.
+    /// Has a node serve a request at once, with a response that is said to have taken this long.
+    /// Returns the request's id.
     pub fn serve(&mut self, node: u64, elapsed: Micros) -> u64 {
         let request = self.request(Some(node));
         let id = request.id.0;
@@ -165,7 +197,8 @@
         id
     }
 
-    /// Has an attempt at a node end badly after a millisecond; its client disconnects before a retry.
+    /// Has an attempt at a node end badly after a millisecond; its client disconnects before a
+    /// retry.
     pub fn fail_without_retry(&mut self, node: u64, outcome: Outcome) {
         let request = self.request(Some(node));
         let id = request.id.0;
@@ -176,27 +209,33 @@
         ]);
     }
 
-    /// Has a node serve requests quickly until its concurrency limit is at its maximum. They take no ids from
-    /// the test's own requests.
+    /// Has a node serve requests quickly until its concurrency limit is at its maximum. They take
+    /// no ids from the test's own requests.
     pub fn warm_up(&mut self, node: u64) {
         const FIRST_ID: u64 = 1_000_000;
         const VOLUME: u64 = 1_000_000;
         for id in FIRST_ID..FIRST_ID + 40 {
             let request = self.request(Some(node));
             self.next_request -= 1;
-            self.receive(Request { id: RequestId(id), volume: VolumeId(VOLUME), ..request });
+            self.receive(Request {
+                id: RequestId(id),
+                volume: VolumeId(VOLUME),
+                ..request
+            });
             self.handle(&[attempt_completed(id, 0, node, Outcome::Served, 0)]);
         }
     }
 
-    /// Fills node 0 with requests of a volume of their own, so that what follows waits; returns the ids of
-    /// those that were dispatched.
+    /// Fills node 0 with requests of a volume of their own, so that what follows waits; returns the
+    /// ids of those that were dispatched.
     pub fn occupy_node(&mut self, requests: u64) -> Vec<u64> {
         const VOLUME: u64 = 99;
         let mut events = vec![];
         for _ in 0..requests {
             let deadline = self.now + 60 * SECOND;
-            events.push(Event::RequestReceived(self.request_of_volume(VOLUME, 0, deadline)));
+            events.push(Event::RequestReceived(
+                self.request_of_volume(VOLUME, 0, deadline),
+            ));
         }
         dispatched_requests(&self.handle(&events))
     }
@@ -215,7 +254,10 @@
 
 /// The requests of the dispatched attempts, in order.
 pub fn dispatched_requests(actions: &[Action]) -> Vec<u64> {
-    dispatched(actions).iter().map(|(request, _)| *request).collect()
+    dispatched(actions)
+        .iter()
+        .map(|(request, _)| *request)
+        .collect()
 }
 
 /// The rejected requests, in order.
--- a/crates/scheduler/tests/concurrency_limit.rs
+++ b/crates/scheduler/tests/concurrency_limit.rs
@@ -3,13 +3,16 @@
 mod common;
 
 use common::{
-    dispatched, dispatched_requests, served, settings, volume_plan, SchedulerHarness, MILLISECOND, SECOND,
+    dispatched, dispatched_requests, served, settings, volume_plan, SchedulerHarness, MILLISECOND,
+    SECOND,
 };
-use io_scheduler::{Event, Micros, Request, VolumeId};
+use io_scheduler::{Event, Micros, Request, Units, UnitsPerSecond, VolumeId};
 
 #[test]
 fn a_host_has_one_attempt_in_flight_at_an_unmeasured_node_and_fast_responses_raise_the_limit() {
-    for (hosts, measured, in_flight) in [(3, false, 1), (200, false, 1), (3, true, 5), (200, true, 5)] {
+    for (hosts, measured, in_flight) in
+        [(3, false, 1), (200, false, 1), (3, true, 5), (200, true, 5)]
+    {
         let mut settings = settings();
         settings.hosts = hosts;
         let mut harness = SchedulerHarness::new(settings, 1);
@@ -29,8 +32,8 @@
     requests.iter().map(|id| served(*id, latency)).collect()
 }
 
-/// Lets the node respond with this latency for many rounds; returns how many attempts of the last round were
-/// in flight at once.
+/// Lets the node respond with this latency for many rounds; returns how many attempts of the last
+/// round were in flight at once.
 fn in_flight_after_responses(harness: &mut SchedulerHarness, latency: Micros) -> usize {
     let mut in_flight = 0;
     for _ in 0..40 {
@@ -64,7 +67,10 @@
     harness.handle_at(SECOND, &[served(0, SECOND)]);
     let request = harness.request(Some(0));
     let actions = harness.handle_at(SECOND + MILLISECOND, &[Event::RequestReceived(request)]);
-    assert!(dispatched(&actions).is_empty(), "a second is beyond the latency objective");
+    assert!(
+        dispatched(&actions).is_empty(),
+        "a second is beyond the latency objective"
+    );
     harness.now = 3 * SECOND;
     let request = harness.request(Some(0));
     assert_eq!(dispatched(&harness.receive(request)).first(), Some(&(2, 0)));
@@ -72,11 +78,15 @@
 
 #[test]
 fn while_responses_are_slow_reserved_requests_are_dispatched_before_the_others() {
-    // Responses of 200 ms against a latency objective of 500 ms: the concurrency limit falls below one.
+    // Responses of 200 ms against a latency objective of 500 ms: the concurrency limit falls below
+    // one.
     let latency = 200 * MILLISECOND;
     for (reservation, is_dispatched) in [(100.0, true), (0.0, false)] {
         let mut settings = settings();
-        settings.plans = vec![volume_plan(100.0, 1.0, 0.0), volume_plan(reservation, 1.0, 0.0)];
+        settings.plans = vec![
+            volume_plan(100.0, 1.0, 0.0),
+            volume_plan(reservation, 1.0, 0.0),
+        ];
         let mut harness = SchedulerHarness::new(settings, 1);
         for id in 0..4 {
             let request = harness.request(Some(0));
@@ -90,16 +100,25 @@
         harness.now += 700 * MILLISECOND;
         let request = harness.request_of_volume(1, 1, harness.now + 20 * SECOND);
         let attempts = dispatched(&harness.receive(request));
-        assert_eq!(!attempts.is_empty(), is_dispatched, "reservation {reservation}");
+        assert_eq!(
+            !attempts.is_empty(),
+            is_dispatched,
+            "reservation {reservation}"
+        );
     }
 }
 
-/// Sends a request of volume 1 and lets the node serve it in 100 ms; returns how long it waited for its
-/// dispatch.
+/// Sends a request of volume 1 and lets the node serve it in 100 ms; returns how long it waited for
+/// its dispatch.
 fn wait_for_dispatch(harness: &mut SchedulerHarness, units: f64) -> Micros {
     const LATENCY: Micros = 100 * MILLISECOND;
     let deadline = harness.now + 20 * SECOND;
-    let request = Request { volume: VolumeId(1), units, deadline, ..harness.request(Some(0)) };
+    let request = Request {
+        volume: VolumeId(1),
+        units: Units(units),
+        deadline,
+        ..harness.request(Some(0))
+    };
     let id = request.id.0;
     let received_at = harness.now;
     let mut attempts = dispatched(&harness.receive(request));
@@ -120,7 +139,7 @@
     for burst in [0.0, 10.0] {
         let mut settings = settings();
         settings.plans[0] = volume_plan(0.0, 1.0, 0.0);
-        settings.plans[0].provisioned_rate = 5.0;
+        settings.plans[0].provisioned_rate = UnitsPerSecond(5.0);
         settings.usage_report_period = SECOND;
         let mut harness = SchedulerHarness::new(settings, 1);
         wait_for_dispatch(&mut harness, 1.0);
--- a/crates/scheduler/tests/degenerate_settings.rs
+++ b/crates/scheduler/tests/degenerate_settings.rs
@@ -3,21 +3,25 @@
 mod common;
 
 use common::{dispatched, served, settings, volume_plan, SchedulerHarness, MILLISECOND};
-use io_scheduler::{Event, Request};
+use io_scheduler::{Event, Request, Units};
 
 #[test]
 fn rates_units_and_periods_of_zero_still_let_every_request_through() {
     let mut settings = settings();
     settings.plans = vec![volume_plan(0.0, 0.0, 0.0)];
-    settings.mean_units = 0.0;
-    settings.max_units = 0.0;
+    settings.mean_units = Units::ZERO;
+    settings.max_units = Units::ZERO;
     settings.slow_start.initial_capacity = 0.0;
     settings.slow_start.duration = 0;
-    settings.slow_start.units = 0.0;
+    settings.slow_start.units = Units::ZERO;
     settings.hosts = 0;
     let mut harness = SchedulerHarness::new(settings, 1);
     for _ in 0..20 {
-        let request = Request { units: 0.0, hosts: 0.0, ..harness.request(Some(0)) };
+        let request = Request {
+            units: Units::ZERO,
+            hosts: 0.0,
+            ..harness.request(Some(0))
+        };
         let id = request.id.0;
         let now = harness.now + MILLISECOND;
         let actions = harness.handle_at(now, &[Event::RequestReceived(request)]);
--- a/crates/scheduler/tests/endpoints.rs
+++ b/crates/scheduler/tests/endpoints.rs
@@ -14,7 +14,10 @@
     let request = harness.request(Some(9));
     assert!(dispatched(&harness.receive(request)).is_empty());
     let listed = delta(vec![endpoint(9, EndpointStatus::InService, None)]);
-    assert_eq!(dispatched(&harness.handle_at(400 * MILLISECOND, &[listed])), [(0, 9)]);
+    assert_eq!(
+        dispatched(&harness.handle_at(400 * MILLISECOND, &[listed])),
+        [(0, 9)]
+    );
     let request = harness.request(Some(8));
     harness.receive(request);
     let end = attempt_completed(0, 0, 9, Outcome::Served, 10 * MILLISECOND);
@@ -34,7 +37,10 @@
     let mut harness = SchedulerHarness::new(settings(), 1);
     harness.handle(&[snapshot(vec![endpoint(5, EndpointStatus::InService, None)])]);
     let request = harness.request(Some(0));
-    assert!(dispatched(&harness.receive(request)).is_empty(), "not part of a complete list");
+    assert!(
+        dispatched(&harness.receive(request)).is_empty(),
+        "not part of a complete list"
+    );
 }
 
 #[test]
@@ -45,5 +51,8 @@
     assert!(dispatched(&harness.receive(request)).is_empty());
     let mut successor = endpoint(7, EndpointStatus::InService, None);
     successor.shard = Shard(0);
-    assert_eq!(dispatched(&harness.handle(&[delta(vec![successor])])), [(0, 7)]);
+    assert_eq!(
+        dispatched(&harness.handle(&[delta(vec![successor])])),
+        [(0, 7)]
+    );
 }
--- a/crates/scheduler/tests/ordering.rs
+++ b/crates/scheduler/tests/ordering.rs
@@ -3,7 +3,8 @@
 mod common;
 
 use common::{
-    attempt_completed, dispatched, dispatched_requests, rejected, settings, SchedulerHarness, MILLISECOND,
+    attempt_completed, dispatched, dispatched_requests, rejected, settings, SchedulerHarness,
+    MILLISECOND,
 };
 use io_scheduler::{Event, ObjectKey, Outcome, Request};
 
@@ -24,11 +25,18 @@
     let mut first_dispatched = dispatched_requests(&actions);
     first_dispatched.sort_unstable();
     assert_eq!(first_dispatched, [0, 2], "another key does not wait");
-    // The first request is closed at its deadline, but its attempt has no outcome: the key still waits.
+    // The first request is closed at its deadline, but its attempt has no outcome: the key still
+    // waits.
     let actions = harness.fire_timer_at(300 * MILLISECOND);
-    assert_eq!((rejected(&actions), dispatched(&actions)), (vec![0], vec![]));
+    assert_eq!(
+        (rejected(&actions), dispatched(&actions)),
+        (vec![0], vec![])
+    );
     let timed_out = attempt_completed(0, 0, 0, Outcome::TimedOut, 304 * MILLISECOND);
     assert!(dispatched(&harness.handle_at(304 * MILLISECOND, &[timed_out])).is_empty());
     assert!(dispatched(&harness.fire_timer_at(404 * MILLISECOND - 1)).is_empty());
-    assert_eq!(dispatched(&harness.fire_timer_at(404 * MILLISECOND)), [(1, 0)]);
+    assert_eq!(
+        dispatched(&harness.fire_timer_at(404 * MILLISECOND)),
+        [(1, 0)]
+    );
 }
--- a/crates/scheduler/tests/outlier_ejection.rs
+++ b/crates/scheduler/tests/outlier_ejection.rs
@@ -44,7 +44,11 @@
         harness.now = 20 * SECOND;
         let mut requests = Vec::new();
         for _ in 0..3 {
-            requests.push(Event::RequestReceived(harness.request_of_volume(0, 0, 60 * SECOND)));
+            requests.push(Event::RequestReceived(harness.request_of_volume(
+                0,
+                0,
+                60 * SECOND,
+            )));
         }
         let count = dispatched(&harness.handle(&requests)).len();
         // One failing node of four is ejected and gets a single trial request.
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -11,7 +11,11 @@
     let mut settings = settings();
     settings.classes[0].latency_objective = 10 * SECOND;
     let mut harness = SchedulerHarness::new(settings, 3);
-    for (node, elapsed) in [(0, 400 * MILLISECOND), (1, 20 * MILLISECOND), (2, 200 * MILLISECOND)] {
+    for (node, elapsed) in [
+        (0, 400 * MILLISECOND),
+        (1, 20 * MILLISECOND),
+        (2, 200 * MILLISECOND),
+    ] {
         harness.serve(node, elapsed);
     }
     harness.now += SECOND;
@@ -38,26 +42,40 @@
 fn a_new_object_moves_to_another_node_only_if_its_attempt_never_ran() {
     for (outcome, moves) in [(Outcome::ConnectFailed, true), (Outcome::Error, false)] {
         let mut settings = settings();
-        settings.classes[0].idempotency =
-            Idempotency::Keyed { scope: DeduplicationScope::Shard, window: 5 * SECOND };
+        settings.classes[0].idempotency = Idempotency::WithKey {
+            scope: DeduplicationScope::Shard,
+            window: 5 * SECOND,
+        };
         let mut harness = SchedulerHarness::new(settings, 2);
         let new_object = harness.request(None);
         let first_node = dispatched(&harness.receive(new_object))[0].1;
-        harness.handle(&[delta(vec![endpoint(first_node, EndpointStatus::Draining, None)])]);
-        let mut actions =
-            harness.handle_at(MILLISECOND, &[attempt_completed(0, 0, first_node, outcome, MILLISECOND)]);
+        harness.handle(&[delta(vec![endpoint(
+            first_node,
+            EndpointStatus::Draining,
+            None,
+        )])]);
+        let mut actions = harness.handle_at(
+            MILLISECOND,
+            &[attempt_completed(0, 0, first_node, outcome, MILLISECOND)],
+        );
         actions.extend(harness.fire_timer_at(SECOND));
-        let moved = dispatched(&actions).iter().any(|(_, node)| *node != first_node);
+        let moved = dispatched(&actions)
+            .iter()
+            .any(|(_, node)| *node != first_node);
         assert_eq!(moved, moves, "{outcome:?}");
-        assert_eq!(failed(&actions), if moves { vec![] } else { vec![0] }, "{outcome:?}");
+        assert_eq!(
+            failed(&actions),
+            if moves { vec![] } else { vec![0] },
+            "{outcome:?}"
+        );
     }
 }
 
 #[test]
 fn a_new_object_avoids_a_node_with_a_lowered_concurrency_limit() {
-    // Node 0 was slow several times and then fast: its mean latency is the lower one again, but hosts that
-    // measured it as slow have lowered their concurrency limits there. Node 1 answers evenly, within a
-    // quarter of the latency objective.
+    // Node 0 was slow several times and then fast: its mean latency is the lower one again, but
+    // hosts that measured it as slow have lowered their concurrency limits there. Node 1 answers
+    // evenly, within a quarter of the latency objective.
     let mut harness = SchedulerHarness::new(settings(), 2);
     let mut serve_and_pause = |node, elapsed| {
         let id = harness.serve(node, elapsed);
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -3,7 +3,8 @@
 mod common;
 
 use common::{
-    attempt_completed, dispatched, failed, rejected, settings, SchedulerHarness, MILLISECOND, SECOND,
+    attempt_completed, dispatched, failed, rejected, settings, SchedulerHarness, MILLISECOND,
+    SECOND,
 };
 use io_scheduler::{DeduplicationScope, Event, Idempotency, Micros, Outcome, RetryBudget};
 
@@ -11,9 +12,11 @@
 fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
     let mut settings = settings();
     settings.classes[0].idempotency = Idempotency::NonIdempotent;
-    for (outcome, retried) in
-        [(Outcome::Overloaded, true), (Outcome::ConnectFailed, true), (Outcome::Error, false)]
-    {
+    for (outcome, retried) in [
+        (Outcome::Overloaded, true),
+        (Outcome::ConnectFailed, true),
+        (Outcome::Error, false),
+    ] {
         let mut harness = SchedulerHarness::new(settings.clone(), 1);
         let request = harness.request(Some(0));
         harness.receive(request);
@@ -21,13 +24,17 @@
         let mut actions = harness.handle_at(5 * MILLISECOND, &[end]);
         actions.extend(harness.fire_timer_at(100 * MILLISECOND));
         assert_eq!(!dispatched(&actions).is_empty(), retried, "{outcome:?}");
-        assert_eq!(failed(&actions), if retried { vec![] } else { vec![0] }, "{outcome:?}");
+        assert_eq!(
+            failed(&actions),
+            if retried { vec![] } else { vec![0] },
+            "{outcome:?}"
+        );
         assert!(rejected(&actions).is_empty(), "{outcome:?}");
     }
 }
 
 #[test]
-fn a_keyed_request_is_retried_only_within_its_deduplication_window() {
+fn a_request_with_an_idempotency_key_is_retried_only_within_its_deduplication_window() {
     let window = 100 * MILLISECOND;
     for (scope, elapsed, retried) in [
         (DeduplicationScope::Shard, 99 * MILLISECOND, true),
@@ -36,19 +43,31 @@
         (DeduplicationScope::All, 100 * MILLISECOND, false),
     ] {
         let mut settings = settings();
-        settings.classes[0].idempotency = Idempotency::Keyed { scope, window };
+        settings.classes[0].idempotency = Idempotency::WithKey { scope, window };
         let mut harness = SchedulerHarness::new(settings, 1);
         harness.warm_up(0);
         let request = harness.request(Some(0));
         harness.receive(request);
         let end = attempt_completed(0, 0, 0, Outcome::Error, elapsed);
         let actions = harness.handle_at(elapsed, &[end]);
-        assert_eq!(dispatched(&actions).len(), usize::from(retried), "{scope:?} {elapsed}");
+        assert_eq!(
+            dispatched(&actions).len(),
+            usize::from(retried),
+            "{scope:?} {elapsed}"
+        );
         let may_be_rejected = scope == DeduplicationScope::All;
         let expected_failed = usize::from(!retried && !may_be_rejected);
-        assert_eq!(failed(&actions).len(), expected_failed, "{scope:?} {elapsed}");
+        assert_eq!(
+            failed(&actions).len(),
+            expected_failed,
+            "{scope:?} {elapsed}"
+        );
         let expected_rejected = usize::from(!retried && may_be_rejected);
-        assert_eq!(rejected(&actions).len(), expected_rejected, "{scope:?} {elapsed}");
+        assert_eq!(
+            rejected(&actions).len(),
+            expected_rejected,
+            "{scope:?} {elapsed}"
+        );
     }
 }
 
@@ -72,18 +91,28 @@
 #[test]
 fn the_retry_budget_holds_in_every_window() {
     let mut settings = settings();
-    settings.retry_budget = Some(RetryBudget { window: SECOND, allowance: 1.0, ratio: 0.5 });
+    settings.retry_budget = Some(RetryBudget {
+        window: SECOND,
+        allowance: 1.0,
+        ratio: 0.5,
+    });
     let mut harness = SchedulerHarness::new(settings, 1);
     harness.warm_up(0);
     harness.now = 5 * SECOND;
     let (first, second) = (harness.request(Some(0)), harness.request(Some(0)));
-    harness.handle(&[Event::RequestReceived(first), Event::RequestReceived(second)]);
+    harness.handle(&[
+        Event::RequestReceived(first),
+        Event::RequestReceived(second),
+    ]);
     // Two requests received: the allowance of one retry and one more for the two.
     let ends = vec![
         attempt_completed(0, 0, 0, Outcome::Error, MILLISECOND),
         attempt_completed(1, 0, 0, Outcome::Error, MILLISECOND),
     ];
-    assert_eq!(dispatched(&harness.handle_at(5 * SECOND + MILLISECOND, &ends)).len(), 2);
+    assert_eq!(
+        dispatched(&harness.handle_at(5 * SECOND + MILLISECOND, &ends)).len(),
+        2
+    );
     let ends = vec![
         attempt_completed(0, 1, 0, Outcome::Overloaded, MILLISECOND),
         attempt_completed(1, 1, 0, Outcome::Served, MILLISECOND),
@@ -91,7 +120,10 @@
     assert!(dispatched(&harness.handle_at(5 * SECOND + 2 * MILLISECOND, &ends)).is_empty());
     assert!(dispatched(&harness.fire_timer_at(6 * SECOND - MILLISECOND)).is_empty());
     // Both retries have left the window, and so have both requests: the allowance is left.
-    assert_eq!(dispatched(&harness.fire_timer_at(6 * SECOND + 2 * MILLISECOND)), [(0, 0)]);
+    assert_eq!(
+        dispatched(&harness.fire_timer_at(6 * SECOND + 2 * MILLISECOND)),
+        [(0, 0)]
+    );
 }
 
 #[test]
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -6,7 +6,10 @@
     delta, dispatched, dispatched_requests, endpoint, served, settings, snapshot, volume_plan,
     SchedulerHarness, MILLISECOND, SECOND,
 };
-use io_scheduler::{EndpointStatus, Event, Micros, Request, RequestId, Settings, VolumeId, VolumePlan};
+use io_scheduler::{
+    EndpointStatus, Event, Micros, Request, RequestId, Settings, Units, UnitsPerSecond, VolumeId,
+    VolumePlan,
+};
 
 const NODE_STARTED_AT: Micros = 100 * SECOND;
 /// Duration of the slow start.
@@ -53,10 +56,13 @@
         settings.slow_start.duration = SLOW_START;
         settings.slow_start.initial_capacity = INITIAL_CAPACITY;
         settings.slow_start.burst_factor = 3.0;
-        settings.slow_start.units = FULL_CAPACITY * INITIAL_CAPACITY * settings.slow_start.burst_factor;
+        settings.slow_start.units =
+            Units(FULL_CAPACITY * INITIAL_CAPACITY * settings.slow_start.burst_factor);
         let provisioned_rate = self.provisioned_rate();
-        settings.plans =
-            vec![VolumePlan { provisioned_rate, ..volume_plan(provisioned_rate * 0.6, 1.0, 0.0) }];
+        settings.plans = vec![VolumePlan {
+            provisioned_rate: UnitsPerSecond(provisioned_rate),
+            ..volume_plan(provisioned_rate * 0.6, 1.0, 0.0)
+        }];
         settings
     }
 
@@ -74,7 +80,7 @@
         WarmingNode {
             load: self,
             dispatched_at: fleet.dispatched_at,
-            slow_start_units: settings.slow_start.units,
+            slow_start_units: settings.slow_start.units.0,
         }
     }
 }
@@ -97,12 +103,22 @@
     fn new(load: FleetLoad, settings: &Settings) -> Fleet {
         let mut hosts = Vec::new();
         for number in 0..u64::from(load.hosts) {
-            let mut host = SchedulerHarness::with_seed(settings.clone(), 0, load.seed * 1_000 + number);
+            let mut host =
+                SchedulerHarness::with_seed(settings.clone(), 0, load.seed * 1_000 + number);
             host.now = NODE_STARTED_AT;
-            host.handle(&[snapshot(vec![endpoint(0, EndpointStatus::InService, Some(NODE_STARTED_AT))])]);
+            host.handle(&[snapshot(vec![endpoint(
+                0,
+                EndpointStatus::InService,
+                Some(NODE_STARTED_AT),
+            )])]);
             hosts.push(host);
         }
-        Fleet { load, hosts, in_flight: Vec::new(), dispatched_at: Vec::new() }
+        Fleet {
+            load,
+            hosts,
+            in_flight: Vec::new(),
+            dispatched_at: Vec::new(),
+        }
     }
 
     /// Sends a request of each volume whose interval is over, through the volume's hosts in turn.
@@ -128,7 +144,7 @@
             id: RequestId(request.id.0 * VOLUMES + volume),
             volume: VolumeId(volume),
             hosts: HOSTS_PER_VOLUME as f64,
-            units: UNITS_PER_REQUEST,
+            units: Units(UNITS_PER_REQUEST),
             deadline: now + 2 * SECOND,
             ..request
         }
@@ -137,7 +153,8 @@
     /// Completes the attempts that are due and fires the timers of all hosts.
     fn complete_attempts(&mut self, now: Micros) {
         for host in 0..self.hosts.len() {
-            let is_due = |attempt: &InFlightAttempt| attempt.completes_at <= now && attempt.host == host;
+            let is_due =
+                |attempt: &InFlightAttempt| attempt.completes_at <= now && attempt.host == host;
             let mut events = Vec::new();
             for attempt in self.in_flight.iter().filter(|attempt| is_due(attempt)) {
                 events.push(served(attempt.request, self.load.response_time));
@@ -152,7 +169,11 @@
     fn record_dispatches(&mut self, now: Micros, host: usize, requests: &[u64]) {
         let completes_at = now + self.load.response_time;
         for request in requests {
-            self.in_flight.push(InFlightAttempt { completes_at, host, request: *request });
+            self.in_flight.push(InFlightAttempt {
+                completes_at,
+                host,
+                request: *request,
+            });
             self.dispatched_at.push(now);
         }
     }
@@ -169,24 +190,32 @@
 impl WarmingNode {
     /// Fraction of its full capacity that the node has at this time.
     fn capacity(now: Micros) -> f64 {
-        INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * (now - NODE_STARTED_AT) as f64 / SLOW_START as f64
+        INITIAL_CAPACITY
+            + (1.0 - INITIAL_CAPACITY) * (now - NODE_STARTED_AT) as f64 / SLOW_START as f64
     }
 
-    /// By how many requests the fullest window exceeded what the node can take then, beyond what chance
-    /// explains.
+    /// By how many requests the fullest window exceeded what the node can take then, beyond what
+    /// chance explains.
     fn max_excess(&self) -> f64 {
         let excess_until = |now: Micros| {
             let window = now - SECOND..=now;
-            let received = self.dispatched_at.iter().filter(|at| window.contains(*at)).count() as f64;
+            let received = self
+                .dispatched_at
+                .iter()
+                .filter(|at| window.contains(*at))
+                .count() as f64;
             let initial_requests = self.slow_start_units / UNITS_PER_REQUEST;
             let allowed = initial_requests * WarmingNode::capacity(now) / INITIAL_CAPACITY;
             received - (allowed + 2.0 * allowed.sqrt() + 2.0)
         };
-        self.dispatched_at.iter().map(|at| excess_until(*at)).fold(f64::MIN, f64::max)
+        self.dispatched_at
+            .iter()
+            .map(|at| excess_until(*at))
+            .fold(f64::MIN, f64::max)
     }
 
-    /// The units received in a span after its start, as a fraction of what the node could serve or what was
-    /// requested of it.
+    /// The units received in a span after its start, as a fraction of what the node could serve or
+    /// what was requested of it.
     fn utilization(&self, from: Micros, to: Micros) -> f64 {
         let mut possible_units = 0.0;
         for elapsed in (from..to).step_by(100 * MILLISECOND as usize) {
@@ -194,22 +223,38 @@
             possible_units += capacity.min(self.load.demand()) / 10.0;
         }
         let span = NODE_STARTED_AT + from..NODE_STARTED_AT + to;
-        let received = self.dispatched_at.iter().filter(|at| span.contains(*at)).count();
+        let received = self
+            .dispatched_at
+            .iter()
+            .filter(|at| span.contains(*at))
+            .count();
         UNITS_PER_REQUEST * received as f64 / possible_units
     }
 }
 
 #[test]
 fn the_slow_start_of_a_node_holds_for_the_whole_fleet() {
-    for (hosts, provisioned_fraction, demand_factor) in
-        [(1, 1.0, 3.0), (4, 0.7, 3.0), (30, 1.0, 1.0), (30, 0.7, 3.0), (30, 1.0, 8.0), (300, 1.0, 3.0)]
-    {
+    for (hosts, provisioned_fraction, demand_factor) in [
+        (1, 1.0, 3.0),
+        (4, 0.7, 3.0),
+        (30, 1.0, 1.0),
+        (30, 0.7, 3.0),
+        (30, 1.0, 8.0),
+        (300, 1.0, 3.0),
+    ] {
         for (seed, response_time) in [(1, 5 * MILLISECOND), (2, 60 * MILLISECOND)] {
-            let load = FleetLoad { hosts, seed, provisioned_fraction, demand_factor, response_time };
+            let load = FleetLoad {
+                hosts,
+                seed,
+                provisioned_fraction,
+                demand_factor,
+                response_time,
+            };
             let excess = load.run().max_excess();
             assert!(
                 excess <= 0.0,
-                "{hosts} hosts, provisioned {provisioned_fraction}, demand {demand_factor}: {excess} too many"
+                "{hosts} hosts, provisioned {provisioned_fraction}, demand {demand_factor}: \
+                 {excess} too many"
             );
         }
     }
@@ -239,13 +284,20 @@
 fn dispatched_of_surge(harness: &mut SchedulerHarness, plan: usize, volume: u64) -> u32 {
     let mut count = 0;
     for _ in 0..60 {
-        let request = Request { plan, volume: VolumeId(volume), ..harness.request(Some(0)) };
+        let request = Request {
+            plan,
+            volume: VolumeId(volume),
+            ..harness.request(Some(0))
+        };
         let id = request.id.0;
         let is_dispatched = !dispatched(&harness.receive(request)).is_empty();
         count += u32::from(is_dispatched);
         harness.now += MILLISECOND;
-        let end =
-            if is_dispatched { served(id, MILLISECOND) } else { Event::ClientDisconnected(RequestId(id)) };
+        let end = if is_dispatched {
+            served(id, MILLISECOND)
+        } else {
+            Event::ClientDisconnected(RequestId(id))
+        };
         harness.handle(&[end]);
     }
     count
@@ -253,51 +305,92 @@
 
 #[test]
 fn a_surging_volume_leaves_half_of_a_warming_node_s_units_to_the_others() {
-    // A single host may send all of the 20 units in a window, except those that are divided by provisioned
-    // rate. A volume that exceeds its provisioned rate gets half of the host's part; the requests of another
-    // volume get the other half.
+    // A single host may send all of the 20 units in a window, except those that are divided by
+    // provisioned rate. A volume that exceeds its provisioned rate gets half of the host's part;
+    // the requests of another volume get the other half.
     let mut settings = settings();
     settings.plans = vec![
-        VolumePlan { provisioned_rate: 1.0, ..volume_plan(0.0, 1.0, 0.0) },
-        VolumePlan { provisioned_rate: 100.0, ..volume_plan(100.0, 1.0, 0.0) },
+        VolumePlan {
+            provisioned_rate: UnitsPerSecond(1.0),
+            ..volume_plan(0.0, 1.0, 0.0)
+        },
+        VolumePlan {
+            provisioned_rate: UnitsPerSecond(100.0),
+            ..volume_plan(100.0, 1.0, 0.0)
+        },
     ];
     let mut harness = SchedulerHarness::with_seed(settings, 0, 1);
     harness.now = NODE_STARTED_AT;
-    harness.handle(&[snapshot(vec![endpoint(0, EndpointStatus::InService, Some(NODE_STARTED_AT))])]);
+    harness.handle(&[snapshot(vec![endpoint(
+        0,
+        EndpointStatus::InService,
+        Some(NODE_STARTED_AT),
+    )])]);
     let surge = dispatched_of_surge(&mut harness, 0, 1);
     let reserved = dispatched_of_surge(&mut harness, 1, 2);
     assert!((1..=11).contains(&surge), "{surge} of a surge");
-    assert!((8..=21).contains(&reserved) && surge + reserved <= 21, "{reserved} reserved after {surge}");
+    assert!(
+        (8..=21).contains(&reserved) && surge + reserved <= 21,
+        "{reserved} reserved after {surge}"
+    );
+}
+
+/// Sends requests of two and a half units, one each millisecond from `start` on, and serves those
+/// that are dispatched; returns their number.
+fn dispatched_of_large(harness: &mut SchedulerHarness, start: Micros, requests: Micros) -> usize {
+    let mut dispatched = 0;
+    for number in 0..requests {
+        let request = Request {
+            units: Units(2.5),
+            ..harness.request(Some(0))
+        };
+        let now = start + number * MILLISECOND;
+        let actions = harness.handle_at(now, &[Event::RequestReceived(request)]);
+        for id in dispatched_requests(&actions) {
+            dispatched += 1;
+            harness.handle(&[served(id, MILLISECOND)]);
+        }
+    }
+    dispatched
 }
 
 #[test]
 fn a_host_sends_a_warming_node_its_part_of_the_units_in_any_window() {
-    // Of 20 units an even part for each of four hosts is 5; by the provisioned rate of its volume this host's
-    // part is 3. It gets the mean of both: four units, in requests of two and a half.
+    // Of 20 units an even part for each of four hosts is 5; by the provisioned rate of its volume
+    // this host's part is 3. It gets the mean of both: four units, in requests of two and a half.
     const REQUESTS_PER_WINDOW: Micros = 6;
     let mut settings = settings();
     settings.hosts = 4;
-    settings.plans[0].provisioned_rate = 4.0;
-    let (mut in_first_window, mut in_second_window) = (0, 0);
+    settings.plans[0].provisioned_rate = UnitsPerSecond(4.0);
+    let mut in_first_window = 0;
+    let mut in_second_window = 0;
     for seed in 0..100 {
         let mut harness = SchedulerHarness::with_seed(settings.clone(), 1, seed);
         harness.now = NODE_STARTED_AT;
-        harness.handle(&[delta(vec![endpoint(0, EndpointStatus::InService, Some(NODE_STARTED_AT))])]);
-        let mut in_both_windows = 0;
-        for number in 0..2 * REQUESTS_PER_WINDOW {
-            let is_first_window = number < REQUESTS_PER_WINDOW;
-            let window_start = if is_first_window { 0 } else { SECOND + 20 * MILLISECOND };
-            let now = NODE_STARTED_AT + number * MILLISECOND + window_start;
-            let request = Request { units: 2.5, ..harness.request(Some(0)) };
-            let actions = harness.handle_at(now, &[Event::RequestReceived(request)]);
-            for id in dispatched_requests(&actions) {
-                in_both_windows += 1;
-                *(if is_first_window { &mut in_first_window } else { &mut in_second_window }) += 1;
-                harness.handle(&[served(id, MILLISECOND)]);
-            }
-        }
-        assert!((2..=4).contains(&in_both_windows), "{in_both_windows} in two windows");
+        harness.handle(&[delta(vec![endpoint(
+            0,
+            EndpointStatus::InService,
+            Some(NODE_STARTED_AT),
+        )])]);
+        let first_window = NODE_STARTED_AT;
+        let in_first = dispatched_of_large(&mut harness, first_window, REQUESTS_PER_WINDOW);
+        let second_window =
+            NODE_STARTED_AT + REQUESTS_PER_WINDOW * MILLISECOND + SECOND + 20 * MILLISECOND;
+        let in_second = dispatched_of_large(&mut harness, second_window, REQUESTS_PER_WINDOW);
+        in_first_window += in_first;
+        in_second_window += in_second;
+        let in_both_windows = in_first + in_second;
+        assert!(
+            (2..=4).contains(&in_both_windows),
+            "{in_both_windows} in two windows"
+        );
     }
-    assert!((150..=170).contains(&in_first_window), "{in_first_window} requests of 100 hosts in one window");
-    assert!((150..=170).contains(&in_second_window), "{in_second_window} in the next");
+    assert!(
+        (150..=170).contains(&in_first_window),
+        "{in_first_window} requests of 100 hosts in one window"
+    );
+    assert!(
+        (150..=170).contains(&in_second_window),
+        "{in_second_window} in the next"
+    );
 }
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -5,7 +5,8 @@
 use crate::values::{DeduplicationScopeSetting, DiscoverySetting, IdempotencySetting};
 use crate::UnknownValue;
 use io_scheduler::{
-    DeduplicationScope, Idempotency, RequestClass, RetryBudget, Settings, SlowStart, VolumePlan,
+    DeduplicationScope, Idempotency, RequestClass, RetryBudget, Settings, SlowStart, Units,
+    UnitsPerSecond, VolumePlan,
 };
 
 impl DeploymentSettings {
@@ -32,8 +33,8 @@
             slow_start: self.slow_start(),
             quiesce_period: micros(rules.quiesce_period_ms),
             retry_budget: self.retry_budget(),
-            mean_units: storage.mean_units,
-            max_units: storage.max_units,
+            mean_units: Units(storage.mean_units),
+            max_units: Units(storage.max_units),
             usage_report_period: micros(storage.usage_report_period_ms),
             reports_remote_units: storage.reports_remote_units,
             within_share_value: storage.within_share_value,
@@ -62,7 +63,7 @@
             duration: micros(self.rules.slow_start_duration_ms),
             window: micros(self.rules.slow_start_window_ms),
             burst_factor: self.rules.slow_start_burst_factor,
-            units: self.storage.slow_start_units,
+            units: Units(self.storage.slow_start_units),
         }
     }
 
@@ -96,7 +97,7 @@
     let scope = deduplication_scope(&class.deduplication_scope)?;
     match &class.idempotency {
         IdempotencySetting::Idempotent => Ok(Idempotency::Idempotent),
-        IdempotencySetting::WithKey => Ok(Idempotency::Keyed {
+        IdempotencySetting::WithKey => Ok(Idempotency::WithKey {
             scope,
             window: micros(class.deduplication_window_ms),
         }),
@@ -128,11 +129,11 @@
 impl From<&PlanSettings> for VolumePlan {
     fn from(plan: &PlanSettings) -> Self {
         VolumePlan {
-            reservation: plan.reservation,
+            reservation: UnitsPerSecond(plan.reservation),
             weight: plan.weight,
-            limit: plan.limit,
-            burst_capacity: plan.burst_capacity,
-            provisioned_rate: plan.provisioned_rate,
+            limit: UnitsPerSecond(plan.limit),
+            burst_capacity: Units(plan.burst_capacity),
+            provisioned_rate: UnitsPerSecond(plan.provisioned_rate),
         }
     }
 }
--- a/crates/settings/tests/conversion.rs
+++ b/crates/settings/tests/conversion.rs
@@ -1,7 +1,7 @@
 //! Every key of the settings object reaches the right setting of the scheduler.
 
 use deployment_settings::{micros, DeploymentSettings, UnknownValue};
-use io_scheduler::{DeduplicationScope, Idempotency, Micros, Settings};
+use io_scheduler::{DeduplicationScope, Idempotency, Micros, Settings, Units, UnitsPerSecond};
 use serde_json::{json, Value};
 
 fn decode(object: Value) -> DeploymentSettings {
@@ -78,7 +78,7 @@
     ] {
         let class = json!({"effect": "token", "group": group, "key_ttl_ms": 2000.0});
         let settings = convert(json!({ "classes": [class] }));
-        let expected = Idempotency::Keyed {
+        let expected = Idempotency::WithKey {
             scope,
             window: 2_000_000,
         };
@@ -97,11 +97,11 @@
     assert_eq!(decoded.tenant_weight, 6.0);
     let settings = convert(object);
     let plan = &settings.plans[0];
-    assert_eq!(plan.reservation, 1.0);
+    assert_eq!(plan.reservation, UnitsPerSecond(1.0));
     assert_eq!(plan.weight, 2.0);
-    assert_eq!(plan.limit, 3.0);
-    assert_eq!(plan.burst_capacity, 4.0);
-    assert_eq!(plan.provisioned_rate, 7.0);
+    assert_eq!(plan.limit, UnitsPerSecond(3.0));
+    assert_eq!(plan.burst_capacity, Units(4.0));
+    assert_eq!(plan.provisioned_rate, UnitsPerSecond(7.0));
 }
 
 #[test]
@@ -110,9 +110,9 @@
         "cold_bears": 1.0, "unit_mean": 2.0, "units_top": 3.0, "meter_ms": 4.0, "fair_worth": 5.0,
         "spare_worth": 6.0, "counts_others": true
     }}));
-    assert_eq!(settings.slow_start.units, 1.0);
-    assert_eq!(settings.mean_units, 2.0);
-    assert_eq!(settings.max_units, 3.0);
+    assert_eq!(settings.slow_start.units, Units(1.0));
+    assert_eq!(settings.mean_units, Units(2.0));
+    assert_eq!(settings.max_units, Units(3.0));
     assert_eq!(settings.usage_report_period, 4_000);
     assert_eq!(settings.within_share_value, 5.0);
     assert_eq!(settings.surplus_value, 6.0);
--- a/crates/simulator-adapter/src/instance/decode.rs
+++ b/crates/simulator-adapter/src/instance/decode.rs
@@ -5,7 +5,7 @@
     AttemptOutcomeMessage, EndpointListKind, EndpointRow, EventError, EventMessage, IncomingRequest,
 };
 use deployment_settings::micros;
-use io_scheduler::{CompletedAttempt, Endpoint, Event, ObjectKey, Request, Shard, VolumeId};
+use io_scheduler::{CompletedAttempt, Endpoint, Event, ObjectKey, Request, Shard, Units, VolumeId};
 
 impl Instance {
     /// Converts a message. Returns `None` if the scheduler need not handle it, for instance because
@@ -81,7 +81,7 @@
             class,
             key: message.object_key.map(ObjectKey),
             shard,
-            units: message.units,
+            units: Units(message.units),
             hosts: message.hosts.unwrap_or_default(),
             deadline: micros(message.deadline_ms),
         })
@@ -140,7 +140,7 @@
             outcome,
             request_closed: message.request_closed,
             elapsed: micros(message.elapsed_ms),
-            remote_units: message.remote_units,
+            remote_units: Units(message.remote_units),
             utilization: message.utilization(),
         }))
     }
