--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -241,12 +241,26 @@
     }
 }
 
-/// The dispatched attempts in order: the request and its node.
-pub fn dispatched(actions: &[Action]) -> Vec<(u64, u64)> {
+/// An attempt that the scheduler dispatched.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DispatchedAttempt {
+    /// Id of the request.
+    pub request: u64,
+    /// Id of the node it went to.
+    pub node: u64,
+}
+
+/// An attempt of a request at a node.
+pub fn attempt(request: u64, node: u64) -> DispatchedAttempt {
+    DispatchedAttempt { request, node }
+}
+
+/// The dispatched attempts, in order.
+pub fn dispatched(actions: &[Action]) -> Vec<DispatchedAttempt> {
     let mut attempts = Vec::new();
     for action in actions {
         if let Action::Dispatch { request, node, .. } = action {
-            attempts.push((request.0, node.0));
+            attempts.push(attempt(request.0, node.0));
         }
     }
     attempts
@@ -254,10 +268,8 @@
 
 /// The requests of the dispatched attempts, in order.
 pub fn dispatched_requests(actions: &[Action]) -> Vec<u64> {
-    dispatched(actions)
-        .iter()
-        .map(|(request, _)| *request)
-        .collect()
+    let attempts = dispatched(actions).into_iter();
+    attempts.map(|attempt| attempt.request).collect()
 }
 
 /// The rejected requests, in order.
--- a/crates/scheduler/tests/concurrency_limit.rs
+++ b/crates/scheduler/tests/concurrency_limit.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    dispatched, dispatched_requests, served, settings, volume_plan, SchedulerHarness, MILLISECOND,
-    SECOND,
+    attempt, dispatched, dispatched_requests, served, settings, volume_plan, SchedulerHarness,
+    MILLISECOND, SECOND,
 };
 use io_scheduler::{Event, Micros, Request, Units, UnitsPerSecond, VolumeId};
 
@@ -73,7 +73,10 @@
     );
     harness.now = 3 * SECOND;
     let request = harness.request(Some(0));
-    assert_eq!(dispatched(&harness.receive(request)).first(), Some(&(2, 0)));
+    assert_eq!(
+        dispatched(&harness.receive(request)).first(),
+        Some(&attempt(2, 0))
+    );
 }
 
 #[test]
@@ -90,7 +93,7 @@
         let mut harness = SchedulerHarness::new(settings, 1);
         for id in 0..4 {
             let request = harness.request(Some(0));
-            assert_eq!(dispatched(&harness.receive(request)), [(id, 0)]);
+            assert_eq!(dispatched(&harness.receive(request)), [attempt(id, 0)]);
             harness.handle_at(harness.now + latency, &[served(id, latency)]);
             harness.now += 2 * SECOND;
         }
--- a/crates/scheduler/tests/deadlines.rs
+++ b/crates/scheduler/tests/deadlines.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{
-    attempt_completed, dispatched, failed, rejected, served, settings, volume_plan,
+    attempt, attempt_completed, dispatched, failed, rejected, served, settings, volume_plan,
     SchedulerHarness, MILLISECOND, SECOND,
 };
 use io_scheduler::{Action, Event, ObjectKey, Outcome};
@@ -12,7 +12,7 @@
 fn a_request_gets_one_final_response_at_its_deadline_and_nothing_after_it() {
     let mut harness = SchedulerHarness::new(settings(), 1);
     let request = harness.request(Some(0));
-    assert_eq!(dispatched(&harness.receive(request)), [(0, 0)]);
+    assert_eq!(dispatched(&harness.receive(request)), [attempt(0, 0)]);
     assert!(rejected(&harness.fire_timer_at(2 * SECOND - 1)).is_empty());
     assert_eq!(rejected(&harness.fire_timer_at(2 * SECOND)), [0]);
     let timed_out = attempt_completed(0, 0, 0, Outcome::TimedOut, 2 * SECOND);
@@ -47,7 +47,7 @@
     let mut harness = SchedulerHarness::new(settings, 1);
     for id in 0..10 {
         let request = harness.request(Some(0));
-        assert_eq!(dispatched(&harness.receive(request)), [(id, 0)]);
+        assert_eq!(dispatched(&harness.receive(request)), [attempt(id, 0)]);
         harness.handle_at(
             harness.now + 100 * MILLISECOND,
             &[served(id, 100 * MILLISECOND)],
@@ -100,5 +100,5 @@
     let new_request = request_for_key(&mut harness, 2);
     harness.handle(&[retry, new_request]);
     let actions = harness.handle_at(601 * MILLISECOND, &[served(0, MILLISECOND)]);
-    assert_eq!(dispatched(&actions), [(7, 0)]);
+    assert_eq!(dispatched(&actions), [attempt(7, 0)]);
 }
--- a/crates/scheduler/tests/degenerate_settings.rs
+++ b/crates/scheduler/tests/degenerate_settings.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{dispatched, served, settings, volume_plan, SchedulerHarness, MILLISECOND};
+use common::{attempt, dispatched, served, settings, volume_plan, SchedulerHarness, MILLISECOND};
 use io_scheduler::{Event, Request, Units};
 
 #[test]
@@ -25,7 +25,7 @@
         let id = request.id.0;
         let now = harness.now + MILLISECOND;
         let actions = harness.handle_at(now, &[Event::RequestReceived(request)]);
-        assert_eq!(dispatched(&actions), [(id, 0)]);
+        assert_eq!(dispatched(&actions), [attempt(id, 0)]);
         let mut end = served(id, 0);
         if let Event::AttemptCompleted(attempt) = &mut end {
             attempt.utilization = Some(0.0);
--- a/crates/scheduler/tests/dmclock.rs
+++ b/crates/scheduler/tests/dmclock.rs
@@ -4,8 +4,7 @@
 mod common;
 
 use common::{
-    dispatched, dispatched_requests, served, settings, volume_plan, SchedulerHarness, MILLISECOND,
-    SECOND,
+    dispatched_requests, served, settings, volume_plan, SchedulerHarness, MILLISECOND, SECOND,
 };
 use io_scheduler::{Event, Micros, Settings, Units};
 
@@ -174,7 +173,7 @@
             request.deadline = harness.now + 60 * SECOND;
             events.push(Event::RequestReceived(request));
         }
-        for (id, _) in dispatched(&harness.handle(&events)) {
+        for id in dispatched_requests(&harness.handle(&events)) {
             spent += 1.0;
             harness.handle(&[served(id, MILLISECOND)]);
         }
--- a/crates/scheduler/tests/endpoints.rs
+++ b/crates/scheduler/tests/endpoints.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    attempt_completed, delta, dispatched, endpoint, rejected, settings, snapshot, SchedulerHarness,
-    MILLISECOND, SECOND,
+    attempt, attempt_completed, delta, dispatched, endpoint, rejected, settings, snapshot,
+    SchedulerHarness, MILLISECOND, SECOND,
 };
 use io_scheduler::{EndpointStatus, Event, Outcome, Shard};
 
@@ -16,7 +16,7 @@
     let listed = delta(vec![endpoint(9, EndpointStatus::InService, None)]);
     assert_eq!(
         dispatched(&harness.handle_at(400 * MILLISECOND, &[listed])),
-        [(0, 9)]
+        [attempt(0, 9)]
     );
     let request = harness.request(Some(8));
     harness.receive(request);
@@ -53,6 +53,6 @@
     successor.shard = Shard(0);
     assert_eq!(
         dispatched(&harness.handle(&[delta(vec![successor])])),
-        [(0, 7)]
+        [attempt(0, 7)]
     );
 }
--- a/crates/scheduler/tests/ordering.rs
+++ b/crates/scheduler/tests/ordering.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    attempt_completed, dispatched, dispatched_requests, rejected, settings, SchedulerHarness,
-    MILLISECOND,
+    attempt, attempt_completed, dispatched, dispatched_requests, rejected, settings,
+    SchedulerHarness, MILLISECOND,
 };
 use io_scheduler::{Event, ObjectKey, Outcome, Request};
 
@@ -37,6 +37,6 @@
     assert!(dispatched(&harness.fire_timer_at(404 * MILLISECOND - 1)).is_empty());
     assert_eq!(
         dispatched(&harness.fire_timer_at(404 * MILLISECOND)),
-        [(1, 0)]
+        [attempt(1, 0)]
     );
 }
--- a/crates/scheduler/tests/outlier_ejection.rs
+++ b/crates/scheduler/tests/outlier_ejection.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::{attempt_completed, dispatched, settings, SchedulerHarness, MILLISECOND, SECOND};
+use common::{
+    attempt, attempt_completed, dispatched, settings, SchedulerHarness, MILLISECOND, SECOND,
+};
 use io_scheduler::{Event, Outcome, RequestId};
 
 #[test]
@@ -16,10 +18,10 @@
     let (trial, next) = (harness.request(Some(0)), harness.request(Some(0)));
     let (trial_id, next_id) = (trial.id.0, next.id.0);
     let actions = harness.handle(&[Event::RequestReceived(trial), Event::RequestReceived(next)]);
-    assert_eq!(dispatched(&actions), [(trial_id, 0)]);
+    assert_eq!(dispatched(&actions), [attempt(trial_id, 0)]);
     let trial_served = attempt_completed(trial_id, 0, 0, Outcome::Served, MILLISECOND);
     let actions = harness.handle_at(harness.now + MILLISECOND, &[trial_served]);
-    assert_eq!(dispatched(&actions), [(next_id, 0)]);
+    assert_eq!(dispatched(&actions), [attempt(next_id, 0)]);
 }
 
 #[test]
@@ -34,7 +36,7 @@
                 let mut request = harness.request(Some(node));
                 request.deadline = 60 * SECOND;
                 let id = request.id.0;
-                assert_eq!(dispatched(&harness.receive(request)), [(id, node)]);
+                assert_eq!(dispatched(&harness.receive(request)), [attempt(id, node)]);
                 harness.handle(&[
                     attempt_completed(id, 0, node, Outcome::ConnectFailed, MILLISECOND),
                     Event::ClientDisconnected(RequestId(id)),
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::{attempt_completed, delta, dispatched, endpoint, failed, settings, SchedulerHarness};
+use common::{
+    attempt, attempt_completed, delta, dispatched, endpoint, failed, settings, SchedulerHarness,
+};
 use common::{MILLISECOND, SECOND};
 use io_scheduler::{DeduplicationScope, EndpointStatus, Idempotency, Outcome};
 
@@ -20,7 +22,7 @@
     }
     harness.now += SECOND;
     let new_object = harness.request(None);
-    assert_eq!(dispatched(&harness.receive(new_object)), [(3, 1)]);
+    assert_eq!(dispatched(&harness.receive(new_object)), [attempt(3, 1)]);
 }
 
 #[test]
@@ -35,7 +37,7 @@
     harness.now += SECOND;
     let new_object = harness.request(None);
     let id = new_object.id.0;
-    assert_eq!(dispatched(&harness.receive(new_object)), [(id, 1)]);
+    assert_eq!(dispatched(&harness.receive(new_object)), [attempt(id, 1)]);
 }
 
 #[test]
@@ -48,7 +50,7 @@
         };
         let mut harness = SchedulerHarness::new(settings, 2);
         let new_object = harness.request(None);
-        let first_node = dispatched(&harness.receive(new_object))[0].1;
+        let first_node = dispatched(&harness.receive(new_object))[0].node;
         harness.handle(&[delta(vec![endpoint(
             first_node,
             EndpointStatus::Draining,
@@ -61,7 +63,7 @@
         actions.extend(harness.fire_timer_at(SECOND));
         let moved = dispatched(&actions)
             .iter()
-            .any(|(_, node)| *node != first_node);
+            .any(|attempt| attempt.node != first_node);
         assert_eq!(moved, moves, "{outcome:?}");
         assert_eq!(
             failed(&actions),
@@ -91,5 +93,5 @@
     }
     let id = serve_and_pause(1, 124 * MILLISECOND) + 1;
     let new_object = harness.request(None);
-    assert_eq!(dispatched(&harness.receive(new_object)), [(id, 1)]);
+    assert_eq!(dispatched(&harness.receive(new_object)), [attempt(id, 1)]);
 }
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    attempt_completed, dispatched, failed, rejected, settings, SchedulerHarness, MILLISECOND,
-    SECOND,
+    attempt, attempt_completed, dispatched, failed, rejected, settings, SchedulerHarness,
+    MILLISECOND, SECOND,
 };
 use io_scheduler::{DeduplicationScope, Event, Idempotency, Micros, Outcome, RetryBudget};
 
@@ -77,10 +77,10 @@
     harness.warm_up(0);
     let request = harness.request(Some(0));
     harness.receive(request);
-    for attempt in [0, 1] {
-        let end = attempt_completed(0, attempt, 0, Outcome::Error, MILLISECOND);
-        let actions = harness.handle_at(Micros::from(attempt + 1) * MILLISECOND, &[end]);
-        assert_eq!(dispatched(&actions), [(0, 0)]);
+    for number in [0, 1] {
+        let end = attempt_completed(0, number, 0, Outcome::Error, MILLISECOND);
+        let actions = harness.handle_at(Micros::from(number + 1) * MILLISECOND, &[end]);
+        assert_eq!(dispatched(&actions), [attempt(0, 0)]);
     }
     let end = attempt_completed(0, 2, 0, Outcome::Error, MILLISECOND);
     let actions = harness.handle_at(3 * MILLISECOND, &[end]);
@@ -122,7 +122,7 @@
     // Both retries have left the window, and so have both requests: the allowance is left.
     assert_eq!(
         dispatched(&harness.fire_timer_at(6 * SECOND + 2 * MILLISECOND)),
-        [(0, 0)]
+        [attempt(0, 0)]
     );
 }
 
