--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -11,7 +11,7 @@
 
 pub(crate) use clock::{Clock, MICROS_PER_MILLI};
 pub(crate) use poller::Poller;
-pub(crate) use shutdown::{Shutdown, DRAIN_GRACE};
+pub(crate) use shutdown::{Shutdown, EXIT_IDLE_TIME};
 
 use crate::config::Config;
 use crate::connection_token::ConnectionToken;
--- a/crates/gateway/src/context/shutdown.rs
+++ b/crates/gateway/src/context/shutdown.rs
@@ -2,7 +2,7 @@
 //!
 //! After the request the gateway serves unchanged for a grace period, [`SHUTDOWN_GRACE`], as
 //! clients may still connect. Then it drains: client connections are closed as soon as they are
-//! idle, and the gateway ends once it has been idle for [`DRAIN_GRACE`].
+//! idle, and the gateway ends once it has been idle for [`EXIT_IDLE_TIME`].
 
 use crate::timer_queue::{Timer, TimerQueue};
 use io_scheduler::Micros;
@@ -13,7 +13,7 @@
 /// How long, in microseconds, the gateway must be idle before it ends. A client whose request
 /// crossed the close of its connection on the wire repeats it on a new connection, which the
 /// gateway must still accept.
-pub(crate) const DRAIN_GRACE: Micros = 100_000;
+pub(crate) const EXIT_IDLE_TIME: Micros = 100_000;
 
 /// Progress of a graceful shutdown.
 #[derive(Debug, Default)]
@@ -47,18 +47,25 @@
         self.is_draining
     }
 
-    /// Starts or continues draining. Returns for how many microseconds a connection must have been
-    /// idle to be closed now: 0 at the first call, later [`DRAIN_GRACE`], so that new connections
-    /// have time to send a request.
-    pub(crate) fn drain(&mut self) -> Micros {
-        let min_idle_time = if self.is_draining { DRAIN_GRACE } else { 0 };
+    /// For how many microseconds a client connection must have been idle to be closed now: 0 when
+    /// draining starts, later [`EXIT_IDLE_TIME`], so that new connections have time to send a
+    /// request.
+    pub(crate) fn min_idle_time_to_close(&self) -> Micros {
+        if self.is_draining {
+            EXIT_IDLE_TIME
+        } else {
+            0
+        }
+    }
+
+    /// Starts draining; further calls change nothing.
+    pub(crate) fn start_draining(&mut self) {
         self.is_draining = true;
-        min_idle_time
     }
 
     /// When the gateway will have been idle for long enough to end; `None` if it is not idle.
     pub(crate) fn completes_at(&self) -> Option<Micros> {
-        self.idle_since.map(|since| since + DRAIN_GRACE)
+        self.idle_since.map(|since| since + EXIT_IDLE_TIME)
     }
 
     /// Records that the gateway is not idle.
@@ -69,6 +76,6 @@
     /// Records that the gateway is idle; returns whether it has been so for long enough to end.
     pub(crate) fn note_idle(&mut self, now: Micros) -> bool {
         let idle_since = *self.idle_since.get_or_insert(now);
-        now - idle_since >= DRAIN_GRACE
+        now - idle_since >= EXIT_IDLE_TIME
     }
 }
--- a/crates/gateway/src/event_loop/events.rs
+++ b/crates/gateway/src/event_loop/events.rs
@@ -54,7 +54,7 @@
 
     /// Starts what a signal asks for.
     fn handle_signal(&mut self, token: ConnectionToken) {
-        match self.signals.drain(token) {
+        match self.signals.read_signals(token) {
             Some(SignalKind::Shutdown) => self.request_shutdown(),
             Some(SignalKind::Reload) => self.reload_config(),
             None => {}
--- a/crates/gateway/src/event_loop/shutdown.rs
+++ b/crates/gateway/src/event_loop/shutdown.rs
@@ -1,7 +1,7 @@
 //! The steps of a graceful shutdown; see [`crate::context::Shutdown`].
 
 use super::gateway::Gateway;
-use crate::context::DRAIN_GRACE;
+use crate::context::EXIT_IDLE_TIME;
 use crate::timer_queue::Timer;
 use rustix::event::epoll::Event;
 
@@ -16,12 +16,13 @@
     /// Closes idle client connections, and sets the timer to do so again until the shutdown is
     /// complete.
     pub(super) fn drain_clients(&mut self) {
-        let min_idle_time = self.context.shutdown.drain();
+        let min_idle_time = self.context.shutdown.min_idle_time_to_close();
+        self.context.shutdown.start_draining();
         self.client_connections
             .close_idle_for(min_idle_time, &mut self.context);
         self.context
             .timers
-            .set(self.context.now + DRAIN_GRACE, Timer::Shutdown);
+            .set(self.context.now + EXIT_IDLE_TIME, Timer::Shutdown);
     }
 
     /// Updates the idle state of the shutdown after a turn. Returns whether the gateway can end:
--- a/crates/gateway/src/event_loop/signals.rs
+++ b/crates/gateway/src/event_loop/signals.rs
@@ -8,6 +8,9 @@
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 
+/// How many signals, one byte each, one read takes from a pipe.
+const SIGNALS_PER_READ: usize = 64;
+
 /// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SignalKind {
@@ -60,10 +63,14 @@
     }
 
     /// Empties the pipe with this token, and returns what its signals ask for.
-    pub(super) fn drain(&mut self, token: ConnectionToken) -> Option<SignalKind> {
+    pub(super) fn read_signals(&mut self, token: ConnectionToken) -> Option<SignalKind> {
         let pipe = self.pipes.iter_mut().find(|pipe| pipe.token == token)?;
         // Each byte stands for one signal.
-        while pipe.stream.read(&mut [0; 64]).is_ok_and(|count| count > 0) {}
+        while pipe
+            .stream
+            .read(&mut [0; SIGNALS_PER_READ])
+            .is_ok_and(|count| count > 0)
+        {}
         Some(pipe.kind)
     }
 }
