--- a/crates/gateway/src/connections/node/idle_timeout.rs
+++ b/crates/gateway/src/connections/node/idle_timeout.rs
@@ -15,6 +15,19 @@
 /// by the idle time before it.
 const MAX_RESET_DELAY: Micros = 10_000;
 
+/// A non-idempotent request may use a connection that was idle for at most the estimate divided by
+/// this: such a request cannot be retried after a reset.
+const NON_IDEMPOTENT_DIVISOR: Micros = 2;
+/// A reset that is put down to another cause divides the longest answered idle time by this.
+const CONTRADICTED_DIVISOR: Micros = 2;
+/// The highest estimate after a reset, in percent of the idle time before the request.
+const AFTER_RESET_PERCENT: Micros = 75;
+/// A response raises the estimate if the idle time before its request was more than the estimate
+/// divided by this.
+const RAISING_RESPONSE_DIVISOR: Micros = 2;
+/// A response raises the estimate by the estimate divided by this.
+const RAISE_DIVISOR: Micros = 8;
+
 /// The estimated idle timeout of one node; see the [module](self). All times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleTimeoutEstimate {
@@ -22,8 +35,8 @@
     estimate: Micros,
     /// Upper bound of the estimate, from the settings.
     maximum: Micros,
-    /// The longest idle time after which a request got its response; halved after a reset that
-    /// contradicts it.
+    /// The longest idle time after which a request got its response; lowered after a reset
+    /// that contradicts it.
     longest_answered: Micros,
 }
 
@@ -51,10 +64,10 @@
     }
 
     /// Whether a non-idempotent request can use a connection that was idle for this long. The
-    /// bound is half of the estimate, as such a request cannot be retried after a reset.
+    /// bound is lower, as such a request cannot be retried after a reset.
     #[must_use]
     pub fn allows_non_idempotent(&self, idle: Micros) -> bool {
-        idle <= self.estimate / 2
+        idle <= self.estimate / NON_IDEMPOTENT_DIVISOR
     }
 
     /// Records a reset: it came `after` the start of a request on a connection that had been idle
@@ -64,21 +77,23 @@
             return;
         }
         // A request got its response after a longer idle time, so a single reset is put down to
-        // another cause. Each such reset halves the contrary evidence: repeated resets lower the
+        // another cause. Each such reset lowers the contrary evidence: repeated resets lower the
         // estimate in the end.
         if idle < self.longest_answered {
-            self.longest_answered /= 2;
+            self.longest_answered /= CONTRADICTED_DIVISOR;
         } else {
-            self.estimate = self.estimate.min(idle * 3 / 4).max(MIN_IDLE_TIMEOUT);
+            let highest = idle * AFTER_RESET_PERCENT / 100;
+            self.estimate = self.estimate.min(highest).max(MIN_IDLE_TIMEOUT);
         }
     }
 
     /// Records a response to a request on a connection that had been idle for `idle`. The estimate
-    /// rises by an eighth if that was more than half of it.
+    /// rises if that was a large part of it.
     pub fn record_response(&mut self, idle: Micros) {
         self.longest_answered = self.longest_answered.max(idle);
-        if idle > self.estimate / 2 {
-            self.estimate = (self.estimate + self.estimate / 8).min(self.maximum);
+        if idle > self.estimate / RAISING_RESPONSE_DIVISOR {
+            let raised = self.estimate + self.estimate / RAISE_DIVISOR;
+            self.estimate = raised.min(self.maximum);
         }
     }
 }
--- a/crates/gateway/src/dispatcher/in_flight_request.rs
+++ b/crates/gateway/src/dispatcher/in_flight_request.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 
 /// How long after its deadline the dispatcher itself fails a request that the scheduler has not
-/// ended, in microseconds.
+/// ended, in microseconds. The scheduler's timers expire at the deadline, so this is how late the
+/// event loop may run before the dispatcher takes over; see `RESPONSE_DELIVERY_MARGIN` in `submit`
+/// for its upper bound.
 const OVERDUE_GRACE: Micros = 3_000;
 
 /// An attempt whose result is awaited.
--- a/crates/gateway/src/dispatcher/node_table.rs
+++ b/crates/gateway/src/dispatcher/node_table.rs
@@ -10,9 +10,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// No attempt is written to a draining node in the last part of its drain grace, as it would reach
-/// the node too late. That part is this long, in microseconds, or half of the drain grace if that
-/// is shorter.
+/// the node too late. That part is this long, in microseconds.
 const DRAIN_SAFETY_MARGIN: Micros = 30_000;
+/// That part is at most the drain grace divided by this.
+const MIN_DRAIN_GRACE_PER_MARGIN: Micros = 2;
 
 /// The nodes of the endpoint list, and removed ones with attempts in flight.
 #[derive(Debug)]
@@ -165,7 +166,7 @@
 
     /// Applies the drain guard to all nodes.
     fn update_write_deadlines(&mut self, now: Micros) {
-        let margin = DRAIN_SAFETY_MARGIN.min(self.drain_grace / 2);
+        let margin = DRAIN_SAFETY_MARGIN.min(self.drain_grace / MIN_DRAIN_GRACE_PER_MARGIN);
         let deadline = now + self.drain_grace - margin;
         for node in self.nodes.values_mut() {
             node.update_write_deadline(deadline);
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -11,8 +11,13 @@
 use io_scheduler::{Event, Micros, Request, RequestId, Units};
 
 /// Time reserved for the final response to reach the client before the client's timeout, in
-/// microseconds; at most a quarter of that timeout.
+/// microseconds. It is longer than `OVERDUE_GRACE`, so that the dispatcher's own response to an
+/// overdue request, too, is sent before that timeout.
 const RESPONSE_DELIVERY_MARGIN: Micros = 6_000;
+/// The time reserved is at most the client's timeout divided by this, so that a short timeout
+/// leaves most of its time to the attempts. An overdue request with a timeout below
+/// `OVERDUE_GRACE` times this gets its response too late.
+const MIN_TIMEOUT_PER_MARGIN: Micros = 4;
 
 impl Dispatcher {
     /// Accepts a request. Its final response is a [`Command::Respond`] of this turn or a later
@@ -81,7 +86,7 @@
 /// The latest time to send the final response to a client that waits for `client_timeout` from
 /// `now` on.
 fn response_deadline(now: Micros, client_timeout: Micros) -> Micros {
-    let margin = RESPONSE_DELIVERY_MARGIN.min(client_timeout / 4);
+    let margin = RESPONSE_DELIVERY_MARGIN.min(client_timeout / MIN_TIMEOUT_PER_MARGIN);
     now + (client_timeout - margin).max(0)
 }
 
