--- a/crates/gateway/src/connections/node/attempts.rs
+++ b/crates/gateway/src/connections/node/attempts.rs
@@ -5,9 +5,9 @@
 use super::node_connections::NodeConnections;
 use super::open::OpenError;
 use crate::context::Context;
-use crate::dispatcher::Operation;
+use crate::dispatcher::{AbortCause, Operation};
 use crate::timer_queue::AttemptId;
-use io_scheduler::{Micros, NodeId, Outcome};
+use io_scheduler::{Micros, NodeId};
 
 impl NodeConnections {
     /// Starts an attempt on an idle connection or on a new one.
@@ -21,7 +21,9 @@
             Ok(connection) => connection,
             Err(error) => {
                 log::debug!("node {}: {error}", attempt.node.0);
-                return context.abort_attempt(attempt.id, Outcome::ConnectFailed);
+                // The scheduler counts this as a fault of the node, also where the gateway itself
+                // is short of connections.
+                return context.abort_attempt(attempt.id, AbortCause::NoConnection);
             }
         };
         self.attempt_connections
@@ -119,7 +121,7 @@
         let result =
             flushed.and_then(|()| connection.socket.set_interest(interest, &context.poller));
         if result.is_err() {
-            return self.fail_connection(connection, Outcome::Reset, context);
+            return self.fail_connection(connection, AbortCause::ConnectionLost, context);
         }
         if connection.in_flight.is_some() {
             return self.store(connection);
@@ -142,7 +144,8 @@
         let attempt = in_flight.attempt.id;
         connection.in_flight = None;
         self.attempt_connections.remove(&attempt);
-        context.abort_attempt(attempt, Outcome::ConnectFailed);
+        // The scheduler counts this as a fault of the node, like a connection that was refused.
+        context.abort_attempt(attempt, AbortCause::DrainGuard);
     }
 }
 
--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -5,7 +5,8 @@
 use super::pool::ConnectionPool;
 use crate::connection_token::ConnectionToken;
 use crate::context::Context;
-use io_scheduler::{Micros, NodeId, Outcome};
+use crate::dispatcher::AbortCause;
+use io_scheduler::{Micros, NodeId};
 
 impl NodeConnections {
     /// Puts a connection that carries no request into its pool. It is closed instead if its node
@@ -68,13 +69,11 @@
         self.remove_pool_if_unused(connection.node, context);
     }
 
-    /// Closes a connection that failed and aborts the attempt in flight, if there is one. Its
-    /// outcome is `outcome` if the request may have run; see
-    /// [`crate::dispatcher::Dispatcher::abort_attempt`].
+    /// Closes a connection that failed, and aborts the attempt that it carries, if any.
     pub(super) fn fail_connection(
         &mut self,
         mut connection: NodeConnection,
-        outcome: Outcome,
+        cause: AbortCause,
         context: &mut Context,
     ) {
         let in_flight = connection.in_flight.take();
@@ -82,12 +81,12 @@
         let idle_before_request = connection.idle_before_request;
         self.drop_connection(connection, context);
         let Some(in_flight) = in_flight else { return };
-        if outcome == Outcome::Reset && in_flight.is_marked_written {
+        if cause == AbortCause::ConnectionLost && in_flight.is_marked_written {
             let reset_after = context.now - in_flight.started_at;
             self.record_reset(node, idle_before_request, reset_after);
         }
         self.attempt_connections.remove(&in_flight.attempt.id);
-        context.abort_attempt(in_flight.attempt.id, outcome);
+        context.abort_attempt(in_flight.attempt.id, cause);
     }
 
     /// Lets the node's idle timeout estimate learn from a reset; see
--- a/crates/gateway/src/connections/node/responses.rs
+++ b/crates/gateway/src/connections/node/responses.rs
@@ -5,9 +5,8 @@
 use crate::connection_token::ConnectionToken;
 use crate::connections::socket::StreamStatus;
 use crate::context::Context;
-use crate::dispatcher::AttemptResult;
+use crate::dispatcher::{AbortCause, AttemptResult};
 use crate::node_protocol::ProtocolError;
-use io_scheduler::Outcome;
 
 /// Bytes of an invalid response that the log shows.
 const MAX_LOGGED_BYTES: usize = 80;
@@ -23,7 +22,8 @@
             return;
         };
         connection.timer.note_expired();
-        self.fail_connection(connection, Outcome::Reset, context);
+        // An idle connection carries no attempt, so the cause is that of the connect timeout.
+        self.fail_connection(connection, AbortCause::NoConnection, context);
     }
 
     /// Handles a connection that the poller reported.
@@ -34,7 +34,7 @@
         match connection.finish_connecting() {
             Ok(true) => self.receive(connection, context),
             Ok(false) => self.store(connection),
-            Err(_) => self.fail_connection(connection, Outcome::Reset, context),
+            Err(_) => self.fail_connection(connection, AbortCause::NoConnection, context),
         }
     }
 
@@ -42,14 +42,14 @@
     /// it.
     fn receive(&mut self, mut connection: NodeConnection, context: &mut Context) {
         let Ok(status) = connection.read_available() else {
-            return self.fail_connection(connection, Outcome::Reset, context);
+            return self.fail_connection(connection, AbortCause::ConnectionLost, context);
         };
         match self.decode(&mut connection, context) {
             // The node is reachable, so an invalid response counts as an error response, not as a
             // lost connection.
             Err(ProtocolError) => {
                 log_invalid_response(&connection);
-                return self.fail_connection(connection, Outcome::Error, context);
+                return self.fail_connection(connection, AbortCause::InvalidResponse, context);
             }
             Ok(Some(result)) => {
                 self.complete_attempt(&mut connection, result, context);
@@ -61,7 +61,7 @@
             Ok(None) => {}
         }
         if status == StreamStatus::Ended {
-            return self.fail_connection(connection, Outcome::Reset, context);
+            return self.fail_connection(connection, AbortCause::ConnectionLost, context);
         }
         self.advance(connection, context);
     }
--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -15,9 +15,9 @@
 
 use crate::config::Config;
 use crate::connection_token::ConnectionToken;
-use crate::dispatcher::{AttemptResult, Dispatcher, ReplySlot, StorageRequest};
+use crate::dispatcher::{AbortCause, AttemptResult, Dispatcher, ReplySlot, StorageRequest};
 use crate::timer_queue::{AttemptId, TimerQueue};
-use io_scheduler::{Micros, Outcome, RequestId};
+use io_scheduler::{Micros, RequestId};
 use rustix::event::epoll::EventFlags;
 use rustix::fd::AsFd;
 use slab::Slab;
@@ -152,8 +152,8 @@
     }
 
     /// Notifies the dispatcher that an attempt failed without a response.
-    pub(crate) fn abort_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
+    pub(crate) fn abort_attempt(&mut self, attempt: AttemptId, cause: AbortCause) {
         self.dispatcher
-            .abort_attempt(attempt, outcome, self.now, &mut self.timers);
+            .abort_attempt(attempt, cause, self.now, &mut self.timers);
     }
 }
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -1,5 +1,6 @@
 //! The attempts of requests at nodes: their start, their progress and their end.
 
+use super::abort_cause::AbortCause;
 use super::command::Command;
 use super::in_flight_request::InFlightAttempt;
 use super::state::Dispatcher;
@@ -103,26 +104,19 @@
         }));
     }
 
-    /// Ends an attempt that has no result: it was cancelled, has timed out or lost its connection.
-    ///
-    /// `outcome` is reported to the scheduler if the request may have run. Otherwise the outcome
-    /// is [`Outcome::NotDispatched`] for a cancelled attempt, which says nothing about its node,
-    /// and [`Outcome::ConnectFailed`] for all others.
+    /// Ends an attempt that has no result, and reports the outcome that follows from the cause and
+    /// from whether the request may have run to the scheduler.
     pub fn abort_attempt(
         &mut self,
         attempt: AttemptId,
-        outcome: Outcome,
+        cause: AbortCause,
         now: Micros,
         timers: &mut TimerQueue,
     ) {
         let Some(in_flight) = self.in_flight.attempt(attempt) else {
             return;
         };
-        let outcome = match outcome {
-            _ if in_flight.may_have_run => outcome,
-            Outcome::Cancelled => Outcome::NotDispatched,
-            _ => Outcome::ConnectFailed,
-        };
+        let outcome = cause.outcome(in_flight.may_have_run);
         self.commands.push(Command::AbandonAttempt(attempt));
         self.complete_attempt(attempt, AttemptResult::without_body(outcome), now, timers);
     }
@@ -144,7 +138,7 @@
                 request: id,
                 number,
             };
-            self.abort_attempt(attempt, Outcome::Cancelled, now, timers);
+            self.abort_attempt(attempt, AbortCause::Cancelled, now, timers);
         }
     }
 }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -9,6 +9,7 @@
 //! accepts requests, `scheduling` calls the scheduler, `attempts` follows attempts, and
 //! `responses` ends requests.
 
+mod abort_cause;
 mod attempts;
 mod command;
 mod in_flight_request;
@@ -26,6 +27,7 @@
     AttemptResult, InvalidRequest, ObjectEntry, Operation, ReplySlot, RequestParameters, Response,
     ResponseBody, StorageRequest,
 };
+pub use abort_cause::AbortCause;
 pub use command::Command;
 pub use node_state::NodeState;
 pub use state::Dispatcher;
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -1,17 +1,18 @@
 //! Calls of the scheduler: pending events go in, and its actions are applied.
 
+use super::abort_cause::AbortCause;
 use super::command::Command;
 use super::state::Dispatcher;
 use crate::storage_request::{AttemptId, Response};
 use crate::timer_queue::{DispatcherTimer, TimerQueue};
-use io_scheduler::{Action, Event, Micros, Outcome};
+use io_scheduler::{Action, Event, Micros};
 
 impl Dispatcher {
     /// Handles an expired timer.
     pub fn handle_timer(&mut self, timer: DispatcherTimer, now: Micros, timers: &mut TimerQueue) {
         match timer {
             DispatcherTimer::AttemptTimeout(attempt) => {
-                self.abort_attempt(attempt, Outcome::TimedOut, now, timers);
+                self.abort_attempt(attempt, AbortCause::TimedOut, now, timers);
             }
             DispatcherTimer::Scheduler => {
                 self.scheduler_timer = None;
@@ -81,7 +82,7 @@
                 attempt: number,
             } => {
                 let attempt = AttemptId { request, number };
-                self.abort_attempt(attempt, Outcome::Cancelled, now, timers);
+                self.abort_attempt(attempt, AbortCause::Cancelled, now, timers);
             }
             Action::OpenWatch => self.commands.push(Command::OpenWatch),
             Action::SetTimer(at) => {
--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use storage_gateway::connection_token::ConnectionToken;
 use storage_gateway::dispatcher::{
-    AttemptResult, Command, Dispatcher, InvalidRequest, Operation, ReplySlot, Response,
+    AbortCause, AttemptResult, Command, Dispatcher, InvalidRequest, Operation, ReplySlot, Response,
     ResponseBody, StorageRequest,
 };
 use storage_gateway::endpoint::EndpointRecord;
@@ -220,9 +220,9 @@
             .complete_attempt(attempt, result, self.now, &mut self.timers);
     }
 
-    fn abort(&mut self, attempt: AttemptId, outcome: Outcome) {
+    fn abort(&mut self, attempt: AttemptId, cause: AbortCause) {
         self.dispatcher
-            .abort_attempt(attempt, outcome, self.now, &mut self.timers);
+            .abort_attempt(attempt, cause, self.now, &mut self.timers);
     }
 }
 
@@ -237,7 +237,7 @@
         if written {
             harness.mark_written(attempt);
         }
-        harness.abort(attempt, Outcome::Reset);
+        harness.abort(attempt, AbortCause::ConnectionLost);
         harness.run_turn();
         let responses = harness.take_responses();
         assert_eq!(responses.len(), 1);
@@ -650,7 +650,7 @@
             let attempt = self.in_flight.swap_remove(position as usize);
             let written = self.may_have_run.contains(&attempt.request);
             match self.random.below(6) {
-                0 => self.harness.abort(attempt, Outcome::Reset),
+                0 => self.harness.abort(attempt, AbortCause::ConnectionLost),
                 // The node never responds: the timeout ends the attempt.
                 1 => {}
                 2 if !self.writes.contains(&attempt.request) => {
