--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -7,11 +7,11 @@
 mod attempts;
 mod closing;
 mod connection;
+mod events;
 pub mod idle_timeout;
 mod node_connections;
 mod open;
 mod pool;
-mod responses;
 
 pub(crate) use connection::Attempt;
 pub(crate) use node_connections::NodeConnections;
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -5,13 +5,14 @@
 //! exactly one final response, prevents new attempts from being written to draining nodes, and
 //! counts the service that each volume gets.
 //!
-//! [`Dispatcher`] is declared in `state`. Its methods are in the module of their task: `submit`
-//! accepts requests, `scheduling` calls the scheduler, `attempts` follows attempts, and
-//! `responses` ends requests.
+//! [`Dispatcher`] is declared in `state`. Its methods are in the module of their task: `endpoints`
+//! applies the endpoint list, `submit` accepts requests, `scheduling` calls the scheduler,
+//! `attempts` follows attempts, and `responses` ends requests.
 
 mod abort_cause;
 mod attempts;
 mod command;
+mod endpoints;
 mod in_flight_request;
 mod in_flight_table;
 mod node_state;
--- a/crates/gateway/src/dispatcher/state.rs
+++ b/crates/gateway/src/dispatcher/state.rs
@@ -1,16 +1,12 @@
-//! The state of the dispatcher, its construction, the endpoint list and the queries.
+//! The state of the dispatcher, its construction, and the figures that the console shows.
 
 use super::command::Command;
 use super::in_flight_table::InFlightTable;
-use super::node_state::NodeState;
 use super::node_table::NodeTable;
 use super::volume_counters::{VolumeCounterTable, VolumeCounters};
-use crate::endpoint::EndpointRecord;
 use crate::memory_budget::MemoryBudget;
 use deployment_settings::{micros, DeploymentSettings, UnknownValue};
-use io_scheduler::{
-    Action, EndpointListEvent, Event, Micros, NodeId, Scheduler, StateSizes, VolumeId,
-};
+use io_scheduler::{Action, Event, Micros, Scheduler, StateSizes, VolumeId};
 use std::collections::BTreeMap;
 
 /// Joins clients, nodes and the scheduler; see the [module](super).
@@ -58,50 +54,6 @@
         })
     }
 
-    /// The id of a node, allocated if the name has none. A name has the same id until the node is
-    /// removed and its last attempt has ended.
-    pub fn node_id(&mut self, name: &str) -> NodeId {
-        self.nodes.id_of(name)
-    }
-
-    /// Applies an endpoint list or a delta, and reports it to the scheduler. `kind` may also be
-    /// the failure of a poll or watch, without records.
-    pub fn update_endpoints(
-        &mut self,
-        kind: EndpointListEvent,
-        records: &[EndpointRecord],
-        now: Micros,
-    ) {
-        let endpoints = self.nodes.apply(kind, records, now);
-        self.events.push(Event::EndpointList(kind, endpoints));
-    }
-
-    /// Whether a node is listed, or removed with attempts in flight.
-    #[must_use]
-    pub fn knows_node(&self, node: NodeId) -> bool {
-        self.nodes.contains(node)
-    }
-
-    /// The drain guard: whether an attempt may start to be written to a node at the time `now`.
-    ///
-    /// The scheduler dispatches nothing to a draining node, but the node may have started to drain
-    /// while an attempt waited for its connection.
-    #[must_use]
-    pub fn may_write(&self, node: NodeId, now: Micros) -> bool {
-        self.nodes.may_write(node, now)
-    }
-
-    /// Whether any node is in service.
-    #[must_use]
-    pub fn has_endpoint(&self) -> bool {
-        self.nodes.has_in_service()
-    }
-
-    /// The state of all nodes, by id.
-    pub fn nodes(&self) -> impl Iterator<Item = &NodeState> {
-        self.nodes.iter()
-    }
-
     /// The counters of the volumes with the most requests, by volume.
     #[must_use]
     pub fn volume_counters(&self) -> &BTreeMap<VolumeId, VolumeCounters> {
