--- a/crates/gateway/src/connections/node/attempts.rs
+++ b/crates/gateway/src/connections/node/attempts.rs
@@ -1,6 +1,6 @@
 //! Starting and abandoning attempts, and writing their requests.
 
-use super::connection::{Attempt, InFlight, NodeConnection};
+use super::connection::{AttemptSpec, CarriedAttempt, NodeConnection};
 use super::idle_timeout::IdleTimeoutEstimate;
 use super::node_connections::NodeConnections;
 use super::open::OpenError;
@@ -11,7 +11,7 @@
 
 impl NodeConnections {
     /// Starts an attempt on an idle connection or on a new one.
-    pub(crate) fn start_attempt(&mut self, attempt: Attempt, context: &mut Context) {
+    pub(crate) fn start_attempt(&mut self, attempt: AttemptSpec, context: &mut Context) {
         // The client may have disconnected earlier in this turn.
         if !context.dispatcher.is_awaiting(attempt.id) {
             return;
@@ -28,7 +28,7 @@
         };
         self.attempt_connections
             .insert(attempt.id, connection.token());
-        connection.in_flight = Some(InFlight::new(attempt, context.now));
+        connection.carried = Some(CarriedAttempt::new(attempt, context.now));
         self.advance(connection, context);
     }
 
@@ -98,16 +98,16 @@
         let Some(mut connection) = self.take(token) else {
             return;
         };
-        let in_flight = connection.in_flight.take();
-        if in_flight.is_some_and(|in_flight| !in_flight.is_encoded()) {
+        let carried = connection.carried.take();
+        if carried.is_some_and(|carried| !carried.is_encoded()) {
             self.advance(connection, context);
         } else {
             self.drop_connection(connection, context);
         }
     }
 
-    /// Takes the next steps on a connection: encodes the request in flight if the connection is
-    /// ready, writes pending output, and returns the connection to its pool if it carries no
+    /// Takes the next steps on a connection: encodes the request that it carries if the connection
+    /// is ready, writes pending output, and returns the connection to its pool if it carries no
     /// request.
     pub(super) fn advance(&mut self, mut connection: NodeConnection, context: &mut Context) {
         if connection.is_ready() {
@@ -123,26 +123,27 @@
         if result.is_err() {
             return self.fail_connection(connection, AbortCause::ConnectionLost, context);
         }
-        if connection.in_flight.is_some() {
+        if connection.carried.is_some() {
             return self.store(connection);
         }
         self.return_to_pool(connection, context);
     }
 
-    /// Encodes the request in flight, once. If the node has been draining for too long to start
-    /// writing to it, the attempt is aborted instead and the connection is left without a request.
+    /// Encodes the request that a connection carries, once. If the node has been draining for too
+    /// long to start writing to it, the attempt is aborted instead and the connection is left
+    /// without a request.
     fn write_request(&mut self, connection: &mut NodeConnection, context: &mut Context) {
-        let Some(in_flight) = &connection.in_flight else {
+        let Some(carried) = &connection.carried else {
             return;
         };
-        if in_flight.is_encoded() {
+        if carried.is_encoded() {
             return;
         }
         if context.dispatcher.may_write(connection.node, context.now) {
             return connection.encode_request(context.now, &mut context.timers);
         }
-        let attempt = in_flight.attempt.id;
-        connection.in_flight = None;
+        let attempt = carried.attempt.id;
+        connection.carried = None;
         self.attempt_connections.remove(&attempt);
         // The scheduler counts this as a fault of the node, like a connection that was refused.
         context.abort_attempt(attempt, AbortCause::DrainGuard);
--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -76,17 +76,17 @@
         cause: AbortCause,
         context: &mut Context,
     ) {
-        let in_flight = connection.in_flight.take();
+        let carried = connection.carried.take();
         let node = connection.node;
         let idle_before_request = connection.idle_before_request;
         self.drop_connection(connection, context);
-        let Some(in_flight) = in_flight else { return };
-        if cause == AbortCause::ConnectionLost && in_flight.is_marked_written {
-            let reset_after = context.now - in_flight.started_at;
+        let Some(carried) = carried else { return };
+        if cause == AbortCause::ConnectionLost && carried.is_marked_written {
+            let reset_after = context.now - carried.started_at;
             self.record_reset(node, idle_before_request, reset_after);
         }
-        self.attempt_connections.remove(&in_flight.attempt.id);
-        context.abort_attempt(in_flight.attempt.id, cause);
+        self.attempt_connections.remove(&carried.attempt.id);
+        context.abort_attempt(carried.attempt.id, cause);
     }
 
     /// Lets the node's idle timeout estimate learn from a reset; see
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -31,33 +31,33 @@
     /// Whether the TCP connection is established; the protocol's handshake may still be under way.
     pub(super) is_connected: bool,
     /// The attempt that it carries, if any.
-    pub(super) in_flight: Option<InFlight>,
+    pub(super) carried: Option<CarriedAttempt>,
     /// The connect timeout or the idle timeout; cancelled once a request is encoded.
     pub(super) timer: ConnectionTimer,
     /// Its part of [`super::NodeConnections::large_response_bytes`].
     pub(super) counted_large_response_bytes: CountedBytes,
     /// When it was last put into its pool; `None` before the first time.
     pub(super) idle_since: Option<Micros>,
-    /// How long it was idle before the request in flight, in microseconds.
+    /// How long it was idle before the request that it carries, in microseconds.
     pub(super) idle_before_request: Micros,
 }
 
-/// An attempt to start.
-pub(crate) struct Attempt {
-    /// Id of the attempt.
+/// What an attempt is to do.
+pub(crate) struct AttemptSpec {
+    /// By this the dispatcher recognizes the result.
     pub(crate) id: AttemptId,
     /// The node to forward the request to.
     pub(crate) node: NodeId,
     /// When the attempt times out.
-    pub(crate) deadline: Micros,
+    pub(crate) times_out_at: Micros,
     /// The request to encode.
     pub(crate) request: Arc<StorageRequest>,
 }
 
 /// The attempt that a connection carries.
-pub(super) struct InFlight {
-    /// The attempt.
-    pub(super) attempt: Attempt,
+pub(super) struct CarriedAttempt {
+    /// What the attempt is to do.
+    pub(super) attempt: AttemptSpec,
     /// Position in the connection's output stream, in bytes, beyond which the request may take
     /// effect at the node; compared with [`Socket::bytes_sent`]. `None` before the request is
     /// encoded.
@@ -69,10 +69,10 @@
     pub(super) started_at: Micros,
 }
 
-impl InFlight {
+impl CarriedAttempt {
     /// An attempt that is assigned to a connection at the time `now`.
-    pub(super) fn new(attempt: Attempt, now: Micros) -> InFlight {
-        InFlight {
+    pub(super) fn new(attempt: AttemptSpec, now: Micros) -> CarriedAttempt {
+        CarriedAttempt {
             attempt,
             effect_offset: None,
             is_marked_written: false,
@@ -106,7 +106,7 @@
             address,
             protocol,
             is_connected: false,
-            in_flight: None,
+            carried: None,
             counted_large_response_bytes: CountedBytes::default(),
             idle_since: None,
             idle_before_request: 0,
@@ -172,8 +172,8 @@
         self.socket.read_available(max_buffered)
     }
 
-    /// Decodes the buffered input. Returns the result of the request in flight once its response
-    /// is complete. Further commands of the same request go to the output buffer.
+    /// Decodes the buffered input. Returns the result of the attempt once its response is complete.
+    /// Further commands of the same request go to the output buffer.
     pub(super) fn decode_input(&mut self) -> Result<Option<AttemptResult>, ProtocolError> {
         if self.socket.input.is_empty() {
             return Ok(None);
@@ -184,20 +184,20 @@
         result
     }
 
-    /// Encodes the request in flight into the output buffer. Cancels the connection's timer
+    /// Encodes the request of the attempt into the output buffer. Cancels the connection's timer
     /// (connect timeout or idle timeout), as the timeout of the attempt applies from here on.
     pub(super) fn encode_request(&mut self, now: Micros, timers: &mut TimerQueue) {
-        let Some(in_flight) = &mut self.in_flight else {
+        let Some(carried) = &mut self.carried else {
             return;
         };
-        let attempt = &in_flight.attempt;
-        let wait_ms = (attempt.deadline - now) / MICROS_PER_MILLI;
+        let attempt = &carried.attempt;
+        let wait_ms = (attempt.times_out_at - now) / MICROS_PER_MILLI;
         let start_offset = self.socket.bytes_sent + self.socket.unsent_bytes() as u64;
         let output = self.socket.output();
         let bytes_without_effect = self
             .protocol
             .encode_request(&attempt.request, wait_ms, output);
-        in_flight.effect_offset = Some(start_offset + bytes_without_effect as u64);
+        carried.effect_offset = Some(start_offset + bytes_without_effect as u64);
         self.timer.cancel(timers);
     }
 
@@ -212,12 +212,12 @@
     /// Returns the attempt in flight, once, when enough of its request has been sent for it to
     /// take effect at the node.
     pub(super) fn take_newly_written(&mut self) -> Option<AttemptId> {
-        let in_flight = self.in_flight.as_mut()?;
-        let effect_offset = in_flight.effect_offset?;
-        if in_flight.is_marked_written || self.socket.bytes_sent <= effect_offset {
+        let carried = self.carried.as_mut()?;
+        let effect_offset = carried.effect_offset?;
+        if carried.is_marked_written || self.socket.bytes_sent <= effect_offset {
             return None;
         }
-        in_flight.is_marked_written = true;
-        Some(in_flight.attempt.id)
+        carried.is_marked_written = true;
+        Some(carried.attempt.id)
     }
 }
--- a/crates/gateway/src/connections/node/events.rs
+++ b/crates/gateway/src/connections/node/events.rs
@@ -95,10 +95,10 @@
         result: AttemptResult,
         context: &mut Context,
     ) {
-        let Some(in_flight) = connection.in_flight.take() else {
+        let Some(carried) = connection.carried.take() else {
             return;
         };
-        let attempt = in_flight.attempt.id;
+        let attempt = carried.attempt.id;
         self.attempt_connections.remove(&attempt);
         context.dispatcher.mark_written(attempt);
         context.complete_attempt(attempt, result);
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -13,6 +13,6 @@
 mod open;
 mod pool;
 
-pub(crate) use connection::Attempt;
+pub(crate) use connection::AttemptSpec;
 pub(crate) use node_connections::NodeConnections;
 pub(crate) use pool::NodeAddress;
--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -52,7 +52,7 @@
     pub(crate) poller: Poller,
     /// The kind of each open connection, by token.
     connections: Slab<ConnectionKind>,
-    /// Requests in flight and the scheduler.
+    /// The unfinished requests, the nodes and the scheduler.
     pub(crate) dispatcher: Dispatcher,
     /// All timers.
     pub(crate) timers: TimerQueue,
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -2,8 +2,8 @@
 
 use super::abort_cause::AbortCause;
 use super::command::Command;
-use super::in_flight_request::InFlightAttempt;
 use super::state::Dispatcher;
+use super::unfinished_request::AwaitedAttempt;
 use crate::storage_request::{AttemptId, AttemptResult, Response};
 use crate::timer_queue::{DispatcherTimer, TimerQueue};
 use io_scheduler::{CompletedAttempt, Event, Micros, NodeId, Outcome, RequestId, Units};
@@ -15,27 +15,27 @@
         &mut self,
         id: RequestId,
         node: NodeId,
-        deadline: Micros,
+        times_out_at: Micros,
         now: Micros,
         timers: &mut TimerQueue,
     ) {
-        let Some(in_flight) = self.in_flight.get_mut(id) else {
+        let Some(unfinished) = self.requests.get_mut(id) else {
             return;
         };
-        let number = in_flight.start_attempt(node, now, deadline);
-        let request = Arc::clone(in_flight.storage_request());
+        let number = unfinished.start_attempt(node, now, times_out_at);
+        let request = Arc::clone(unfinished.storage_request());
         let attempt = AttemptId {
             request: id,
             number,
         };
         let timer = DispatcherTimer::AttemptTimeout(attempt);
-        timers.set(deadline, timer.into());
+        timers.set(times_out_at, timer.into());
         self.nodes.attempt_started(node);
         self.volume_counters.record_attempt(request.volume);
         self.commands.push(Command::StartAttempt {
             attempt,
             node,
-            deadline,
+            times_out_at,
             request,
         });
     }
@@ -43,12 +43,12 @@
     /// Whether the result of an attempt is awaited.
     #[must_use]
     pub fn is_awaiting(&self, attempt: AttemptId) -> bool {
-        self.in_flight.attempt(attempt).is_some()
+        self.requests.attempt(attempt).is_some()
     }
 
     /// Records that enough of an attempt was written to its node for the request to take effect.
     pub fn mark_written(&mut self, attempt: AttemptId) {
-        if let Some(attempt) = self.in_flight.attempt_mut(attempt) {
+        if let Some(attempt) = self.requests.attempt_mut(attempt) {
             attempt.may_have_run = true;
         }
     }
@@ -62,16 +62,16 @@
         now: Micros,
         timers: &mut TimerQueue,
     ) {
-        let Some(in_flight) = self.in_flight.get_mut(attempt.request) else {
+        let Some(unfinished) = self.requests.get_mut(attempt.request) else {
             return;
         };
         let timed_out = result.outcome == Outcome::TimedOut;
-        let Some(completed) = in_flight.remove_attempt(attempt.number, timed_out) else {
+        let Some(completed) = unfinished.remove_attempt(attempt.number, timed_out) else {
             return;
         };
-        let units = in_flight.storage_request().units;
+        let units = unfinished.storage_request().units;
         let timer = DispatcherTimer::AttemptTimeout(attempt);
-        timers.cancel(completed.deadline, timer.into());
+        timers.cancel(completed.times_out_at, timer.into());
         let is_served = result.outcome == Outcome::Served;
         let served_units = if is_served { units } else { 0.0 };
         self.nodes.attempt_completed(completed.node, served_units);
@@ -88,7 +88,7 @@
     fn report_completed(
         &mut self,
         id: AttemptId,
-        attempt: &InFlightAttempt,
+        attempt: &AwaitedAttempt,
         result: &AttemptResult,
         now: Micros,
     ) {
@@ -113,10 +113,10 @@
         now: Micros,
         timers: &mut TimerQueue,
     ) {
-        let Some(in_flight) = self.in_flight.attempt(attempt) else {
+        let Some(awaited) = self.requests.attempt(attempt) else {
             return;
         };
-        let outcome = cause.outcome(in_flight.may_have_run);
+        let outcome = cause.outcome(awaited.may_have_run);
         self.commands.push(Command::AbandonAttempt(attempt));
         self.complete_attempt(attempt, AttemptResult::without_body(outcome), now, timers);
     }
@@ -125,13 +125,13 @@
     /// effect yet are aborted at once, whether or not the scheduler cancels attempts that may have
     /// run.
     pub fn client_disconnected(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
-        let Some(in_flight) = self.in_flight.get_mut(id) else {
+        let Some(unfinished) = self.requests.get_mut(id) else {
             return;
         };
-        if in_flight.take_reply_slot().is_none() {
+        if unfinished.take_reply_slot().is_none() {
             return;
         }
-        let unwritten = in_flight.unwritten_attempts();
+        let unwritten = unfinished.unwritten_attempts();
         self.events.push(Event::ClientDisconnected(id));
         for number in unwritten {
             let attempt = AttemptId {
--- a/crates/gateway/src/dispatcher/command.rs
+++ b/crates/gateway/src/dispatcher/command.rs
@@ -14,7 +14,7 @@
         /// The node to forward to.
         node: NodeId,
         /// When the attempt times out.
-        deadline: Micros,
+        times_out_at: Micros,
         /// The request to forward.
         request: Arc<StorageRequest>,
     },
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -13,14 +13,14 @@
 mod attempts;
 mod command;
 mod endpoints;
-mod in_flight_request;
-mod in_flight_table;
+mod node_registry;
 mod node_state;
-mod node_table;
 mod responses;
 mod scheduling;
 mod state;
 mod submit;
+mod unfinished_request;
+mod unfinished_requests;
 mod volume_counters;
 
 pub use crate::memory_budget::OVERLOADED_RETRY_AFTER;
--- a/crates/gateway/src/dispatcher/node_table.rs
+++ b/crates/gateway/src/dispatcher/node_registry.rs
@@ -17,7 +17,7 @@
 
 /// The nodes of the endpoint list, and removed ones with attempts in flight.
 #[derive(Debug)]
-pub(super) struct NodeTable {
+pub(super) struct NodeRegistry {
     /// The nodes by id.
     nodes: BTreeMap<NodeId, NodeState>,
     /// The ids of `nodes` by the name of the node.
@@ -30,10 +30,10 @@
     drain_grace: Micros,
 }
 
-impl NodeTable {
-    /// An empty table; `zones` are the zones that the settings name.
-    pub(super) fn new(zones: Vec<String>, drain_grace: Micros) -> NodeTable {
-        NodeTable {
+impl NodeRegistry {
+    /// No nodes at first; `zones` are the zones that the settings name.
+    pub(super) fn new(zones: Vec<String>, drain_grace: Micros) -> NodeRegistry {
+        NodeRegistry {
             nodes: BTreeMap::new(),
             ids_by_name: HashMap::new(),
             next_id: 0,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The id of a node. A node that is not in the table yet is added to it.
+    /// The id of a node. A node that is not known yet is added.
     pub(super) fn id_of(&mut self, name: &str) -> NodeId {
         if let Some(id) = self.ids_by_name.get(name) {
             return *id;
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Removes nodes that can be forgotten. The table would grow without bound otherwise, as nodes
-    /// that replace others may have new names.
+    /// Removes nodes that can be forgotten. The registry would grow without bound otherwise, as
+    /// nodes that replace others may have new names.
     fn forget_obsolete(&mut self) {
         let ids_by_name = &mut self.ids_by_name;
         self.nodes.retain(|_, node| {
--- a/crates/gateway/src/dispatcher/responses.rs
+++ b/crates/gateway/src/dispatcher/responses.rs
@@ -1,8 +1,8 @@
 //! The final response of each request, and the end of requests that need nothing more.
 
 use super::command::Command;
-use super::in_flight_request::InFlightRequest;
 use super::state::Dispatcher;
+use super::unfinished_request::UnfinishedRequest;
 use crate::storage_request::Response;
 use crate::timer_queue::{DispatcherTimer, TimerQueue};
 use io_scheduler::{Event, Micros, RequestId};
@@ -11,7 +11,7 @@
     /// Ends a request that the scheduler has failed.
     pub(super) fn fail(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
         let timed_out = self
-            .in_flight
+            .requests
             .get(id)
             .is_some_and(|request| request.has_timed_out(now));
         let response = if timed_out {
@@ -24,20 +24,20 @@
 
     /// Ends a request that the scheduler has left without a final response past its deadline.
     pub(super) fn fail_overdue(&mut self, id: RequestId) {
-        let Some(in_flight) = self.in_flight.get(id) else {
+        let Some(unfinished) = self.requests.get(id) else {
             return;
         };
-        if !in_flight.awaits_response() {
+        if !unfinished.awaits_response() {
             return;
         }
-        let client_request_id = &in_flight.storage_request().client_request_id;
+        let client_request_id = &unfinished.storage_request().client_request_id;
         log::warn!("request {client_request_id} had no response at its deadline");
         self.respond(id, Response::TimedOut);
         // For the scheduler, a request whose client needs no response any more has ended.
         self.events.push(Event::ClientDisconnected(id));
     }
 
-    /// Sends the final response and removes the request if no attempt is in flight.
+    /// Sends the final response and removes the request if the result of no attempt is awaited.
     pub(super) fn finish(&mut self, id: RequestId, response: Response, timers: &mut TimerQueue) {
         self.respond(id, response);
         self.remove_if_finished(id, timers);
@@ -45,13 +45,13 @@
 
     /// Sends the final response, unless one was sent already or the client has disconnected.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
-        let Some(in_flight) = self.in_flight.get_mut(id) else {
+        let Some(unfinished) = self.requests.get_mut(id) else {
             return;
         };
-        let Some(reply_slot) = in_flight.take_reply_slot() else {
+        let Some(reply_slot) = unfinished.take_reply_slot() else {
             return;
         };
-        let request = in_flight.storage_request();
+        let request = unfinished.storage_request();
         self.volume_counters
             .record_response(request.volume, request.units, &response);
         self.commands.push(Command::Respond {
@@ -62,14 +62,14 @@
 
     /// Whether the client still waits for the final response.
     pub(super) fn awaits_response(&self, id: RequestId) -> bool {
-        self.in_flight
+        self.requests
             .get(id)
-            .is_some_and(InFlightRequest::awaits_response)
+            .is_some_and(UnfinishedRequest::awaits_response)
     }
 
     /// Removes a request that needs neither a final response nor the result of an attempt.
     pub(super) fn remove_if_finished(&mut self, id: RequestId, timers: &mut TimerQueue) {
-        if let Some(removed) = self.in_flight.remove_finished(id) {
+        if let Some(removed) = self.requests.remove_finished(id) {
             let timer = DispatcherTimer::RequestOverdue(id);
             timers.cancel(removed.overdue_at(), timer.into());
         }
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -47,8 +47,8 @@
         let events = std::mem::take(&mut self.events);
         let mut actions = std::mem::take(&mut self.actions);
         self.scheduler.handle(now, &events, &mut actions);
-        // The request of a client that has disconnected stays in the table until the scheduler has
-        // handled the event.
+        // The request of a client that has disconnected stays among the unfinished ones until the
+        // scheduler has handled the event.
         for event in events {
             if let Event::ClientDisconnected(id) = event {
                 self.remove_if_finished(id, timers);
--- a/crates/gateway/src/dispatcher/state.rs
+++ b/crates/gateway/src/dispatcher/state.rs
@@ -1,8 +1,8 @@
 //! The state of the dispatcher, its construction, and the figures that the console shows.
 
 use super::command::Command;
-use super::in_flight_table::InFlightTable;
-use super::node_table::NodeTable;
+use super::node_registry::NodeRegistry;
+use super::unfinished_requests::UnfinishedRequests;
 use super::volume_counters::{VolumeCounterTable, VolumeCounters};
 use crate::memory_budget::MemoryBudget;
 use deployment_settings::{micros, DeploymentSettings, UnknownValue};
@@ -14,9 +14,9 @@
     /// Makes the decisions.
     pub(super) scheduler: Scheduler,
     /// The requests that await a final response or the result of an attempt.
-    pub(super) in_flight: InFlightTable,
+    pub(super) requests: UnfinishedRequests,
     /// The nodes of the endpoint list.
-    pub(super) nodes: NodeTable,
+    pub(super) nodes: NodeRegistry,
     /// Requests and service by volume.
     pub(super) volume_counters: VolumeCounterTable,
     /// Events to pass to the next call of the scheduler.
@@ -44,8 +44,8 @@
         let drain_grace = micros(settings.rules.drain_grace_ms);
         Ok(Dispatcher {
             scheduler: Scheduler::new(settings.to_scheduler_settings()?, seed, now),
-            in_flight: InFlightTable::new(budget),
-            nodes: NodeTable::new(settings.zones.clone(), drain_grace),
+            requests: UnfinishedRequests::new(budget),
+            nodes: NodeRegistry::new(settings.zones.clone(), drain_grace),
             volume_counters: VolumeCounterTable::default(),
             events: Vec::new(),
             actions: Vec::new(),
@@ -69,6 +69,6 @@
     /// Number of requests that have no final response yet.
     #[must_use]
     pub fn open_requests(&self) -> usize {
-        self.in_flight.awaiting_response_count()
+        self.requests.awaiting_response_count()
     }
 }
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -1,10 +1,10 @@
-//! The acceptance of requests. It decides two things: a client request id that is in flight is an
-//! error of the client, and a request that the memory budget has no room for is rejected with
-//! Retry-After.
+//! The acceptance of requests. It decides two things: a client request id of an unfinished request
+//! is an error of the client, and a request that the memory budget has no capacity for is rejected
+//! with Retry-After.
 
 use super::command::Command;
-use super::in_flight_request::InFlightRequest;
 use super::state::Dispatcher;
+use super::unfinished_request::UnfinishedRequest;
 use crate::memory_budget::OVERLOADED_RETRY_AFTER;
 use crate::storage_request::{InvalidRequest, ReplySlot, Response, StorageRequest};
 use crate::timer_queue::{DispatcherTimer, TimerQueue};
@@ -29,9 +29,9 @@
         now: Micros,
         timers: &mut TimerQueue,
     ) -> RequestId {
-        let id = self.in_flight.allocate_id();
+        let id = self.requests.allocate_id();
         if self
-            .in_flight
+            .requests
             .contains_client_request_id(&request.client_request_id)
         {
             // It is not counted for its volume, see `VolumeCounters::received`.
@@ -43,7 +43,7 @@
             return id;
         }
         self.volume_counters.record_received(request.volume);
-        if self.in_flight.has_capacity(request.body.len()) {
+        if self.requests.has_capacity(request.body.len()) {
             self.accept(id, request, reply_slot, now, timers);
         } else {
             self.reject_for_lack_of_memory(&request, reply_slot);
@@ -51,7 +51,7 @@
         id
     }
 
-    /// Adds a request to those in flight and reports it to the scheduler.
+    /// Adds a request to the unfinished ones and reports it to the scheduler.
     fn accept(
         &mut self,
         id: RequestId,
@@ -62,11 +62,11 @@
     ) {
         let deadline = response_deadline(now, request.client_timeout);
         let scheduler_request = scheduler_request(id, &request, deadline);
-        let in_flight = InFlightRequest::new(request, reply_slot, deadline);
+        let unfinished = UnfinishedRequest::new(request, reply_slot, deadline);
         let timer = DispatcherTimer::RequestOverdue(id);
-        timers.set(in_flight.overdue_at(), timer.into());
+        timers.set(unfinished.overdue_at(), timer.into());
         self.events.push(Event::RequestReceived(scheduler_request));
-        self.in_flight.insert(id, in_flight);
+        self.requests.insert(id, unfinished);
     }
 
     /// Rejects a request that the memory budget does not allow. The scheduler does not see it.
--- a/crates/gateway/src/dispatcher/in_flight_request.rs
+++ b/crates/gateway/src/dispatcher/unfinished_request.rs
@@ -1,4 +1,8 @@
-//! One request in flight, with its attempts at nodes.
+//! One unfinished request, with its attempts at nodes.
+//!
+//! A request is open until it has its final response or its client has disconnected. It is
+//! unfinished for longer if an attempt ends after that: the result of the attempt is still reported
+//! to the scheduler.
 
 use crate::storage_request::{ReplySlot, StorageRequest};
 use io_scheduler::{Micros, NodeId};
@@ -12,7 +16,7 @@
 
 /// An attempt whose result is awaited.
 #[derive(Debug)]
-pub(super) struct InFlightAttempt {
+pub(super) struct AwaitedAttempt {
     /// Number of the attempt within its request, from 0.
     number: u32,
     /// The node it was dispatched to.
@@ -20,39 +24,39 @@
     /// When it was dispatched.
     pub(super) dispatched_at: Micros,
     /// When it times out.
-    pub(super) deadline: Micros,
+    pub(super) times_out_at: Micros,
     /// Whether enough of the request was written for it to take effect at the node.
     pub(super) may_have_run: bool,
 }
 
-/// A request that awaits its final response or the result of an attempt.
+/// A request that awaits its final response or the result of an attempt; see the [module](self).
 #[derive(Debug)]
-pub(super) struct InFlightRequest {
+pub(super) struct UnfinishedRequest {
     /// The request as the client sent it.
     storage_request: Arc<StorageRequest>,
     /// Where the final response goes; `None` once it was sent or the client has disconnected.
     reply_slot: Option<ReplySlot>,
     /// The latest time to send the final response, so that it reaches the client in time.
-    deadline: Micros,
+    response_deadline: Micros,
     /// The attempts whose results are awaited, in the order in which they started.
-    attempts: Vec<InFlightAttempt>,
+    attempts: Vec<AwaitedAttempt>,
     /// Number of attempts started so far, and so the number of the next attempt.
     attempts_started: u32,
     /// Whether the attempt that ended last has timed out.
     last_attempt_timed_out: bool,
 }
 
-impl InFlightRequest {
-    /// A request whose client waits for a final response until `deadline`.
+impl UnfinishedRequest {
+    /// A request that needs its final response by `response_deadline`.
     pub(super) fn new(
         request: StorageRequest,
         reply_slot: ReplySlot,
-        deadline: Micros,
-    ) -> InFlightRequest {
-        InFlightRequest {
+        response_deadline: Micros,
+    ) -> UnfinishedRequest {
+        UnfinishedRequest {
             storage_request: Arc::new(request),
             reply_slot: Some(reply_slot),
-            deadline,
+            response_deadline,
             attempts: Vec::new(),
             attempts_started: 0,
             last_attempt_timed_out: false,
@@ -66,7 +70,7 @@
 
     /// When the dispatcher fails the request itself if it has no final response by then.
     pub(super) fn overdue_at(&self) -> Micros {
-        self.deadline + OVERDUE_GRACE
+        self.response_deadline + OVERDUE_GRACE
     }
 
     /// Whether the client still waits for the final response.
@@ -82,18 +86,18 @@
 
     /// Whether a failure at the time `now` is reported to the client as a timeout.
     pub(super) fn has_timed_out(&self, now: Micros) -> bool {
-        self.last_attempt_timed_out || self.deadline <= now
+        self.last_attempt_timed_out || self.response_deadline <= now
     }
 
     /// Adds an attempt and returns its number.
-    pub(super) fn start_attempt(&mut self, node: NodeId, now: Micros, deadline: Micros) -> u32 {
+    pub(super) fn start_attempt(&mut self, node: NodeId, now: Micros, times_out_at: Micros) -> u32 {
         let number = self.attempts_started;
         self.attempts_started += 1;
-        self.attempts.push(InFlightAttempt {
+        self.attempts.push(AwaitedAttempt {
             number,
             node,
             dispatched_at: now,
-            deadline,
+            times_out_at,
             may_have_run: false,
         });
         number
@@ -104,7 +108,7 @@
         &mut self,
         number: u32,
         timed_out: bool,
-    ) -> Option<InFlightAttempt> {
+    ) -> Option<AwaitedAttempt> {
         let position = self
             .attempts
             .iter()
@@ -114,14 +118,14 @@
     }
 
     /// An attempt whose result is awaited.
-    pub(super) fn attempt(&self, number: u32) -> Option<&InFlightAttempt> {
+    pub(super) fn attempt(&self, number: u32) -> Option<&AwaitedAttempt> {
         self.attempts
             .iter()
             .find(|attempt| attempt.number == number)
     }
 
     /// An attempt whose result is awaited.
-    pub(super) fn attempt_mut(&mut self, number: u32) -> Option<&mut InFlightAttempt> {
+    pub(super) fn attempt_mut(&mut self, number: u32) -> Option<&mut AwaitedAttempt> {
         self.attempts
             .iter_mut()
             .find(|attempt| attempt.number == number)
--- a/crates/gateway/src/dispatcher/in_flight_table.rs
+++ b/crates/gateway/src/dispatcher/unfinished_requests.rs
@@ -1,15 +1,15 @@
-//! The table of the requests in flight, which counts them against the memory budget.
+//! The unfinished requests, which are counted against the memory budget.
 
-use super::in_flight_request::{InFlightAttempt, InFlightRequest};
+use super::unfinished_request::{AwaitedAttempt, UnfinishedRequest};
 use crate::memory_budget::MemoryBudget;
 use crate::storage_request::AttemptId;
 use io_scheduler::RequestId;
 use std::collections::{HashMap, HashSet};
 
-/// The requests in flight, within the bounds of the memory budget.
+/// The unfinished requests, within the bounds of the memory budget.
 #[derive(Debug)]
-pub(super) struct InFlightTable {
-    requests: HashMap<RequestId, InFlightRequest>,
+pub(super) struct UnfinishedRequests {
+    requests: HashMap<RequestId, UnfinishedRequest>,
     /// The client request ids of `requests`.
     client_request_ids: HashSet<Box<str>>,
     /// Number of the next request id.
@@ -20,10 +20,10 @@
     budget: MemoryBudget,
 }
 
-impl InFlightTable {
-    /// An empty table.
-    pub(super) fn new(budget: MemoryBudget) -> InFlightTable {
-        InFlightTable {
+impl UnfinishedRequests {
+    /// No requests, within the bounds of `budget`.
+    pub(super) fn new(budget: MemoryBudget) -> UnfinishedRequests {
+        UnfinishedRequests {
             requests: HashMap::new(),
             client_request_ids: HashSet::new(),
             next_id: 0,
@@ -39,7 +39,7 @@
         id
     }
 
-    /// Whether a request with this client request id is in flight.
+    /// Whether a request with this client request id is unfinished.
     pub(super) fn contains_client_request_id(&self, client_request_id: &str) -> bool {
         self.client_request_ids.contains(client_request_id)
     }
@@ -50,37 +50,37 @@
             && self.buffered_body_bytes + body_bytes <= self.budget.request_body_bytes
     }
 
-    /// Adds a request whose client request id is not in flight.
-    pub(super) fn insert(&mut self, id: RequestId, in_flight: InFlightRequest) {
-        let request = in_flight.storage_request();
+    /// Adds a request whose client request id is not that of an unfinished one.
+    pub(super) fn insert(&mut self, id: RequestId, unfinished: UnfinishedRequest) {
+        let request = unfinished.storage_request();
         self.buffered_body_bytes += request.body.len();
         self.client_request_ids
             .insert(request.client_request_id.clone());
-        self.requests.insert(id, in_flight);
+        self.requests.insert(id, unfinished);
     }
 
-    /// A request in flight.
-    pub(super) fn get(&self, id: RequestId) -> Option<&InFlightRequest> {
+    /// An unfinished request.
+    pub(super) fn get(&self, id: RequestId) -> Option<&UnfinishedRequest> {
         self.requests.get(&id)
     }
 
-    /// A request in flight.
-    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlightRequest> {
+    /// An unfinished request.
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut UnfinishedRequest> {
         self.requests.get_mut(&id)
     }
 
     /// An attempt whose result is awaited.
-    pub(super) fn attempt(&self, id: AttemptId) -> Option<&InFlightAttempt> {
+    pub(super) fn attempt(&self, id: AttemptId) -> Option<&AwaitedAttempt> {
         self.requests.get(&id.request)?.attempt(id.number)
     }
 
     /// An attempt whose result is awaited.
-    pub(super) fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut InFlightAttempt> {
+    pub(super) fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut AwaitedAttempt> {
         self.requests.get_mut(&id.request)?.attempt_mut(id.number)
     }
 
     /// Removes a request that awaits neither a final response nor the result of an attempt.
-    pub(super) fn remove_finished(&mut self, id: RequestId) -> Option<InFlightRequest> {
+    pub(super) fn remove_finished(&mut self, id: RequestId) -> Option<UnfinishedRequest> {
         if !self.requests.get(&id)?.is_finished() {
             return None;
         }
--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -10,7 +10,7 @@
 /// Requests and service of one volume since its counters were created.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VolumeCounters {
-    /// Requests received, without those whose client request id was in flight already.
+    /// Requests received, without those whose client request id was that of an unfinished one.
     pub received: u64,
     /// Requests served.
     pub served: u64,
--- a/crates/gateway/src/event_loop/events.rs
+++ b/crates/gateway/src/event_loop/events.rs
@@ -5,7 +5,7 @@
 use crate::connection_token::ConnectionToken;
 use crate::connections::client::AcceptOutcome;
 use crate::connections::discovery_watch::WatchOutcome;
-use crate::connections::node::Attempt;
+use crate::connections::node::AttemptSpec;
 use crate::context::ConnectionKind;
 use crate::dispatcher::Command;
 use crate::timer_queue::Timer;
@@ -101,13 +101,13 @@
             Command::StartAttempt {
                 attempt,
                 node,
-                deadline,
+                times_out_at,
                 request,
             } => {
-                let attempt = Attempt {
+                let attempt = AttemptSpec {
                     id: attempt,
                     node,
-                    deadline,
+                    times_out_at,
                     request,
                 };
                 self.node_connections.start_attempt(attempt, context);
--- a/crates/gateway/src/memory_budget.rs
+++ b/crates/gateway/src/memory_budget.rs
@@ -13,7 +13,7 @@
 /// allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryBudget {
-    /// Bytes of the bodies of requests in flight. A request that would exceed it is rejected.
+    /// Bytes of the bodies of unfinished requests. A request that would exceed it is rejected.
     pub request_body_bytes: usize,
     /// Bytes of encoded replies that are not written to clients yet. Beyond it each client gets
     /// one reply at a time; beyond twice as much, clients that read too slowly are disconnected.
@@ -28,7 +28,7 @@
     /// Bytes of the largest value accepted from a node. Nodes may send larger values than the 64
     /// KiB that they are specified for.
     pub max_value_bytes: usize,
-    /// Number of requests in flight. Further requests are rejected.
+    /// Number of unfinished requests. Further requests are rejected.
     pub max_requests: usize,
 }
 
--- a/crates/gateway/src/storage_request/request.rs
+++ b/crates/gateway/src/storage_request/request.rs
@@ -37,8 +37,8 @@
     pub object_name: Option<Box<str>>,
     /// The volume that the object belongs to.
     pub volume: VolumeId,
-    /// The client's id of the request, which is also sent to the nodes. Unique among the requests
-    /// in flight.
+    /// The client's id of the request, which is also sent to the nodes. Unique among the
+    /// unfinished requests.
     pub client_request_id: Box<str>,
     /// Class of the request.
     pub class: ClassIndex,
--- a/crates/gateway/src/storage_request/response.rs
+++ b/crates/gateway/src/storage_request/response.rs
@@ -27,7 +27,7 @@
 /// Why a request was not accepted. The error text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// A request with the same client request id is in flight. A node could not distinguish the
+    /// A request with the same client request id is unfinished. A node could not distinguish the
     /// two and would run only one of them.
     #[error("the id is that of an open request")]
     DuplicateClientRequestId,
--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -45,7 +45,7 @@
 struct StartedAttempt {
     id: AttemptId,
     node: NodeId,
-    deadline: Micros,
+    times_out_at: Micros,
 }
 
 /// A dispatcher with the timers and the clock of an event loop.
@@ -172,13 +172,13 @@
             Command::StartAttempt {
                 attempt,
                 node,
-                deadline,
+                times_out_at,
                 ..
             } => {
                 started.push(StartedAttempt {
                     id: *attempt,
                     node: *node,
-                    deadline: *deadline,
+                    times_out_at: *times_out_at,
                 });
                 false
             }
@@ -476,9 +476,11 @@
     harness.submit(Operation::Read, Some(0));
     harness.run_turn();
     let started = harness.take_started_attempts();
-    let StartedAttempt { id, deadline, .. } = started[0];
+    let StartedAttempt {
+        id, times_out_at, ..
+    } = started[0];
     harness.mark_written(id);
-    harness.advance(deadline - 1 - harness.now);
+    harness.advance(times_out_at - 1 - harness.now);
     assert!(harness.dispatcher.is_awaiting(id));
     harness.advance(1);
     assert!(!harness.dispatcher.is_awaiting(id));
