--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -4,7 +4,9 @@
 use io_scheduler::VolumeId;
 use std::collections::BTreeMap;
 
-/// How many volumes may have counters at once.
+/// With counters of this many volumes, the first request of a further volume evicts some of them.
+/// The table can be larger by the volumes that were evicted while they had unfinished requests, as
+/// those get counters again.
 const MAX_VOLUME_COUNTERS: usize = 2_000;
 
 /// Requests and service of one volume since its counters were created.
@@ -40,7 +42,7 @@
     /// Counts a request received.
     pub(super) fn record_received(&mut self, volume: VolumeId) {
         if self.by_volume.len() >= MAX_VOLUME_COUNTERS && !self.by_volume.contains_key(&volume) {
-            self.evict_less_used_half();
+            self.evict_up_to_median();
         }
         self.counters(volume).received += 1;
     }
@@ -63,14 +65,16 @@
         }
     }
 
-    /// The counters of a volume, which may have been evicted since its request was received.
+    /// The counters of a volume. They start from 0 again if they were evicted since its request was
+    /// received.
     fn counters(&mut self, volume: VolumeId) -> &mut VolumeCounters {
         self.by_volume.entry(volume).or_default()
     }
 
-    /// Removes the counters of the half of the volumes with the fewest requests. This bounds the
-    /// table, as clients may name any number of volumes.
-    fn evict_less_used_half(&mut self) {
+    /// Removes the counters of the volumes with at most the median number of requests: about half
+    /// of the volumes, or all of them if their numbers are equal. This bounds the table, as clients
+    /// may name any number of volumes.
+    fn evict_up_to_median(&mut self) {
         let mut received: Vec<u64> = self
             .by_volume
             .values()
