--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -13,7 +13,9 @@
 use std::net::SocketAddr;
 
 /// A watch is closed if it has delivered nothing this long, in microseconds, after it was opened.
-/// Discovery itself ends a request that it cannot serve after 2 s.
+/// Discovery itself ends a request that it cannot serve after 2 s. This is shorter than the time
+/// after which the scheduler repeats a poll without a response (`POLL_TIMEOUT` in its
+/// `endpoints::polling`, 3 s), so a silent watch is closed by then.
 const FIRST_RESPONSE_TIMEOUT: Micros = 2_500_000;
 /// A watch is closed if nothing arrives on it for this long, in microseconds. Discovery sends an
 /// empty line as a heartbeat every 2 s, so a longer silence means that the connection is broken.
@@ -43,6 +45,8 @@
 /// The connection of a watch.
 struct WatchConnection {
     socket: Socket,
+    /// The address of discovery that it was opened to.
+    address: SocketAddr,
     /// Decodes the response.
     parser: WatchParser,
     /// Whether the request was put into the output buffer.
@@ -77,6 +81,7 @@
         let kind = ConnectionKind::Discovery;
         Ok(WatchConnection {
             socket: Socket::register(stream, kind, Interest::Connect, context)?,
+            address,
             parser: WatchParser::default(),
             is_requested: false,
         })
@@ -84,16 +89,14 @@
 
     /// Sends the request for the changes after version `list_index`, once the connection is
     /// established; returns false until then.
-    fn send_request(&mut self, address: Option<SocketAddr>, list_index: u64) -> io::Result<bool> {
+    fn send_request(&mut self, list_index: u64) -> io::Result<bool> {
         if !self.is_requested {
             if !self.socket.is_connected()? {
                 return Ok(false);
             }
             self.is_requested = true;
-            if let Some(address) = address {
-                let request = watch_request(&address, list_index);
-                self.socket.output().extend_from_slice(request.as_bytes());
-            }
+            let request = watch_request(&self.address, list_index);
+            self.socket.output().extend_from_slice(request.as_bytes());
         }
         self.socket.flush()?;
         Ok(true)
@@ -141,24 +144,21 @@
         }
     }
 
-    /// Whether a connection is open or being established.
-    pub(crate) fn is_open(&self) -> bool {
-        self.connection.is_some()
-    }
-
     /// Makes the next request ask for the complete list: another discovery service numbers its
     /// versions on its own.
     pub(crate) fn reset_list_index(&mut self) {
         self.list_index = 0;
     }
 
-    /// Opens a watch, if an address of discovery is configured. A watch that is still open is
-    /// closed first.
+    /// Opens a watch, if an address of discovery is configured. A watch that is open or being
+    /// established stays as it is, with its own timeout.
     pub(crate) fn open(&mut self, context: &mut Context) {
         let Some(address) = context.config.discovery else {
             return;
         };
-        self.close_connection(context);
+        if self.connection.is_some() {
+            return;
+        }
         self.opened_at = context.now;
         match WatchConnection::open(address, context) {
             Ok(connection) => {
@@ -192,7 +192,7 @@
         let Some(connection) = &mut self.connection else {
             return Ok(());
         };
-        if !connection.send_request(context.config.discovery, self.list_index)? {
+        if !connection.send_request(self.list_index)? {
             return Ok(());
         }
         let input = connection.receive(updates)?;
--- a/crates/gateway/src/dispatcher/command.rs
+++ b/crates/gateway/src/dispatcher/command.rs
@@ -9,7 +9,7 @@
 pub enum Command {
     /// Forward a request to a node.
     StartAttempt {
-        /// The attempt.
+        /// Id by which the result of the attempt is reported.
         attempt: AttemptId,
         /// The node to forward to.
         node: NodeId,
--- a/crates/gateway/src/event_loop/events.rs
+++ b/crates/gateway/src/event_loop/events.rs
@@ -122,8 +122,6 @@
                 self.client_connections
                     .respond(reply_slot, response, context);
             }
-            // A watch that is open already keeps its own timeout.
-            Command::OpenWatch if self.watch.is_open() => {}
             Command::OpenWatch => self.watch.open(context),
         }
     }
