--- a/crates/gateway/src/client_protocol/resp/request.rs
+++ b/crates/gateway/src/client_protocol/resp/request.rs
@@ -3,8 +3,8 @@
 use super::names::RequestNames;
 use super::terms::RequestTerms;
 use crate::hex_id::HexId;
-use crate::storage_request::{ClassIndex, Operation, PlanIndex, RequestParameters, StorageRequest};
-use io_scheduler::{ObjectKey, Shard, VolumeId};
+use crate::storage_request::{Operation, RequestParameters, StorageRequest};
+use io_scheduler::{ClassIndex, ObjectKey, PlanIndex, Shard, VolumeId};
 
 /// Longest client request id in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 64;
--- a/crates/gateway/src/client_protocol/sftp/path.rs
+++ b/crates/gateway/src/client_protocol/sftp/path.rs
@@ -4,8 +4,7 @@
 use super::error::SftpError;
 use super::shared::SftpShared;
 use crate::hex_id::HexId;
-use crate::storage_request::PlanIndex;
-use io_scheduler::{ObjectKey, VolumeId};
+use io_scheduler::{ObjectKey, PlanIndex, VolumeId};
 
 /// Longest name of an object in bytes.
 const MAX_NAME_LENGTH: usize = 255;
--- a/crates/gateway/src/config/sftp.rs
+++ b/crates/gateway/src/config/sftp.rs
@@ -6,8 +6,9 @@
 use super::sections::OperatorSftp;
 use super::sftp_volumes::{convert_volumes, SftpVolume};
 use super::validate::parse_address;
-use crate::storage_request::{ClassIndex, MAX_VALUE_BYTES};
+use crate::storage_request::MAX_VALUE_BYTES;
 use deployment_settings::DeploymentSettings;
+use io_scheduler::ClassIndex;
 use std::net::SocketAddr;
 
 /// Bytes that count as one unit, if the file does not state it.
--- a/crates/gateway/src/config/sftp_volumes.rs
+++ b/crates/gateway/src/config/sftp_volumes.rs
@@ -4,9 +4,8 @@
 use super::error::{ConfigError, InvalidValue};
 use super::sections::OperatorVolume;
 use super::validate::parse_hexadecimal;
-use crate::storage_request::PlanIndex;
 use deployment_settings::DeploymentSettings;
-use io_scheduler::VolumeId;
+use io_scheduler::{PlanIndex, VolumeId};
 
 /// A volume that clients may access.
 #[derive(Clone, Debug)]
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -65,9 +65,9 @@
             Action::Dispatch {
                 request,
                 node,
-                deadline,
+                times_out_at,
             } => {
-                self.dispatch(request, node, deadline, now, timers);
+                self.dispatch(request, node, times_out_at, now, timers);
             }
             Action::Reject {
                 request,
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -90,8 +90,8 @@
     Request {
         id,
         volume: request.volume,
-        plan: request.plan.0,
-        class: request.class.0,
+        plan: request.plan,
+        class: request.class,
         key: Some(request.object),
         shard: request.shard,
         units: Units(request.units),
--- a/crates/gateway/src/storage_request/mod.rs
+++ b/crates/gateway/src/storage_request/mod.rs
@@ -10,7 +10,5 @@
 
 pub use attempt::{AttemptId, AttemptResult};
 pub use reply_slot::{ReplySlot, SlotNumber};
-pub use request::{
-    ClassIndex, Operation, PlanIndex, RequestParameters, StorageRequest, MAX_VALUE_BYTES,
-};
+pub use request::{Operation, RequestParameters, StorageRequest, MAX_VALUE_BYTES};
 pub use response::{InvalidRequest, ObjectEntry, Response, ResponseBody};
--- a/crates/gateway/src/storage_request/request.rs
+++ b/crates/gateway/src/storage_request/request.rs
@@ -1,6 +1,6 @@
 //! The request of a client, independent of the protocol that it came by.
 
-use io_scheduler::{Micros, ObjectKey, Shard, VolumeId};
+use io_scheduler::{ClassIndex, Micros, ObjectKey, PlanIndex, Shard, VolumeId};
 
 /// Largest value that is forwarded to a node, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 << 10;
@@ -18,14 +18,6 @@
     List,
 }
 
-/// A class of requests, as its index in the deployment settings.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ClassIndex(pub usize);
-
-/// A plan of volumes, as its index in the deployment settings.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PlanIndex(pub usize);
-
 /// One request of a client.
 #[derive(Clone, Debug)]
 pub struct StorageRequest {
--- a/crates/gateway/tests/dispatcher.rs
+++ b/crates/gateway/tests/dispatcher.rs
@@ -5,8 +5,8 @@
 
 use deployment_settings::DeploymentSettings;
 use io_scheduler::{
-    EndpointListEvent, EndpointStatus, Micros, NodeId, ObjectKey, Outcome, RequestId, Shard,
-    VolumeId,
+    ClassIndex, EndpointListEvent, EndpointStatus, Micros, NodeId, ObjectKey, Outcome, PlanIndex,
+    RequestId, Shard, VolumeId,
 };
 use random_numbers::RandomNumbers;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 };
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::memory_budget::MemoryBudget;
-use storage_gateway::storage_request::{ClassIndex, PlanIndex, SlotNumber};
+use storage_gateway::storage_request::SlotNumber;
 use storage_gateway::timer_queue::{AttemptId, Timer, TimerQueue};
 
 const MS: Micros = 1_000;
--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -11,8 +11,8 @@
         request: RequestId,
         /// The node it goes to.
         node: NodeId,
-        /// When the attempt times out.
-        deadline: Micros,
+        /// When the attempt times out; not after the deadline of the request.
+        times_out_at: Micros,
     },
     /// Final response: rejected; the client may safely retry.
     Reject {
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -1,6 +1,8 @@
 //! Events: what the caller reports to the scheduler.
 
-use super::{Micros, NodeId, ObjectKey, RequestId, Shard, Units, VolumeId, Zone};
+use super::{
+    ClassIndex, Micros, NodeId, ObjectKey, PlanIndex, RequestId, Shard, Units, VolumeId, Zone,
+};
 
 /// State of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,10 +52,10 @@
     pub id: RequestId,
     /// Its volume.
     pub volume: VolumeId,
-    /// The volume's plan, an index into [`Settings::plans`](super::Settings::plans).
-    pub plan: usize,
-    /// Its class, an index into [`Settings::classes`](super::Settings::classes).
-    pub class: usize,
+    /// The volume's plan.
+    pub plan: PlanIndex,
+    /// Its class.
+    pub class: ClassIndex,
     /// The object that it reads or writes, if it names one.
     pub key: Option<ObjectKey>,
     /// The shard that holds the object; `None` for a new object, which may be placed on any node.
--- a/crates/scheduler/src/api/mod.rs
+++ b/crates/scheduler/src/api/mod.rs
@@ -10,6 +10,14 @@
 pub use settings::*;
 pub use units::*;
 
+/// A class, by its index in [`Settings::classes`].
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ClassIndex(pub usize);
+
+/// A plan of volumes, by its index in [`Settings::plans`].
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct PlanIndex(pub usize);
+
 /// Defines the types of ids: numbers that cannot be mistaken for each other.
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident),*) => {$(
--- a/crates/scheduler/src/dmclock/selection.rs
+++ b/crates/scheduler/src/dmclock/selection.rs
@@ -34,10 +34,10 @@
     pub phase: Phase,
 }
 
-/// Whether anything but dmClock's order and the concurrency limit keeps a request from being
-/// dispatched.
+/// The rules for a dispatch besides dmClock's order and the concurrency limit.
 pub trait Admission {
-    /// Whether a request may be dispatched now, using `quota_part` of this host's slow-start quota.
+    /// Whether these rules let a request be dispatched now; it may use `quota_part` of this host's
+    /// slow-start quota.
     fn admits(&self, request: RequestId, quota_part: f64) -> bool;
 }
 
@@ -89,7 +89,7 @@
         let eligible = self
             .queue
             .heads()
-            .filter(|(volume, head)| self.is_within_limit(*volume, head))
+            .filter(|(volume, head)| self.limit_tag_is_due(*volume, head))
             .filter(|(_, head)| self.node.has_capacity(self.value(head), self.now))
             .filter(|(volume, head)| {
                 let quota_part = self.quota_part(*volume, head);
@@ -104,7 +104,7 @@
 
     /// The phase of late requests.
     fn late(&self) -> Option<Selected> {
-        if !self.node.is_idle() {
+        if !self.node.is_idle_at_full_limit() {
             return None;
         }
         let request = self
@@ -123,9 +123,12 @@
         reservation.is_positive() && head.tags.reservation <= self.tag_time
     }
 
-    /// Whether the volume has no limit or is within it. The tag may run ahead by a whole burst;
-    /// rate and burst are split evenly over the hosts, so that their ratio is that of the plan.
-    fn is_within_limit(&self, volume: VolumeId, head: &QueuedRequest) -> bool {
+    /// Whether the volume has no limit, or the request's tag for it is due. The tag may run ahead
+    /// by a whole burst; rate and burst are split evenly over the hosts, so that their ratio is
+    /// that of the plan. The tag spreads a volume's service over its shards by the service of all
+    /// of them; the token bucket (`volume::token_bucket`) bounds what this host sends to all shards
+    /// together.
+    fn limit_tag_is_due(&self, volume: VolumeId, head: &QueuedRequest) -> bool {
         let plan = self.volumes[volume].plan();
         if !plan.limit.is_positive() {
             return true;
--- a/crates/scheduler/src/dmclock/tags.rs
+++ b/crates/scheduler/src/dmclock/tags.rs
@@ -27,12 +27,16 @@
     pub nominal: Seconds,
 }
 
-/// Service by which the tags of a request advance, as dmClock defines it.
+/// Service by which the tags of a request advance: dmClock's rho and delta.
 #[derive(Clone, Copy)]
 pub struct ServiceCount {
-    /// Service in the reservation phase since the volume's last request here.
+    /// Counts for the reservation tag. In dmClock this is the service of the constraint-based phase
+    /// since the volume's last request here. Nodes report service without its phase, so it is
+    /// estimated: all service, but no more than the reserved rate gave in that time, and at least
+    /// the request's own units.
     pub rho: Units,
-    /// All service since the volume's last request here.
+    /// Counts for the other tags: all service since the volume's last request here, and at least
+    /// the request's own units.
     pub delta: Units,
 }
 
--- a/crates/scheduler/src/endpoints/polling.rs
+++ b/crates/scheduler/src/endpoints/polling.rs
@@ -17,7 +17,7 @@
 /// Longest jitter after a watch that was lost, in microseconds.
 const MAX_JITTER_AFTER_WATCH: Micros = 1_000_000;
 /// The jitter takes at most the longest time between two polls divided by this.
-const POLL_INTERVAL_PER_JITTER: Micros = 2;
+const MAX_JITTER_DIVISOR: i64 = 2;
 /// Time after which a poll without a response is repeated, in microseconds: two polls fit into the
 /// 6 s in which a change has to arrive.
 const POLL_TIMEOUT: Micros = 3_000_000;
@@ -101,7 +101,7 @@
     /// The longest jitter that the longest time between two polls allows.
     fn limit_jitter(&self, max_jitter: Micros) -> Micros {
         if self.max_poll_interval > 0 {
-            max_jitter.min(self.max_poll_interval / POLL_INTERVAL_PER_JITTER)
+            max_jitter.min(self.max_poll_interval / MAX_JITTER_DIVISOR)
         } else {
             max_jitter
         }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -3,7 +3,8 @@
 //!
 //! The order follows dmClock: per node and volume a reservation, a limit and a share tag, advanced
 //! by the service of all nodes. Due reservation tags go first, then the smallest share tag whose
-//! limit tag is due. A concurrency limit for each node bounds the requests in flight there.
+//! limit tag is due or ahead by no more than a burst. A concurrency limit for each node bounds the
+//! requests in flight there.
 //!
 //! The library does no I/O and reads no clock: a caller passes it [`Event`]s with their time and
 //! carries out the [`Action`]s that it returns.
--- a/crates/scheduler/src/node/attempt_timeout.rs
+++ b/crates/scheduler/src/node/attempt_timeout.rs
@@ -31,7 +31,7 @@
 }
 
 /// When an attempt dispatched to the node now times out, apart from the request's deadline.
-pub fn attempt_deadline(node: &Node, terms: &AttemptTerms, now: Micros) -> Micros {
+pub fn times_out_at(node: &Node, terms: &AttemptTerms, now: Micros) -> Micros {
     let Some(mean) = node.latency().mean() else {
         return terms.objective_at.max(now);
     };
--- a/crates/scheduler/src/node/concurrency_limit.rs
+++ b/crates/scheduler/src/node/concurrency_limit.rs
@@ -58,9 +58,9 @@
         self.limit
     }
 
-    /// The limit as a fraction of one request, at most one: the rate of dispatches relative to that
-    /// of a node that always has a single request in flight.
-    pub fn pacing_rate(&self) -> f64 {
+    /// The limit, at most one. Below one it is the rate of dispatches relative to that of a node
+    /// which always has one request in flight.
+    pub fn limit_up_to_one(&self) -> f64 {
         self.limit.min(PACING_THRESHOLD)
     }
 
@@ -75,14 +75,23 @@
     /// down a limit that is below its maximum, so that hosts leave a busy node to reserved work
     /// without coordination.
     pub fn has_capacity(&self, in_flight: usize, value: f64, now: Micros) -> bool {
+        let limit = self.limit_for_value(value);
+        has_slot(limit, in_flight) && self.pacing_delay_is_over(limit, now)
+    }
+
+    /// The limit that holds for a request of this relative value.
+    fn limit_for_value(&self, value: f64) -> f64 {
         let scale = value + (1.0 - value) * self.limit / MAX_CONCURRENCY_LIMIT;
-        let limit = self.limit * scale;
-        let max_in_flight = (limit as usize).max(MIN_IN_FLIGHT);
-        in_flight < max_in_flight && now >= self.paced_since + self.pause(limit).to_micros()
+        self.limit * scale
+    }
+
+    /// Whether enough time has passed since the last response for the next dispatch at a limit.
+    fn pacing_delay_is_over(&self, limit: f64, now: Micros) -> bool {
+        now >= self.paced_since + self.pacing_delay(limit).to_micros()
     }
 
     /// Time between a response and the next dispatch at a limit; zero for a limit of one or more.
-    fn pause(&self, limit: f64) -> Latency {
+    fn pacing_delay(&self, limit: f64) -> Latency {
         self.pacing_interval * (PACING_THRESHOLD / limit - 1.0).max(0.0)
     }
 
@@ -121,6 +130,12 @@
     }
 }
 
+/// Whether a limit allows one more request while so many are in flight.
+fn has_slot(limit: f64, in_flight: usize) -> bool {
+    let max_in_flight = (limit as usize).max(MIN_IN_FLIGHT);
+    in_flight < max_in_flight
+}
+
 /// Whether a response took a noticeable part of its latency objective.
 fn is_slow(measurement: &Measurement) -> bool {
     let slow_from = Latency::from_micros(measurement.latency_objective) * SLOW_RESPONSE;
--- a/crates/scheduler/src/node/dispatch_pause.rs
+++ b/crates/scheduler/src/node/dispatch_pause.rs
@@ -21,8 +21,8 @@
         self.until = self.until.max(now + OVERLOAD_PAUSE);
     }
 
-    /// Pauses the node for a half-open interval.
-    pub fn start_half_open(&mut self, interval: Micros, now: Micros) {
+    /// Pauses an ejected node until its next trial attempt.
+    pub fn start_between_trials(&mut self, interval: Micros, now: Micros) {
         self.until = now + interval;
     }
 
--- a/crates/scheduler/src/node/error_rate.rs
+++ b/crates/scheduler/src/node/error_rate.rs
@@ -1,7 +1,7 @@
 //! How often a node responds with an error.
 //!
 //! Inputs: served attempts and errors. Decided: whether the node should get new objects only if
-//! there is no other (`endpoints::placement`).
+//! there is no other (`placement`).
 
 use crate::collections::MovingFraction;
 
--- a/crates/scheduler/src/node/health.rs
+++ b/crates/scheduler/src/node/health.rs
@@ -39,7 +39,7 @@
     pub error_rate: ErrorRate,
     /// How many requests may be in flight.
     pub limit: ConcurrencyLimit,
-    /// Whether its attempts fail one after the other.
+    /// How many attempts had no response since the last one that was served.
     pub ejection: OutlierEjection,
     /// Until when nothing is dispatched to it.
     pub pause: DispatchPause,
@@ -65,7 +65,7 @@
 
     /// Updates the measurements after an attempt that was served.
     fn record_served(&mut self, measurement: &Measurement, now: Micros) {
-        // A served trial attempt ends the ejection and with it the half-open interval.
+        // A served trial attempt ends the ejection and with it the pause before the next one.
         if self.ejection.is_ejected() {
             self.pause.end(now);
         }
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -128,7 +128,7 @@
         self.is_ejected() || self.health.error_rate.is_high()
     }
 
-    /// Whether its attempts fail one after the other.
+    /// Whether it gets trial attempts only.
     pub fn is_ejected(&self) -> bool {
         self.health.ejection.is_ejected()
     }
@@ -144,9 +144,9 @@
     }
 
     /// Pauses it until the next trial attempt of its ejection.
-    pub fn start_half_open_interval(&mut self, now: Micros) {
-        let interval = self.health.ejection.half_open_interval();
-        self.health.pause.start_half_open(interval, now);
+    pub fn start_trial_interval(&mut self, now: Micros) {
+        let interval = self.health.ejection.trial_interval();
+        self.health.pause.start_between_trials(interval, now);
     }
 
     /// Whether as many requests are in flight as a node can have at once, at any concurrency limit.
@@ -165,7 +165,7 @@
     }
 
     /// Whether nothing is in flight and the concurrency limit is at its maximum.
-    pub fn is_idle(&self) -> bool {
+    pub fn is_idle_at_full_limit(&self) -> bool {
         self.in_flight == 0 && self.health.limit.is_at_maximum()
     }
 }
--- a/crates/scheduler/src/node/outlier_ejection.rs
+++ b/crates/scheduler/src/node/outlier_ejection.rs
@@ -1,20 +1,22 @@
-//! Which nodes get no requests but trial attempts, since their attempts fail one after the other.
+//! Which nodes get no requests but trial attempts, since their attempts end without a response.
 //!
 //! Inputs: attempts without a response (timeouts, failed connects, resets) and served ones.
-//! Decided: whether a node is ejected, and how long it waits for its next trial attempt (half-open
-//! interval, in microseconds). A served attempt ends the ejection. If most nodes are ejected, the
-//! fault is likely not theirs, and none of them is treated as ejected (panic threshold).
+//! Decided: whether a node is ejected, and the time between its trial attempts, in microseconds.
+//! Only a served attempt ends the ejection. A response that is an error or says that the node is
+//! overloaded neither counts as a failure nor ends one: it shows that a process answers, but not
+//! that it serves. If more nodes are ejected than not, the fault is likely not theirs, and none of
+//! them is treated as ejected (panic threshold).
 
 use super::Node;
 use crate::api::Micros;
 
-/// Attempts without a response, one after the other, that eject a node.
-const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 3;
-/// Half-open interval after the first trial attempt, in microseconds; it doubles with each further
-/// failure.
-const MIN_HALF_OPEN_INTERVAL: Micros = 100_000;
-/// Longest half-open interval, in microseconds.
-const MAX_HALF_OPEN_INTERVAL: Micros = 1_000_000;
+/// Attempts without a response, none served between them, that eject a node.
+const FAILURES_TO_EJECT: u32 = 3;
+/// Time between the first trial attempt of an ejected node and the second, in microseconds; it
+/// doubles with each further failure. The first one follows the ejection without a pause.
+const MIN_TRIAL_INTERVAL: Micros = 100_000;
+/// Longest time between two trial attempts, in microseconds.
+const MAX_TRIAL_INTERVAL: Micros = 1_000_000;
 /// Doublings after which the interval certainly is at its maximum; bounds the shift.
 const MAX_DOUBLINGS: u32 = 5;
 
@@ -22,30 +24,30 @@
 #[derive(Default)]
 pub struct OutlierEjection {
     /// Attempts without a response since the last one that was served.
-    consecutive_failures: u32,
+    failures_since_served: u32,
 }
 
 impl OutlierEjection {
     /// Counts an attempt that ended without a response.
     pub fn record_failure(&mut self) {
-        self.consecutive_failures += 1;
+        self.failures_since_served += 1;
     }
 
     /// Ends the ejection, as an attempt was served.
     pub fn record_served(&mut self) {
-        self.consecutive_failures = 0;
+        self.failures_since_served = 0;
     }
 
     /// Whether the node gets trial attempts only.
     pub fn is_ejected(&self) -> bool {
-        self.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT
+        self.failures_since_served >= FAILURES_TO_EJECT
     }
 
     /// Time from a trial attempt to the next one, for a node that is ejected.
-    pub fn half_open_interval(&self) -> Micros {
-        let failures_since_ejection = self.consecutive_failures - CONSECUTIVE_FAILURES_TO_EJECT;
+    pub fn trial_interval(&self) -> Micros {
+        let failures_since_ejection = self.failures_since_served - FAILURES_TO_EJECT;
         let doublings = failures_since_ejection.min(MAX_DOUBLINGS);
-        (MIN_HALF_OPEN_INTERVAL << doublings).min(MAX_HALF_OPEN_INTERVAL)
+        (MIN_TRIAL_INTERVAL << doublings).min(MAX_TRIAL_INTERVAL)
     }
 }
 
--- a/crates/scheduler/src/node/slow_start.rs
+++ b/crates/scheduler/src/node/slow_start.rs
@@ -78,15 +78,21 @@
         let slow_start = &self.settings.slow_start;
         let capacity = capacity(slow_start, started_at, self.now);
         let node_quota = node_quota(slow_start, capacity);
-        let quota = self.host_quota(capacity, node_quota) * quota_part;
+        let host_quota = self.host_quota(capacity, node_quota) * quota_part;
         let dispatched = self
             .node
             .slow_start_usage()
             .within_window(slow_start, self.now);
+        self.is_within_host_quota(units, host_quota, dispatched)
+            && is_within_node_quota(units, node_quota, dispatched)
+    }
+
+    /// Whether the units fit into this host's quota, to which a random part of them is added. A
+    /// request that is larger than the rest of the quota is thus admitted as often as that rest is
+    /// a part of it.
+    fn is_within_host_quota(&self, units: Units, host_quota: Units, dispatched: Units) -> bool {
         let random_part = units * self.random_number();
-        let is_within_quota = quota + random_part - dispatched >= units;
-        let is_first_of_window = dispatched <= Units::ZERO;
-        is_within_quota && (is_first_of_window || node_quota - dispatched >= units)
+        host_quota + random_part - dispatched >= units
     }
 
     /// This host's part of `node_quota`. It follows the provisioned rates of the node's volumes;
@@ -102,7 +108,9 @@
         by_rate + (even_part - by_rate) / hosts.sqrt()
     }
 
-    /// A number from 0 to 1 that is the same throughout a window and differs from node to node.
+    /// A number from 0 to 1 that differs from node to node and is the same for a window's length,
+    /// counted in fixed windows of the clock: one that is drawn at each call would admit a waiting
+    /// request after a few calls.
     fn random_number(&self) -> f64 {
         let window_length = self.settings.slow_start.window.max(1);
         let window_number = (self.now / window_length) as u64;
@@ -119,6 +127,14 @@
     slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * progress
 }
 
+/// Whether the units fit into what the node bears, apart from the other hosts. A request that is
+/// larger than all that the node bears must be dispatched some time, so the first one within a
+/// window may be.
+fn is_within_node_quota(units: Units, node_quota: Units, dispatched: Units) -> bool {
+    let is_first_of_window = dispatched <= Units::ZERO;
+    is_first_of_window || node_quota - dispatched >= units
+}
+
 /// Units that a node of this capacity bears within a window, from all hosts together.
 fn node_quota(slow_start: &SlowStart, capacity: f64) -> Units {
     slow_start.units * capacity / slow_start.initial_capacity.max(MIN_INITIAL_CAPACITY)
--- a/crates/scheduler/src/request/key_ordering.rs
+++ b/crates/scheduler/src/request/key_ordering.rs
@@ -2,9 +2,9 @@
 //! their receipt.
 //!
 //! Inputs: receipt and end of the requests of each key, and attempts that ended while the node may
-//! still be executing them. After such an attempt no request of its key is dispatched for the
+//! still be executing them. After such an attempt no other request of its key is dispatched for the
 //! quiesce period of the settings (microseconds), so that the next one cannot overtake it at the
-//! node.
+//! node. A retry of the same request does not wait for the end of that period.
 
 use crate::api::{Micros, ObjectKey, RequestId};
 use crate::collections::DeadlineQueue;
--- a/crates/scheduler/src/request/latency_objective.rs
+++ b/crates/scheduler/src/request/latency_objective.rs
@@ -7,7 +7,7 @@
 //! are in microseconds.
 
 use super::PendingRequest;
-use crate::api::{Micros, ObjectKey, Request, RequestClass, VolumeId};
+use crate::api::{ClassIndex, Micros, ObjectKey, Request, RequestClass, VolumeId};
 use crate::time::Latency;
 use std::collections::BTreeMap;
 
@@ -22,8 +22,8 @@
     volume: VolumeId,
     /// The object that both read or write.
     object: ObjectKey,
-    /// The class, an index into the settings.
-    class: usize,
+    /// The class.
+    class: ClassIndex,
 }
 
 impl RepeatKey {
--- a/crates/scheduler/src/request/pending.rs
+++ b/crates/scheduler/src/request/pending.rs
@@ -34,7 +34,7 @@
     /// The earliest completed attempt that the node may have executed or may still be executing.
     first_executed: Option<Attempt>,
     /// The shard whose queue holds it.
-    queued_at: Option<Shard>,
+    queue_shard: Option<Shard>,
 }
 
 impl PendingRequest {
@@ -56,7 +56,7 @@
             attempts: 0,
             in_flight: Vec::new(),
             first_executed: None,
-            queued_at: None,
+            queue_shard: None,
         }
     }
 
@@ -141,12 +141,12 @@
 
     /// Notes the shard whose queue it joined.
     pub fn enqueue(&mut self, shard: Shard) {
-        self.queued_at = Some(shard);
+        self.queue_shard = Some(shard);
     }
 
     /// Notes that it leaves the queue that holds it; returns its shard.
     pub fn dequeue(&mut self) -> Option<Shard> {
-        self.queued_at.take()
+        self.queue_shard.take()
     }
 
     /// The key by which it is ordered; `None` if its class is not ordered or it has no key.
@@ -160,7 +160,7 @@
 
     /// Whether it is open and not queued.
     pub fn is_waiting(&self) -> bool {
-        self.is_open && self.queued_at.is_none()
+        self.is_open && self.queue_shard.is_none()
     }
 
     /// Whether it is open and has no attempt in flight.
--- a/crates/scheduler/src/request/shedding.rs
+++ b/crates/scheduler/src/request/shedding.rs
@@ -9,7 +9,7 @@
 use crate::collections::DeadlineQueue;
 
 /// A request may wait for its time to the deadline divided by this.
-const MAX_QUEUE_TIME_DIVISOR: Micros = 2;
+const MAX_QUEUE_TIME_DIVISOR: i64 = 2;
 
 /// When a request that is received now is rejected, if it was not dispatched by then.
 pub fn reject_at(deadline: Micros, now: Micros) -> Micros {
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -27,6 +27,7 @@
 use crate::request::latency_objective::LatencyObjectives;
 use crate::request::shedding::RejectionTimes;
 use crate::request::PendingRequest;
+use crate::retry::eligibility::RetryEligibility;
 use crate::retry::retry_budget::RetryBudgetUsage;
 use crate::time::Seconds;
 use crate::volume::VolumeTable;
@@ -125,6 +126,8 @@
         match event {
             Event::EndpointList(event, endpoints) => self.on_endpoint_list(*event, endpoints),
             Event::RequestReceived(request) => self.on_request(request),
+            // The client gets this response, whether or not it will be complete, so that the
+            // request has ended; that it was served is not known yet.
             Event::ResponseStarted(id) => self.close_unserved(*id),
             Event::ClientDisconnected(id) => self.on_client_disconnected(*id),
             Event::AttemptCompleted(completed) => self.on_attempt_completed(completed),
@@ -159,6 +162,16 @@
         }
     }
 
+    /// The retry rules now.
+    fn retry_eligibility(&self) -> RetryEligibility<'_> {
+        RetryEligibility {
+            max_attempts: self.settings.max_attempts,
+            budget: &self.retry_budget,
+            nodes: &self.nodes,
+            now: self.now,
+        }
+    }
+
     /// The current time on the tags' axis.
     fn tag_time(&self) -> Seconds {
         Seconds::between(self.started_at, self.now)
--- a/crates/scheduler/src/scheduler/admission.rs
+++ b/crates/scheduler/src/scheduler/admission.rs
@@ -1,9 +1,10 @@
 //! Why a queued request may not be dispatched to a node now, apart from dmClock's order.
 //!
-//! Each reason has a predicate: the request is closed or its deadline has passed, the node is not
-//! in service, the volume's limit or the retry rules forbid the attempt, or the node warms up and
-//! the quota of slow start is used up. Whether the node's concurrency limit and pauses allow a
-//! dispatch is decided before (`dispatch`).
+//! Each reason has a predicate: the volume's token bucket is empty, the retry rules forbid a
+//! further attempt, or the node warms up and the quota of slow start is used up. The request then
+//! waits; it is not rejected here. Whether the node's concurrency limit and pauses allow a dispatch
+//! is decided elsewhere (`dispatch`, `dmclock::selection`). A queued request is open and before its
+//! deadline, since expired ones are rejected first, and the node that holds a shard is in service.
 
 use super::Scheduler;
 use crate::api::RequestId;
@@ -11,7 +12,6 @@
 use crate::node::slow_start::{warming_up_since, SlowStartLimiter};
 use crate::node::Node;
 use crate::request::PendingRequest;
-use crate::retry::eligibility::RetryEligibility;
 
 /// The admission of requests of one queue to the node that holds its shard.
 pub(super) struct DispatchAdmission<'a> {
@@ -28,24 +28,16 @@
         let Some(pending) = self.scheduler.requests.get(&request) else {
             return false;
         };
-        pending.is_open()
-            && self.node.is_in_service()
-            && !self.deadline_has_passed(pending)
-            && self.attempt_is_allowed(pending)
-            && self.slow_start_admits(pending, quota_part)
+        self.attempt_is_allowed(pending) && self.slow_start_admits(pending, quota_part)
     }
 }
 
 impl DispatchAdmission<'_> {
-    /// Whether the client no longer waits for the response.
-    fn deadline_has_passed(&self, pending: &PendingRequest) -> bool {
-        pending.request().deadline <= self.scheduler.now
-    }
-
     /// Whether the limit of the volume allows a first attempt, or the retry rules a further one.
+    /// Only first attempts count against the limit.
     fn attempt_is_allowed(&self, pending: &PendingRequest) -> bool {
         if pending.attempts() == 0 {
-            self.is_within_volume_limit(pending)
+            self.has_tokens(pending)
         } else {
             self.scheduler
                 .retry_eligibility()
@@ -54,10 +46,10 @@
     }
 
     /// Whether the token bucket of the volume holds the units of the request.
-    fn is_within_volume_limit(&self, pending: &PendingRequest) -> bool {
+    fn has_tokens(&self, pending: &PendingRequest) -> bool {
         let request = pending.request();
         let volume = &self.scheduler.volumes[request.volume];
-        volume.is_within_limit(request.units, self.scheduler.now)
+        volume.has_tokens(request.units, self.scheduler.now)
     }
 
     /// Whether the node has its full capacity, or the quota of slow start holds the units.
@@ -76,15 +68,3 @@
         limiter.admits(pending.request().units, quota_part, started_at)
     }
 }
-
-impl Scheduler {
-    /// The retry rules now.
-    pub(super) fn retry_eligibility(&self) -> RetryEligibility<'_> {
-        RetryEligibility {
-            max_attempts: self.settings.max_attempts,
-            budget: &self.retry_budget,
-            nodes: &self.nodes,
-            now: self.now,
-        }
-    }
-}
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -5,7 +5,7 @@
 //! them go through `close`.
 
 use super::Scheduler;
-use crate::api::{Action, CompletedAttempt, Micros, NodeId, Outcome, RequestId, Units};
+use crate::api::{Action, CompletedAttempt, NodeId, Outcome, RequestId, Units};
 use crate::dmclock::Position;
 use crate::node::Measurement;
 use crate::request::{Attempt, PendingRequest};
@@ -13,7 +13,7 @@
 use crate::retry::retry_after::retry_after;
 
 /// Age of the last usage report, in periods of these reports, above which the next one is ignored.
-const MAX_REPORT_AGE: Micros = 2;
+const MAX_REPORT_AGE_PERIODS: i64 = 2;
 
 impl Scheduler {
     /// Records how an attempt ended, then closes, retries or rejects its request.
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Starts the quiesce period of a request's key.
+    /// Starts the quiesce period of a request's key, if the key has ordered requests. The request
+    /// itself need not be of an ordered class.
     fn quiesce_key(&mut self, id: RequestId) {
         let key = self.requests[&id].request().key;
         if let Some(key) = key {
@@ -63,7 +64,7 @@
             } else {
                 Units::ZERO
             };
-            let max_report_age = MAX_REPORT_AGE * self.settings.usage_report_period;
+            let max_report_age = MAX_REPORT_AGE_PERIODS * self.settings.usage_report_period;
             volume.record_usage(served, completed, max_report_age, self.now);
         }
         let Some(node) = self.nodes.get_mut(attempt.node) else {
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Closes a request before any attempt was served; keeps its objective in case the client sends
-    /// it again.
+    /// Closes a request of which no attempt is known to have been served; keeps its objective in
+    /// case the client sends it again.
     pub(super) fn close_unserved(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else {
             return;
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -4,7 +4,7 @@
 use super::Scheduler;
 use crate::api::{Action, NodeId, Request, Shard};
 use crate::dmclock::{Position, Selected, Selection};
-use crate::node::attempt_timeout::{attempt_deadline, AttemptTerms};
+use crate::node::attempt_timeout::{times_out_at, AttemptTerms};
 use crate::node::outlier_ejection::exceeds_panic_threshold;
 use crate::node::Node;
 use crate::request::latency_objective::misses_objective;
@@ -42,7 +42,7 @@
             };
             self.dispatch(&selected, node_id);
             if is_trial {
-                self.start_half_open_interval(node_id);
+                self.start_trial_interval(node_id);
             }
         }
     }
@@ -58,9 +58,9 @@
     }
 
     /// Pauses an ejected node after a trial attempt.
-    fn start_half_open_interval(&mut self, node: NodeId) {
+    fn start_trial_interval(&mut self, node: NodeId) {
         if let Some(node) = self.nodes.get_mut(node) {
-            node.start_half_open_interval(self.now);
+            node.start_trial_interval(self.now);
         }
     }
 
@@ -121,12 +121,12 @@
             volume.spend(request.units, self.now);
         }
         node.start_attempt(request.units, &self.settings.slow_start, self.now);
-        let timeout_at = attempt_deadline(node, &attempt_terms(pending), self.now);
+        let timeout = times_out_at(node, &attempt_terms(pending), self.now);
         pending.start_attempt(node_id, self.now);
         self.actions.push(Action::Dispatch {
             request: selected.request,
             node: node_id,
-            deadline: timeout_at.min(request.deadline),
+            times_out_at: timeout.min(request.deadline),
         });
     }
 
--- a/crates/scheduler/src/scheduler/intake.rs
+++ b/crates/scheduler/src/scheduler/intake.rs
@@ -13,10 +13,10 @@
     /// run first. A request whose class or plan is not in the settings is ignored.
     pub(super) fn on_request(&mut self, request: &Request) {
         let known_shard = self.served_shard(request);
-        let Some(class) = self.settings.classes.get(request.class) else {
+        let Some(class) = self.settings.classes.get(request.class.0) else {
             return;
         };
-        let Some(plan) = self.settings.plans.get(request.plan) else {
+        let Some(plan) = self.settings.plans.get(request.plan.0) else {
             return;
         };
         self.volumes
--- a/crates/scheduler/src/scheduler/wakeup.rs
+++ b/crates/scheduler/src/scheduler/wakeup.rs
@@ -4,7 +4,8 @@
 use crate::api::{Action, Micros, Shard};
 
 /// Interval in microseconds at which requests that wait for a tag, a token bucket or a quota are
-/// checked again.
+/// checked again. What a request waits for has no single time at which it ends: each of the three
+/// also depends on what other requests are dispatched meanwhile.
 const RECHECK_INTERVAL: Micros = 4_000;
 
 impl Scheduler {
@@ -58,7 +59,7 @@
             return None;
         }
         let queue = &self.queues[shard];
-        let may_dispatch_late = queue.has_late() && node.is_idle();
+        let may_dispatch_late = queue.has_late() && node.is_idle_at_full_limit();
         if queue.has_timely() || may_dispatch_late {
             Some(node.paused_until().max(self.now + RECHECK_INTERVAL))
         } else {
--- a/crates/scheduler/src/volume/mod.rs
+++ b/crates/scheduler/src/volume/mod.rs
@@ -51,9 +51,9 @@
         }
     }
 
-    /// Notes a request that was received: its plan, the number of hosts that it states, and its
-    /// shard if a node in service holds it. The token bucket is refilled under that plan and the
-    /// former number of hosts.
+    /// Notes a request that was received: the number of hosts that it states, and its shard if a
+    /// node in service holds it. The token bucket is filled up to now by the request's plan and the
+    /// former number of hosts; for all else the plan of the volume's first request applies.
     pub fn record_request(
         &mut self,
         plan: &VolumePlan,
@@ -82,8 +82,8 @@
         self.usage.served_units()
     }
 
-    /// Whether the limit lets so many units pass now.
-    pub fn is_within_limit(&self, units: Units, now: Micros) -> bool {
+    /// Whether the token bucket holds so many units, or the volume has no limit.
+    pub fn has_tokens(&self, units: Units, now: Micros) -> bool {
         !self.plan.limit.is_positive() || self.bucket.level(&self.plan, self.hosts, now) >= units
     }
 
@@ -138,6 +138,6 @@
     /// no request for `retention`.
     fn is_removable(&self, retention: Micros, now: Micros) -> bool {
         let capacity = self.plan.burst_capacity / self.hosts;
-        self.is_within_limit(capacity, now) && now - self.bucket.refilled_at() >= retention
+        self.has_tokens(capacity, now) && now - self.bucket.refilled_at() >= retention
     }
 }
--- a/crates/scheduler/src/volume/table.rs
+++ b/crates/scheduler/src/volume/table.rs
@@ -11,7 +11,7 @@
 /// Time without requests after which a volume is removed, in microseconds.
 const VOLUME_RETENTION: Micros = 60_000_000;
 /// Number of cleanups within [`VOLUME_RETENTION`].
-const CLEANUPS_PER_RETENTION: Micros = 8;
+const CLEANUPS_PER_RETENTION: i64 = 8;
 /// Interval at which idle volumes are looked for, in microseconds.
 pub const CLEANUP_INTERVAL: Micros = VOLUME_RETENTION / CLEANUPS_PER_RETENTION;
 
--- a/crates/scheduler/tests/characterization/interface.rs
+++ b/crates/scheduler/tests/characterization/interface.rs
@@ -4,12 +4,12 @@
 use crate::plain::{Arrival, Class, Completion, Decision, Deployment, Ending, Input, Line};
 use crate::plain::{ListKind, Plan, Repeat, Scope, Sizes, Status, Time};
 use io_scheduler::{Action, CompletedAttempt, Event, Outcome, Request, Scheduler};
+use io_scheduler::{ClassIndex, PlanIndex, Units, UnitsPerSecond};
 use io_scheduler::{
     DeduplicationScope, Idempotency, RequestClass, RetryBudget, Settings, SlowStart,
 };
 use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, VolumePlan};
 use io_scheduler::{NodeId, ObjectKey, RequestId, Shard, VolumeId, Zone};
-use io_scheduler::{Units, UnitsPerSecond};
 
 /// The scheduler under test.
 pub struct Subject {
@@ -147,8 +147,8 @@
     Request {
         id: RequestId(arrival.id),
         volume: VolumeId(arrival.volume),
-        plan: arrival.plan,
-        class: arrival.class,
+        plan: PlanIndex(arrival.plan),
+        class: ClassIndex(arrival.class),
         key: arrival.key.map(ObjectKey),
         shard: arrival.shard.map(Shard),
         units: Units(arrival.units),
@@ -184,11 +184,11 @@
         Action::Dispatch {
             request,
             node,
-            deadline,
+            times_out_at,
         } => Decision::Dispatch {
             request: request.0,
             node: node.0,
-            deadline: *deadline,
+            deadline: *times_out_at,
         },
         Action::Reject {
             request,
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code)] // Each test program uses some of them.
 
 use io_scheduler::{
-    Action, CompletedAttempt, Endpoint, EndpointListEvent, EndpointStatus, Event, Idempotency,
-    Micros, NodeId, Outcome, Request, RequestClass, RequestId, Scheduler, Settings, Shard,
-    SlowStart, Units, UnitsPerSecond, VolumeId, VolumePlan, Zone,
+    Action, ClassIndex, CompletedAttempt, Endpoint, EndpointListEvent, EndpointStatus, Event,
+    Idempotency, Micros, NodeId, Outcome, PlanIndex, Request, RequestClass, RequestId, Scheduler,
+    Settings, Shard, SlowStart, Units, UnitsPerSecond, VolumeId, VolumePlan, Zone,
 };
 
 pub const MILLISECOND: Micros = 1_000;
@@ -167,8 +167,8 @@
         Request {
             id,
             volume: VolumeId(0),
-            plan: 0,
-            class: 0,
+            plan: PlanIndex(0),
+            class: ClassIndex(0),
             key: None,
             shard: shard.map(Shard),
             units: Units(1.0),
@@ -181,7 +181,7 @@
     pub fn request_of_volume(&mut self, volume: u64, plan: usize, deadline: Micros) -> Request {
         Request {
             volume: VolumeId(volume),
-            plan,
+            plan: PlanIndex(plan),
             deadline,
             ..self.request(Some(0))
         }
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -7,8 +7,8 @@
     SchedulerHarness, MILLISECOND, SECOND,
 };
 use io_scheduler::{
-    EndpointStatus, Event, Micros, Request, RequestId, Settings, Units, UnitsPerSecond, VolumeId,
-    VolumePlan,
+    EndpointStatus, Event, Micros, PlanIndex, Request, RequestId, Settings, Units, UnitsPerSecond,
+    VolumeId, VolumePlan,
 };
 
 const NODE_STARTED_AT: Micros = 100 * SECOND;
@@ -285,7 +285,7 @@
     let mut count = 0;
     for _ in 0..60 {
         let request = Request {
-            plan,
+            plan: PlanIndex(plan),
             volume: VolumeId(volume),
             ..harness.request(Some(0))
         };
--- a/crates/simulator-adapter/src/instance/decode.rs
+++ b/crates/simulator-adapter/src/instance/decode.rs
@@ -5,7 +5,10 @@
     AttemptOutcomeMessage, EndpointListKind, EndpointRow, EventError, EventMessage, IncomingRequest,
 };
 use deployment_settings::micros;
-use io_scheduler::{CompletedAttempt, Endpoint, Event, ObjectKey, Request, Shard, Units, VolumeId};
+use io_scheduler::{
+    ClassIndex, CompletedAttempt, Endpoint, Event, ObjectKey, PlanIndex, Request, Shard, Units,
+    VolumeId,
+};
 
 impl Instance {
     /// Converts a message. Returns `None` if the scheduler need not handle it, for instance because
@@ -88,27 +91,29 @@
     }
 
     /// Index of a request's plan in the settings.
-    fn plan_index(&self, message: &IncomingRequest) -> Result<usize, EventError> {
+    fn plan_index(&self, message: &IncomingRequest) -> Result<PlanIndex, EventError> {
         let index = self
             .plan_names
             .iter()
             .position(|name| *name == message.plan);
-        index.ok_or_else(|| EventError::UnknownPlan {
+        index.map(PlanIndex).ok_or_else(|| EventError::UnknownPlan {
             request: message.request.clone(),
             plan: message.plan.clone(),
         })
     }
 
     /// Index of a request's class in the settings.
-    fn class_index(&self, message: &IncomingRequest) -> Result<usize, EventError> {
+    fn class_index(&self, message: &IncomingRequest) -> Result<ClassIndex, EventError> {
         let index = self
             .class_names
             .iter()
             .position(|name| *name == message.class);
-        index.ok_or_else(|| EventError::UnknownClass {
-            request: message.request.clone(),
-            class: message.class.clone(),
-        })
+        index
+            .map(ClassIndex)
+            .ok_or_else(|| EventError::UnknownClass {
+                request: message.request.clone(),
+                class: message.class.clone(),
+            })
     }
 
     /// Converts the end of an attempt and updates its request. Returns `None` if the request is not
--- a/crates/simulator-adapter/src/instance/encode.rs
+++ b/crates/simulator-adapter/src/instance/encode.rs
@@ -13,8 +13,8 @@
             Action::Dispatch {
                 request,
                 node,
-                deadline,
-            } => self.encode_dispatch(request, node, deadline),
+                times_out_at,
+            } => self.encode_dispatch(request, node, times_out_at),
             Action::Reject {
                 request,
                 retry_after,
@@ -31,13 +31,13 @@
         &mut self,
         request: RequestId,
         node: NodeId,
-        deadline: Micros,
+        times_out_at: Micros,
     ) -> Option<ActionMessage> {
         let request = self.requests.start_attempt(request)?;
         Some(ActionMessage::Dispatch {
             request: request.clone(),
             node: self.nodes.name(node).clone(),
-            deadline_ms: milliseconds(deadline),
+            deadline_ms: milliseconds(times_out_at),
         })
     }
 
