--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -42,6 +42,7 @@
         })
     }
 
+    /// The classes, in the order of the settings.
     fn request_classes(&self) -> Result<Vec<RequestClass>, UnknownValue> {
         self.classes.iter().map(RequestClass::try_from).collect()
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,6 +8,8 @@
 //! `serde(rename)` where a field bears another name, and `values` has the words that some of its
 //! values are limited to.
 
+#![warn(clippy::missing_docs_in_private_items)]
+
 mod conversion;
 mod error;
 mod time;
--- a/crates/simulator-adapter/src/instance/mod.rs
+++ b/crates/simulator-adapter/src/instance/mod.rs
@@ -16,6 +16,7 @@
 
 /// One simulated gateway.
 pub struct Instance {
+    /// Makes the decisions.
     scheduler: Scheduler,
     /// Names of the classes, in the order of the settings: the scheduler refers to a class by its
     /// index.
@@ -23,8 +24,11 @@
     /// Names of the plans, in the order of the settings: the scheduler refers to a plan by its
     /// index.
     plan_names: Vec<PlanName>,
+    /// Ids of the zones.
     zones: ZoneTable,
+    /// Ids of the nodes.
     nodes: NodeTable,
+    /// The requests that messages may still refer to.
     requests: RequestTable,
 }
 
--- a/crates/simulator-adapter/src/instance/nodes.rs
+++ b/crates/simulator-adapter/src/instance/nodes.rs
@@ -8,6 +8,7 @@
 /// appear, in any message.
 #[derive(Default)]
 pub struct NodeTable {
+    /// Id of each name.
     ids: HashMap<NodeName, NodeId>,
     /// The names, indexed by id.
     names: Vec<NodeName>,
--- a/crates/simulator-adapter/src/instance/requests.rs
+++ b/crates/simulator-adapter/src/instance/requests.rs
@@ -6,6 +6,7 @@
 
 /// A request that is open or has attempts in flight.
 struct TrackedRequest {
+    /// Name of the request on the wire.
     name: RequestName,
     /// Number of dispatched attempts whose outcome has not been received.
     attempts_in_flight: u32,
@@ -17,8 +18,11 @@
 /// flight.
 #[derive(Default)]
 pub struct RequestTable {
+    /// Id of each name; if a name is used again, that of its newest request.
     ids: HashMap<RequestName, RequestId>,
+    /// The requests by id.
     tracked: HashMap<RequestId, TrackedRequest>,
+    /// Id of the next request, without its type.
     next_id: u64,
 }
 
--- a/crates/simulator-adapter/src/instance/zones.rs
+++ b/crates/simulator-adapter/src/instance/zones.rs
@@ -7,7 +7,9 @@
 /// Maps the names of zones to ids: those in the settings to their index there, any other name to
 /// the next free id when it first appears.
 pub struct ZoneTable {
+    /// Id of each name.
     ids: HashMap<ZoneName, Zone>,
+    /// Id of the next new name, without its type.
     next_id: u64,
 }
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,6 +4,8 @@
 //! The process hosts any number of simulated gateways ([`registry`]); each has a scheduler of its
 //! own and shares no state with the others ([`instance`]). [`wire`] defines the messages.
 
+#![warn(clippy::missing_docs_in_private_items)]
+
 mod error;
 mod instance;
 mod registry;
--- a/crates/simulator-adapter/src/registry.rs
+++ b/crates/simulator-adapter/src/registry.rs
@@ -12,6 +12,7 @@
 /// The running instances. They share no state.
 #[derive(Default)]
 pub struct InstanceRegistry {
+    /// The instances that have started and not stopped.
     instances: BTreeMap<InstanceId, Instance>,
 }
 
--- a/crates/simulator-adapter/src/wire/ids.rs
+++ b/crates/simulator-adapter/src/wire/ids.rs
@@ -3,6 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
+/// Defines types of identifiers on the wire, which cannot be mistaken for each other.
 macro_rules! identifiers {
     ($($(#[$attribute:meta])* $name:ident($value:ty)),*) => {$(
         $(#[$attribute])*
