--- a/crates/gateway/src/console/tables.rs
+++ b/crates/gateway/src/console/tables.rs
@@ -3,7 +3,7 @@
 use crate::config::SftpVolume;
 use crate::dispatcher::{NodeState, VolumeCounters};
 use crate::hex_id::HexId;
-use io_scheduler::{EndpointStatus, Shard, VolumeId};
+use io_scheduler::{EndpointStatus, Shard, Units, VolumeId};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -25,7 +25,7 @@
         name,
         shard: Shard(shard),
         status,
-        units,
+        units: Units(units),
         attempts_in_flight,
         ..
     } = node;
@@ -70,7 +70,7 @@
         served,
         rejected,
         failed,
-        units,
+        units: Units(units),
         ..
     } = counters;
     // Writing to a string cannot fail.
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -69,11 +69,11 @@
         let Some(completed) = unfinished.remove_attempt(attempt.number, timed_out) else {
             return;
         };
-        let units = unfinished.storage_request().units;
+        let units = Units(unfinished.storage_request().units);
         let timer = DispatcherTimer::AttemptTimeout(attempt);
         timers.cancel(completed.times_out_at, timer.into());
         let is_served = result.outcome == Outcome::Served;
-        let served_units = if is_served { units } else { 0.0 };
+        let served_units = if is_served { units } else { Units::ZERO };
         self.nodes.attempt_completed(completed.node, served_units);
         if is_served {
             if let Some(body) = result.body.take() {
--- a/crates/gateway/src/dispatcher/node_registry.rs
+++ b/crates/gateway/src/dispatcher/node_registry.rs
@@ -6,7 +6,7 @@
 
 use super::node_state::NodeState;
 use crate::endpoint::EndpointRecord;
-use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, Micros, NodeId, Zone};
+use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, Micros, NodeId, Units, Zone};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// No attempt is written to a draining node in the last part of its drain grace, as it would reach
@@ -111,7 +111,7 @@
 
     /// Counts an attempt that ended at a node, with the units of service that the node has served
     /// for it.
-    pub(super) fn attempt_completed(&mut self, id: NodeId, served_units: f64) {
+    pub(super) fn attempt_completed(&mut self, id: NodeId, served_units: Units) {
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
         };
--- a/crates/gateway/src/dispatcher/node_state.rs
+++ b/crates/gateway/src/dispatcher/node_state.rs
@@ -1,6 +1,6 @@
 //! The state of one storage node.
 
-use io_scheduler::{EndpointStatus, Micros, Shard};
+use io_scheduler::{EndpointStatus, Micros, Shard, Units};
 
 /// The state of a node.
 #[derive(Clone, Debug)]
@@ -11,8 +11,8 @@
     pub shard: Shard,
     /// Status in the endpoint list.
     pub status: EndpointStatus,
-    /// Units of service that the node has served to this gateway.
-    pub units: f64,
+    /// Service that the node has given to this gateway.
+    pub units: Units,
     /// Attempts in flight at the node.
     pub attempts_in_flight: usize,
     /// From this time on no attempt may start to be written to the node; `None` while it is in
@@ -27,7 +27,7 @@
             name: name.to_owned(),
             shard: Shard(0),
             status: EndpointStatus::Removed,
-            units: 0.0,
+            units: Units::ZERO,
             attempts_in_flight: 0,
             write_deadline: None,
         }
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -75,7 +75,7 @@
             retry_after: OVERLOADED_RETRY_AFTER,
         };
         self.volume_counters
-            .record_response(request.volume, request.units, &response);
+            .record_response(request.volume, Units(request.units), &response);
         self.commands.push(Command::Respond {
             reply_slot,
             response,
--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -1,7 +1,7 @@
 //! Counters of the requests and the service of each volume, for the console.
 
 use crate::storage_request::Response;
-use io_scheduler::VolumeId;
+use io_scheduler::{Units, VolumeId};
 use std::collections::BTreeMap;
 
 /// With counters of this many volumes, the first request of a further volume evicts some of them.
@@ -20,8 +20,8 @@
     pub rejected: u64,
     /// Requests failed, timeouts included.
     pub failed: u64,
-    /// Units of service of the requests served.
-    pub units: f64,
+    /// Service of the requests served.
+    pub units: Units,
     /// Attempts started at nodes.
     pub attempts: u64,
 }
@@ -53,7 +53,7 @@
     }
 
     /// Counts a final response to a request of `units`.
-    pub(super) fn record_response(&mut self, volume: VolumeId, units: f64, response: &Response) {
+    pub(super) fn record_response(&mut self, volume: VolumeId, units: Units, response: &Response) {
         let counters = self.counters(volume);
         match response {
             Response::Served(_) => {
