--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -5,7 +5,7 @@
 use super::eviction_queue::EvictionPriority;
 use crate::client_protocol::CommandStep;
 use crate::context::Context;
-use crate::dispatcher::{ReplySlot, StorageRequest};
+use crate::storage_request::{ReplySlot, StorageRequest};
 use io_scheduler::Micros;
 use std::io;
 
--- a/crates/gateway/src/connections/client/events.rs
+++ b/crates/gateway/src/connections/client/events.rs
@@ -5,7 +5,7 @@
 use crate::connection_token::ConnectionToken;
 use crate::connections::socket::StreamStatus;
 use crate::context::Context;
-use crate::dispatcher::{ReplySlot, Response};
+use crate::storage_request::{ReplySlot, Response};
 use rustix::event::epoll::EventFlags;
 use std::io;
 
--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -6,7 +6,8 @@
 
 use crate::connections::socket::{start_connecting, Interest, Socket, StreamStatus};
 use crate::context::{ConnectionKind, Context, MICROS_PER_MILLI};
-use crate::discovery::{watch_request, EndpointListUpdate, WatchError, WatchParser};
+use crate::discovery::{watch_request, WatchError, WatchParser};
+use crate::endpoint::EndpointListUpdate;
 use crate::timer_queue::{Timer, TimerQueue};
 use io_scheduler::{EndpointListEvent, Micros};
 use std::io;
--- a/crates/gateway/src/connections/node/attempts.rs
+++ b/crates/gateway/src/connections/node/attempts.rs
@@ -5,8 +5,8 @@
 use super::node_connections::NodeConnections;
 use super::open::OpenError;
 use crate::context::Context;
-use crate::dispatcher::{AbortCause, Operation};
-use crate::timer_queue::AttemptId;
+use crate::dispatcher::AbortCause;
+use crate::storage_request::{AttemptId, Operation};
 use io_scheduler::{Micros, NodeId};
 
 impl NodeConnections {
--- a/crates/gateway/src/connections/node/events.rs
+++ b/crates/gateway/src/connections/node/events.rs
@@ -5,8 +5,9 @@
 use crate::connection_token::ConnectionToken;
 use crate::connections::socket::StreamStatus;
 use crate::context::Context;
-use crate::dispatcher::{AbortCause, AttemptResult};
+use crate::dispatcher::AbortCause;
 use crate::node_protocol::ProtocolError;
+use crate::storage_request::AttemptResult;
 
 /// Bytes of an invalid response that the log shows.
 const MAX_LOGGED_BYTES: usize = 80;
--- a/crates/gateway/src/connections/node/node_connections.rs
+++ b/crates/gateway/src/connections/node/node_connections.rs
@@ -4,7 +4,7 @@
 use super::pool::{ConnectionPool, NodeAddress};
 use crate::connection_token::ConnectionToken;
 use crate::context::Context;
-use crate::timer_queue::AttemptId;
+use crate::storage_request::AttemptId;
 use io_scheduler::NodeId;
 use std::collections::HashMap;
 
--- a/crates/gateway/src/connections/node/pool.rs
+++ b/crates/gateway/src/connections/node/pool.rs
@@ -2,7 +2,7 @@
 
 use super::idle_timeout::IdleTimeoutEstimate;
 use crate::connection_token::ConnectionToken;
-use crate::inventory::Protocol;
+use crate::endpoint::Protocol;
 use deployment_settings::{micros, DeploymentSettings};
 use io_scheduler::Micros;
 use std::net::SocketAddr;
--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -15,8 +15,9 @@
 
 use crate::config::Config;
 use crate::connection_token::ConnectionToken;
-use crate::dispatcher::{AbortCause, AttemptResult, Dispatcher, ReplySlot, StorageRequest};
-use crate::timer_queue::{AttemptId, TimerQueue};
+use crate::dispatcher::{AbortCause, Dispatcher};
+use crate::storage_request::{AttemptId, AttemptResult, ReplySlot, StorageRequest};
+use crate::timer_queue::TimerQueue;
 use io_scheduler::{Micros, RequestId};
 use rustix::event::epoll::EventFlags;
 use rustix::fd::AsFd;
--- a/crates/gateway/src/event_loop/endpoint_updates.rs
+++ b/crates/gateway/src/event_loop/endpoint_updates.rs
@@ -4,9 +4,8 @@
 use super::endpoint_table::{OperatorOverride, UnknownNode};
 use super::gateway::Gateway;
 use crate::connections::node::NodeAddress;
-use crate::discovery::EndpointListUpdate;
-use crate::endpoint::EndpointRecord;
-use crate::inventory::{self, InventoryError, Protocol};
+use crate::endpoint::{EndpointListUpdate, EndpointRecord, Protocol};
+use crate::inventory::{self, InventoryError};
 use io_scheduler::EndpointListEvent;
 
 impl Gateway {
