--- a/crates/gateway/src/client_protocol/mod.rs
+++ b/crates/gateway/src/client_protocol/mod.rs
@@ -1,4 +1,5 @@
-//! The protocols towards clients: parsing of commands into requests, and encoding of responses into replies.
+//! The protocols towards clients: parsing of commands into requests, and encoding of responses
+//! into replies.
 //!
 //! An implementation holds the protocol state of one connection and does no I/O: it reads from the
 //! connection's input buffer and returns the bytes to send.
@@ -33,12 +34,12 @@
 
 /// A client's protocol on one connection.
 pub trait ClientProtocol {
-    /// Parses the next command of `input`, which starts at `position`, and moves `position` past it unless it
-    /// is incomplete or invalid.
+    /// Parses the next command of `input`, which starts at `position`, and moves `position` past
+    /// it unless it is incomplete or invalid.
     ///
-    /// `slot` is the number of the command on its connection; responses to its requests are passed to
-    /// [`encode_response`](Self::encode_response) with the same number. `ready` is whether the gateway can serve
-    /// requests, for commands that query it.
+    /// `slot` is the number of the command on its connection; responses to its requests are passed
+    /// to [`encode_response`](Self::encode_response) with the same number. `ready` is whether the
+    /// gateway can serve requests, for commands that query it.
     fn parse_command(
         &mut self,
         input: &[u8],
@@ -47,22 +48,24 @@
         ready: bool,
     ) -> CommandStep;
 
-    /// Handles the response to a request of the command at `slot`. Called exactly once for each submitted request,
-    /// in any order. When the command can be answered, its slot and encoded reply are appended to `out`.
+    /// Handles the response to a request of the command at `slot`. Called exactly once for each
+    /// submitted request, in any order. When the command can be answered, its slot and encoded
+    /// reply are appended to `out`.
     fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>);
 
-    /// The bytes to send before closing a connection whose incomplete command exceeds the available memory. The
-    /// command was not executed.
+    /// The bytes to send before closing a connection whose incomplete command exceeds the
+    /// available memory. The command was not executed.
     fn overloaded_reply(&self) -> Vec<u8>;
 
-    /// The bytes to send before closing a connection whose command was not received completely in time. The command
-    /// was not executed.
+    /// The bytes to send before closing a connection whose command was not received completely in
+    /// time. The command was not executed.
     fn timeout_reply(&self) -> Vec<u8>;
 
     /// Idle time after a command until the connection is closed, in microseconds.
     fn idle_timeout(&self) -> Micros;
 
-    /// Whether closing the connection now would lose state between commands, such as a buffered upload.
+    /// Whether closing the connection now would lose state between commands, such as a buffered
+    /// upload.
     fn is_mid_command(&self) -> bool {
         false
     }
--- /dev/null
+++ b/crates/gateway/src/client_protocol/resp/command_parser.rs
@@ -0,0 +1,102 @@
+//! Parsing of RESP2 commands, which are arrays of bulk strings.
+
+use super::error::SyntaxError;
+use crate::config::MAX_VALUE_BYTES;
+use crate::resp_bulk_string::read_bulk_content;
+
+/// Largest number of arguments in one command, including its name.
+const MAX_ARGUMENTS: usize = 64;
+/// Longest length line, such as `*3` or `$5`, in bytes.
+const MAX_LENGTH_LINE_BYTES: usize = 64;
+/// Largest total size of a command's arguments, in bytes. It also bounds the input buffer of a
+/// connection.
+pub const MAX_COMMAND_BYTES: usize = MAX_VALUE_BYTES + (8 << 10);
+/// The first byte of an array's length line.
+const ARRAY_MARKER: u8 = b'*';
+/// The first byte of a bulk string's length line.
+const BULK_STRING_MARKER: u8 = b'$';
+
+/// Parses the command of `input` that starts at `position` into its arguments, its name first.
+/// Moves `position` past it; returns `None`, with `position` unchanged, until the command is
+/// complete.
+pub(super) fn parse_arguments<'a>(
+    input: &'a [u8],
+    position: &mut usize,
+) -> Result<Option<Vec<&'a [u8]>>, SyntaxError> {
+    let mut next = *position;
+    let Some(count) = read_argument_count(input, &mut next)? else {
+        return Ok(None);
+    };
+    let mut arguments = Vec::with_capacity(count);
+    let mut command_bytes = 0;
+    for _ in 0..count {
+        let Some(length) = read_bulk_length(input, &mut next)? else {
+            return Ok(None);
+        };
+        command_bytes += length;
+        if command_bytes > MAX_COMMAND_BYTES {
+            return Err(SyntaxError::CommandTooLarge);
+        }
+        let Some(argument) = read_bulk_content(input, &mut next, length)? else {
+            return Ok(None);
+        };
+        arguments.push(argument);
+    }
+    *position = next;
+    Ok(Some(arguments))
+}
+
+/// Reads the length line of a command. Moves `position` as [`read_length`] does.
+fn read_argument_count(input: &[u8], position: &mut usize) -> Result<Option<usize>, SyntaxError> {
+    let Some(count) = read_length(input, position, ARRAY_MARKER)? else {
+        return Ok(None);
+    };
+    match usize::try_from(count) {
+        Ok(count) if count <= MAX_ARGUMENTS => Ok(Some(count)),
+        _ => Err(SyntaxError::InvalidArrayLength),
+    }
+}
+
+/// Reads the length line of a bulk string. Moves `position` as [`read_length`] does.
+fn read_bulk_length(input: &[u8], position: &mut usize) -> Result<Option<usize>, SyntaxError> {
+    let Some(length) = read_length(input, position, BULK_STRING_MARKER)? else {
+        return Ok(None);
+    };
+    match usize::try_from(length) {
+        Ok(length) => Ok(Some(length)),
+        Err(_) => Err(SyntaxError::InvalidBulkLength),
+    }
+}
+
+/// Reads a line that consists of `marker` and a length, and moves `position` past it. Returns
+/// `None`, with `position` unchanged, until the line is complete.
+fn read_length(input: &[u8], position: &mut usize, marker: u8) -> Result<Option<i64>, SyntaxError> {
+    let rest = &input[*position..];
+    let Some(first) = rest.first() else {
+        return Ok(None);
+    };
+    if *first != marker {
+        return Err(SyntaxError::UnexpectedType);
+    }
+    let bounded = &rest[..rest.len().min(MAX_LENGTH_LINE_BYTES)];
+    let Some(line_feed) = bounded.iter().position(|byte| *byte == b'\n') else {
+        let is_line_too_long = rest.len() >= MAX_LENGTH_LINE_BYTES;
+        return if is_line_too_long {
+            Err(SyntaxError::LineTooLong)
+        } else {
+            Ok(None)
+        };
+    };
+    let length = parse_length(&rest[1..line_feed])?;
+    *position += line_feed + 1;
+    Ok(Some(length))
+}
+
+/// Parses the number of a length line, given without its marker and its LF.
+fn parse_length(text: &[u8]) -> Result<i64, SyntaxError> {
+    let digits = text
+        .strip_suffix(b"\r")
+        .ok_or(SyntaxError::MissingCarriageReturn)?;
+    let digits = std::str::from_utf8(digits).map_err(|_| SyntaxError::InvalidNumber)?;
+    digits.parse().map_err(|_| SyntaxError::InvalidNumber)
+}
--- /dev/null
+++ b/crates/gateway/src/client_protocol/resp/protocol.rs
@@ -0,0 +1,119 @@
+//! The protocol of one RESP2 client: which command does what.
+
+use super::command_parser::parse_arguments;
+use super::reply;
+use super::request::{build_request, RequestArguments};
+use super::schema::RequestSchema;
+use crate::client_protocol::{ClientProtocol, CommandStep, EncodedReply};
+use crate::dispatcher::{Operation, Response, OVERLOADED_RETRY_AFTER};
+use crate::resp_wire_names::command;
+use io_scheduler::Micros;
+use std::rc::Rc;
+
+/// Idle time after which a connection is closed, in microseconds. Clients reconnect when they need
+/// to.
+const IDLE_TIMEOUT: Micros = 2_500_000;
+
+/// The protocol of one client connection. It keeps no state between commands, as no command
+/// depends on earlier ones.
+pub struct RespProtocol {
+    /// What requests are validated against.
+    schema: Rc<RequestSchema>,
+}
+
+impl RespProtocol {
+    /// Creates the protocol of a new connection; its requests are validated against `schema`.
+    #[must_use]
+    pub fn new(schema: Rc<RequestSchema>) -> RespProtocol {
+        RespProtocol { schema }
+    }
+
+    /// Runs a complete command: answers it or submits its request.
+    fn run_command(&self, words: &[&[u8]], ready: bool) -> CommandStep {
+        let Some((name, arguments)) = words.split_first() else {
+            return CommandStep::Reply(Vec::new());
+        };
+        match name.to_ascii_uppercase().as_slice() {
+            command::READ => self.read(arguments),
+            command::WRITE => self.write(arguments),
+            b"PING" if ready => fixed_reply(reply::PONG),
+            b"PING" => fixed_reply(reply::NOT_READY),
+            b"CLIENT" | b"SELECT" => fixed_reply(reply::OK),
+            _ => fixed_reply(reply::UNKNOWN_COMMAND),
+        }
+    }
+
+    /// Reads an object.
+    fn read(&self, arguments: &[&[u8]]) -> CommandStep {
+        let [object, client_request_id, parameters] = arguments else {
+            return fixed_reply(reply::WRONG_ARGUMENT_COUNT);
+        };
+        let arguments = RequestArguments {
+            object,
+            client_request_id,
+            parameters,
+            body: b"",
+        };
+        self.submit(Operation::Read, &arguments)
+    }
+
+    /// Writes an object.
+    fn write(&self, arguments: &[&[u8]]) -> CommandStep {
+        let [object, client_request_id, parameters, body] = arguments else {
+            return fixed_reply(reply::WRONG_ARGUMENT_COUNT);
+        };
+        let arguments = RequestArguments {
+            object,
+            client_request_id,
+            parameters,
+            body,
+        };
+        self.submit(Operation::Write, &arguments)
+    }
+
+    /// Submits the request of a command, or answers with an error if it is invalid.
+    fn submit(&self, operation: Operation, arguments: &RequestArguments<'_>) -> CommandStep {
+        match build_request(&self.schema, operation, arguments) {
+            Ok(request) => CommandStep::Submit(vec![request]),
+            Err(error) => CommandStep::Reply(reply::encode_request_error(&error)),
+        }
+    }
+}
+
+/// Answers a command with fixed bytes.
+fn fixed_reply(bytes: &[u8]) -> CommandStep {
+    CommandStep::Reply(bytes.to_vec())
+}
+
+impl ClientProtocol for RespProtocol {
+    fn parse_command(
+        &mut self,
+        input: &[u8],
+        position: &mut usize,
+        _slot: u64,
+        ready: bool,
+    ) -> CommandStep {
+        match parse_arguments(input, position) {
+            Ok(Some(words)) => self.run_command(&words, ready),
+            Ok(None) => CommandStep::Incomplete,
+            Err(error) => CommandStep::Close(reply::encode_syntax_error(error)),
+        }
+    }
+
+    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>) {
+        let bytes = reply::encode_response(response);
+        out.push(EncodedReply { slot, bytes });
+    }
+
+    fn overloaded_reply(&self) -> Vec<u8> {
+        reply::encode_rejection(OVERLOADED_RETRY_AFTER)
+    }
+
+    fn timeout_reply(&self) -> Vec<u8> {
+        reply::INCOMPLETE_COMMAND.to_vec()
+    }
+
+    fn idle_timeout(&self) -> Micros {
+        IDLE_TIMEOUT
+    }
+}
--- a/crates/gateway/src/connections/client/accept.rs
+++ b/crates/gateway/src/connections/client/accept.rs
@@ -67,7 +67,7 @@
     fn add(&mut self, stream: TcpStream, protocol: ListenerProtocol, context: &mut Context) {
         let protocol: Box<dyn ClientProtocol> = match (protocol, &self.sftp) {
             (ListenerProtocol::Sftp, Some(shared)) => Box::new(SftpProtocol::new(shared.clone())),
-            _ => Box::new(RespProtocol::new(self.request_names.clone())),
+            _ => Box::new(RespProtocol::new(self.request_schema.clone())),
         };
         let token = context.connections.reserve();
         let socket = Socket::new(stream).and_then(|mut socket| {
--- a/crates/gateway/src/connections/client/mod.rs
+++ b/crates/gateway/src/connections/client/mod.rs
@@ -11,7 +11,7 @@
 
 pub(crate) use connection::ClientConnection;
 
-use crate::client_protocol::resp::{RequestNames, MAX_COMMAND_BYTES};
+use crate::client_protocol::resp::{RequestSchema, MAX_COMMAND_BYTES};
 use crate::client_protocol::sftp::SftpShared;
 use crate::config::Config;
 use crate::connection_token::ConnectionToken;
@@ -33,7 +33,7 @@
 /// The state of all client connections together.
 pub(crate) struct ClientConnections {
     /// The names of classes and plans, and the bounds, that all RESP2 requests share.
-    request_names: Rc<RequestNames>,
+    request_schema: Rc<RequestSchema>,
     /// State shared by all SFTP connections, if SFTP is configured.
     sftp: Option<Rc<SftpShared>>,
     /// Limits on the numbers of connections.
@@ -63,7 +63,7 @@
             )
         });
         ClientConnections {
-            request_names: RequestNames::new(&config.settings),
+            request_schema: RequestSchema::new(&config.settings),
             sftp,
             limits,
             count: 0,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -19,5 +19,6 @@
 pub mod memory_budget;
 pub mod node_protocol;
 pub mod resp_bulk_string;
+mod resp_wire_names;
 pub mod sftp_packet;
 pub mod timer_queue;
--- a/crates/gateway/src/resp_bulk_string.rs
+++ b/crates/gateway/src/resp_bulk_string.rs
@@ -1,7 +1,7 @@
 //! Bulk strings of RESP2: a length line such as `$5`, the content, and a line end.
 //!
-//! The client protocol and the node protocol share this codec. Each reads the length line itself, as they bound
-//! it differently.
+//! The client protocol and the node protocol share this codec. Each reads the length line itself,
+//! as they bound it differently.
 
 use std::io::Write;
 
@@ -21,8 +21,9 @@
     out.extend_from_slice(TERMINATOR);
 }
 
-/// Reads the content of a bulk string of `length` bytes that starts at `position`, and moves `position` past its
-/// line end. Returns `None`, with `position` unchanged, until the line end has been received.
+/// Reads the content of a bulk string of `length` bytes that starts at `position`, and moves
+/// `position` past its line end. Returns `None`, with `position` unchanged, until the line end has
+/// been received.
 ///
 /// # Errors
 ///
--- a/crates/gateway/tests/malformed_input.rs
+++ b/crates/gateway/tests/malformed_input.rs
@@ -8,13 +8,14 @@
 use fixtures::{storage_request, MAX_VALUE_BYTES};
 use random_numbers::RandomNumbers;
 use std::rc::Rc;
-use storage_gateway::client_protocol::resp::{RequestNames, RespProtocol};
+use storage_gateway::client_protocol::resp::{RequestSchema, RespProtocol};
 use storage_gateway::client_protocol::{ClientProtocol, CommandStep};
 use storage_gateway::discovery::WatchParser;
 use storage_gateway::dispatcher::Operation;
 use storage_gateway::node_protocol::{self, NodeProtocol};
 
-/// Pieces that random input is made of: what the protocols use, so that it gets past their first bytes.
+/// Pieces that random input is made of: what the protocols use, so that it gets past their first
+/// bytes.
 const ALPHABET: [&[u8]; 17] = [
     b"*",
     b"$",
@@ -52,9 +53,9 @@
 }
 
 /// A command of a client consumes input, unless it is incomplete or ends the connection.
-fn check_client_protocol(names: &Rc<RequestNames>, input: &[u8]) {
+fn check_client_protocol(schema: &Rc<RequestSchema>, input: &[u8]) {
     let mut position = 0;
-    let step = RespProtocol::new(names.clone()).parse_command(input, &mut position, 0, true);
+    let step = RespProtocol::new(schema.clone()).parse_command(input, &mut position, 0, true);
     let may_consume_nothing = matches!(step, CommandStep::Incomplete | CommandStep::Close(_));
     assert!(position <= input.len() && (position > 0 || may_consume_nothing));
 }
@@ -84,11 +85,11 @@
 
 #[test]
 fn random_input_causes_no_panic_and_no_result_without_consumed_input() {
-    let names = RequestNames::new(&settings());
+    let schema = RequestSchema::new(&settings());
     let mut random = RandomNumbers::new(1);
     for _ in 0..20_000 {
         let input = random_input(&mut random);
-        check_client_protocol(&names, &input);
+        check_client_protocol(&schema, &input);
         check_node_protocols(&input);
         check_watch_parser(&input);
     }
