--- a/crates/gateway/src/client_protocol/sftp/error.rs
+++ b/crates/gateway/src/client_protocol/sftp/error.rs
@@ -1,7 +1,7 @@
 //! Errors that are answered with a STATUS packet.
 
 use crate::dispatcher::InvalidRequest;
-use crate::sftp_packet::{encode_status, MalformedPacket, StatusCode};
+use crate::sftp_packet::{encode_status, MalformedPacket, RequestId, StatusCode};
 
 /// Why a command failed. The text is the STATUS message that the client gets.
 #[derive(Debug, thiserror::Error)]
@@ -87,7 +87,7 @@
     }
 
     /// Encodes the STATUS reply to the command `request_id`.
-    pub(super) fn to_status(&self, request_id: u32) -> Vec<u8> {
+    pub(super) fn to_status(&self, request_id: RequestId) -> Vec<u8> {
         encode_status(request_id, self.code(), &self.to_string())
     }
 }
--- a/crates/gateway/src/client_protocol/sftp/handle.rs
+++ b/crates/gateway/src/client_protocol/sftp/handle.rs
@@ -1,9 +1,10 @@
 //! The open handles of one client, and the memory that they reserve.
 
+use super::buffer_budget::BufferBudget;
 use super::directory::Directory;
 use super::error::SftpError;
-use super::path::Target;
-use super::shared::SftpShared;
+use super::handle_number::HandleNumber;
+use super::path::ObjectTarget;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -17,7 +18,7 @@
     /// An object open for writing.
     Upload {
         /// The object.
-        target: Target,
+        target: ObjectTarget,
         /// The bytes received so far.
         data: Vec<u8>,
     },
@@ -35,57 +36,57 @@
     }
 }
 
-/// The open handles of one client, by number. Their buffered bytes are reserved in the budget that all clients
-/// share, and released when a handle is removed or the table is dropped.
+/// The open handles of one client, by number. Their buffered bytes are reserved in the budget that
+/// all clients share, and released when a handle is removed or the table is dropped.
 pub(super) struct HandleTable {
-    /// State shared by all clients of the listener, with the memory budget.
-    shared: Rc<SftpShared>,
-    /// The open handles by number.
-    handles: BTreeMap<u32, Handle>,
+    /// The memory budget that all clients share.
+    budget: Rc<BufferBudget>,
+    /// The open handles.
+    handles: BTreeMap<HandleNumber, Handle>,
     /// Number of the next handle.
-    next_number: u32,
+    next_number: HandleNumber,
 }
 
 impl HandleTable {
     /// An empty table.
-    pub(super) fn new(shared: Rc<SftpShared>) -> HandleTable {
+    pub(super) fn new(budget: Rc<BufferBudget>) -> HandleTable {
         HandleTable {
-            shared,
+            budget,
             handles: BTreeMap::new(),
-            next_number: 0,
+            next_number: HandleNumber::FIRST,
         }
     }
 
-    /// Adds a handle and returns its number. Fails if the client has too many, or if the shared budget has no
-    /// capacity for the bytes of the handle.
-    pub(super) fn insert(&mut self, handle: Handle) -> Result<u32, SftpError> {
+    /// Adds a handle and returns its number. Fails if the client has too many, or if the shared
+    /// budget has no capacity for the bytes of the handle.
+    pub(super) fn insert(&mut self, handle: Handle) -> Result<HandleNumber, SftpError> {
         if self.handles.len() >= MAX_HANDLES {
             return Err(SftpError::TooManyHandles);
         }
-        self.shared.reserve_bytes(handle.buffered_bytes())?;
+        self.budget.reserve(handle.buffered_bytes())?;
         let number = self.next_number;
-        self.next_number = number.wrapping_add(1);
+        self.next_number = number.next();
         self.handles.insert(number, handle);
         Ok(number)
     }
 
     /// Removes a handle and releases its bytes.
-    pub(super) fn remove(&mut self, number: u32) -> Result<Handle, SftpError> {
+    pub(super) fn remove(&mut self, number: HandleNumber) -> Result<Handle, SftpError> {
         let handle = self
             .handles
             .remove(&number)
             .ok_or(SftpError::NoSuchHandle)?;
-        self.shared.release_bytes(handle.buffered_bytes());
+        self.budget.release(handle.buffered_bytes());
         Ok(handle)
     }
 
     /// An open handle of any kind.
-    pub(super) fn get(&self, number: u32) -> Result<&Handle, SftpError> {
+    pub(super) fn get(&self, number: HandleNumber) -> Result<&Handle, SftpError> {
         self.handles.get(&number).ok_or(SftpError::NoSuchHandle)
     }
 
     /// The bytes of an object open for reading.
-    pub(super) fn read_data(&self, number: u32) -> Result<&[u8], SftpError> {
+    pub(super) fn read_data(&self, number: HandleNumber) -> Result<&[u8], SftpError> {
         match self.handles.get(&number) {
             Some(Handle::Reading(data)) => Ok(data),
             _ => Err(SftpError::NoSuchHandle),
@@ -93,18 +94,21 @@
     }
 
     /// An open directory.
-    pub(super) fn directory_mut(&mut self, number: u32) -> Result<&mut Directory, SftpError> {
+    pub(super) fn directory_mut(
+        &mut self,
+        number: HandleNumber,
+    ) -> Result<&mut Directory, SftpError> {
         match self.handles.get_mut(&number) {
             Some(Handle::Directory(directory)) => Ok(directory),
             _ => Err(SftpError::NoSuchHandle),
         }
     }
 
-    /// Writes bytes of an upload at `offset`; the caller has checked that they end within the largest upload. A gap
-    /// before them is filled with zeros.
+    /// Writes bytes of an upload at `offset`; the caller has checked that they end within the
+    /// largest upload. A gap before them is filled with zeros.
     pub(super) fn write_upload(
         &mut self,
-        number: u32,
+        number: HandleNumber,
         offset: usize,
         bytes: &[u8],
     ) -> Result<(), SftpError> {
@@ -113,7 +117,7 @@
         };
         let end = offset + bytes.len();
         let new_length = data.len().max(end);
-        self.shared.reserve_bytes(new_length - data.len())?;
+        self.budget.reserve(new_length - data.len())?;
         data.resize(new_length, 0);
         data[offset..end].copy_from_slice(bytes);
         Ok(())
@@ -130,6 +134,6 @@
 impl Drop for HandleTable {
     fn drop(&mut self) {
         let buffered = self.handles.values().map(Handle::buffered_bytes).sum();
-        self.shared.release_bytes(buffered);
+        self.budget.release(buffered);
     }
 }
--- a/crates/gateway/src/client_protocol/sftp/path.rs
+++ b/crates/gateway/src/client_protocol/sftp/path.rs
@@ -1,8 +1,8 @@
-//! Resolution of paths: `/` is the directory of the volumes, `/VOLUME` the directory of a volume, and
-//! `/VOLUME/OBJECT` an object.
+//! Resolution of paths: `/` is the directory of the volumes, `/VOLUME` the directory of a volume,
+//! and `/VOLUME/OBJECT` an object.
 
 use super::error::SftpError;
-use super::shared::SftpShared;
+use crate::config::SftpVolume;
 use crate::hex_id::HexId;
 
 /// Longest name of an object in bytes.
@@ -12,23 +12,49 @@
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01B3;
 
-/// The volume or object that a path names.
-#[derive(Clone, Debug, PartialEq)]
-pub(super) struct Target {
+/// The volume that a path names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct VolumeTarget {
     /// The id of the volume.
-    pub(super) volume: u64,
+    pub(super) id: u64,
     /// The volume's plan, as an index into the settings.
     pub(super) plan: usize,
-    /// The id of the object; zero for a volume.
+}
+
+impl From<&SftpVolume> for VolumeTarget {
+    fn from(volume: &SftpVolume) -> Self {
+        VolumeTarget {
+            id: volume.id,
+            plan: volume.plan,
+        }
+    }
+}
+
+/// The object that a path names.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct ObjectTarget {
+    /// The volume of the object.
+    pub(super) volume: VolumeTarget,
+    /// The id of the object.
     pub(super) object: u64,
-    /// The name of the object; `None` for a volume.
-    pub(super) name: Option<Box<str>>,
+    /// The name of the object.
+    pub(super) name: Box<str>,
 }
 
-impl Target {
-    /// The shard of an object. SFTP clients cannot state it, so it is derived from the volume and the object.
+impl ObjectTarget {
+    /// The object of a volume with this name.
+    fn new(volume: VolumeTarget, name: &str) -> ObjectTarget {
+        ObjectTarget {
+            volume,
+            object: object_id(name),
+            name: name.into(),
+        }
+    }
+
+    /// The shard of the object. SFTP clients cannot state it, so it is derived from the volume and
+    /// the object.
     pub(super) fn shard(&self, shard_count: u64) -> u64 {
-        hash(&self.volume.to_be_bytes(), self.object) % shard_count
+        hash(&self.volume.id.to_be_bytes(), self.object) % shard_count
     }
 }
 
@@ -37,50 +63,39 @@
     /// The directory of all volumes.
     Root,
     /// The directory of one volume.
-    Volume(Target),
+    Volume(VolumeTarget),
     /// An object, whether it exists or not.
-    Object(Target),
+    Object(ObjectTarget),
 }
 
-impl SftpShared {
-    /// Resolves a path as a client sent it. Fails with [`SftpError::NoSuchFile`] if it is not valid text, too
-    /// long or too deep, or if its volume is not known.
-    pub(super) fn resolve(&self, path: &[u8]) -> Result<PathTarget, SftpError> {
-        let path = canonicalize(path).ok_or(SftpError::NoSuchFile)?;
-        let mut parts = path.split('/').filter(|part| !part.is_empty());
-        let Some(volume_name) = parts.next() else {
-            return Ok(PathTarget::Root);
-        };
-        let volume = self
-            .config
-            .volumes
-            .iter()
-            .find(|volume| volume.name == volume_name);
-        let volume = volume.ok_or(SftpError::NoSuchFile)?;
-        let mut target = Target {
-            volume: volume.id,
-            plan: volume.plan,
-            object: 0,
-            name: None,
-        };
-        let Some(object_name) = parts.next() else {
-            return Ok(PathTarget::Volume(target));
-        };
-        if parts.next().is_some() || object_name.len() > MAX_NAME_LENGTH {
-            return Err(SftpError::NoSuchFile);
-        }
-        target.object = object_id(object_name);
-        target.name = Some(object_name.into());
-        Ok(PathTarget::Object(target))
+/// Resolves a path as a client sent it. Fails with [`SftpError::NoSuchFile`] if it is not valid
+/// text, too long or too deep, or if its volume is not one of `volumes`.
+pub(super) fn resolve(path: &[u8], volumes: &[SftpVolume]) -> Result<PathTarget, SftpError> {
+    let path = canonicalize(path)?;
+    let mut parts = path.split('/').filter(|part| !part.is_empty());
+    let Some(volume_name) = parts.next() else {
+        return Ok(PathTarget::Root);
+    };
+    let volume = volumes
+        .iter()
+        .find(|volume| volume.name == volume_name)
+        .map(VolumeTarget::from)
+        .ok_or(SftpError::NoSuchFile)?;
+    let Some(object_name) = parts.next() else {
+        return Ok(PathTarget::Volume(volume));
+    };
+    if parts.next().is_some() || object_name.len() > MAX_NAME_LENGTH {
+        return Err(SftpError::NoSuchFile);
     }
+    Ok(PathTarget::Object(ObjectTarget::new(volume, object_name)))
 }
 
-/// The absolute path without `.`, `..` and repeated slashes; `None` if it is not UTF-8 or has control
-/// characters.
-pub(super) fn canonicalize(path: &[u8]) -> Option<String> {
-    let path = std::str::from_utf8(path).ok()?;
+/// The absolute path without `.`, `..` and repeated slashes. Fails with [`SftpError::NoSuchFile`]
+/// if the path is not UTF-8 or has control characters.
+pub(super) fn canonicalize(path: &[u8]) -> Result<String, SftpError> {
+    let path = std::str::from_utf8(path).map_err(|_| SftpError::NoSuchFile)?;
     if path.contains(char::is_control) {
-        return None;
+        return Err(SftpError::NoSuchFile);
     }
     let mut parts: Vec<&str> = Vec::new();
     for part in path.split('/') {
@@ -92,11 +107,11 @@
             name => parts.push(name),
         }
     }
-    Some(format!("/{}", parts.join("/")))
+    Ok(format!("/{}", parts.join("/")))
 }
 
-/// The id of the object with this name. A name of 16 lower-case hex digits is the text form of the id; for any
-/// other name, the id is a hash of it.
+/// The id of the object with this name. A name of 16 lower-case hex digits is the text form of the
+/// id; for any other name, the id is a hash of it.
 fn object_id(name: &str) -> u64 {
     let has_hex_digits_only = name
         .bytes()
@@ -109,8 +124,8 @@
     hash(name.as_bytes(), 0)
 }
 
-/// 64-bit FNV-1a, with `seed` mixed into the offset basis. The high half of the result is folded into the low
-/// half.
+/// 64-bit FNV-1a, with `seed` mixed into the offset basis. The high half of the result is folded
+/// into the low half.
 fn hash(bytes: &[u8], seed: u64) -> u64 {
     let mut hash = seed ^ FNV_OFFSET_BASIS;
     for byte in bytes {
--- /dev/null
+++ b/crates/gateway/src/client_protocol/sftp/protocol.rs
@@ -0,0 +1,135 @@
+//! The protocol of one SFTP client: the handshake, and the commands whose requests are in flight.
+
+use super::commands::CommandOutcome;
+use super::pending::PendingCommand;
+use super::responses::CommandProgress;
+use super::session::Session;
+use super::shared::SftpShared;
+use crate::client_protocol::{ClientProtocol, CommandStep, EncodedReply};
+use crate::dispatcher::Response;
+use crate::sftp_packet::{
+    decode_packet, DecodedPacket, Fields, Packet, PacketType, RequestId, VERSION,
+};
+use io_scheduler::Micros;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// Idle time after which a session is closed, in microseconds. It is longer than that of RESP
+/// clients, because SFTP commands may be typed by a person.
+const IDLE_TIMEOUT: Micros = 300_000_000;
+
+/// The protocol state of one client connection.
+pub struct SftpProtocol {
+    /// Whether INIT was answered with VERSION.
+    initialized: bool,
+    /// What the commands work on.
+    session: Session,
+    /// Commands whose requests are in flight, by slot.
+    pending: BTreeMap<u64, PendingCommand>,
+}
+
+impl SftpProtocol {
+    /// Creates the state of a new connection.
+    #[must_use]
+    pub fn new(shared: Rc<SftpShared>) -> SftpProtocol {
+        SftpProtocol {
+            initialized: false,
+            session: Session::new(shared),
+            pending: BTreeMap::new(),
+        }
+    }
+
+    /// Answers the first packet, which must be INIT with a version; any other closes the
+    /// connection.
+    fn initialize(&mut self, packet: DecodedPacket<'_>) -> CommandStep {
+        let DecodedPacket {
+            packet_type,
+            mut fields,
+        } = packet;
+        self.initialized = packet_type == PacketType::INIT && fields.u32().is_ok();
+        if !self.initialized {
+            return CommandStep::Close(Vec::new());
+        }
+        CommandStep::Reply(Packet::new(PacketType::VERSION).u32(VERSION).finish())
+    }
+
+    /// Runs the command at `slot`; `fields` follow its request id.
+    fn run_command(
+        &mut self,
+        slot: u64,
+        packet_type: PacketType,
+        request_id: RequestId,
+        fields: Fields<'_>,
+    ) -> CommandStep {
+        match self.session.run_command(packet_type, request_id, fields) {
+            Ok(CommandOutcome::Reply(reply)) => CommandStep::Reply(reply),
+            Ok(CommandOutcome::Submit {
+                requests,
+                operation,
+            }) => {
+                let command = PendingCommand {
+                    request_id,
+                    operation,
+                };
+                self.pending.insert(slot, command);
+                CommandStep::Submit(requests)
+            }
+            Err(error) => CommandStep::Reply(error.to_status(request_id)),
+        }
+    }
+}
+
+impl ClientProtocol for SftpProtocol {
+    fn parse_command(
+        &mut self,
+        input: &[u8],
+        position: &mut usize,
+        slot: u64,
+        _ready: bool,
+    ) -> CommandStep {
+        let packet = match decode_packet(input, position) {
+            Ok(Some(packet)) => packet,
+            Ok(None) => return CommandStep::Incomplete,
+            Err(_) => return CommandStep::Close(Vec::new()),
+        };
+        if !self.initialized {
+            return self.initialize(packet);
+        }
+        let DecodedPacket {
+            packet_type,
+            mut fields,
+        } = packet;
+        match fields.request_id() {
+            Ok(request_id) => self.run_command(slot, packet_type, request_id, fields),
+            Err(_) => CommandStep::Close(Vec::new()),
+        }
+    }
+
+    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>) {
+        let Some(command) = self.pending.remove(&slot) else {
+            return;
+        };
+        match self.session.handle_response(command, response) {
+            CommandProgress::Completed(bytes) => out.push(EncodedReply { slot, bytes }),
+            CommandProgress::Pending(command) => {
+                self.pending.insert(slot, command);
+            }
+        }
+    }
+
+    fn overloaded_reply(&self) -> Vec<u8> {
+        Vec::new()
+    }
+
+    fn timeout_reply(&self) -> Vec<u8> {
+        Vec::new()
+    }
+
+    fn idle_timeout(&self) -> Micros {
+        IDLE_TIMEOUT
+    }
+
+    fn is_mid_command(&self) -> bool {
+        self.session.handles.has_upload()
+    }
+}
--- a/crates/gateway/src/client_protocol/sftp/response.rs
+++ b/crates/gateway/src/client_protocol/sftp/responses.rs
@@ -1,55 +1,47 @@
 //! Handling of responses to submitted requests, which complete pending commands.
 
-use super::command::{encode_attributes, encode_handle};
-use super::directory::{encode_next_entries, Directory, PendingListing};
+use super::directory::{encode_next_entries, Directory};
 use super::error::SftpError;
 use super::handle::Handle;
-use super::path::Target;
-use super::SftpProtocol;
+use super::listing::PendingListing;
+use super::path::ObjectTarget;
+use super::pending::{PendingCommand, PendingOperation};
+use super::replies::{encode_attributes, encode_handle, encode_ok};
+use super::session::Session;
 use crate::dispatcher::{Response, ResponseBody};
-use crate::sftp_packet::{encode_status, StatusCode};
+use crate::sftp_packet::{FileAttributes, RequestId};
 use deployment_settings::milliseconds;
 
-/// A command whose requests are in flight.
-pub(super) struct PendingCommand {
-    /// The request id that the client gave the command; the reply repeats it.
-    pub(super) request_id: u32,
-    /// What the responses complete.
-    pub(super) operation: PendingOperation,
+/// The state of a command after a response to one of its requests.
+pub(super) enum CommandProgress {
+    /// The command is answered with this encoded packet.
+    Completed(Vec<u8>),
+    /// The command needs the responses to further requests.
+    Pending(PendingCommand),
 }
 
-/// The operation that the responses to a command's requests complete.
-pub(super) enum PendingOperation {
-    /// OPEN of an object to read.
-    Open(Target),
-    /// STAT or LSTAT of an object.
-    Stat(Target),
-    /// CLOSE of an upload.
-    Store {
-        /// The object.
-        target: Target,
-        /// Size of the object in bytes.
-        size: u64,
-    },
-    /// READDIR of a volume.
-    List(PendingListing),
-}
+impl Session {
+    /// Handles a response to a request of a command.
+    pub(super) fn handle_response(
+        &mut self,
+        command: PendingCommand,
+        response: Response,
+    ) -> CommandProgress {
+        match served_body(response) {
+            Ok(body) => self.handle_body(command, body),
+            Err(error) => {
+                self.abandon(&command.operation);
+                CommandProgress::Completed(error.to_status(command.request_id))
+            }
+        }
+    }
 
-impl SftpProtocol {
-    /// Handles a response to a request of the command at `slot`. Returns the encoded reply if it completes the
-    /// command.
-    pub(super) fn handle_response(&mut self, slot: u64, response: Response) -> Option<Vec<u8>> {
+    /// Handles the result of a request that a node has run.
+    fn handle_body(&mut self, command: PendingCommand, body: ResponseBody) -> CommandProgress {
         let PendingCommand {
             request_id,
             operation,
-        } = self.pending.remove(&slot)?;
-        let body = match served_body(response) {
-            Ok(body) => body,
-            Err(error) => {
-                self.abandon(&operation);
-                return Some(error.to_status(request_id));
-            }
-        };
+        } = command;
         let reply = match operation {
             PendingOperation::Open(target) => self.finish_open(request_id, &target, body),
             PendingOperation::Stat(target) => self.finish_stat(request_id, &target, &body),
@@ -58,27 +50,23 @@
             }
             PendingOperation::List(mut listing) => {
                 listing.add_shard(body);
-                if listing.remaining_shards > 0 {
+                if !listing.is_complete() {
                     let operation = PendingOperation::List(listing);
-                    self.pending.insert(
-                        slot,
-                        PendingCommand {
-                            request_id,
-                            operation,
-                        },
-                    );
-                    return None;
+                    return CommandProgress::Pending(PendingCommand {
+                        request_id,
+                        operation,
+                    });
                 }
                 self.finish_listing(request_id, listing)
             }
         };
-        Some(reply.unwrap_or_else(|error| error.to_status(request_id)))
+        CommandProgress::Completed(reply.unwrap_or_else(|error| error.to_status(request_id)))
     }
 
     /// Undoes the state changes of an operation whose request failed.
     fn abandon(&mut self, operation: &PendingOperation) {
         if let PendingOperation::List(listing) = operation {
-            if let Ok(directory) = self.handles.directory_mut(listing.handle) {
+            if let Ok(directory) = self.handles.directory_mut(listing.handle()) {
                 directory.reset_listing();
             }
         }
@@ -87,8 +75,8 @@
     /// Completes OPEN: the fetched object is buffered under a new handle.
     fn finish_open(
         &mut self,
-        request_id: u32,
-        target: &Target,
+        request_id: RequestId,
+        target: &ObjectTarget,
         body: ResponseBody,
     ) -> Result<Vec<u8>, SftpError> {
         let value = match body {
@@ -96,16 +84,18 @@
             ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
             ResponseBody::Size(_) | ResponseBody::Names(_) => return Err(SftpError::Failed),
         };
-        self.shared.record_size(target, value.len() as u64);
+        let size = value.len() as u64;
+        self.shared.object_sizes.record(target, size);
         let number = self.handles.insert(Handle::Reading(value))?;
         Ok(encode_handle(request_id, number))
     }
 
-    /// Completes STAT. A RESP2 node has no such command: it is read from and responds with the object itself.
+    /// Completes STAT. A RESP2 node has no such command: it is read from and responds with the
+    /// object itself.
     fn finish_stat(
         &self,
-        request_id: u32,
-        target: &Target,
+        request_id: RequestId,
+        target: &ObjectTarget,
         body: &ResponseBody,
     ) -> Result<Vec<u8>, SftpError> {
         let size = match body {
@@ -114,33 +104,34 @@
             ResponseBody::Names(_) => 0,
             ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
         };
-        self.shared.record_size(target, size);
-        Ok(encode_attributes(request_id, Some(size)))
+        self.shared.object_sizes.record(target, size);
+        let attributes = FileAttributes::RegularFile { size };
+        Ok(encode_attributes(request_id, attributes))
     }
 
     /// Completes the CLOSE of an upload of `size` bytes.
     fn finish_store(
         &self,
-        request_id: u32,
-        target: &Target,
+        request_id: RequestId,
+        target: &ObjectTarget,
         size: u64,
         body: &ResponseBody,
     ) -> Result<Vec<u8>, SftpError> {
         if *body == ResponseBody::NotFound {
             return Err(SftpError::NoSuchFile);
         }
-        self.shared.record_size(target, size);
-        Ok(encode_status(request_id, StatusCode::Ok, ""))
+        self.shared.object_sizes.record(target, size);
+        Ok(encode_ok(request_id))
     }
 
-    /// Completes the first READDIR of a volume: replies with the first entries and keeps the others for later
-    /// READDIR commands on the handle.
+    /// Completes the first READDIR of a volume: replies with the first entries and keeps the
+    /// others for later READDIR commands on the handle.
     fn finish_listing(
         &mut self,
-        request_id: u32,
+        request_id: RequestId,
         listing: PendingListing,
     ) -> Result<Vec<u8>, SftpError> {
-        let directory = self.handles.directory_mut(listing.handle)?;
+        let directory = self.handles.directory_mut(listing.handle())?;
         let mut entries = listing.into_sorted_entries();
         let reply = encode_next_entries(request_id, &mut entries);
         *directory = Directory::Listed(entries);
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -157,8 +157,8 @@
         match self.decode(&mut connection, context) {
             // The node is reachable, so an invalid response counts as an error response, not as a lost
             // connection.
-            Err(ProtocolError) => {
-                log_invalid_response(&connection);
+            Err(error) => {
+                log_invalid_response(&connection, error);
                 return self.fail_connection(token, connection, Outcome::Error, context);
             }
             Ok(Some(result)) => {
@@ -204,7 +204,7 @@
                 "node {}: no memory for a response of {buffered} bytes",
                 connection.node.0
             );
-            result = Err(ProtocolError);
+            result = Err(ProtocolError::ReplyTooLong);
         }
         connection.socket.output().append(&mut output);
         result
@@ -285,12 +285,12 @@
     }
 }
 
-/// Logs the first bytes of the input that could not be decoded.
-fn log_invalid_response(connection: &NodeConnection) {
+/// Logs why the input could not be decoded, and its first bytes.
+fn log_invalid_response(connection: &NodeConnection, error: ProtocolError) {
     let input = &connection.socket.input;
     let head = &input[..input.len().min(MAX_LOGGED_BYTES)];
     log::debug!(
-        "node {}: invalid response: {}",
+        "node {}: invalid response: {error}: {}",
         connection.node.0,
         head.escape_ascii()
     );
--- a/crates/gateway/src/node_protocol/mod.rs
+++ b/crates/gateway/src/node_protocol/mod.rs
@@ -1,49 +1,51 @@
 //! The protocols towards storage nodes: encoding of requests and decoding of replies.
 //!
-//! An implementation holds the protocol state of one connection and does no I/O: it appends to an output
-//! buffer and consumes an input buffer, both owned by the event loop.
+//! An implementation holds the protocol state of one connection and does no I/O: it appends to an
+//! output buffer and consumes an input buffer, both owned by the event loop.
 
+mod error;
 pub mod resp;
 pub mod sftp;
 
-use crate::dispatcher::{AttemptResult, StorageRequest};
+pub use error::ProtocolError;
 
-/// The node sent bytes that its protocol does not allow at this point. The connection cannot be used further.
-#[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the node violated its protocol")]
-pub struct ProtocolError;
+use crate::dispatcher::{AttemptResult, StorageRequest};
 
 /// A node's protocol on one connection, which has at most one request in flight.
 pub trait NodeProtocol {
-    /// Appends the bytes to send before the first request. Called once, when the connection is established.
+    /// Appends the bytes to send before the first request. Called once, when the connection is
+    /// established.
     fn start_handshake(&mut self, out: &mut Vec<u8>);
 
     /// Whether requests may be sent, that is, whether the handshake is complete.
     fn ready(&self) -> bool;
 
-    /// Appends the first bytes of `request` to `out`, with `wait_ms` milliseconds as the node's time limit
-    /// where the protocol states one. Called only while [`ready`](Self::ready) and with no request in flight.
+    /// Appends the first bytes of `request` to `out`, with `time_limit_ms` milliseconds as the
+    /// node's time limit where the protocol states one. Called only while [`ready`](Self::ready)
+    /// and with no request in flight.
     ///
-    /// Returns how many of the appended bytes can be written before the request can take effect: once more than
-    /// that are written, the node may have executed the request.
+    /// Returns how many of the appended bytes can be written before the request can take effect:
+    /// once more than that are written, the node may have executed the request.
     fn encode_request(
         &mut self,
         request: &StorageRequest,
-        wait_ms: i64,
+        time_limit_ms: i64,
         out: &mut Vec<u8>,
     ) -> usize;
 
-    /// Size in bytes of the reply that is being received, as far as known: its announced length, or the bytes
-    /// received so far.
+    /// Size in bytes of the reply that is being received, as far as known: its announced length,
+    /// or the bytes received so far.
     fn buffered_bytes(&self) -> usize;
 
-    /// Consumes received bytes from the front of `input`. Returns the result of the request in flight once
-    /// its reply is complete, and `None` until then. Further commands of the same request go to `out`.
+    /// Consumes received bytes from the front of `input`. Returns the result of the request in
+    /// flight once its reply is complete, and `None` until then. Further commands of the same
+    /// request go to `out`.
     ///
     /// # Errors
     ///
-    /// [`ProtocolError`] if the bytes are not a reply of this protocol or exceed its bounds, or if they arrive while
-    /// no request is in flight, as they would be mistaken for the reply to the next request.
+    /// [`ProtocolError`] if the bytes are not a reply of this protocol or exceed its bounds, or if
+    /// they arrive while no request is in flight, as they would be mistaken for the reply to the
+    /// next request.
     fn decode(
         &mut self,
         input: &mut Vec<u8>,
--- /dev/null
+++ b/crates/gateway/src/node_protocol/resp/protocol.rs
@@ -0,0 +1,115 @@
+//! The protocol state of one connection, and the encoding of requests.
+
+use super::reply::{announced_value_length, parse_reply, MAX_REPORT_BYTES};
+use crate::dispatcher::{AttemptResult, Operation, RequestParameters, StorageRequest};
+use crate::hex_id::HexId;
+use crate::node_protocol::{NodeProtocol, ProtocolError};
+use crate::resp_bulk_string::append_bulk_string;
+use crate::resp_wire_names::command;
+
+/// Smallest time limit that a node is given, in milliseconds.
+const MIN_TIME_LIMIT_MS: i64 = 1;
+
+/// The protocol state of one connection to a RESP2 node.
+pub struct RespProtocol {
+    /// Whether a request is in flight.
+    awaiting_reply: bool,
+    /// Longest accepted value in bytes.
+    max_value_length: usize,
+    /// Announced length in bytes of the value that is being received; 0 if it is not known.
+    announced_length: usize,
+}
+
+impl RespProtocol {
+    /// Creates the state of a new connection that accepts values of up to `max_value_length`
+    /// bytes.
+    #[must_use]
+    pub fn new(max_value_length: usize) -> RespProtocol {
+        RespProtocol {
+            awaiting_reply: false,
+            max_value_length,
+            announced_length: 0,
+        }
+    }
+
+    /// Whether `buffered` bytes of an incomplete reply are more than a complete reply can have.
+    fn exceeds_longest_reply(&self, buffered: usize) -> bool {
+        buffered > self.max_value_length + 2 * MAX_REPORT_BYTES
+    }
+}
+
+/// The client's list of parameters, with the node's time limit as the timeout.
+fn encode_parameters(parameters: &RequestParameters, time_limit_ms: i64) -> String {
+    let RequestParameters {
+        before_timeout,
+        after_timeout,
+    } = parameters;
+    let timeout_ms = time_limit_ms.max(MIN_TIME_LIMIT_MS);
+    format!("{before_timeout}{timeout_ms}{after_timeout}")
+}
+
+/// Appends a command to `out`: an array of bulk strings.
+fn append_command(words: &[&[u8]], out: &mut Vec<u8>) {
+    out.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
+    for word in words {
+        append_bulk_string(word, out);
+    }
+}
+
+impl NodeProtocol for RespProtocol {
+    fn start_handshake(&mut self, _out: &mut Vec<u8>) {}
+
+    fn ready(&self) -> bool {
+        true
+    }
+
+    fn encode_request(
+        &mut self,
+        request: &StorageRequest,
+        time_limit_ms: i64,
+        out: &mut Vec<u8>,
+    ) -> usize {
+        self.awaiting_reply = true;
+        let start = out.len();
+        let object = HexId(request.object).to_string();
+        let object = object.as_bytes();
+        let id = request.client_request_id.as_bytes();
+        let parameters = encode_parameters(&request.parameters, time_limit_ms);
+        let parameters = parameters.as_bytes();
+        if request.operation == Operation::Write {
+            append_command(
+                &[command::WRITE, object, id, parameters, &request.body],
+                out,
+            );
+        } else {
+            append_command(&[command::READ, object, id, parameters], out);
+        }
+        // A node executes a command only after its last byte has arrived.
+        out.len() - start - 1
+    }
+
+    fn buffered_bytes(&self) -> usize {
+        self.announced_length
+    }
+
+    fn decode(
+        &mut self,
+        input: &mut Vec<u8>,
+        _out: &mut Vec<u8>,
+    ) -> Result<Option<AttemptResult>, ProtocolError> {
+        if !self.awaiting_reply && !input.is_empty() {
+            return Err(ProtocolError::UnsolicitedReply);
+        }
+        let Some(reply) = parse_reply(input, self.max_value_length)? else {
+            if self.exceeds_longest_reply(input.len()) {
+                return Err(ProtocolError::ReplyTooLong);
+            }
+            self.announced_length = announced_value_length(input);
+            return Ok(None);
+        };
+        self.awaiting_reply = false;
+        self.announced_length = 0;
+        input.drain(..reply.length);
+        Ok(Some(reply.result))
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/node_protocol/sftp/command_writer.rs
@@ -0,0 +1,126 @@
+//! Encoding of commands, and the ids by which their replies are recognized.
+
+use crate::sftp_packet::{OpenFlags, Packet, PacketType, RequestId};
+
+/// Attribute flags of a file that is opened: the server's defaults apply.
+const NO_ATTRIBUTES: u32 = 0;
+
+/// The handle that a server gave an open file or directory; its bytes mean something to the server
+/// only.
+pub(super) type ServerHandle = Vec<u8>;
+
+/// The ids of the commands that were sent on one connection.
+pub(super) struct CommandIds {
+    /// The id of the last command; a reply with another id belongs to an earlier request and is
+    /// ignored.
+    last: RequestId,
+    /// The id of the last CLOSE that was sent after its request was complete; its reply is
+    /// ignored.
+    ignored: Option<RequestId>,
+}
+
+impl CommandIds {
+    /// The ids of a connection on which no command was sent.
+    pub(super) fn new() -> CommandIds {
+        CommandIds {
+            last: RequestId(0),
+            ignored: None,
+        }
+    }
+
+    /// Whether a reply is the one to the last command.
+    pub(super) fn is_last(&self, id: RequestId) -> bool {
+        id == self.last
+    }
+
+    /// Whether a reply is to be ignored, although no request is in flight. True once for each such
+    /// reply.
+    pub(super) fn take_ignored(&mut self, id: RequestId) -> bool {
+        let is_ignored = self.ignored == Some(id);
+        if is_ignored {
+            self.ignored = None;
+        }
+        is_ignored
+    }
+
+    /// The id for the next command.
+    fn allocate(&mut self) -> RequestId {
+        self.last = self.last.next();
+        self.last
+    }
+}
+
+/// Writes commands to the output buffer of a connection, each with an id of its own.
+pub(super) struct CommandWriter<'a> {
+    /// The ids of the connection.
+    ids: &'a mut CommandIds,
+    /// The output buffer of the connection.
+    out: &'a mut Vec<u8>,
+}
+
+impl<'a> CommandWriter<'a> {
+    /// Writes to `out`, with the next ids of `ids`.
+    pub(super) fn new(ids: &'a mut CommandIds, out: &'a mut Vec<u8>) -> CommandWriter<'a> {
+        CommandWriter { ids, out }
+    }
+
+    /// Starts a command with the next id.
+    fn start(&mut self, packet_type: PacketType) -> Packet {
+        Packet::with_id(packet_type, self.ids.allocate())
+    }
+
+    /// Appends an encoded command to the output.
+    fn append(&mut self, command: Packet) {
+        self.out.extend(command.finish());
+    }
+
+    /// Sends OPEN for a path, without attributes.
+    pub(super) fn open(&mut self, path: &str, flags: OpenFlags) {
+        let command = self.start(PacketType::OPEN);
+        self.append(command.string(path).u32(flags.0).u32(NO_ATTRIBUTES));
+    }
+
+    /// Sends OPENDIR for a path.
+    pub(super) fn open_directory(&mut self, path: &str) {
+        let command = self.start(PacketType::OPENDIR);
+        self.append(command.string(path));
+    }
+
+    /// Sends STAT for a path.
+    pub(super) fn stat(&mut self, path: &str) {
+        let command = self.start(PacketType::STAT);
+        self.append(command.string(path));
+    }
+
+    /// Sends READ for up to `length` bytes at `offset`.
+    pub(super) fn read(&mut self, handle: &[u8], offset: u64, length: u32) {
+        let command = self.start(PacketType::READ);
+        self.append(command.string(handle).u64(offset).u32(length));
+    }
+
+    /// Sends WRITE for bytes at `offset`.
+    pub(super) fn write(&mut self, handle: &[u8], offset: u64, bytes: &[u8]) {
+        let command = self.start(PacketType::WRITE);
+        self.append(command.string(handle).u64(offset).string(bytes));
+    }
+
+    /// Sends READDIR.
+    pub(super) fn read_directory(&mut self, handle: &[u8]) {
+        let command = self.start(PacketType::READDIR);
+        self.append(command.string(handle));
+    }
+
+    /// Sends CLOSE.
+    pub(super) fn close(&mut self, handle: &[u8]) {
+        let command = self.start(PacketType::CLOSE);
+        self.append(command.string(handle));
+    }
+
+    /// Sends CLOSE for the handle of a request that is already complete. Its reply is recognized
+    /// by the id and ignored.
+    pub(super) fn close_ignoring_reply(&mut self, handle: &[u8]) {
+        self.close(handle);
+        self.ids.ignored = Some(self.ids.last);
+        self.ids.allocate();
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/node_protocol/sftp/protocol.rs
@@ -0,0 +1,164 @@
+//! The protocol state of one connection: finds the replies in the input, and starts requests.
+
+use super::command_writer::{CommandIds, CommandWriter};
+use super::reply::RequestProgress;
+use super::stage::Stage;
+use crate::dispatcher::{AttemptResult, Operation, StorageRequest};
+use crate::node_protocol::{NodeProtocol, ProtocolError};
+use crate::sftp_packet::{decode_packet, DecodedPacket, Packet, PacketType, VERSION};
+
+/// The protocol state of one connection to a file server.
+pub struct SftpProtocol {
+    /// The reply that the connection waits for.
+    stage: Stage,
+    /// The ids of the commands sent so far.
+    command_ids: CommandIds,
+    /// Longest accepted object in bytes.
+    max_value_length: usize,
+}
+
+/// The result of decoding the next packet.
+enum DecodeStep {
+    /// The input holds no further complete packet.
+    InputConsumed,
+    /// A packet was consumed; a request in flight is not complete yet.
+    PacketConsumed,
+    /// The request in flight is complete.
+    RequestCompleted(AttemptResult),
+}
+
+impl SftpProtocol {
+    /// Creates the state of a new connection that accepts objects of up to `max_value_length`
+    /// bytes.
+    #[must_use]
+    pub fn new(max_value_length: usize) -> SftpProtocol {
+        SftpProtocol {
+            stage: Stage::AwaitingVersion,
+            command_ids: CommandIds::new(),
+            max_value_length,
+        }
+    }
+
+    /// Decodes the next packet of `input`, moves `position` past it, and handles it.
+    fn decode_next(
+        &mut self,
+        input: &[u8],
+        position: &mut usize,
+        out: &mut Vec<u8>,
+    ) -> Result<DecodeStep, ProtocolError> {
+        let Some(packet) = decode_packet(input, position)? else {
+            return Ok(DecodeStep::InputConsumed);
+        };
+        if !self.ready() {
+            self.finish_handshake(packet)?;
+            return Ok(DecodeStep::PacketConsumed);
+        }
+        match self.handle_reply(packet, out)? {
+            Some(result) => Ok(DecodeStep::RequestCompleted(result)),
+            None => Ok(DecodeStep::PacketConsumed),
+        }
+    }
+
+    /// Handles the first packet of the server, which must be VERSION.
+    fn finish_handshake(&mut self, packet: DecodedPacket<'_>) -> Result<(), ProtocolError> {
+        let DecodedPacket {
+            packet_type,
+            mut fields,
+        } = packet;
+        if packet_type != PacketType::VERSION {
+            return Err(ProtocolError::UnexpectedPacket);
+        }
+        if fields.u32()? < VERSION {
+            return Err(ProtocolError::UnsupportedVersion);
+        }
+        self.stage = Stage::Idle;
+        Ok(())
+    }
+
+    /// Handles a packet if it is the reply to the last command. Returns the result of the request
+    /// in flight if it is complete.
+    fn handle_reply(
+        &mut self,
+        packet: DecodedPacket<'_>,
+        out: &mut Vec<u8>,
+    ) -> Result<Option<AttemptResult>, ProtocolError> {
+        let DecodedPacket {
+            packet_type,
+            mut fields,
+        } = packet;
+        let id = fields.request_id()?;
+        if self.command_ids.take_ignored(id) {
+            return Ok(None);
+        }
+        if matches!(self.stage, Stage::Idle) {
+            return Err(ProtocolError::UnsolicitedReply);
+        }
+        if !self.command_ids.is_last(id) {
+            return Ok(None);
+        }
+        let stage = std::mem::replace(&mut self.stage, Stage::Idle);
+        let mut commands = CommandWriter::new(&mut self.command_ids, out);
+        match stage.handle_reply(packet_type, fields, self.max_value_length, &mut commands)? {
+            RequestProgress::Continues(stage) => {
+                self.stage = stage;
+                Ok(None)
+            }
+            RequestProgress::Completed(result) => Ok(Some(result)),
+        }
+    }
+}
+
+impl NodeProtocol for SftpProtocol {
+    fn start_handshake(&mut self, out: &mut Vec<u8>) {
+        out.extend(Packet::new(PacketType::INIT).u32(VERSION).finish());
+    }
+
+    fn ready(&self) -> bool {
+        !matches!(self.stage, Stage::AwaitingVersion)
+    }
+
+    fn encode_request(
+        &mut self,
+        request: &StorageRequest,
+        _time_limit_ms: i64,
+        out: &mut Vec<u8>,
+    ) -> usize {
+        let start = out.len();
+        let mut commands = CommandWriter::new(&mut self.command_ids, out);
+        self.stage = Stage::start(request, &mut commands);
+        if request.operation == Operation::Write {
+            // Any byte of OPEN counts, see the module's documentation.
+            return 0;
+        }
+        out.len() - start - 1
+    }
+
+    fn buffered_bytes(&self) -> usize {
+        match &self.stage {
+            Stage::Reading { value, .. } => value.len(),
+            _ => 0,
+        }
+    }
+
+    fn decode(
+        &mut self,
+        input: &mut Vec<u8>,
+        out: &mut Vec<u8>,
+    ) -> Result<Option<AttemptResult>, ProtocolError> {
+        let mut position = 0;
+        let result = loop {
+            match self.decode_next(input, &mut position, out)? {
+                DecodeStep::PacketConsumed => {}
+                DecodeStep::InputConsumed => break None,
+                DecodeStep::RequestCompleted(result) => {
+                    // Skips a packet that arrived together with the last reply: it belongs to no
+                    // request.
+                    decode_packet(input, &mut position)?;
+                    break Some(result);
+                }
+            }
+        };
+        input.drain(..position);
+        Ok(result)
+    }
+}
--- a/crates/gateway/src/resp_wire_names.rs
+++ b/crates/gateway/src/resp_wire_names.rs
@@ -1,6 +1,7 @@
 //! The names that the RESP2 protocol has on the wire, mapped to the terms of the code.
 //!
-//! Nothing behind the protocols knows them.
+//! This is the only place that states them: the client protocol decodes them, the node protocol
+//! encodes the same ones, and nothing behind the protocols knows them.
 
 /// Names of commands.
 pub(crate) mod command {
@@ -34,5 +35,13 @@
     pub(crate) const IS_RETRY: &str = "1";
 }
 
+/// Names in the usage report of a node's reply.
+pub(crate) mod usage_report {
+    /// Part of the volume's provisioned rate that was used, in percent.
+    pub(crate) const UTILIZATION: &str = "used";
+    /// Units that the volume got from the node through other gateways.
+    pub(crate) const REMOTE_UNITS: &str = "cost";
+}
+
 /// The name of the error with which an overloaded side rejects a request.
 pub(crate) const BUSY_ERROR: &str = "BUSY";
--- a/crates/gateway/src/sftp_packet/builder.rs
+++ b/crates/gateway/src/sftp_packet/builder.rs
@@ -1,6 +1,12 @@
 //! Encoding of packets, field by field.
 
-use super::{packet_type, StatusCode, ATTRIBUTE_PERMISSIONS, ATTRIBUTE_SIZE};
+use super::attributes::{
+    FileAttributes, DIRECTORY_MODE, HAS_PERMISSIONS, HAS_SIZE, REGULAR_FILE_MODE,
+};
+use super::packet_type::PacketType;
+use super::reader::LENGTH_FIELD_BYTES;
+use super::request_id::RequestId;
+use super::status_code::StatusCode;
 
 /// A packet under construction: fields are appended in order, [`Packet::finish`] sets the length.
 #[must_use]
@@ -11,16 +17,16 @@
 }
 
 impl Packet {
-    /// Starts a packet of a type (see [`packet_type`]).
-    pub fn new(type_byte: u8) -> Packet {
-        Packet {
-            bytes: vec![0, 0, 0, 0, type_byte],
-        }
+    /// Starts a packet of a type that has no request id: `INIT` or `VERSION`.
+    pub fn new(packet_type: PacketType) -> Packet {
+        let mut bytes = vec![0; LENGTH_FIELD_BYTES];
+        bytes.push(packet_type.0);
+        Packet { bytes }
     }
 
-    /// Starts a packet with a request id, as all types but `INIT` and `VERSION` have one.
-    pub fn with_id(type_byte: u8, id: u32) -> Packet {
-        Packet::new(type_byte).u32(id)
+    /// Starts a packet with a request id, which all other types have.
+    pub fn with_id(packet_type: PacketType, id: RequestId) -> Packet {
+        Packet::new(packet_type).u32(id.0)
     }
 
     /// Appends a 32-bit number.
@@ -36,41 +42,37 @@
     }
 
     /// Appends a byte string with its 32-bit length in front.
-    pub fn string(mut self, text: impl AsRef<[u8]>) -> Packet {
+    pub fn string(self, text: impl AsRef<[u8]>) -> Packet {
         let text = text.as_ref();
-        self.bytes
-            .extend_from_slice(&(text.len() as u32).to_be_bytes());
-        self.bytes.extend_from_slice(text);
-        self
+        let mut packet = self.u32(text.len() as u32);
+        packet.bytes.extend_from_slice(text);
+        packet
     }
 
-    /// Appends file attributes: those of a regular file of `size` bytes, or of a directory if `size` is `None`.
-    pub fn attributes(self, size: Option<u64>) -> Packet {
-        // File type and permission bits, as in `st_mode` of POSIX.
-        const REGULAR_FILE: u32 = 0o100_644;
-        const DIRECTORY: u32 = 0o040_755;
-        match size {
-            Some(size) => self
-                .u32(ATTRIBUTE_SIZE | ATTRIBUTE_PERMISSIONS)
+    /// Appends file attributes.
+    pub fn attributes(self, attributes: FileAttributes) -> Packet {
+        match attributes {
+            FileAttributes::RegularFile { size } => self
+                .u32(HAS_SIZE | HAS_PERMISSIONS)
                 .u64(size)
-                .u32(REGULAR_FILE),
-            None => self.u32(ATTRIBUTE_PERMISSIONS).u32(DIRECTORY),
+                .u32(REGULAR_FILE_MODE),
+            FileAttributes::Directory => self.u32(HAS_PERMISSIONS).u32(DIRECTORY_MODE),
         }
     }
 
     /// Sets the length field and returns the encoded packet.
     #[must_use]
     pub fn finish(mut self) -> Vec<u8> {
-        let length = (self.bytes.len() - 4) as u32;
-        self.bytes[..4].copy_from_slice(&length.to_be_bytes());
+        let length = (self.bytes.len() - LENGTH_FIELD_BYTES) as u32;
+        self.bytes[..LENGTH_FIELD_BYTES].copy_from_slice(&length.to_be_bytes());
         self.bytes
     }
 }
 
 /// Encodes a `STATUS` reply to the request `id`, with `message` in the language `en`.
 #[must_use]
-pub fn encode_status(id: u32, code: StatusCode, message: &str) -> Vec<u8> {
-    Packet::with_id(packet_type::STATUS, id)
+pub fn encode_status(id: RequestId, code: StatusCode, message: &str) -> Vec<u8> {
+    Packet::with_id(PacketType::STATUS, id)
         .u32(code as u32)
         .string(message)
         .string("en")
--- a/crates/gateway/src/sftp_packet/reader.rs
+++ b/crates/gateway/src/sftp_packet/reader.rs
@@ -1,15 +1,25 @@
 //! Decoding of packets from an input buffer, and of the fields of a packet.
 
-use super::{
-    ATTRIBUTE_EXTENDED, ATTRIBUTE_OWNER, ATTRIBUTE_PERMISSIONS, ATTRIBUTE_SIZE, ATTRIBUTE_TIMES,
-    MAX_PACKET_LENGTH,
-};
+use super::attributes::{HAS_EXTENSIONS, HAS_OWNER, HAS_PERMISSIONS, HAS_SIZE, HAS_TIMES};
+use super::packet_type::PacketType;
+use super::request_id::RequestId;
+use crate::config::MAX_VALUE_BYTES;
 
 /// Bytes of the length field before each packet.
-const LENGTH_FIELD_BYTES: usize = 4;
+pub(super) const LENGTH_FIELD_BYTES: usize = 4;
+/// Longest accepted packet in bytes, without its length field: one object and the fields around
+/// it.
+pub const MAX_PACKET_LENGTH: usize = MAX_VALUE_BYTES + (4 << 10);
 
-/// The input is not a valid packet: empty, longer than [`MAX_PACKET_LENGTH`], or with a field that
-/// reaches beyond its end.
+/// Bytes of the user and group ids in file attributes.
+const OWNER_BYTES: usize = 8;
+/// Bytes of the permissions in file attributes.
+const PERMISSIONS_BYTES: usize = 4;
+/// Bytes of the access and modification times in file attributes.
+const TIMES_BYTES: usize = 8;
+
+/// The input is not a valid packet: it is empty, longer than [`MAX_PACKET_LENGTH`], or has a field
+/// that reaches beyond its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed packet")]
 pub struct MalformedPacket;
@@ -17,14 +27,14 @@
 /// A packet that was decoded up to its fields.
 #[derive(Clone, Copy, Debug)]
 pub struct DecodedPacket<'a> {
-    /// Type of the packet, see [`packet_type`](super::packet_type).
-    pub type_byte: u8,
+    /// Type of the packet.
+    pub packet_type: PacketType,
     /// The fields, which follow the type byte.
     pub fields: Fields<'a>,
 }
 
-/// Decodes the packet of `input` that starts at `position`. Moves `position` past the packet; returns `None`,
-/// with `position` unchanged, until the packet is complete.
+/// Decodes the packet of `input` that starts at `position`, and moves `position` past it. Returns
+/// `None`, with `position` unchanged, until the packet is complete.
 ///
 /// # Errors
 ///
@@ -38,19 +48,20 @@
         return Ok(None);
     };
     let length = u32::from_be_bytes(*length_field) as usize;
-    if length == 0 || length > MAX_PACKET_LENGTH {
+    if length > MAX_PACKET_LENGTH {
         return Err(MalformedPacket);
     }
     let end = LENGTH_FIELD_BYTES + length;
     let Some(payload) = rest.get(LENGTH_FIELD_BYTES..end) else {
         return Ok(None);
     };
+    let Some((type_byte, fields)) = payload.split_first() else {
+        return Err(MalformedPacket);
+    };
     *position += end;
     Ok(Some(DecodedPacket {
-        type_byte: payload[0],
-        fields: Fields {
-            rest: &payload[1..],
-        },
+        packet_type: PacketType(*type_byte),
+        fields: Fields { rest: fields },
     }))
 }
 
@@ -64,12 +75,16 @@
 impl<'a> Fields<'a> {
     /// Takes the next `length` bytes.
     fn bytes(&mut self, length: usize) -> Result<&'a [u8], MalformedPacket> {
-        if length > self.rest.len() {
-            return Err(MalformedPacket);
-        }
-        let (head, rest) = self.rest.split_at(length);
+        let (bytes, rest) = self.rest.split_at_checked(length).ok_or(MalformedPacket)?;
+        self.rest = rest;
+        Ok(bytes)
+    }
+
+    /// Takes the next `N` bytes as an array.
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], MalformedPacket> {
+        let (array, rest) = self.rest.split_first_chunk().ok_or(MalformedPacket)?;
         self.rest = rest;
-        Ok(head)
+        Ok(*array)
     }
 
     /// Takes a 32-bit number.
@@ -78,8 +93,7 @@
     ///
     /// [`MalformedPacket`] if the packet ends within the field.
     pub fn u32(&mut self) -> Result<u32, MalformedPacket> {
-        self.bytes(4)
-            .map(|bytes| u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]))
+        self.array().map(u32::from_be_bytes)
     }
 
     /// Takes a 64-bit number.
@@ -88,9 +102,16 @@
     ///
     /// [`MalformedPacket`] if the packet ends within the field.
     pub fn u64(&mut self) -> Result<u64, MalformedPacket> {
-        let high = u64::from(self.u32()?);
-        let low = u64::from(self.u32()?);
-        Ok(high << 32 | low)
+        self.array().map(u64::from_be_bytes)
+    }
+
+    /// Takes a request id.
+    ///
+    /// # Errors
+    ///
+    /// [`MalformedPacket`] if the packet ends within the field.
+    pub fn request_id(&mut self) -> Result<RequestId, MalformedPacket> {
+        self.u32().map(RequestId)
     }
 
     /// Takes a byte string with its 32-bit length in front.
@@ -110,21 +131,21 @@
     /// [`MalformedPacket`] if the packet ends within the attributes.
     pub fn attributes(&mut self) -> Result<Option<u64>, MalformedPacket> {
         let flags = self.u32()?;
-        let size = if flags & ATTRIBUTE_SIZE != 0 {
+        let size = if flags & HAS_SIZE != 0 {
             Some(self.u64()?)
         } else {
             None
         };
         for (flag, length) in [
-            (ATTRIBUTE_OWNER, 8),
-            (ATTRIBUTE_PERMISSIONS, 4),
-            (ATTRIBUTE_TIMES, 8),
+            (HAS_OWNER, OWNER_BYTES),
+            (HAS_PERMISSIONS, PERMISSIONS_BYTES),
+            (HAS_TIMES, TIMES_BYTES),
         ] {
             if flags & flag != 0 {
                 self.bytes(length)?;
             }
         }
-        if flags & ATTRIBUTE_EXTENDED != 0 {
+        if flags & HAS_EXTENSIONS != 0 {
             self.skip_extensions()?;
         }
         Ok(size)
--- /dev/null
+++ b/crates/gateway/src/sftp_packet/status_code.rs
@@ -0,0 +1,40 @@
+//! The status codes of replies.
+
+/// Status codes of `SSH_FXP_STATUS`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[repr(u32)]
+pub enum StatusCode {
+    /// `SSH_FX_OK`: the command succeeded.
+    Ok = 0,
+    /// `SSH_FX_EOF`: no more data or directory entries.
+    Eof = 1,
+    /// `SSH_FX_NO_SUCH_FILE`: the path does not exist.
+    NoSuchFile = 2,
+    /// `SSH_FX_PERMISSION_DENIED`: the command is not permitted.
+    PermissionDenied = 3,
+    /// `SSH_FX_FAILURE`: an error without a more specific code.
+    Failure = 4,
+    /// `SSH_FX_BAD_MESSAGE`: the packet was malformed.
+    BadMessage = 5,
+    /// `SSH_FX_OP_UNSUPPORTED`: the command is not supported.
+    Unsupported = 8,
+}
+
+impl StatusCode {
+    /// All codes that have a name here.
+    const ALL: [StatusCode; 7] = [
+        StatusCode::Ok,
+        StatusCode::Eof,
+        StatusCode::NoSuchFile,
+        StatusCode::PermissionDenied,
+        StatusCode::Failure,
+        StatusCode::BadMessage,
+        StatusCode::Unsupported,
+    ];
+
+    /// The status code with this number, if it has a name here.
+    #[must_use]
+    pub fn from_number(number: u32) -> Option<StatusCode> {
+        Self::ALL.into_iter().find(|code| *code as u32 == number)
+    }
+}
--- a/crates/gateway/tests/node_protocols.rs
+++ b/crates/gateway/tests/node_protocols.rs
@@ -1,5 +1,5 @@
-//! The protocols towards storage nodes: responses are decoded in pieces of any size, and malformed or
-//! unsolicited ones are errors.
+//! The protocols towards storage nodes: responses are decoded in pieces of any size, and malformed
+//! or unsolicited ones are errors.
 
 mod fixtures;
 
@@ -9,7 +9,8 @@
 use storage_gateway::node_protocol::resp::RespProtocol;
 use storage_gateway::node_protocol::sftp::SftpProtocol;
 use storage_gateway::node_protocol::{NodeProtocol, ProtocolError};
-use storage_gateway::sftp_packet::{open_flags, packet_type, Packet};
+use storage_gateway::resp_bulk_string::MissingTerminator;
+use storage_gateway::sftp_packet::{OpenFlags, Packet, PacketType, RequestId, StatusCode};
 
 /// What the tests compare of an attempt's result.
 #[derive(Debug, PartialEq)]
@@ -143,25 +144,25 @@
 
 #[test]
 fn malformed_resp_response_is_a_protocol_error() {
+    let missing_terminator = ProtocolError::MissingTerminator(MissingTerminator);
     let malformed = [
-        "?",
-        "*1\r\n$-1\r\n",
-        "$70000\r\n",
-        "*-1\r\n",
-        "$1\r\nab\r\n",
-        "+OK\r\n",
-        "$1\r\nv\r\n",
-        "*1\r\n$1\r\nv\r\n",
-        "*3\r\n$3000000000\r\n",
-        "*3\r\n$aaaaaaaaaaaaaaaaaaaaaaaaaaaaa",
-        "*3\r\n$1\r\nab\r\n",
+        ("?", ProtocolError::UnexpectedType),
+        ("*1\r\n$-1\r\n", ProtocolError::UnexpectedType),
+        ("$70000\r\n", ProtocolError::UnexpectedType),
+        ("*-1\r\n", ProtocolError::UnexpectedType),
+        ("$1\r\nab\r\n", ProtocolError::UnexpectedType),
+        ("+OK\r\n", ProtocolError::UnexpectedType),
+        ("$1\r\nv\r\n", ProtocolError::UnexpectedType),
+        ("*1\r\n$1\r\nv\r\n", ProtocolError::UnexpectedType),
+        ("*3\r\n$3000000000\r\n", ProtocolError::InvalidLength),
+        (
+            "*3\r\n$aaaaaaaaaaaaaaaaaaaaaaaaaaaaa",
+            ProtocolError::LineTooLong,
+        ),
+        ("*3\r\n$1\r\nab\r\n", missing_terminator),
     ];
-    for response in malformed {
-        assert_eq!(
-            resp_exchange(response).err(),
-            Some(ProtocolError),
-            "{response:?}"
-        );
+    for (response, error) in malformed {
+        assert_eq!(resp_exchange(response).err(), Some(error), "{response:?}");
     }
 }
 
@@ -209,59 +210,88 @@
     }
 }
 
-#[test]
-fn sftp_response_with_a_foreign_id_is_ignored_and_data_without_end_fails_the_read() {
+/// A HANDLE reply.
+fn handle_packet(id: u32) -> Vec<u8> {
+    Packet::with_id(PacketType::HANDLE, RequestId(id))
+        .string("h")
+        .finish()
+}
+
+/// A STATUS reply without a message.
+fn status_packet(id: u32, code: StatusCode) -> Vec<u8> {
+    Packet::with_id(PacketType::STATUS, RequestId(id))
+        .u32(code as u32)
+        .string("")
+        .string("")
+        .finish()
+}
+
+/// Feeds a packet that is valid and completes no request.
+#[track_caller]
+fn decode_without_result(protocol: &mut SftpProtocol, mut packet: Vec<u8>) {
+    let result = protocol.decode(&mut packet, &mut Vec::new());
+    assert!(matches!(result, Ok(None)));
+}
+
+/// An SFTP connection whose handshake is complete.
+fn sftp_after_handshake() -> SftpProtocol {
     let mut protocol = SftpProtocol::new(MAX_VALUE_BYTES);
-    let mut output = Vec::new();
-    protocol.start_handshake(&mut output);
+    protocol.start_handshake(&mut Vec::new());
     assert!(!protocol.ready());
-    let mut input = Packet::new(packet_type::VERSION).u32(3).finish();
-    assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
+    decode_without_result(
+        &mut protocol,
+        Packet::new(PacketType::VERSION).u32(3).finish(),
+    );
     assert!(protocol.ready());
+    protocol
+}
+
+/// Starts a write, and checks the flags of its OPEN.
+fn start_write(protocol: &mut SftpProtocol) {
+    let mut output = Vec::new();
     assert_eq!(
         protocol.encode_request(&storage_request(Operation::Write), 1, &mut output),
         0,
         "any byte of a write's OPEN may take effect"
     );
-    let flags = (open_flags::WRITE | open_flags::CREAT | open_flags::TRUNC).to_be_bytes();
+    let flags = OpenFlags::WRITE | OpenFlags::CREATE | OpenFlags::TRUNCATE;
+    let flags = flags.0.to_be_bytes();
     assert!(output.windows(4).any(|window| window == flags));
+}
+
+/// Starts a read.
+fn start_read(protocol: &mut SftpProtocol) {
+    protocol.encode_request(&storage_request(Operation::Read), 1, &mut Vec::new());
+}
+
+#[test]
+fn sftp_response_with_a_foreign_id_is_ignored_and_data_without_end_fails_the_read() {
+    let mut protocol = sftp_after_handshake();
+    start_write(&mut protocol);
     // A response with the id of no command is ignored.
-    let mut input = Packet::with_id(packet_type::HANDLE, 77)
-        .string("h")
-        .finish();
-    assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
+    decode_without_result(&mut protocol, handle_packet(77));
     // An object that does not exist is a complete result of a read.
-    protocol.encode_request(&storage_request(Operation::Read), 1, &mut output);
-    let not_found = Packet::with_id(packet_type::STATUS, 2)
-        .u32(2)
-        .string("")
-        .string("")
-        .finish();
-    let result = decode_byte_by_byte(&mut protocol, &not_found);
+    start_read(&mut protocol);
+    let result = decode_byte_by_byte(&mut protocol, &status_packet(2, StatusCode::NoSuchFile));
     assert_eq!(result.expect("a result").body, Some(ResponseBody::NotFound));
     // The third packet exceeds the largest value: the read fails, and a CLOSE is sent.
-    protocol.encode_request(&storage_request(Operation::Read), 1, &mut output);
-    let mut input = Packet::with_id(packet_type::HANDLE, 3).string("h").finish();
-    assert!(matches!(protocol.decode(&mut input, &mut output), Ok(None)));
+    start_read(&mut protocol);
+    decode_without_result(&mut protocol, handle_packet(3));
     for id in 4..7 {
-        let mut input = Packet::with_id(packet_type::DATA, id)
+        let mut input = Packet::with_id(PacketType::DATA, RequestId(id))
             .string(vec![0; 30 << 10])
             .finish();
-        let result = protocol
-            .decode(&mut input, &mut output)
-            .expect("well formed");
-        let outcome = result.map(|result| result.outcome);
-        assert_eq!(outcome, (id == 6).then_some(Outcome::Error), "packet {id}");
+        let result = protocol.decode(&mut input, &mut Vec::new());
+        let outcome = result.expect("well formed").map(|result| result.outcome);
+        let expected = if id == 6 { Some(Outcome::Error) } else { None };
+        assert_eq!(outcome, expected, "packet {id}");
     }
-    // The response to the CLOSE that nobody waits for is ignored once; a second copy of it is an error.
-    let closed = Packet::with_id(packet_type::STATUS, 7)
-        .u32(0)
-        .string("")
-        .string("")
-        .finish();
-    assert!(matches!(
-        protocol.decode(&mut closed.clone(), &mut output),
-        Ok(None)
-    ));
-    assert!(protocol.decode(&mut closed.clone(), &mut output).is_err());
+    // The response to the CLOSE that nobody waits for is ignored once; a second copy of it is an
+    // error.
+    let closed = status_packet(7, StatusCode::Ok);
+    decode_without_result(&mut protocol, closed.clone());
+    assert_eq!(
+        protocol.decode(&mut closed.clone(), &mut Vec::new()).err(),
+        Some(ProtocolError::UnsolicitedReply)
+    );
 }
--- a/crates/gateway/tests/scenario_runner/sftp_message.rs
+++ b/crates/gateway/tests/scenario_runner/sftp_message.rs
@@ -2,7 +2,9 @@
 
 use super::message::{DecodedMessage, Message};
 use std::fmt::Write as _;
-use storage_gateway::sftp_packet::{decode_packet, packet_type, Fields, Packet};
+use storage_gateway::sftp_packet::{
+    decode_packet, Fields, FileAttributes, Packet, PacketType, RequestId,
+};
 
 /// The first bytes of a packet that is never completed.
 const INCOMPLETE_PACKET: [u8; 5] = [0, 0, 0, 9, 1];
@@ -11,20 +13,20 @@
 pub fn decode(input: &[u8]) -> Option<DecodedMessage> {
     let mut length = 0;
     let packet = decode_packet(input, &mut length).expect("a well-formed packet")?;
-    let message = describe(packet.type_byte, packet.fields);
+    let message = describe(packet.packet_type, packet.fields);
     Some(DecodedMessage { message, length })
 }
 
-fn describe(packet_kind: u8, mut fields: Fields<'_>) -> Message {
+fn describe(packet_type: PacketType, mut fields: Fields<'_>) -> Message {
     // INIT and VERSION carry the version in the place of an id.
     let request_id = fields.u32().expect("an id or a version");
     let fields = &mut fields;
-    let text = match packet_kind {
-        packet_type::INIT => format!("init {request_id}"),
-        packet_type::VERSION => format!("version {request_id}"),
-        packet_type::OPEN => format!("open {} {}", take_text(fields), take_u32(fields)),
-        packet_type::CLOSE => format!("close {}", take_handle(fields)),
-        packet_type::READ => {
+    let text = match packet_type {
+        PacketType::INIT => format!("init {request_id}"),
+        PacketType::VERSION => format!("version {request_id}"),
+        PacketType::OPEN => format!("open {} {}", take_text(fields), take_u32(fields)),
+        PacketType::CLOSE => format!("close {}", take_handle(fields)),
+        PacketType::READ => {
             format!(
                 "read {} {} {}",
                 take_handle(fields),
@@ -32,7 +34,7 @@
                 take_u32(fields)
             )
         }
-        packet_type::WRITE => {
+        PacketType::WRITE => {
             format!(
                 "write {} {} {}",
                 take_handle(fields),
@@ -40,15 +42,15 @@
                 take_text(fields)
             )
         }
-        packet_type::STAT => format!("stat {}", take_text(fields)),
-        packet_type::OPENDIR => format!("opendir {}", take_text(fields)),
-        packet_type::READDIR => format!("readdir {}", take_handle(fields)),
-        packet_type::STATUS => format!("status {} {}", take_u32(fields), take_text(fields)),
-        packet_type::HANDLE => format!("handle {}", take_handle(fields)),
-        packet_type::DATA => format!("data {}", take_text(fields)),
-        packet_type::ATTRS => format!("attrs {:?}", take_size(fields)),
-        packet_type::NAME => describe_names(fields),
-        other => format!("type {other}"),
+        PacketType::STAT => format!("stat {}", take_text(fields)),
+        PacketType::OPENDIR => format!("opendir {}", take_text(fields)),
+        PacketType::READDIR => format!("readdir {}", take_handle(fields)),
+        PacketType::STATUS => format!("status {} {}", take_u32(fields), take_text(fields)),
+        PacketType::HANDLE => format!("handle {}", take_handle(fields)),
+        PacketType::DATA => format!("data {}", take_text(fields)),
+        PacketType::ATTRS => format!("attrs {:?}", take_size(fields)),
+        PacketType::NAME => describe_names(fields),
+        PacketType(other) => format!("type {other}"),
     };
     Message { text, request_id }
 }
@@ -92,43 +94,47 @@
 /// Encodes the packet that words of a scenario stand for.
 pub fn encode(words: &[&str], request_id: u32) -> Vec<u8> {
     let arguments = Arguments(&words[1..]);
-    let start = |packet_kind| Packet::with_id(packet_kind, request_id);
+    let start = |packet_type| Packet::with_id(packet_type, RequestId(request_id));
     let packet = match words[0] {
         "half" => return INCOMPLETE_PACKET.to_vec(),
-        "init" => Packet::new(packet_type::INIT).u32(3),
-        "version" => Packet::new(packet_type::VERSION).u32(3),
-        "open" => start(packet_type::OPEN)
+        "init" => Packet::new(PacketType::INIT).u32(3),
+        "version" => Packet::new(PacketType::VERSION).u32(3),
+        "open" => start(PacketType::OPEN)
             .string(arguments.text(0))
             .u32(arguments.number(1))
             .u32(0),
-        "close" => arguments.append_handle(start(packet_type::CLOSE)),
+        "close" => arguments.append_handle(start(PacketType::CLOSE)),
         "read" => {
-            let packet = arguments.append_handle(start(packet_type::READ));
+            let packet = arguments.append_handle(start(PacketType::READ));
             packet
                 .u64(u64::from(arguments.number(1)))
                 .u32(arguments.number(2))
         }
         "write" => {
-            let packet = arguments.append_handle(start(packet_type::WRITE));
+            let packet = arguments.append_handle(start(PacketType::WRITE));
             packet
                 .u64(u64::from(arguments.number(1)))
                 .string(arguments.joined_from(2))
         }
-        "fstat" => arguments.append_handle(start(packet_type::FSTAT)),
-        "stat" => start(packet_type::STAT).string(arguments.text(0)),
-        "lstat" => start(packet_type::LSTAT).string(arguments.text(0)),
-        "opendir" => start(packet_type::OPENDIR).string(arguments.text(0)),
-        "readdir" => arguments.append_handle(start(packet_type::READDIR)),
-        "realpath" => start(packet_type::REALPATH).string(arguments.text(0)),
-        "status" => start(packet_type::STATUS)
+        "fstat" => arguments.append_handle(start(PacketType::FSTAT)),
+        "stat" => start(PacketType::STAT).string(arguments.text(0)),
+        "lstat" => start(PacketType::LSTAT).string(arguments.text(0)),
+        "opendir" => start(PacketType::OPENDIR).string(arguments.text(0)),
+        "readdir" => arguments.append_handle(start(PacketType::READDIR)),
+        "realpath" => start(PacketType::REALPATH).string(arguments.text(0)),
+        "status" => start(PacketType::STATUS)
             .u32(arguments.number(0))
             .string("")
             .string(""),
-        "handle" => arguments.append_handle(start(packet_type::HANDLE)),
-        "data" => start(packet_type::DATA).string(arguments.joined_from(0)),
-        "attrs" => start(packet_type::ATTRS).attributes(Some(u64::from(arguments.number(0)))),
-        "type" => start(u8::try_from(arguments.number(0)).expect("a packet type")),
-        "name" => arguments.append_names(start(packet_type::NAME)),
+        "handle" => arguments.append_handle(start(PacketType::HANDLE)),
+        "data" => start(PacketType::DATA).string(arguments.joined_from(0)),
+        "attrs" => start(PacketType::ATTRS).attributes(FileAttributes::RegularFile {
+            size: u64::from(arguments.number(0)),
+        }),
+        "type" => start(PacketType(
+            u8::try_from(arguments.number(0)).expect("a packet type"),
+        )),
+        "name" => arguments.append_names(start(PacketType::NAME)),
         other => panic!("no packet is called {other}"),
     };
     packet.finish()
@@ -164,10 +170,11 @@
         let mut packet = packet.u32(count);
         for entry in self.0 {
             let (name, size) = entry.split_once(':').expect("NAME:SIZE");
-            packet = packet
-                .string(name)
-                .string(name)
-                .attributes(size.parse().ok());
+            let attributes = match size.parse() {
+                Ok(size) => FileAttributes::RegularFile { size },
+                Err(_) => FileAttributes::Directory,
+            };
+            packet = packet.string(name).string(name).attributes(attributes);
         }
         packet
     }
