--- a/crates/gateway/tests/harness/cluster.rs
+++ b/crates/gateway/tests/gateway_process/harness/cluster.rs
@@ -23,8 +23,8 @@
 
 /// A read that the gateway has forwarded to node A.
 ///
-/// A gateway sends one request at a time to a node of which it has measured nothing yet: a further request for
-/// node A waits until this one is answered.
+/// A gateway sends one request at a time to a node of which it has measured nothing yet: a further
+/// request for node A waits until this one is answered.
 pub struct InFlightRead {
     /// The client's end of its connection.
     pub client: Connection,
@@ -40,7 +40,8 @@
         self.client.expect_value(value);
     }
 
-    /// The node responds, the client gets its value, and the gateway closes the client's connection.
+    /// The node responds, the client gets its value, and the gateway closes the client's
+    /// connection.
     #[track_caller]
     pub fn complete_and_expect_close(&mut self, value: &str) {
         self.node.respond(value);
@@ -80,8 +81,8 @@
         cluster
     }
 
-    /// Starts the gateway on cached endpoints while discovery refuses connections, lets `meanwhile` happen,
-    /// and brings discovery back with a list in which node B drains.
+    /// Starts the gateway on cached endpoints while discovery refuses connections, lets
+    /// `meanwhile` happen, and brings discovery back with a list in which node B drains.
     pub fn start_before_discovery<T>(
         edit_config: impl Fn(&str) -> String,
         meanwhile: impl FnOnce(&Gateway) -> T,
@@ -141,8 +142,8 @@
         self.send_delta(3, &[self.node_b.terminating()]);
     }
 
-    /// Writes a new object while node A is busy with the read. The gateway would choose the idle node B; if
-    /// that one drains, the write waits for node A. Completes both requests.
+    /// Writes a new object while node A is busy with the read. The gateway would choose the idle
+    /// node B; if that one drains, the write waits for node A. Completes both requests.
     #[track_caller]
     pub fn expect_new_object_avoids_node_b(&self, read: InFlightRead) {
         let InFlightRead {
@@ -157,7 +158,8 @@
         self.node_b.expect_no_further_connection();
     }
 
-    /// A new read is forwarded to node A, and the write of a new object avoids node B, which drains.
+    /// A new read is forwarded to node A, and the write of a new object avoids node B, which
+    /// drains.
     #[track_caller]
     pub fn expect_node_b_drains(&self) {
         let read = self.start_read("a1");
--- a/crates/gateway/tests/harness/config.rs
+++ b/crates/gateway/tests/gateway_process/harness/config.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 /// The deployment settings that all tests start from.
-pub const SETTINGS: &str = include_str!("../common/settings.json");
+pub const SETTINGS: &str = include_str!("../../settings.json");
 
 /// The configuration of a gateway on the platform, with the endpoint list that it has cached.
 pub fn platform_config(discovery: SocketAddr, cached_entries: &[String]) -> String {
--- a/crates/gateway/tests/harness/connection.rs
+++ b/crates/gateway/tests/gateway_process/harness/connection.rs
@@ -155,7 +155,8 @@
         request
     }
 
-    /// Waits for the end of the connection, before which nothing more may be received; returns how it ended.
+    /// Waits for the end of the connection, before which nothing more may be received; returns how
+    /// it ended.
     pub fn wait_for_end(&mut self) -> ConnectionEnd {
         loop {
             assert!(
--- a/crates/gateway/tests/harness/discovery.rs
+++ b/crates/gateway/tests/gateway_process/harness/discovery.rs
@@ -72,7 +72,8 @@
     pub request_line: String,
 }
 
-/// A discovery service, which listens except between [`Self::stop_listening`] and [`Self::listen_again`].
+/// A discovery service, which listens except between [`Self::stop_listening`] and
+/// [`Self::listen_again`].
 pub struct DiscoveryService {
     listener: Option<TcpListener>,
     address: SocketAddr,
--- a/crates/gateway/tests/harness/gateway.rs
+++ b/crates/gateway/tests/gateway_process/harness/gateway.rs
@@ -14,8 +14,9 @@
 /// The gateway reads this many bytes at once from a socket.
 pub const READ_SIZE: usize = 16 << 10;
 const CONFIG_FILE: &str = "config.json";
-/// Clients that fill one iteration of the event loop if all of them have sent something: it handles 256 ready
-/// connections, and some more make sure that none of the first overtakes the last.
+/// Clients that fill one iteration of the event loop if all of them have sent something: it
+/// handles 256 ready connections, and some more make sure that none of the first overtakes the
+/// last.
 const CLIENTS_OF_A_FULL_ITERATION: usize = 256 + 64;
 /// The gateway accepts this many connections in one iteration.
 const MAX_ACCEPTED_PER_ITERATION: usize = 64;
@@ -31,7 +32,8 @@
 }
 
 impl Gateway {
-    /// Starts a gateway that has cached the nodes' entries; `edit_config` changes its configuration.
+    /// Starts a gateway that has cached the nodes' entries; `edit_config` changes its
+    /// configuration.
     pub fn start(
         nodes: &[&StorageNode],
         discovery: &DiscoveryService,
@@ -75,8 +77,8 @@
         client
     }
 
-    /// Connects a client whose connection and first bytes are ready in one iteration of the event loop: a
-    /// gateway that drains waits for neither for long.
+    /// Connects a client whose connection and first bytes are ready in one iteration of the event
+    /// loop: a gateway that drains waits for neither for long.
     pub fn connect_and_send_at_once(&self, bytes: impl AsRef<[u8]>) -> Connection {
         self.pause();
         let client = self.connect_and_send(bytes);
@@ -84,7 +86,8 @@
         client
     }
 
-    /// Connects a client and sends the first half of a request, which the gateway has read on return.
+    /// Connects a client and sends the first half of a request, which the gateway has read on
+    /// return.
     pub fn connect_with_partial_request(&self, first_half: &str) -> Connection {
         let client = self.connect_and_send(first_half);
         self.wait_until_input_is_processed();
@@ -99,17 +102,17 @@
         client
     }
 
-    /// Connects clients that fill one iteration of the event loop once all of them have sent a `PING` to the
-    /// paused gateway: what becomes ready after that is handled in the next iteration. Needs a gateway with
-    /// many sockets.
+    /// Connects clients that fill one iteration of the event loop once all of them have sent a
+    /// `PING` to the paused gateway: what becomes ready after that is handled in the next
+    /// iteration. Needs a gateway with many sockets.
     pub fn connect_clients_for_a_full_iteration(&self) -> Vec<Connection> {
         (0..CLIENTS_OF_A_FULL_ITERATION)
             .map(|_| self.connect_idle_client())
             .collect()
     }
 
-    /// As [`Self::connect_clients_for_a_full_iteration`], with clients that have sent the first half of a
-    /// request: a gateway that drains does not close their connections.
+    /// As [`Self::connect_clients_for_a_full_iteration`], with clients that have sent the first
+    /// half of a request: a gateway that drains does not close their connections.
     pub fn connect_unfinished_clients_for_a_full_iteration(
         &self,
         first_half: &str,
@@ -125,14 +128,15 @@
         clients
     }
 
-    /// Returns once the gateway has processed everything that was ready on its sockets before the call.
+    /// Returns once the gateway has processed everything that was ready on its sockets before the
+    /// call.
     pub fn wait_until_input_is_processed(&self) {
         let mut client = self.connect_and_send_at_once(encode_command("PING"));
         client.receive_value();
     }
 
-    /// Stops the process where it is: what happens until [`Self::resume`] is ready in one iteration of its
-    /// event loop.
+    /// Stops the process where it is: what happens until [`Self::resume`] is ready in one
+    /// iteration of its event loop.
     pub fn pause(&self) {
         self.process.pause();
     }
@@ -158,8 +162,8 @@
         self.wait_for_log(log_lines::SHUTDOWN_REQUESTED);
     }
 
-    /// Sends SIGTERM and waits until the gateway drains, after the grace period in which everything goes on
-    /// unchanged: an idle client connection is closed then.
+    /// Sends SIGTERM and waits until the gateway drains, after the grace period in which
+    /// everything goes on unchanged: an idle client connection is closed then.
     pub fn begin_draining(&mut self) {
         let mut idle = self.connect_idle_client();
         self.request_shutdown();
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/gateway_process/harness/mod.rs
@@ -1,10 +1,10 @@
-//! What the socket tests share: a gateway process, and stand-ins for clients, storage nodes and discovery.
+//! What the socket tests share: a gateway process, and stand-ins for clients, storage nodes and
+//! discovery.
 //!
-//! A stand-in sends nothing until the test makes it do so, and a paused gateway ([`Gateway::pause`]) does
-//! nothing until it is resumed: whatever happened meanwhile is ready in one iteration of its event loop.
-//! Nothing sleeps; the only time measured is the one after which a test gives up.
-// Each test binary compiles this module and uses a part of it.
-#![allow(dead_code)]
+//! A stand-in sends nothing until the test makes it do so, and a paused gateway
+//! ([`Gateway::pause`]) does nothing until it is resumed: whatever happened meanwhile is ready in
+//! one iteration of its event loop. Nothing sleeps; the only time measured is the one after which
+//! a test gives up.
 
 pub mod cluster;
 pub mod config;
--- a/crates/gateway/tests/harness/node.rs
+++ b/crates/gateway/tests/gateway_process/harness/node.rs
@@ -62,8 +62,8 @@
         );
     }
 
-    /// Keeps every new connection from being established, also one that has already been started, until the
-    /// queue is emptied; the system then tries again.
+    /// Keeps every new connection from being established, also one that has already been started,
+    /// until the queue is emptied; the system then tries again.
     pub fn fill_accept_queue(&self) -> FilledAcceptQueue {
         rustix::net::listen(&self.listener, 0).expect("a listening socket");
         let address = self.address();
--- a/crates/gateway/tests/harness/requests.rs
+++ b/crates/gateway/tests/gateway_process/harness/requests.rs
@@ -33,7 +33,8 @@
     ))
 }
 
-/// A read from shard 0 of another object than [`read_request`]'s, so that it does not count as its repeat.
+/// A read from shard 0 of another object than [`read_request`]'s, so that it does not count as its
+/// repeat.
 pub fn read_request_of_another_object(id: &str) -> String {
     read_request(id).replace("7f3a9c21e0b4d655", "7f3a9c21e0b4d657")
 }
--- a/crates/gateway/tests/harness/resp.rs
+++ b/crates/gateway/tests/gateway_process/harness/resp.rs
@@ -15,8 +15,9 @@
     encode_array(&words)
 }
 
-/// Decodes one value from `position` on and moves `position` behind it: a string's content, an array's
-/// elements joined by spaces, or the whole line of any other type. `None` until the value is complete.
+/// Decodes one value from `position` on and moves `position` behind it: a string's content, an
+/// array's elements joined by spaces, or the whole line of any other type. `None` until the value
+/// is complete.
 pub fn decode_value(input: &[u8], position: &mut usize) -> Option<String> {
     let line_end = *position
         + input
--- a/crates/gateway/tests/races/client_close.rs
+++ b/crates/gateway/tests/gateway_process/races/client_close.rs
@@ -73,8 +73,8 @@
     serve_request(&mut read.node, &mut last, "a2", "two");
 }
 
-/// The client leaves while its attempt waits for a connection to be established: the late connection
-/// carries only the next client's request.
+/// The client leaves while its attempt waits for a connection to be established: the late
+/// connection carries only the next client's request.
 fn expect_late_connection_serves_the_next_client(edit_config: impl Fn(&str) -> String) {
     let cluster = TestCluster::start_with(edit_config);
     let queue = cluster.node_a.fill_accept_queue();
@@ -123,8 +123,9 @@
     read.complete("one");
 }
 
-/// The response to the first request frees the node for the second one, which is dispatched in that iteration.
-/// The client's reset becomes ready too late for the iteration: only sending the response reveals it.
+/// The response to the first request frees the node for the second one, which is dispatched in
+/// that iteration. The client's reset becomes ready too late for the iteration: only sending the
+/// response reveals it.
 #[test]
 fn attempt_dispatched_in_the_iteration_that_reveals_the_close_is_not_started() {
     let cluster = TestCluster::start_with(with_many_sockets);
--- a/crates/gateway/tests/races/discovery_watch.rs
+++ b/crates/gateway/tests/gateway_process/races/discovery_watch.rs
@@ -6,7 +6,8 @@
 use crate::harness::gateway::READ_SIZE;
 use crate::harness::log_lines;
 
-/// The drain and the watch's reset are ready in one iteration of the event loop; the drain came first.
+/// The drain and the watch's reset are ready in one iteration of the event loop; the drain came
+/// first.
 #[test]
 fn drain_received_before_a_reset_of_the_watch_is_applied() {
     let mut cluster = TestCluster::start();
@@ -26,7 +27,8 @@
     cluster.expect_new_object_avoids_node_b(read);
 }
 
-/// The next watch asks for what follows the last complete event, and starts with none of the incomplete one.
+/// The next watch asks for what follows the last complete event, and starts with none of the
+/// incomplete one.
 #[test]
 fn incomplete_event_is_dropped_when_the_watch_ends() {
     let mut cluster = TestCluster::start();
@@ -66,7 +68,8 @@
     cluster.expect_node_b_drains();
 }
 
-/// Where lists are pushed, their agent is still polled, from the start on and when a connection to it ends.
+/// Where lists are pushed, their agent is still polled, from the start on and when a connection to
+/// it ends.
 #[test]
 fn agent_that_pushes_lists_is_polled_again() {
     let mut cluster = TestCluster::start_with(with_pushed_lists);
--- a/crates/gateway/tests/races/idle_close.rs
+++ b/crates/gateway/tests/gateway_process/races/idle_close.rs
@@ -1,4 +1,5 @@
-//! The gateway closes idle client connections to free descriptors, against what clients and discovery do.
+//! The gateway closes idle client connections to free descriptors, against what clients and
+//! discovery do.
 
 use crate::harness::cluster::{serve_request, TestCluster};
 use crate::harness::config::{with_debug_log, with_few_sockets};
@@ -20,7 +21,8 @@
     serve_request(&mut read.node, &mut last, "a3", "three");
 }
 
-/// The request is ready in the iteration in which the gateway needs the descriptor for a new client.
+/// The request is ready in the iteration in which the gateway needs the descriptor for a new
+/// client.
 #[test]
 fn request_received_together_with_an_eviction_is_served() {
     let cluster = TestCluster::start_with(with_few_sockets);
@@ -41,9 +43,9 @@
     new.expect_pong();
 }
 
-/// Clients that send one request and keep their connection may use a third of all descriptors for it. They
-/// are evicted before that: once they hold more than a fourth, the first connection that becomes idle is
-/// closed, right after its response and while the others wait for theirs.
+/// Clients that send one request and keep their connection may use a third of all descriptors for
+/// it. They are evicted before that: once they hold more than a fourth, the first connection that
+/// becomes idle is closed, right after its response and while the others wait for theirs.
 #[test]
 fn idle_connection_is_evicted_before_requests_take_all_descriptors() {
     let mut cluster = TestCluster::start_with(|config| with_debug_log(&with_few_sockets(config)));
--- a/crates/gateway/tests/races/node_connections.rs
+++ b/crates/gateway/tests/gateway_process/races/node_connections.rs
@@ -1,4 +1,5 @@
-//! Responses, resets and late connections of nodes, against drains, deadlines and further requests.
+//! Responses, resets and late connections of nodes, against drains, deadlines and further
+//! requests.
 
 use crate::harness::cluster::{serve_request, TestCluster};
 use crate::harness::config::{
@@ -12,7 +13,8 @@
     write_request, SplitRequest,
 };
 
-/// A complete response and a reset are ready in one iteration of the event loop; the response came first.
+/// A complete response and a reset are ready in one iteration of the event loop; the response came
+/// first.
 #[test]
 fn response_received_before_a_reset_is_passed_on() {
     let cluster = TestCluster::start();
@@ -120,7 +122,8 @@
     node.expect_closed();
 }
 
-/// The request is dispatched in the iteration before the one in which the idle connection would be reported.
+/// The request is dispatched in the iteration before the one in which the idle connection would be
+/// reported.
 #[test]
 fn unsolicited_response_on_an_idle_connection_is_not_taken_for_the_next_one() {
     let cluster = TestCluster::start_with(with_many_sockets);
--- a/crates/gateway/tests/races/shutdown.rs
+++ b/crates/gateway/tests/gateway_process/races/shutdown.rs
@@ -121,8 +121,8 @@
     cluster.gateway.expect_clean_exit();
 }
 
-/// The bytes become ready too late for the iteration in which the response is sent and the connection is
-/// closed: closing it with unread bytes would reset it.
+/// The bytes become ready too late for the iteration in which the response is sent and the
+/// connection is closed: closing it with unread bytes would reset it.
 #[test]
 fn bytes_left_unread_at_the_close_do_not_reset_the_connection() {
     let mut cluster = TestCluster::start_with(with_many_sockets);
--- a/crates/gateway/tests/scenario_runner/launch.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/launch.rs
@@ -25,7 +25,8 @@
 
 /// The configuration that a gateway starts with.
 pub enum Launch {
-    /// The configuration that `ROUTER_CONFIG` names, with the address of discovery in the environment too.
+    /// The configuration that `ROUTER_CONFIG` names, with the address of discovery in the
+    /// environment too.
     Platform {
         /// The content of the configuration file.
         config: String,
@@ -40,8 +41,8 @@
 }
 
 impl Launch {
-    /// Starts the gateway. With fewer file descriptors than its configuration says, accepting and connecting
-    /// must fail at times.
+    /// Starts the gateway. With fewer file descriptors than its configuration says, accepting and
+    /// connecting must fail at times.
     pub fn start(
         &self,
         directory: &TestDirectory,
--- a/crates/gateway/tests/scenario_runner/masking.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/masking.rs
@@ -23,7 +23,8 @@
     word.to_owned()
 }
 
-/// Generated request ids begin with the clock's leading digits; in the console's tables, volumes are as long.
+/// Generated request ids begin with the clock's leading digits; in the console's tables, volumes
+/// are as long.
 fn is_generated_id(word: &str) -> bool {
     word.len() == 16 && (word.starts_with("0006") || word.starts_with("00000000000000a"))
 }
--- a/crates/gateway/tests/scenario_runner/mod.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
@@ -1,4 +1,5 @@
-//! Scenarios: a gateway process with clients, stand-in nodes and a stand-in discovery, run from a text file.
+//! Scenarios: a gateway process with clients, stand-in nodes and a stand-in discovery, run from a
+//! text file.
 //!
 //! | line | effect |
 //! | --- | --- |
@@ -16,23 +17,28 @@
 //!
 //! What a party sends depends on its protocol:
 //!
-//! - A client whose name begins with `s` sends an SFTP packet (see [`sftp_message`]); any other sends a RESP2
-//!   command, or after `raw` one line as it stands.
-//! - A node sends a packet, or in RESP2 `value TEXT`, `twice TEXT` (the same response two times) or
-//!   `raw LINE`, always as the response to its oldest request. `more TEXT` is a response to no request.
+//! - A client whose name begins with `s` sends an SFTP packet (see [`sftp_message`]); any other
+//!   sends a RESP2 command, or after `raw` one line as it stands.
+//! - A node sends a packet, or in RESP2 `value TEXT`, `twice TEXT` (the same response two times)
+//!   or `raw LINE`, always as the response to its oldest request. `more TEXT` is a response to no
+//!   request.
 //! - `discovery` sends `list` or a change: `STATUS NODE [ADDRESS-OF]`.
 //! - `console` sends a line to the gateway's console.
 //! - `gateway` is sent a signal: `HUP` or `TERM`.
 //!
-//! Nothing sleeps: threads read the sockets and hand over complete messages. The transcript of all messages is
-//! what a test compares.
+//! Nothing sleeps: threads read the sockets and hand over complete messages. The transcript of all
+//! messages is what a test compares.
 
+mod connections;
+mod deployment;
 mod error;
 mod launch;
 mod masking;
 mod message;
 mod party;
 mod runner;
+mod scenario;
+mod sending;
 mod sftp_message;
 
 pub use runner::run_scenario;
--- a/crates/gateway/tests/scenario_runner/party.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/party.rs
@@ -1,33 +1,21 @@
-//! The parties of a scenario, which exchange messages with the gateway: clients, stand-in nodes, discovery and
-//! the console.
+//! The parties of a scenario, which exchange messages with the gateway: clients, stand-in nodes,
+//! discovery and the console.
 
+use super::connections::{ConnectionEvent, ConnectionEventKind, Connections};
 use super::error::ScenarioError;
 use super::masking::mask_variable_words;
-use super::message::{decode_message, Message, Protocol};
+use super::message::{Message, Protocol};
 use crate::harness::connection::ConnectionEnd;
 use std::collections::VecDeque;
-use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::io::{BufRead, BufReader};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::ChildStdout;
-use std::sync::mpsc::{channel, Receiver, Sender};
-use std::sync::{Arc, Mutex};
+use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
 /// How long a scenario waits for the next message or the end of a connection.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What a thread saw on a connection.
-struct ConnectionEvent {
-    /// The number of the connection among its party's.
-    connection: usize,
-    kind: ConnectionEventKind,
-}
-
-enum ConnectionEventKind {
-    Received(Message),
-    Ended(ConnectionEnd),
-}
-
 /// A request that a node has received and not answered.
 struct PendingRequest {
     connection: usize,
@@ -57,8 +45,8 @@
     pub protocol: Protocol,
     role: Role,
     events: Receiver<ConnectionEvent>,
-    /// Messages that were received while the test waited for the end of a connection: the threads that read
-    /// two connections report in any order.
+    /// Messages that were received while the test waited for the end of a connection: the threads
+    /// that read two connections report in any order.
     deferred: VecDeque<ConnectionEvent>,
     connections: Connections,
     pending_requests: VecDeque<PendingRequest>,
@@ -171,8 +159,8 @@
         }
     }
 
-    /// Waits for the end of a connection. A listening party may receive messages before, which stay for
-    /// [`Self::receive`]; how its connection ends makes no difference.
+    /// Waits for the end of a connection. A listening party may receive messages before, which
+    /// stay for [`Self::receive`]; how its connection ends makes no difference.
     pub fn wait_for_end(&mut self) -> Result<ConnectionEnd, ScenarioError> {
         loop {
             let event = self.next_event()?;
@@ -239,60 +227,3 @@
         self.connections.close_all();
     }
 }
-
-/// The connections of one party, in the order in which they were opened.
-#[derive(Clone, Default)]
-struct Connections(Arc<Mutex<Vec<TcpStream>>>);
-
-impl Connections {
-    /// Adds a connection and starts a thread that reads complete messages from it.
-    fn add(&self, stream: TcpStream, protocol: Protocol, events: Sender<ConnectionEvent>) {
-        let mut streams = self.0.lock().expect("no thread panics with the lock");
-        let connection = streams.len();
-        streams.push(stream.try_clone().expect("a descriptor"));
-        std::thread::spawn(move || read_messages(connection, stream, protocol, &events));
-    }
-
-    fn count(&self) -> usize {
-        self.0.lock().expect("no thread panics with the lock").len()
-    }
-
-    fn send(&self, connection: usize, bytes: &[u8]) {
-        let mut streams = self.0.lock().expect("no thread panics with the lock");
-        streams[connection]
-            .write_all(bytes)
-            .expect("the gateway reads");
-    }
-
-    fn close_all(&self) {
-        let streams = self.0.lock().expect("no thread panics with the lock");
-        for stream in streams.iter() {
-            let _ = stream.shutdown(Shutdown::Both);
-        }
-    }
-}
-
-fn read_messages(
-    connection: usize,
-    mut stream: TcpStream,
-    protocol: Protocol,
-    events: &Sender<ConnectionEvent>,
-) {
-    let report = |kind| {
-        let _ = events.send(ConnectionEvent { connection, kind });
-    };
-    let mut input = Vec::new();
-    let mut bytes = [0; 4096];
-    loop {
-        let count = match stream.read(&mut bytes) {
-            Ok(0) => return report(ConnectionEventKind::Ended(ConnectionEnd::Closed)),
-            Err(_) => return report(ConnectionEventKind::Ended(ConnectionEnd::Reset)),
-            Ok(count) => count,
-        };
-        input.extend_from_slice(&bytes[..count]);
-        while let Some(decoded) = decode_message(&input, protocol) {
-            input.drain(..decoded.length);
-            report(ConnectionEventKind::Received(decoded.message));
-        }
-    }
-}
--- /dev/null
+++ b/crates/gateway/tests/gateway_process/scenario_runner/sending.rs
@@ -0,0 +1,107 @@
+//! What the parties of a scenario send.
+
+use super::message::Protocol;
+use super::scenario::{Scenario, CONSOLE, DISCOVERY, GATEWAY};
+use super::sftp_message;
+use crate::harness::discovery::{encode_chunk, watch_event, UpdateKind, CHUNKED_RESPONSE_HEAD};
+use crate::harness::resp::encode_array;
+use rustix::process::Signal;
+use std::io::Write;
+
+impl Scenario {
+    /// Sends a message as the party of this name.
+    pub fn send(&mut self, name: &str, words: &[&str]) {
+        self.record(&format!("{name} > {}", words.join(" ")));
+        match name {
+            GATEWAY => self.send_signal(words[0]),
+            CONSOLE => self.send_console_line(words),
+            DISCOVERY => self.send_watch_event(words),
+            _ if self.nodes.iter().any(|node| node.name == name) => self.send_as_node(name, words),
+            _ => self.send_as_client(name, words),
+        }
+    }
+
+    /// Sends a signal to the gateway.
+    fn send_signal(&mut self, name: &str) {
+        let signal = match name {
+            "HUP" => Signal::HUP,
+            "TERM" => Signal::TERM,
+            other => panic!("no signal is called {other}"),
+        };
+        self.gateway().process.send_signal(signal);
+    }
+
+    /// Sends a line to the gateway's console.
+    fn send_console_line(&mut self, words: &[&str]) {
+        let input = &mut self.gateway().console_input;
+        writeln!(input, "{}", words.join(" ")).expect("the gateway reads its console");
+    }
+
+    /// Sends a command, on the one connection of the client.
+    fn send_as_client(&mut self, name: &str, words: &[&str]) {
+        let party = self.party(name);
+        let address = party.next_request();
+        let bytes = match (party.protocol, words) {
+            (Protocol::Sftp, _) => sftp_message::encode(words, address.request_id),
+            (_, ["raw", line @ ..]) => encode_line(line),
+            _ => encode_array(words).into_bytes(),
+        };
+        party.send(address.connection, &bytes);
+    }
+
+    /// Sends a response, on the connection of the request that it answers.
+    fn send_as_node(&mut self, name: &str, words: &[&str]) {
+        let party = self.party(name);
+        let address = match words[0] {
+            "more" => party.last_connection(),
+            _ => party.take_pending_request(),
+        };
+        let bytes = match party.protocol {
+            Protocol::Sftp => sftp_message::encode(words, address.request_id),
+            _ => encode_node_response(words),
+        };
+        party.send(address.connection, &bytes);
+    }
+
+    /// Discovery sends `list`, or a change: `STATUS NODE`, or `STATUS NODE OTHER` for a node that
+    /// now listens where another does.
+    fn send_watch_event(&mut self, words: &[&str]) {
+        self.list_index += 1;
+        let bytes = match words {
+            ["list"] => {
+                let entries = self.in_service_entries();
+                let list = watch_event(self.list_index, UpdateKind::Snapshot, &entries);
+                CHUNKED_RESPONSE_HEAD.to_owned() + &encode_chunk(&list)
+            }
+            [status, node] => self.encode_delta(node, node, status),
+            [status, node, other] => self.encode_delta(node, other, status),
+            _ => panic!("discovery sends no such message"),
+        };
+        let discovery = self.party(DISCOVERY);
+        discovery.send(discovery.last_connection().connection, bytes.as_bytes());
+    }
+
+    /// Encodes a change of one node, which listens where another party does.
+    fn encode_delta(&self, node: &str, listening_party: &str, status: &str) -> String {
+        let entry = self.endpoint_entry(node, listening_party, status);
+        encode_chunk(&watch_event(self.list_index, UpdateKind::Delta, &[entry]))
+    }
+}
+
+/// A node's response in RESP2: with a value and its cost, or one line as it stands.
+fn encode_node_response(words: &[&str]) -> Vec<u8> {
+    let (kind, rest) = words.split_first().expect("a response");
+    let text = rest.join(" ");
+    let response = format!("*3\r\n${}\r\n{text}\r\n$6\r\ncost=4\r\n$-1\r\n", text.len());
+    match *kind {
+        "value" | "more" => response.into_bytes(),
+        "twice" => response.repeat(2).into_bytes(),
+        "raw" => encode_line(rest),
+        other => panic!("no response is called {other}"),
+    }
+}
+
+/// A line of RESP2 as it stands.
+fn encode_line(words: &[&str]) -> Vec<u8> {
+    format!("{}\r\n", words.join(" ")).into_bytes()
+}
--- a/crates/gateway/tests/scenarios.rs
+++ b/crates/gateway/tests/gateway_process/scenarios/mod.rs
@@ -1,9 +1,6 @@
-//! Runs every scenario of `scenarios/` and compares its transcript with the snapshot.
+//! Runs every scenario of this directory and compares its transcript with the snapshot.
 
-mod harness;
-mod scenario_runner;
-
-use scenario_runner::run_scenario;
+use crate::scenario_runner::run_scenario;
 
 /// The beginning of scenarios with one node.
 const START_WITH_ONE_NODE: &str = "node n0 0\nstart platform\n";
@@ -16,7 +13,7 @@
     ($($name:ident),* $(,)?) => {$(
         #[test]
         fn $name() {
-            let scenario = include_str!(concat!("scenarios/", stringify!($name), ".txt"));
+            let scenario = include_str!(concat!(stringify!($name), ".txt"));
             insta::assert_snapshot!(stringify!($name), run_scenario(stringify!($name), scenario));
         }
     )*};
@@ -59,8 +56,8 @@
     shutdown_requested,
 }
 
-/// There are more clients than file descriptors: idle ones are evicted, and the event loop neither ends nor
-/// spins. The process may hold 30 descriptors, fewer than its configuration says.
+/// There are more clients than file descriptors: idle ones are evicted, and the event loop neither
+/// ends nor spins. The process may hold 30 descriptors, fewer than its configuration says.
 #[test]
 fn clients_beyond_the_descriptor_limit_are_served() {
     let mut scenario = "node n0 0\nstart platform 30\n".to_owned();
@@ -75,8 +72,8 @@
     assert!(transcript.ends_with("c59 < v\n"), "{transcript}");
 }
 
-/// After the last response, the gateway reads for a while what still arrives: closing a connection with unread
-/// bytes would reset it, and the client might not see the response.
+/// After the last response, the gateway reads for a while what still arrives: closing a connection
+/// with unread bytes would reset it, and the client might not see the response.
 #[test]
 fn final_error_reaches_a_client_that_keeps_sending() {
     let mut scenario = format!("{START_WITH_ONE_NODE}send c1 {READ}\nexpect n0\n");
@@ -93,8 +90,8 @@
     );
 }
 
-/// Nodes promise values of at most 64 KiB and send more; a length beyond all bounds makes a response invalid,
-/// and the read is retried.
+/// Nodes promise values of at most 64 KiB and send more; a length beyond all bounds makes a
+/// response invalid, and the read is retried.
 #[test]
 fn large_value_is_passed_on_complete() {
     let value = "v".repeat(400 << 10);
@@ -124,8 +121,9 @@
     assert_eq!(transcript.matches(" is closed").count(), 300);
 }
 
-/// Commands beyond a connection's limit of pending ones stay in its input. They must be processed when a
-/// response makes capacity free: the client sends no further byte that would wake its connection.
+/// Commands beyond a connection's limit of pending ones stay in its input. They must be processed
+/// when a response makes capacity free: the client sends no further byte that would wake its
+/// connection.
 #[test]
 fn pipelined_commands_beyond_the_limit_are_processed() {
     let mut scenario = format!("{START_WITH_ONE_NODE}send c1 {READ}\n");
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/in_process/configuration.rs
@@ -1,11 +1,11 @@
-//! Configurations and inventories: the examples are valid, and errors name the key or the line at fault.
+//! Configurations and inventories: the examples are valid, and errors name the key or the line at
+//! fault.
 
+use crate::support::settings::SETTINGS_JSON;
 use std::path::Path;
 use storage_gateway::config::{self, Config, ConfigError, Precedence};
 use storage_gateway::inventory;
 
-/// Settings of a deployment that are valid.
-const SETTINGS: &str = include_str!("common/settings.json");
 /// Headings of an inventory in CSV.
 const HEADINGS: &str = "name,address,shard,protocol\n";
 
@@ -55,7 +55,7 @@
 fn memory_budget_is_proportional_to_the_configured_memory() {
     let budget = |limits: &str| {
         let text = format!(
-            r#"{{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{limits},"settings":{SETTINGS}}}"#
+            r#"{{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{limits},"settings":{SETTINGS_JSON}}}"#
         );
         load_router_config(text)
             .map(|config| config.budget)
@@ -123,10 +123,10 @@
 #[test]
 fn configuration_error_names_the_key() {
     assert_eq!(
-        router_config_error(format!(r#"{{"settings":{SETTINGS}}}"#)),
+        router_config_error(format!(r#"{{"settings":{SETTINGS_JSON}}}"#)),
         "ROUTER_NAME: not set"
     );
-    let unknown_effect = SETTINGS.replace("\"pure\"", "\"sometimes\"");
+    let unknown_effect = SETTINGS_JSON.replace("\"pure\"", "\"sometimes\"");
     assert_eq!(
         router_config_error(format!(r#"{{"settings":{unknown_effect}}}"#)),
         "settings.classes.effect: 'sometimes' is unknown"
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/in_process/discovery.rs
@@ -1,5 +1,5 @@
-//! The watch on discovery's endpoint list: its response is parsed in pieces of any size and under any
-//! framing.
+//! The watch on discovery's endpoint list: its response is parsed in pieces of any size and under
+//! any framing.
 
 use io_scheduler::EndpointStatus;
 use storage_gateway::discovery::{EndpointListUpdate, WatchParser};
@@ -36,8 +36,8 @@
     }
 }
 
-/// A list may be indented, and its response chunked, of a stated length or of none, after informational
-/// responses.
+/// A list may be indented, and its response chunked, of a stated length or of none, after
+/// informational responses.
 #[test]
 fn endpoint_list_is_parsed_under_every_http_framing() {
     let list = "{\n  \"index\": 7,\n  \"endpoints\": [\n    {\"name\": \"a }\\\" {\", \"address\": \"127.0.0.1:1\",\n \
--- /dev/null
+++ b/crates/gateway/tests/in_process/dispatcher/client_request_ids.rs
@@ -0,0 +1,67 @@
+//! The ids that clients give their requests.
+
+use super::harness::{in_service, Harness};
+use crate::support::settings::deployment_settings;
+use io_scheduler::Outcome;
+use storage_gateway::dispatcher::{InvalidRequest, Operation, Response};
+
+/// A request with the client request id of another one in flight gets an error; neither ends the
+/// other.
+#[test]
+fn a_duplicate_client_request_id_is_invalid_until_the_first_request_is_done() {
+    let mut harness = Harness::new(&deployment_settings(), &[in_service("n", 0)]);
+    let request = harness.new_request(Operation::Read, Some(0));
+    let first = harness.submit_request(request.clone());
+    let duplicate = harness.submit_request(request.clone());
+    harness.run_turn();
+    let responses = harness.take_responses();
+    assert_eq!(responses.len(), 1);
+    assert_eq!(responses[0].slot, duplicate.slot);
+    assert_eq!(
+        responses[0].response,
+        Response::Invalid(InvalidRequest::DuplicateClientRequestId)
+    );
+    let attempt = harness.take_started_attempts()[0].id;
+    harness.complete(attempt, Outcome::Served);
+    harness.run_turn();
+    let responses = harness.take_responses();
+    assert_eq!(responses.len(), 1);
+    assert_eq!(responses[0].slot, first.slot);
+    assert!(matches!(responses[0].response, Response::Served(_)));
+    harness.submit_request(request);
+    harness.run_turn();
+    assert_eq!(
+        harness.take_started_attempts().len(),
+        1,
+        "an id is free again after its response"
+    );
+}
+
+#[test]
+fn the_reason_of_an_invalid_request_keeps_its_text() {
+    let text = InvalidRequest::DuplicateClientRequestId.to_string();
+    assert_eq!(text, "the id is that of an open request");
+}
+
+/// A request that waits for a node is dropped when its client disconnects.
+#[test]
+fn a_client_request_id_is_free_again_after_its_client_has_disconnected() {
+    const UNKNOWN_SHARD: u64 = 7;
+    let mut harness = Harness::new(&deployment_settings(), &[in_service("n", 0)]);
+    let request = harness.new_request(Operation::Read, Some(UNKNOWN_SHARD));
+    let first = harness.submit_request(request.clone());
+    harness.run_turn();
+    assert_eq!(harness.dispatcher.open_requests(), 1);
+    harness
+        .dispatcher
+        .client_disconnected(first.id, harness.now, &mut harness.timers);
+    harness.run_turn();
+    assert_eq!(harness.dispatcher.open_requests(), 0);
+    harness.submit_request(request);
+    harness.run_turn();
+    assert!(
+        harness.take_responses().is_empty(),
+        "the second request is in flight"
+    );
+    assert_eq!(harness.dispatcher.open_requests(), 1);
+}
--- /dev/null
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -0,0 +1,229 @@
+//! A dispatcher with the timers and the clock of an event loop.
+
+use crate::support::settings::deployment_settings;
+use deployment_settings::DeploymentSettings;
+use io_scheduler::{EndpointListEvent, EndpointStatus, Micros, NodeId, Outcome, RequestId};
+use storage_gateway::connection_token::ConnectionToken;
+use storage_gateway::dispatcher::{
+    AttemptResult, Command, Dispatcher, Operation, ReplySlot, Response, ResponseBody,
+    StorageRequest,
+};
+use storage_gateway::endpoint::EndpointRecord;
+use storage_gateway::memory_budget::MemoryBudget;
+use storage_gateway::timer_queue::{AttemptId, TimerQueue};
+
+/// Microseconds in one millisecond.
+pub const MS: Micros = 1_000;
+/// Memory of the gateway, in megabytes.
+pub const MEMORY_MB: usize = 64;
+/// How long a client waits for a response.
+pub const CLIENT_TIMEOUT: Micros = 6_000 * MS;
+/// The volume of requests that state no other.
+pub const DEFAULT_VOLUME: u64 = 1;
+/// Index of the class of reads in the settings.
+const READ_CLASS: usize = 0;
+/// Index of the class of writes in the settings.
+const WRITE_CLASS: usize = 1;
+/// When the tests start.
+const START: Micros = 1_000_000 * MS;
+/// Seed of the scheduler's random numbers.
+const SCHEDULER_SEED: u64 = 7;
+
+/// A request that was submitted.
+pub struct Submitted {
+    pub slot: u64,
+    pub id: RequestId,
+}
+
+/// The final response to a request.
+pub struct Responded {
+    pub slot: u64,
+    pub response: Response,
+}
+
+/// An attempt that the dispatcher has started.
+pub struct StartedAttempt {
+    pub id: AttemptId,
+    pub node: NodeId,
+    pub deadline: Micros,
+}
+
+/// A dispatcher with the timers and the clock of an event loop.
+pub struct Harness {
+    pub dispatcher: Dispatcher,
+    pub timers: TimerQueue,
+    pub now: Micros,
+    pub commands: Vec<Command>,
+    /// Number of requests submitted.
+    pub submitted: u64,
+}
+
+/// The settings of the tests, changed by `change`.
+pub fn settings_with(change: impl FnOnce(&mut DeploymentSettings)) -> DeploymentSettings {
+    let mut settings = deployment_settings();
+    change(&mut settings);
+    settings
+}
+
+/// A record of an endpoint list.
+pub fn endpoint(name: &str, shard: u64, status: EndpointStatus) -> EndpointRecord {
+    EndpointRecord {
+        name: name.into(),
+        zone: "a".into(),
+        shard,
+        status,
+        started_at: None,
+    }
+}
+
+/// The record of a node that serves.
+pub fn in_service(name: &str, shard: u64) -> EndpointRecord {
+    endpoint(name, shard, EndpointStatus::InService)
+}
+
+impl Harness {
+    /// A dispatcher that has received the list of these endpoints.
+    pub fn new(settings: &DeploymentSettings, endpoints: &[EndpointRecord]) -> Harness {
+        let budget = MemoryBudget::from_memory_mb(MEMORY_MB);
+        let mut dispatcher =
+            Dispatcher::new(settings, budget, SCHEDULER_SEED, START).expect("valid settings");
+        dispatcher.update_endpoints(EndpointListEvent::Snapshot, endpoints, START);
+        let mut harness = Harness {
+            dispatcher,
+            timers: TimerQueue::default(),
+            now: START,
+            commands: Vec::new(),
+            submitted: 0,
+        };
+        harness.run_turn();
+        harness.commands.clear();
+        harness
+    }
+
+    /// A request with an object and a client request id of its own.
+    pub fn new_request(&self, operation: Operation, shard: Option<u64>) -> StorageRequest {
+        StorageRequest {
+            operation,
+            object: self.submitted,
+            object_name: None,
+            volume: DEFAULT_VOLUME,
+            client_request_id: self.submitted.to_string().into(),
+            class: if operation == Operation::Write {
+                WRITE_CLASS
+            } else {
+                READ_CLASS
+            },
+            plan: 0,
+            units: 1.0,
+            shard,
+            hosts: 1.0,
+            client_timeout: CLIENT_TIMEOUT,
+            is_retry: false,
+            body: Vec::new(),
+            parameters: Default::default(),
+        }
+    }
+
+    /// Submits a request with an object and a client request id of its own.
+    pub fn submit(&mut self, operation: Operation, shard: Option<u64>) -> Submitted {
+        self.submit_request(self.new_request(operation, shard))
+    }
+
+    /// Submits a request.
+    pub fn submit_request(&mut self, request: StorageRequest) -> Submitted {
+        self.submitted += 1;
+        let slot = self.submitted;
+        let reply_slot = ReplySlot {
+            connection: ConnectionToken::from(0),
+            slot,
+        };
+        let id = self
+            .dispatcher
+            .submit(request, reply_slot, self.now, &mut self.timers);
+        Submitted { slot, id }
+    }
+
+    /// Passes on a change of one endpoint.
+    pub fn update_endpoint(&mut self, endpoint: EndpointRecord) {
+        self.dispatcher
+            .update_endpoints(EndpointListEvent::Delta, &[endpoint], self.now);
+    }
+
+    /// One turn of the event loop: expired timers, then the scheduler.
+    pub fn run_turn(&mut self) {
+        while let Some(timer) = self.timers.pop_expired(self.now) {
+            self.dispatcher
+                .handle_timer(timer, self.now, &mut self.timers);
+        }
+        self.dispatcher
+            .run_scheduler(self.now, &mut self.timers, &mut self.commands);
+    }
+
+    /// Lets time pass, then runs one turn.
+    pub fn advance(&mut self, span: Micros) {
+        self.now += span;
+        self.run_turn();
+    }
+
+    /// Takes the attempts started out of the commands.
+    pub fn take_started_attempts(&mut self) -> Vec<StartedAttempt> {
+        let mut started = Vec::new();
+        self.commands.retain(|command| match command {
+            Command::StartAttempt {
+                attempt,
+                node,
+                deadline,
+                ..
+            } => {
+                started.push(StartedAttempt {
+                    id: *attempt,
+                    node: *node,
+                    deadline: *deadline,
+                });
+                false
+            }
+            _ => true,
+        });
+        started
+    }
+
+    /// Takes the final responses out of the commands.
+    pub fn take_responses(&mut self) -> Vec<Responded> {
+        let mut responses = Vec::new();
+        self.commands.retain(|command| match command {
+            Command::Respond {
+                reply_slot,
+                response,
+            } => {
+                responses.push(Responded {
+                    slot: reply_slot.slot,
+                    response: response.clone(),
+                });
+                false
+            }
+            _ => true,
+        });
+        responses
+    }
+
+    /// Enough of the attempt is written for the request to take effect.
+    pub fn mark_written(&mut self, attempt: AttemptId) {
+        self.dispatcher.mark_written(attempt);
+    }
+
+    /// The node answers the attempt.
+    pub fn complete(&mut self, attempt: AttemptId, outcome: Outcome) {
+        let mut result = AttemptResult::without_body(outcome);
+        if outcome == Outcome::Served {
+            result.body = Some(ResponseBody::Value(b"v".to_vec()));
+        }
+        self.dispatcher
+            .complete_attempt(attempt, result, self.now, &mut self.timers);
+    }
+
+    /// The attempt ends without an answer.
+    pub fn abort(&mut self, attempt: AttemptId, outcome: Outcome) {
+        self.dispatcher
+            .abort_attempt(attempt, outcome, self.now, &mut self.timers);
+    }
+}
--- /dev/null
+++ b/crates/gateway/tests/in_process/dispatcher/mod.rs
@@ -0,0 +1,9 @@
+//! The dispatcher on a virtual clock.
+
+mod attempts;
+mod bounded_state;
+mod client_request_ids;
+mod drains;
+mod harness;
+mod random_load;
+mod slow_start;
--- a/crates/gateway/tests/idle_timeout.rs
+++ b/crates/gateway/tests/in_process/idle_timeout.rs
@@ -7,8 +7,9 @@
 /// The longest idle timeout that the settings allow.
 const MAX_IDLE_TIMEOUT: Micros = 21_000 * MS;
 
-/// A node that closes idle connections sooner than its settings say gets no request on a connection that was
-/// idle for so long, least of all a write. A single reset with another cause has no lasting effect.
+/// A node that closes idle connections sooner than its settings say gets no request on a
+/// connection that was idle for so long, least of all a write. A single reset with another cause
+/// has no lasting effect.
 #[test]
 fn connections_idle_beyond_the_estimate_are_not_reused() {
     let mut estimate = IdleTimeoutEstimate::new(MAX_IDLE_TIMEOUT);
--- a/crates/gateway/tests/malformed_input.rs
+++ b/crates/gateway/tests/in_process/malformed_input.rs
@@ -1,12 +1,8 @@
 //! Parsers accept any input without a panic, and never report a result that consumed no input.
 
-mod fixtures;
-#[path = "fixtures/random_numbers.rs"]
-mod random_numbers;
-
-use deployment_settings::DeploymentSettings;
-use fixtures::{storage_request, MAX_VALUE_BYTES};
-use random_numbers::RandomNumbers;
+use crate::support::random_numbers::RandomNumbers;
+use crate::support::settings::deployment_settings;
+use crate::support::storage_request::{storage_request, MAX_VALUE_BYTES};
 use std::rc::Rc;
 use storage_gateway::client_protocol::resp::{RequestSchema, RespProtocol};
 use storage_gateway::client_protocol::{ClientProtocol, CommandStep};
@@ -46,12 +42,6 @@
     input
 }
 
-/// Settings of a deployment that are valid.
-fn settings() -> DeploymentSettings {
-    let mut text = include_str!("common/settings.json").as_bytes().to_vec();
-    simd_json::serde::from_slice(&mut text).expect("valid settings")
-}
-
 /// A command of a client consumes input, unless it is incomplete or ends the connection.
 fn check_client_protocol(schema: &Rc<RequestSchema>, input: &[u8]) {
     let mut position = 0;
@@ -85,7 +75,7 @@
 
 #[test]
 fn random_input_causes_no_panic_and_no_result_without_consumed_input() {
-    let schema = RequestSchema::new(&settings());
+    let schema = RequestSchema::new(&deployment_settings());
     let mut random = RandomNumbers::new(1);
     for _ in 0..20_000 {
         let input = random_input(&mut random);
--- a/crates/gateway/tests/node_protocols.rs
+++ b/crates/gateway/tests/in_process/node_protocols.rs
@@ -1,9 +1,7 @@
 //! The protocols towards storage nodes: responses are decoded in pieces of any size, and malformed
 //! or unsolicited ones are errors.
 
-mod fixtures;
-
-use fixtures::{storage_request, MAX_VALUE_BYTES};
+use crate::support::storage_request::{storage_request, MAX_VALUE_BYTES};
 use io_scheduler::Outcome;
 use storage_gateway::dispatcher::{AttemptResult, Operation, ResponseBody};
 use storage_gateway::node_protocol::resp::RespProtocol;
@@ -188,14 +186,13 @@
             };
             assert_eq!(protocol.buffered_bytes(), expected_buffer);
         }
-        let value_is_whole = decoded
-            .map(|result| result.and_then(|result| result.body) == value(&text))
-            .ok();
-        assert_eq!(
-            value_is_whole,
-            accepted.then_some(true),
-            "{max_value_bytes}"
-        );
+        match decoded {
+            Ok(Some(result)) => assert_eq!((result.body, accepted), (value(&text), true)),
+            Ok(None) => panic!("{max_value_bytes}: the value is incomplete"),
+            Err(error) => {
+                assert_eq!((error, accepted), (ProtocolError::InvalidLength, false));
+            }
+        }
     }
 }
 
@@ -286,7 +283,7 @@
         let expected = if id == 6 { Some(Outcome::Error) } else { None };
         assert_eq!(outcome, expected, "packet {id}");
     }
-    // The response to the CLOSE that nobody waits for is ignored once; a second copy of it is an
+    // The response to the CLOSE that nobody waits for is ignored once; repeated, it is an
     // error.
     let closed = status_packet(7, StatusCode::Ok);
     decode_without_result(&mut protocol, closed.clone());
--- a/crates/gateway/tests/slab.rs
+++ b/crates/gateway/tests/in_process/slab.rs
@@ -2,8 +2,8 @@
 
 use storage_gateway::connections::slab::Slab;
 
-/// An event for a connection that was closed in the same turn must not reach the connection that took its
-/// place in the slab.
+/// An event for a connection that was closed in the same turn must not reach the connection that
+/// took its place in the slab.
 #[test]
 fn tokens_are_never_reused() {
     let mut slab = Slab::default();
