--- a/crates/gateway/src/client_protocol/resp/request.rs
+++ b/crates/gateway/src/client_protocol/resp/request.rs
@@ -21,21 +21,40 @@
     pub(super) body: &'a [u8],
 }
 
+/// The arguments of a command, decoded as far as this needs no settings.
+struct DecodedArguments<'a> {
+    /// The object's id.
+    object: u64,
+    /// The client request id, which is valid.
+    client_request_id: &'a str,
+    /// The list of parameters.
+    parameters: &'a str,
+}
+
+impl<'a> RequestArguments<'a> {
+    /// Decodes the arguments other than the body.
+    fn decode(&self) -> Result<DecodedArguments<'a>, RequestError> {
+        let object = decode_text(self.object)?;
+        let client_request_id = decode_text(self.client_request_id)?;
+        let parameters = decode_text(self.parameters)?;
+        let HexId(object) = object.parse().map_err(|_| RequestError::InvalidObject)?;
+        check_request_id(client_request_id)?;
+        Ok(DecodedArguments {
+            object,
+            client_request_id,
+            parameters,
+        })
+    }
+}
+
 /// Validates the arguments of a command and builds its request.
 pub(super) fn build_request(
     schema: &RequestSchema,
     operation: Operation,
     arguments: &RequestArguments<'_>,
 ) -> Result<StorageRequest, RequestError> {
-    let object_text = decode_text(arguments.object)?;
-    let client_request_id = decode_text(arguments.client_request_id)?;
-    let parameter_list = decode_text(arguments.parameters)?;
-    let HexId(object) = object_text
-        .parse()
-        .map_err(|_| RequestError::InvalidObject)?;
-    check_request_id(client_request_id)?;
-
-    let parameters = ParsedParameters::parse(parameter_list, schema)?;
+    let decoded = arguments.decode()?;
+    let parameters = ParsedParameters::parse(decoded.parameters, schema)?;
     let class_index = parameters.class.ok_or(RequestError::UnknownClass)?;
     let plan = parameters.plan.ok_or(RequestError::UnknownPlan)?;
     let volume = parameters.volume.ok_or(RequestError::MissingVolume)?;
@@ -46,10 +65,10 @@
 
     Ok(StorageRequest {
         operation,
-        object,
+        object: decoded.object,
         object_name: None,
         volume,
-        client_request_id: client_request_id.into(),
+        client_request_id: decoded.client_request_id.into(),
         class: class_index,
         plan,
         units: parameters.units,
--- a/crates/gateway/src/node_protocol/sftp/reply.rs
+++ b/crates/gateway/src/node_protocol/sftp/reply.rs
@@ -90,16 +90,8 @@
                 commands.close_ignoring_reply(&handle);
                 RequestProgress::served(ResponseBody::Names(entries))
             }
-            (
-                Stage::Writing {
-                    handle,
-                    remaining,
-                    offset,
-                },
-                Some(StatusCode::Ok),
-            ) => {
-                let stage = Stage::write_next_chunk(handle, remaining, offset, commands);
-                RequestProgress::Continues(stage)
+            (Stage::Writing(upload), Some(StatusCode::Ok)) => {
+                RequestProgress::Continues(upload.send_next(commands))
             }
             (Stage::Closing { size }, Some(StatusCode::Ok)) => {
                 RequestProgress::served(ResponseBody::Size(size))
--- a/crates/gateway/src/node_protocol/sftp/stage.rs
+++ b/crates/gateway/src/node_protocol/sftp/stage.rs
@@ -30,14 +30,7 @@
         value: Vec<u8>,
     },
     /// The reply to WRITE.
-    Writing {
-        /// The handle of the open file.
-        handle: ServerHandle,
-        /// The chunks that are not sent yet.
-        remaining: VecDeque<Vec<u8>>,
-        /// Bytes sent so far.
-        offset: u64,
-    },
+    Writing(Upload),
     /// The reply to the CLOSE of a write.
     Closing {
         /// Bytes of the object.
@@ -54,6 +47,38 @@
     },
 }
 
+/// A write of which some chunks may be left to send.
+pub(super) struct Upload {
+    /// The handle of the open file.
+    handle: ServerHandle,
+    /// The chunks that are not sent yet.
+    remaining: VecDeque<Vec<u8>>,
+    /// Bytes sent so far.
+    offset: u64,
+}
+
+impl Upload {
+    /// An upload of which nothing is sent.
+    fn new(handle: ServerHandle, body: &[u8]) -> Upload {
+        Upload {
+            handle,
+            remaining: body.chunks(CHUNK_BYTES).map(<[u8]>::to_vec).collect(),
+            offset: 0,
+        }
+    }
+
+    /// Sends WRITE for the next chunk, or CLOSE after the last one.
+    pub(super) fn send_next(mut self, commands: &mut CommandWriter<'_>) -> Stage {
+        let Some(chunk) = self.remaining.pop_front() else {
+            commands.close(&self.handle);
+            return Stage::Closing { size: self.offset };
+        };
+        commands.write(&self.handle, self.offset, &chunk);
+        self.offset += chunk.len() as u64;
+        Stage::Writing(self)
+    }
+}
+
 impl Stage {
     /// Sends the first command of a request.
     pub(super) fn start(request: &StorageRequest, commands: &mut CommandWriter<'_>) -> Stage {
@@ -84,10 +109,7 @@
         commands: &mut CommandWriter<'_>,
     ) -> Stage {
         match operation {
-            Operation::Write => {
-                let chunks = body.chunks(CHUNK_BYTES).map(<[u8]>::to_vec).collect();
-                Stage::write_next_chunk(handle, chunks, 0, commands)
-            }
+            Operation::Write => Upload::new(handle, body).send_next(commands),
             Operation::List => Stage::read_directory(handle, Vec::new(), commands),
             Operation::Read | Operation::Stat => {
                 Stage::read_next_chunk(handle, Vec::new(), commands)
@@ -105,25 +127,6 @@
         Stage::Reading { handle, value }
     }
 
-    /// Sends WRITE for the next chunk at `offset`, or CLOSE after the last one.
-    pub(super) fn write_next_chunk(
-        handle: ServerHandle,
-        mut remaining: VecDeque<Vec<u8>>,
-        offset: u64,
-        commands: &mut CommandWriter<'_>,
-    ) -> Stage {
-        let Some(chunk) = remaining.pop_front() else {
-            commands.close(&handle);
-            return Stage::Closing { size: offset };
-        };
-        commands.write(&handle, offset, &chunk);
-        Stage::Writing {
-            handle,
-            remaining,
-            offset: offset + chunk.len() as u64,
-        }
-    }
-
     /// Sends READDIR for the names after `entries`.
     pub(super) fn read_directory(
         handle: ServerHandle,
@@ -138,7 +141,7 @@
     pub(super) fn into_handle(self) -> Option<ServerHandle> {
         match self {
             Stage::Reading { handle, .. }
-            | Stage::Writing { handle, .. }
+            | Stage::Writing(Upload { handle, .. })
             | Stage::Listing { handle, .. } => Some(handle),
             Stage::AwaitingVersion
             | Stage::Idle
