--- a/crates/gateway/tests/gateway_process/harness/config.rs
+++ b/crates/gateway/tests/gateway_process/harness/config.rs
@@ -12,7 +12,15 @@
 pub fn platform_config(discovery: SocketAddr, cached_entries: &[String]) -> String {
     let cached_list = endpoint_list(1, UpdateKind::Snapshot, cached_entries);
     format!(
-        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"1","limits":{{"sockets":256}},"known":{cached_list},"settings":{SETTINGS}}}"#
+        r#"{{
+            "name":"n0",
+            "listen":"127.0.0.1:0",
+            "discovery":"{discovery}",
+            "seed":"1",
+            "limits":{{"sockets":256}},
+            "known":{cached_list},
+            "settings":{SETTINGS}
+        }}"#
     )
 }
 
--- a/crates/gateway/tests/gateway_process/harness/discovery.rs
+++ b/crates/gateway/tests/gateway_process/harness/discovery.rs
@@ -31,9 +31,9 @@
         shard,
         status,
     } = entry;
-    format!(
-        r#"{{"name":"{name}","address":"{address}","zone":"a","group":{shard},"status":"{status}","since_ms":0}}"#
-    )
+    // A message of a watch is one line, so an entry has no line break.
+    let place = format!(r#""address":"{address}","zone":"a","group":{shard}"#);
+    format!(r#"{{"name":"{name}",{place},"status":"{status}","since_ms":0}}"#)
 }
 
 /// Whether a message carries all endpoints or only changed ones.
--- a/crates/gateway/tests/gateway_process/harness/requests.rs
+++ b/crates/gateway/tests/gateway_process/harness/requests.rs
@@ -29,7 +29,8 @@
 /// A read from shard 0 whose client waits for so many milliseconds.
 pub fn read_request_with_deadline(id: &str, deadline_ms: u32) -> String {
     encode_command(&format!(
-        "IO.IN 7f3a9c21e0b4d655 {id} c=read,t=gold,d={deadline_ms},volume=00000000000000a1,units=2,shard=0,hosts=1"
+        "IO.IN 7f3a9c21e0b4d655 {id} \
+         c=read,t=gold,d={deadline_ms},volume=00000000000000a1,units=2,shard=0,hosts=1"
     ))
 }
 
@@ -42,7 +43,8 @@
 /// A write of a new object, which any node may store.
 pub fn write_request(id: &str) -> String {
     encode_command(&format!(
-        "IO.OUT 7f3a9c21e0b4d656 {id} c=write,t=gold,d=5000,volume=00000000000000a1,units=2,shard=-1,hosts=1 note"
+        "IO.OUT 7f3a9c21e0b4d656 {id} \
+         c=write,t=gold,d=5000,volume=00000000000000a1,units=2,shard=-1,hosts=1 note"
     ))
 }
 
--- a/crates/gateway/tests/gateway_process/scenario_runner/launch.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/launch.rs
@@ -48,27 +48,8 @@
         directory: &TestDirectory,
         max_descriptors: Option<&str>,
     ) -> RunningGateway {
-        let limit =
-            max_descriptors.map_or_else(String::new, |count| format!("ulimit -n {count}; "));
-        let mut command = Command::new("/bin/sh");
-        command
-            .arg("-c")
-            .arg(limit + "exec \"$0\" \"$@\"")
-            .arg(GATEWAY_PROGRAM);
-        match self {
-            Self::Platform { config, discovery } => {
-                let path = directory.write(CONFIG_FILE, config);
-                command
-                    .env("ROUTER_CONFIG", path)
-                    .env("ROUTER_DISCOVERY", discovery.to_string());
-            }
-            Self::Operator { config } => {
-                command
-                    .arg("--config")
-                    .arg(directory.write(CONFIG_FILE, config));
-            }
-        }
-        command.stdin(Stdio::piped()).stdout(Stdio::piped());
+        let mut command = gateway_command(max_descriptors);
+        self.configure(&mut command, directory);
         let mut process = GatewayProcess::spawn(&mut command);
         let resp_address = process.wait_for_resp_listener();
         let sftp_address = match self {
@@ -83,13 +64,49 @@
             sftp_address,
         }
     }
+
+    /// Writes the configuration file and names it to the gateway.
+    fn configure(&self, command: &mut Command, directory: &TestDirectory) {
+        match self {
+            Self::Platform { config, discovery } => {
+                let path = directory.write(CONFIG_FILE, config);
+                command
+                    .env("ROUTER_CONFIG", path)
+                    .env("ROUTER_DISCOVERY", discovery.to_string());
+            }
+            Self::Operator { config } => {
+                let path = directory.write(CONFIG_FILE, config);
+                command.arg("--config").arg(path);
+            }
+        }
+    }
+}
+
+/// The command that runs the gateway, with a console and at most so many file descriptors.
+fn gateway_command(max_descriptors: Option<&str>) -> Command {
+    let limit = max_descriptors.map_or_else(String::new, |count| format!("ulimit -n {count}; "));
+    let mut command = Command::new("/bin/sh");
+    command
+        .arg("-c")
+        .arg(limit + "exec \"$0\" \"$@\"")
+        .arg(GATEWAY_PROGRAM)
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped());
+    command
 }
 
 /// An operator's configuration for this number of shards.
 pub fn operator_config(shard_count: usize) -> String {
     let volumes = r#"[{"name":"notes","id":"00000000000000a1","plan":"gold"}]"#;
     let sftp = format!(
-        r#"{{"listen":"127.0.0.1:0","unit_bytes":4,"max_upload_bytes":64,"read_class":"read","write_class":"write","volumes":{volumes}}}"#
+        r#"{{
+            "listen":"127.0.0.1:0",
+            "unit_bytes":4,
+            "max_upload_bytes":64,
+            "read_class":"read",
+            "write_class":"write",
+            "volumes":{volumes}
+        }}"#
     );
     let settings = replace_setting(
         SETTINGS,
@@ -98,7 +115,13 @@
     );
     let settings = replace_setting(&settings, "subscribe", "automatic");
     format!(
-        r#"{{"listen":"127.0.0.1:0","inventory":"{INVENTORY_FILE}","limits":{{"sockets":256}},"sftp":{sftp},"settings":{settings}}}"#
+        r#"{{
+            "listen":"127.0.0.1:0",
+            "inventory":"{INVENTORY_FILE}",
+            "limits":{{"sockets":256}},
+            "sftp":{sftp},
+            "settings":{settings}
+        }}"#
     )
 }
 
--- a/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
@@ -1,19 +1,24 @@
 //! Scenarios: a gateway process with clients, stand-in nodes and a stand-in discovery, run from a
 //! text file.
 //!
-//! | line | effect |
-//! | --- | --- |
-//! | `node NAME SHARD [sftp]` | declares a stand-in node, which listens from now on |
-//! | `start platform [DESCRIPTORS]` | starts the gateway on `ROUTER_CONFIG`, with at most so many file descriptors |
-//! | `start operator [DESCRIPTORS]` | starts it on an operator's file and an inventory |
-//! | `node_restarted NODE` | writes the inventory again, with a node that has just started |
-//! | `send PARTY WORDS` | the party sends a message; a party not seen yet is a client that connects |
-//! | `open PARTY` | a client connects and sends nothing |
-//! | `expect PARTY [WORDS]` | waits for the next message to the party, which must be WORDS if they are given |
-//! | `move_discovery` | discovery listens at a new address, which the configuration names from now on; the party at the former address is `old` |
-//! | `invalidate_config` | the configuration file can't be parsed any more |
-//! | `close PARTY` | closes all connections of the party |
-//! | `wait PARTY` | waits until the gateway closes a connection to the party, or, for `gateway`, until it has ended |
+//! A line is one of these:
+//!
+//! - `node NAME SHARD [sftp]`: declares a stand-in node, which listens from now on.
+//! - `start platform [DESCRIPTORS]`: starts the gateway on `ROUTER_CONFIG`, with at most so many
+//!   file descriptors.
+//! - `start operator [DESCRIPTORS]`: starts it on an operator's file and an inventory.
+//! - `node_restarted NODE`: writes the inventory again, with a node that has just started.
+//! - `send PARTY WORDS`: the party sends a message; a party not seen yet is a client that
+//!   connects.
+//! - `open PARTY`: a client connects and sends nothing.
+//! - `expect PARTY [WORDS]`: waits for the next message to the party, which must be WORDS if they
+//!   are given.
+//! - `move_discovery`: discovery listens at a new address, which the configuration names from now
+//!   on; the party at the former address is `old`.
+//! - `invalidate_config`: the configuration file can't be parsed any more.
+//! - `close PARTY`: closes all connections of the party.
+//! - `wait PARTY`: waits until the gateway closes a connection to the party, or, for `gateway`,
+//!   until it has ended.
 //!
 //! What a party sends depends on its protocol:
 //!
--- a/crates/gateway/tests/gateway_process/scenarios/mod.rs
+++ b/crates/gateway/tests/gateway_process/scenarios/mod.rs
@@ -6,8 +6,8 @@
 const START_WITH_ONE_NODE: &str = "node n0 0\nstart platform\n";
 
 /// A read from shard 0.
-const READ: &str =
-    "IO.IN 7f3a9c21e0b4d655 a1 c=read,t=gold,d=5000,volume=00000000000000a1,units=2,shard=0,hosts=1";
+const READ: &str = "IO.IN 7f3a9c21e0b4d655 a1 \
+     c=read,t=gold,d=5000,volume=00000000000000a1,units=2,shard=0,hosts=1";
 
 macro_rules! scenarios {
     ($($name:ident),* $(,)?) => {$(
--- a/crates/gateway/tests/in_process/configuration.rs
+++ b/crates/gateway/tests/in_process/configuration.rs
@@ -55,7 +55,13 @@
 fn memory_budget_is_proportional_to_the_configured_memory() {
     let budget = |limits: &str| {
         let text = format!(
-            r#"{{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{limits},"settings":{SETTINGS_JSON}}}"#
+            r#"{{
+                "name":"n",
+                "listen":"127.0.0.1:1",
+                "discovery":"127.0.0.1:2",
+                "limits":{limits},
+                "settings":{SETTINGS_JSON}
+            }}"#
         );
         load_router_config(text)
             .map(|config| config.budget)
--- a/crates/gateway/tests/in_process/discovery.rs
+++ b/crates/gateway/tests/in_process/discovery.rs
@@ -11,7 +11,8 @@
 
 #[test]
 fn chunked_watch_response_is_parsed_byte_by_byte() {
-    let response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n8\r\n{\"index\"\r\n5\r\n:43}\n\r\n1\r\n\n\r\n0\r\n\r\n";
+    let response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n\
+                    1\r\n\n\r\n8\r\n{\"index\"\r\n5\r\n:43}\n\r\n1\r\n\n\r\n0\r\n\r\n";
     let (mut parser, mut updates) = (WatchParser::default(), Vec::new());
     for byte in response.as_bytes() {
         parser.feed(&[*byte], &mut updates).expect("well formed");
@@ -40,11 +41,16 @@
 /// informational responses.
 #[test]
 fn endpoint_list_is_parsed_under_every_http_framing() {
-    let list = "{\n  \"index\": 7,\n  \"endpoints\": [\n    {\"name\": \"a }\\\" {\", \"address\": \"127.0.0.1:1\",\n \
+    let list = "{\n  \"index\": 7,\n  \"endpoints\": [\n    \
+                {\"name\": \"a }\\\" {\", \"address\": \"127.0.0.1:1\",\n \
                 \"status\": \"in_service\"}\n  ]\n}\n";
     let body = format!("\n{list}\n{{\"index\":8}}{{\"index\":9}}\n");
     let length = body.len();
-    let chunked = format!("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{body}\r\n");
+    let chunked = format!(
+        "HTTP/1.1 100 Continue\r\n\r\n\
+         HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n\
+         {length:x}\r\n{body}\r\n"
+    );
     let fixed_length = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
     let until_close = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}");
     // Only a stated length says that the list is complete.
--- a/crates/gateway/tests/in_process/idle_timeout.rs
+++ b/crates/gateway/tests/in_process/idle_timeout.rs
@@ -21,7 +21,8 @@
     assert_eq!(
         estimate.max_idle_time(),
         MAX_IDLE_TIMEOUT,
-        "the first reset came long after the request, the second on a connection that was hardly idle"
+        "the first reset came long after the request, \
+         the second on a connection that was hardly idle"
     );
     estimate.record_reset(200 * MS, MS);
     assert!(estimate.allows_idempotent(150 * MS));
