--- a/crates/gateway/src/client_protocol/resp/error.rs
+++ b/crates/gateway/src/client_protocol/resp/error.rs
@@ -1,6 +1,7 @@
 //! Why a command or its request is invalid. The texts are sent to the client.
 
 use crate::resp_bulk_string::MissingTerminator;
+use crate::resp_wire_names::parameter;
 
 /// Why the input is not a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -65,19 +66,19 @@
     #[error("{0} stands twice")]
     DuplicateParameter(String),
     /// The class is missing or not in the settings.
-    #[error("c names no class of the settings")]
+    #[error("{} names no class of the settings", parameter::CLASS)]
     UnknownClass,
     /// The plan is missing or not in the settings.
-    #[error("t names no plan of the settings")]
+    #[error("{} names no plan of the settings", parameter::PLAN)]
     UnknownPlan,
     /// The volume is missing.
-    #[error("volume is missing")]
+    #[error("{} is missing", parameter::VOLUME)]
     MissingVolume,
     /// The shard is missing.
-    #[error("shard is missing")]
+    #[error("{} is missing", parameter::SHARD)]
     MissingShard,
     /// The client's timeout is missing.
-    #[error("d is missing")]
+    #[error("{} is missing", parameter::TIMEOUT)]
     MissingTimeout,
     /// The class writes and the command reads, or the reverse.
     #[error("requests of class {0} are not asked for this way")]
