--- a/crates/gateway/tests/gateway_process/harness/config.rs
+++ b/crates/gateway/tests/gateway_process/harness/config.rs
@@ -2,8 +2,6 @@
 
 use super::discovery::{endpoint_list, UpdateKind};
 use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::sync::atomic::{AtomicU32, Ordering};
 
 /// The deployment settings that all tests start from.
 pub const SETTINGS: &str = include_str!("../../settings.json");
@@ -31,44 +29,6 @@
     config.replace(from, to)
 }
 
-/// An own directory for the files of one gateway, removed at the end.
-pub struct TestDirectory(PathBuf);
-
-impl TestDirectory {
-    /// Creates an empty directory.
-    pub fn new() -> Self {
-        static CREATED: AtomicU32 = AtomicU32::new(0);
-        let number = CREATED.fetch_add(1, Ordering::Relaxed);
-        let name = format!("storage-gateway-{}-{number}", std::process::id());
-        let path = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&path).expect("a writable directory for temporary files");
-        Self(path)
-    }
-
-    /// The path of a file in it.
-    pub fn path(&self, file_name: &str) -> PathBuf {
-        self.0.join(file_name)
-    }
-
-    /// Writes a file.
-    pub fn write(&self, file_name: &str, content: &str) -> PathBuf {
-        let path = self.path(file_name);
-        std::fs::write(&path, content).expect("a writable file");
-        path
-    }
-
-    /// Reads a file.
-    pub fn read(&self, file_name: &str) -> String {
-        std::fs::read_to_string(self.path(file_name)).expect("a file that was written")
-    }
-}
-
-impl Drop for TestDirectory {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
-
 /// Attempts can't be cancelled once they are at a node.
 pub fn without_cancellation(config: &str) -> String {
     replace_setting(config, "\"may_cancel\": true", "\"may_cancel\": false")
--- a/crates/gateway/tests/gateway_process/harness/gateway.rs
+++ b/crates/gateway/tests/gateway_process/harness/gateway.rs
@@ -1,18 +1,20 @@
 //! A gateway on the platform's configuration, with what tests do to it.
 
-use super::config::{platform_config, replace_setting, TestDirectory};
+use super::config::{platform_config, replace_setting};
 use super::connection::Connection;
 use super::discovery::DiscoveryService;
 use super::gateway_process::{GatewayProcess, GATEWAY_PROGRAM};
 use super::log_lines;
 use super::node::StorageNode;
 use super::resp::encode_command;
+use super::test_directory::TestDirectory;
 use rustix::process::Signal;
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
 
 /// The gateway reads this many bytes at once from a socket.
 pub const READ_SIZE: usize = 16 << 10;
+/// The configuration file in the gateway's directory.
 const CONFIG_FILE: &str = "config.json";
 /// Clients that fill one iteration of the event loop if all of them have sent something: it
 /// handles 256 ready connections, and some more make sure that none of the first overtakes the
--- a/crates/gateway/tests/gateway_process/harness/mod.rs
+++ b/crates/gateway/tests/gateway_process/harness/mod.rs
@@ -16,6 +16,7 @@
 pub mod node;
 pub mod requests;
 pub mod resp;
+pub mod test_directory;
 
 use std::time::Duration;
 
--- a/crates/gateway/tests/gateway_process/scenario_runner/launch.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/launch.rs
@@ -1,7 +1,8 @@
 //! Starts the gateway of a scenario, on the platform's or on an operator's configuration.
 
-use crate::harness::config::{replace_setting, TestDirectory, SETTINGS};
+use crate::harness::config::{replace_setting, SETTINGS};
 use crate::harness::gateway_process::{GatewayProcess, GATEWAY_PROGRAM};
+use crate::harness::test_directory::TestDirectory;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::process::{ChildStdin, Command, Stdio};
--- a/crates/gateway/tests/gateway_process/scenario_runner/scenario.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/scenario.rs
@@ -3,7 +3,7 @@
 use super::launch::RunningGateway;
 use super::message::Protocol;
 use super::party::Party;
-use crate::harness::config::TestDirectory;
+use crate::harness::test_directory::TestDirectory;
 use std::collections::BTreeMap;
 
 /// The name of the party that stands for discovery.
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -31,28 +31,39 @@
 
 /// A request that was submitted.
 pub struct Submitted {
+    /// The slot of its response.
     pub slot: u64,
+    /// The id that the dispatcher gave it.
     pub id: RequestId,
 }
 
 /// The final response to a request.
 pub struct Responded {
+    /// The slot of the request.
     pub slot: u64,
+    /// The response.
     pub response: Response,
 }
 
 /// An attempt that the dispatcher has started.
 pub struct StartedAttempt {
+    /// Its id.
     pub id: AttemptId,
+    /// The node that it goes to.
     pub node: NodeId,
+    /// When it times out.
     pub deadline: Micros,
 }
 
 /// A dispatcher with the timers and the clock of an event loop.
 pub struct Harness {
+    /// The dispatcher under test.
     pub dispatcher: Dispatcher,
+    /// The timers that it has set.
     pub timers: TimerQueue,
+    /// The current time.
     pub now: Micros,
+    /// The commands that were given and not taken out.
     pub commands: Vec<Command>,
     /// Number of requests submitted.
     pub submitted: u64,
--- a/crates/gateway/tests/in_process/dispatcher/random_load.rs
+++ b/crates/gateway/tests/in_process/dispatcher/random_load.rs
@@ -20,16 +20,21 @@
     client_deadlines: BTreeMap<u64, Micros>,
     /// Slots of the requests whose client has disconnected.
     disconnected: BTreeSet<u64>,
+    /// Requests that write.
     writes: BTreeSet<RequestId>,
     /// Requests of which a byte that may take effect was written to a node.
     may_have_run: BTreeSet<RequestId>,
+    /// Attempts that the test has not ended.
     in_flight: Vec<AttemptId>,
+    /// Nodes that drain, by the number of their shard.
     draining: BTreeSet<u64>,
 }
 
 impl RandomLoad {
+    /// The names of the nodes, each of the shard of its index.
     const NODES: [&'static str; 3] = ["a", "b", "c"];
 
+    /// A load whose random numbers follow from the seed.
     fn new(seed: u64) -> RandomLoad {
         let endpoints: Vec<EndpointRecord> = Self::NODES
             .iter()
@@ -155,6 +160,7 @@
         }
     }
 
+    /// Lets a short time pass, in which anything may happen; new requests only if `submits`.
     fn step(&mut self, submits: bool) {
         if submits && self.one_in(2) {
             self.submit();
--- a/crates/gateway/tests/in_process/dispatcher/slow_start.rs
+++ b/crates/gateway/tests/in_process/dispatcher/slow_start.rs
@@ -40,7 +40,9 @@
 /// Listings at two shards, of which the node of the second one restarts.
 struct ListingLoad {
     harness: Harness,
+    /// When the node restarts.
     restarted_at: Micros,
+    /// Slots of the requests, in the order in which they were submitted.
     submitted_slots: Vec<u64>,
     /// Number of responses to each request, by slot.
     response_counts: BTreeMap<u64, u32>,
@@ -49,6 +51,7 @@
 }
 
 impl ListingLoad {
+    /// A load on two nodes in service.
     fn new() -> ListingLoad {
         let settings = settings_with(|settings| {
             settings.storage.slow_start_units = SLOW_START_UNITS;
@@ -67,6 +70,7 @@
         }
     }
 
+    /// Submits a listing of both shards.
     fn submit_listing(&mut self) {
         for shard in [0, 1] {
             let submitted = self.harness.submit(Operation::List, Some(shard));
@@ -74,6 +78,7 @@
         }
     }
 
+    /// Passes on that the node has restarted.
     fn restart_node(&mut self) {
         self.harness.update_endpoint(EndpointRecord {
             started_at: Some(self.restarted_at),
@@ -98,6 +103,7 @@
         }
     }
 
+    /// Counts the responses that were given.
     fn count_responses(&mut self) {
         for responded in self.harness.take_responses() {
             *self.response_counts.entry(responded.slot).or_default() += 1;
