--- a/crates/gateway/src/client_protocol/resp/command_parser.rs
+++ b/crates/gateway/src/client_protocol/resp/command_parser.rs
@@ -1,8 +1,8 @@
 //! Parsing of RESP2 commands, which are arrays of bulk strings.
 
 use super::error::SyntaxError;
-use crate::config::MAX_VALUE_BYTES;
 use crate::resp_bulk_string::read_bulk_content;
+use crate::storage_request::MAX_VALUE_BYTES;
 
 /// Largest number of arguments in one command, including its name.
 const MAX_ARGUMENTS: usize = 64;
--- a/crates/gateway/src/client_protocol/resp/parameters.rs
+++ b/crates/gateway/src/client_protocol/resp/parameters.rs
@@ -5,8 +5,9 @@
 use super::schema::RequestSchema;
 use crate::hex_id::HexId;
 use crate::resp_wire_names::parameter;
+use crate::storage_request::{ClassIndex, PlanIndex};
 use deployment_settings::micros;
-use io_scheduler::Micros;
+use io_scheduler::{Micros, Shard, VolumeId};
 
 /// Size of a request in units if it is not stated.
 const DEFAULT_UNITS: f64 = 1.0;
@@ -16,14 +17,14 @@
 /// The decoded parameters. Those without a default are `None` if they are missing; parameters with
 /// unknown names are ignored.
 pub(super) struct ParsedParameters<'a> {
-    /// Index of the class in the settings; `None` also if the settings have no such class.
-    pub(super) class: Option<usize>,
-    /// Index of the plan in the settings; `None` also if the settings have no such plan.
-    pub(super) plan: Option<usize>,
+    /// The class; `None` also if the settings have no such class.
+    pub(super) class: Option<ClassIndex>,
+    /// The plan; `None` also if the settings have no such plan.
+    pub(super) plan: Option<PlanIndex>,
     /// How long the client waits for the reply.
     pub(super) timeout: Option<ClientTimeout<'a>>,
     /// Id of the volume.
-    pub(super) volume: Option<u64>,
+    pub(super) volume: Option<VolumeId>,
     /// The shard that stores the object.
     pub(super) shard: Option<StatedShard>,
     /// Size of the request in units.
@@ -39,16 +40,16 @@
 pub(super) enum StatedShard {
     /// The object is new and has no shard yet, so any node may store it.
     Unassigned,
-    /// The shard of this number.
-    Number(u64),
+    /// The shard of the object.
+    Assigned(Shard),
 }
 
 impl StatedShard {
-    /// The shard's number, if the object has a shard.
-    pub(super) fn number(self) -> Option<u64> {
+    /// The shard, if the object has one.
+    pub(super) fn shard(self) -> Option<Shard> {
         match self {
             StatedShard::Unassigned => None,
-            StatedShard::Number(number) => Some(number),
+            StatedShard::Assigned(shard) => Some(shard),
         }
     }
 }
@@ -119,7 +120,7 @@
             parameter::CLASS => self.class = schema.class_index(value),
             parameter::PLAN => self.plan = schema.plan_index(value),
             parameter::TIMEOUT => self.timeout = Some(parameter.timeout()?),
-            parameter::VOLUME => self.volume = Some(parameter.hex_id()?),
+            parameter::VOLUME => self.volume = Some(parameter.volume()?),
             parameter::UNITS => self.units = parameter.positive_number()?.min(schema.max_units),
             parameter::SHARD => self.shard = Some(parameter.shard()?),
             parameter::HOSTS => {
@@ -189,10 +190,10 @@
         })
     }
 
-    /// The value as an id.
-    fn hex_id(&self) -> Result<u64, RequestError> {
+    /// The value as the id of a volume.
+    fn volume(&self) -> Result<VolumeId, RequestError> {
         let HexId(id) = self.value.parse().map_err(|_| self.invalid_value())?;
-        Ok(id)
+        Ok(VolumeId(id))
     }
 
     /// The value as a shard.
@@ -201,6 +202,6 @@
             return Ok(StatedShard::Unassigned);
         }
         let number = self.value.parse().map_err(|_| self.invalid_value())?;
-        Ok(StatedShard::Number(number))
+        Ok(StatedShard::Assigned(Shard(number)))
     }
 }
--- a/crates/gateway/src/client_protocol/resp/protocol.rs
+++ b/crates/gateway/src/client_protocol/resp/protocol.rs
@@ -5,8 +5,9 @@
 use super::request::{build_request, RequestArguments};
 use super::schema::RequestSchema;
 use crate::client_protocol::{ClientProtocol, CommandStep, EncodedReply};
-use crate::dispatcher::{Operation, Response, OVERLOADED_RETRY_AFTER};
+use crate::memory_budget::OVERLOADED_RETRY_AFTER;
 use crate::resp_wire_names::command;
+use crate::storage_request::{Operation, Response, SlotNumber};
 use io_scheduler::Micros;
 use std::rc::Rc;
 
@@ -90,7 +91,7 @@
         &mut self,
         input: &[u8],
         position: &mut usize,
-        _slot: u64,
+        _slot: SlotNumber,
         ready: bool,
     ) -> CommandStep {
         match parse_arguments(input, position) {
@@ -100,7 +101,12 @@
         }
     }
 
-    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>) {
+    fn encode_response(
+        &mut self,
+        slot: SlotNumber,
+        response: Response,
+        out: &mut Vec<EncodedReply>,
+    ) {
         let bytes = reply::encode_response(response);
         out.push(EncodedReply { slot, bytes });
     }
--- a/crates/gateway/src/client_protocol/resp/reply.rs
+++ b/crates/gateway/src/client_protocol/resp/reply.rs
@@ -1,9 +1,9 @@
 //! Encoding of the replies to commands.
 
 use super::error::{RequestError, SyntaxError};
-use crate::dispatcher::{Response, ResponseBody};
 use crate::resp_bulk_string::append_bulk_string;
 use crate::resp_wire_names::BUSY_ERROR;
+use crate::storage_request::{Response, ResponseBody};
 use deployment_settings::milliseconds;
 use io_scheduler::Micros;
 
@@ -36,7 +36,7 @@
     match body {
         ResponseBody::Value(value) => encode_bulk_string(&value),
         // A file server's reply to a write has no value; that of a RESP2 node has one.
-        ResponseBody::Size(_) | ResponseBody::Names(_) => encode_bulk_string(b""),
+        ResponseBody::Size(_) | ResponseBody::Entries(_) => encode_bulk_string(b""),
         ResponseBody::NotFound => encode_error("not found"),
     }
 }
--- a/crates/gateway/src/client_protocol/resp/request.rs
+++ b/crates/gateway/src/client_protocol/resp/request.rs
@@ -3,8 +3,9 @@
 use super::error::RequestError;
 use super::parameters::ParsedParameters;
 use super::schema::RequestSchema;
-use crate::dispatcher::{Operation, RequestParameters, StorageRequest};
 use crate::hex_id::HexId;
+use crate::storage_request::{Operation, RequestParameters, StorageRequest};
+use io_scheduler::ObjectKey;
 
 /// Longest client request id in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 64;
@@ -24,7 +25,7 @@
 /// The arguments of a command, decoded as far as this needs no settings.
 struct DecodedArguments<'a> {
     /// The object's id.
-    object: u64,
+    object: ObjectKey,
     /// The client request id, which is valid.
     client_request_id: &'a str,
     /// The list of parameters.
@@ -40,7 +41,7 @@
         let HexId(object) = object.parse().map_err(|_| RequestError::InvalidObject)?;
         check_request_id(client_request_id)?;
         Ok(DecodedArguments {
-            object,
+            object: ObjectKey(object),
             client_request_id,
             parameters,
         })
@@ -72,7 +73,7 @@
         class: class_index,
         plan,
         units: parameters.units,
-        shard: shard.number(),
+        shard: shard.shard(),
         hosts: parameters.hosts,
         client_timeout: timeout.capped_micros(class.max_timeout_ms),
         is_retry: parameters.is_retry,
--- a/crates/gateway/src/client_protocol/resp/schema.rs
+++ b/crates/gateway/src/client_protocol/resp/schema.rs
@@ -2,7 +2,7 @@
 //! bounds on numbers.
 
 use super::error::RequestError;
-use crate::dispatcher::Operation;
+use crate::storage_request::{ClassIndex, Operation, PlanIndex};
 use deployment_settings::{ClassSettings, DeploymentSettings, DomainSettings};
 use std::rc::Rc;
 
@@ -55,18 +55,20 @@
     }
 
     /// The index of a class by its name.
-    pub(super) fn class_index(&self, name: &str) -> Option<usize> {
-        self.classes.iter().position(|class| class.name == name)
+    pub(super) fn class_index(&self, name: &str) -> Option<ClassIndex> {
+        let index = self.classes.iter().position(|class| class.name == name)?;
+        Some(ClassIndex(index))
     }
 
     /// The class at an index that [`Self::class_index`] returned.
-    pub(super) fn class(&self, index: usize) -> &RequestClass {
-        &self.classes[index]
+    pub(super) fn class(&self, index: ClassIndex) -> &RequestClass {
+        &self.classes[index.0]
     }
 
     /// The index of a plan by its name.
-    pub(super) fn plan_index(&self, name: &str) -> Option<usize> {
-        self.plans.iter().position(|plan| plan == name)
+    pub(super) fn plan_index(&self, name: &str) -> Option<PlanIndex> {
+        let index = self.plans.iter().position(|plan| plan == name)?;
+        Some(PlanIndex(index))
     }
 }
 
--- a/crates/gateway/src/client_protocol/sftp/commands.rs
+++ b/crates/gateway/src/client_protocol/sftp/commands.rs
@@ -9,8 +9,8 @@
 use super::pending::PendingOperation;
 use super::replies::{encode_attributes, encode_data, encode_handle, encode_ok, encode_path};
 use super::session::Session;
-use crate::dispatcher::StorageRequest;
 use crate::sftp_packet::{Fields, FileAttributes, OpenFlags, PacketType, RequestId};
+use crate::storage_request::StorageRequest;
 
 /// The result of running a command.
 pub(super) enum CommandOutcome {
--- a/crates/gateway/src/client_protocol/sftp/directory.rs
+++ b/crates/gateway/src/client_protocol/sftp/directory.rs
@@ -3,8 +3,8 @@
 use super::error::SftpError;
 use super::path::VolumeTarget;
 use crate::config::SftpVolume;
-use crate::dispatcher::ObjectEntry;
 use crate::sftp_packet::{FileAttributes, Packet, PacketType, RequestId};
+use crate::storage_request::ObjectEntry;
 use std::collections::VecDeque;
 
 /// Bytes of entries after which no further entry is added to a NAME packet.
--- a/crates/gateway/src/client_protocol/sftp/error.rs
+++ b/crates/gateway/src/client_protocol/sftp/error.rs
@@ -1,7 +1,7 @@
 //! Errors that are answered with a STATUS packet.
 
-use crate::dispatcher::InvalidRequest;
 use crate::sftp_packet::{encode_status, MalformedPacket, RequestId, StatusCode};
+use crate::storage_request::InvalidRequest;
 
 /// Why a command failed. The text is the STATUS message that the client gets.
 #[derive(Debug, thiserror::Error)]
--- a/crates/gateway/src/client_protocol/sftp/listing.rs
+++ b/crates/gateway/src/client_protocol/sftp/listing.rs
@@ -2,8 +2,8 @@
 
 use super::directory::DirectoryEntry;
 use super::handle_number::HandleNumber;
-use crate::dispatcher::ResponseBody;
 use crate::sftp_packet::FileAttributes;
+use crate::storage_request::ResponseBody;
 use std::collections::VecDeque;
 
 /// A listing that some shards have not answered yet.
@@ -41,7 +41,7 @@
     pub(super) fn add_shard(&mut self, body: ResponseBody) {
         self.remaining_shards -= 1;
         match body {
-            ResponseBody::Names(objects) => {
+            ResponseBody::Entries(objects) => {
                 self.entries
                     .extend(objects.into_iter().map(DirectoryEntry::from));
             }
--- a/crates/gateway/src/client_protocol/sftp/object_sizes.rs
+++ b/crates/gateway/src/client_protocol/sftp/object_sizes.rs
@@ -1,6 +1,7 @@
 //! The sizes of objects as last observed.
 
 use super::path::ObjectTarget;
+use io_scheduler::{ObjectKey, VolumeId};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
@@ -9,14 +10,14 @@
 
 /// Identifies an object by its volume's id and its own.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct ObjectKey {
-    volume: u64,
-    object: u64,
+struct CachedObject {
+    volume: VolumeId,
+    object: ObjectKey,
 }
 
-impl From<&ObjectTarget> for ObjectKey {
-    fn from(target: &ObjectTarget) -> ObjectKey {
-        ObjectKey {
+impl From<&ObjectTarget> for CachedObject {
+    fn from(target: &ObjectTarget) -> CachedObject {
+        CachedObject {
             volume: target.volume.id,
             object: target.object,
         }
@@ -27,7 +28,7 @@
 #[derive(Default)]
 pub(super) struct ObjectSizes {
     /// Sizes in bytes.
-    sizes: RefCell<BTreeMap<ObjectKey, u64>>,
+    sizes: RefCell<BTreeMap<CachedObject, u64>>,
 }
 
 impl ObjectSizes {
--- a/crates/gateway/src/client_protocol/sftp/path.rs
+++ b/crates/gateway/src/client_protocol/sftp/path.rs
@@ -4,6 +4,8 @@
 use super::error::SftpError;
 use crate::config::SftpVolume;
 use crate::hex_id::HexId;
+use crate::storage_request::PlanIndex;
+use io_scheduler::{ObjectKey, Shard, VolumeId};
 
 /// Longest name of an object in bytes.
 const MAX_NAME_LENGTH: usize = 255;
@@ -16,9 +18,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct VolumeTarget {
     /// The id of the volume.
-    pub(super) id: u64,
-    /// The volume's plan, as an index into the settings.
-    pub(super) plan: usize,
+    pub(super) id: VolumeId,
+    /// The volume's plan.
+    pub(super) plan: PlanIndex,
 }
 
 impl From<&SftpVolume> for VolumeTarget {
@@ -36,7 +38,7 @@
     /// The volume of the object.
     pub(super) volume: VolumeTarget,
     /// The id of the object.
-    pub(super) object: u64,
+    pub(super) object: ObjectKey,
     /// The name of the object.
     pub(super) name: Box<str>,
 }
@@ -53,8 +55,9 @@
 
     /// The shard of the object. SFTP clients cannot state it, so it is derived from the volume and
     /// the object.
-    pub(super) fn shard(&self, shard_count: u64) -> u64 {
-        hash(&self.volume.id.to_be_bytes(), self.object) % shard_count
+    pub(super) fn shard(&self, shard_count: u64) -> Shard {
+        let hash = hash(&self.volume.id.0.to_be_bytes(), self.object.0);
+        Shard(hash % shard_count)
     }
 }
 
@@ -112,16 +115,16 @@
 
 /// The id of the object with this name. A name of 16 lower-case hex digits is the text form of the
 /// id; for any other name, the id is a hash of it.
-fn object_id(name: &str) -> u64 {
+fn object_id(name: &str) -> ObjectKey {
     let has_hex_digits_only = name
         .bytes()
         .all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
     if has_hex_digits_only {
         if let Ok(HexId(id)) = name.parse() {
-            return id;
+            return ObjectKey(id);
         }
     }
-    hash(name.as_bytes(), 0)
+    ObjectKey(hash(name.as_bytes(), 0))
 }
 
 /// 64-bit FNV-1a, with `seed` mixed into the offset basis. The high half of the result is folded
--- a/crates/gateway/src/client_protocol/sftp/protocol.rs
+++ b/crates/gateway/src/client_protocol/sftp/protocol.rs
@@ -6,10 +6,10 @@
 use super::session::Session;
 use super::shared::SftpShared;
 use crate::client_protocol::{ClientProtocol, CommandStep, EncodedReply};
-use crate::dispatcher::Response;
 use crate::sftp_packet::{
     decode_packet, DecodedPacket, Fields, Packet, PacketType, RequestId, VERSION,
 };
+use crate::storage_request::{Response, SlotNumber};
 use io_scheduler::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
     /// What the commands work on.
     session: Session,
     /// Commands whose requests are in flight, by slot.
-    pending: BTreeMap<u64, PendingCommand>,
+    pending: BTreeMap<SlotNumber, PendingCommand>,
 }
 
 impl SftpProtocol {
@@ -56,7 +56,7 @@
     /// Runs the command at `slot`; `fields` follow its request id.
     fn run_command(
         &mut self,
-        slot: u64,
+        slot: SlotNumber,
         packet_type: PacketType,
         request_id: RequestId,
         fields: Fields<'_>,
@@ -84,7 +84,7 @@
         &mut self,
         input: &[u8],
         position: &mut usize,
-        slot: u64,
+        slot: SlotNumber,
         _ready: bool,
     ) -> CommandStep {
         let packet = match decode_packet(input, position) {
@@ -105,7 +105,12 @@
         }
     }
 
-    fn encode_response(&mut self, slot: u64, response: Response, out: &mut Vec<EncodedReply>) {
+    fn encode_response(
+        &mut self,
+        slot: SlotNumber,
+        response: Response,
+        out: &mut Vec<EncodedReply>,
+    ) {
         let Some(command) = self.pending.remove(&slot) else {
             return;
         };
--- a/crates/gateway/src/client_protocol/sftp/requests.rs
+++ b/crates/gateway/src/client_protocol/sftp/requests.rs
@@ -4,15 +4,15 @@
 
 use super::path::{ObjectTarget, VolumeTarget};
 use crate::config::SftpSettings;
-use crate::dispatcher::{Operation, RequestParameters, StorageRequest};
 use crate::hex_id::HexId;
 use crate::resp_wire_names::parameter::{CLASS, HOSTS, PLAN, SHARD, TIMEOUT, UNITS, VOLUME};
+use crate::storage_request::{ClassIndex, Operation, RequestParameters, StorageRequest};
 use deployment_settings::{micros, DeploymentSettings};
-use io_scheduler::Micros;
+use io_scheduler::{Micros, ObjectKey, Shard};
 use std::cell::Cell;
 
 /// The id of the object in which a RESP2 node stores the index of a volume's objects.
-const INDEX_OBJECT: u64 = 0;
+const INDEX_OBJECT: ObjectKey = ObjectKey(0);
 /// Units of a request that transfers no object: a listing or a question for the size.
 const METADATA_UNITS: f64 = 1.0;
 /// Smallest size of a request in units.
@@ -48,8 +48,8 @@
 
 /// A class of requests.
 struct RequestClass {
-    /// Index of the class in the settings.
-    index: usize,
+    /// The class in the settings.
+    index: ClassIndex,
     /// Name of the class.
     name: String,
     /// Time in microseconds after which a request of the class times out.
@@ -70,8 +70,8 @@
 struct Location {
     volume: VolumeTarget,
     /// The shard that stores the object.
-    shard: u64,
-    object: u64,
+    shard: Shard,
+    object: ObjectKey,
     /// The name of the object; `None` for a listing.
     object_name: Option<Box<str>>,
 }
@@ -126,11 +126,13 @@
     /// The requests that list a volume, one for each shard.
     pub(super) fn list(&self, volume: VolumeTarget) -> Vec<StorageRequest> {
         let shards = 0..self.shard_count;
-        shards.map(|shard| self.list_shard(volume, shard)).collect()
+        shards
+            .map(|shard| self.list_shard(volume, Shard(shard)))
+            .collect()
     }
 
     /// A request that lists the objects of a volume on one shard.
-    fn list_shard(&self, volume: VolumeTarget, shard: u64) -> StorageRequest {
+    fn list_shard(&self, volume: VolumeTarget, shard: Shard) -> StorageRequest {
         let class = &self.classes.list;
         let location = Location {
             volume,
@@ -185,10 +187,10 @@
         units: f64,
         location: &Location,
     ) -> RequestParameters {
-        let plan = &self.plans[location.volume.plan];
+        let plan = &self.plans[location.volume.plan.0];
         let before_timeout = format!("{CLASS}={},{PLAN}={plan},{TIMEOUT}=", class.name);
-        let volume = HexId(location.volume.id);
-        let shard = location.shard;
+        let volume = HexId(location.volume.id.0);
+        let shard = location.shard.0;
         let hosts = self.hosts;
         let after_timeout =
             format!(",{VOLUME}={volume},{UNITS}={units},{SHARD}={shard},{HOSTS}={hosts}");
@@ -231,8 +233,8 @@
 
 impl RequestClass {
     /// The class with this index in the settings.
-    fn new(index: usize, settings: &DeploymentSettings) -> RequestClass {
-        let class = &settings.classes[index];
+    fn new(index: ClassIndex, settings: &DeploymentSettings) -> RequestClass {
+        let class = &settings.classes[index.0];
         RequestClass {
             index,
             name: class.name.clone(),
--- a/crates/gateway/src/client_protocol/sftp/responses.rs
+++ b/crates/gateway/src/client_protocol/sftp/responses.rs
@@ -8,8 +8,8 @@
 use super::pending::{PendingCommand, PendingOperation};
 use super::replies::{encode_attributes, encode_handle, encode_ok};
 use super::session::Session;
-use crate::dispatcher::{Response, ResponseBody};
 use crate::sftp_packet::{FileAttributes, RequestId};
+use crate::storage_request::{Response, ResponseBody};
 use deployment_settings::milliseconds;
 
 /// The state of a command after a response to one of its requests.
@@ -82,7 +82,7 @@
         let value = match body {
             ResponseBody::Value(value) => value,
             ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
-            ResponseBody::Size(_) | ResponseBody::Names(_) => return Err(SftpError::Failed),
+            ResponseBody::Size(_) | ResponseBody::Entries(_) => return Err(SftpError::Failed),
         };
         let size = value.len() as u64;
         self.shared.object_sizes.record(target, size);
@@ -101,7 +101,7 @@
         let size = match body {
             ResponseBody::Value(value) => value.len() as u64,
             ResponseBody::Size(size) => *size,
-            ResponseBody::Names(_) => 0,
+            ResponseBody::Entries(_) => 0,
             ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
         };
         self.shared.object_sizes.record(target, size);
--- a/crates/gateway/src/event_loop/clock.rs
+++ b/crates/gateway/src/context/clock.rs
@@ -3,8 +3,13 @@
 use io_scheduler::Micros;
 use std::time::{Duration, Instant, SystemTime};
 
-/// A clock that starts at the system's time and continues by a monotonic clock: later changes of the system's
-/// time have no effect.
+/// Microseconds per millisecond.
+pub(crate) const MICROS_PER_MILLI: Micros = 1_000;
+/// Microseconds per second.
+pub(super) const MICROS_PER_SECOND: Micros = 1_000_000;
+
+/// A clock that starts at the system's time and continues by a monotonic clock: later changes of
+/// the system's time have no effect.
 #[derive(Debug)]
 pub(crate) struct Clock {
     /// The system's time at the start, in microseconds since the Unix epoch.
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -1,25 +1,23 @@
 //! Calls of the scheduler: pending events go in, and its actions are applied.
 
-use super::{Command, Dispatcher, Response};
-use crate::timer_queue::{AttemptId, Timer, TimerQueue};
+use super::command::Command;
+use super::state::Dispatcher;
+use crate::storage_request::{AttemptId, Response};
+use crate::timer_queue::{DispatcherTimer, TimerQueue};
 use io_scheduler::{Action, Event, Micros, Outcome};
 
 impl Dispatcher {
-    /// Handles an expired timer of the dispatcher; other timers are ignored.
-    pub fn handle_timer(&mut self, timer: Timer, now: Micros, timers: &mut TimerQueue) {
+    /// Handles an expired timer.
+    pub fn handle_timer(&mut self, timer: DispatcherTimer, now: Micros, timers: &mut TimerQueue) {
         match timer {
-            Timer::AttemptTimeout(attempt) => {
+            DispatcherTimer::AttemptTimeout(attempt) => {
                 self.abort_attempt(attempt, Outcome::TimedOut, now, timers);
             }
-            Timer::Scheduler => {
+            DispatcherTimer::Scheduler => {
                 self.scheduler_timer = None;
                 self.events.push(Event::TimerFired);
             }
-            Timer::RequestOverdue(id) => self.fail_overdue(id),
-            Timer::Connection(_)
-            | Timer::DiscoveryWatch
-            | Timer::Shutdown
-            | Timer::ResumeAccepting => {}
+            DispatcherTimer::RequestOverdue(id) => self.fail_overdue(id),
         }
     }
 
@@ -29,8 +27,8 @@
         !self.events.is_empty() || !self.commands.is_empty()
     }
 
-    /// Calls the scheduler once with all pending events, if there are any, and moves the pending commands to
-    /// `commands`.
+    /// Calls the scheduler once with all pending events, if there are any, and moves the pending
+    /// commands to `commands`.
     pub fn run_scheduler(
         &mut self,
         now: Micros,
@@ -48,8 +46,8 @@
         let events = std::mem::take(&mut self.events);
         let mut actions = std::mem::take(&mut self.actions);
         self.scheduler.handle(now, &events, &mut actions);
-        // The request of a client that has disconnected stays in the table until the scheduler has handled
-        // the event.
+        // The request of a client that has disconnected stays in the table until the scheduler has
+        // handled the event.
         for event in events {
             if let Event::ClientDisconnected(id) = event {
                 self.remove_if_finished(id, timers);
@@ -82,16 +80,13 @@
                 request,
                 attempt: number,
             } => {
-                self.abort_attempt(
-                    AttemptId { request, number },
-                    Outcome::Cancelled,
-                    now,
-                    timers,
-                );
+                let attempt = AttemptId { request, number };
+                self.abort_attempt(attempt, Outcome::Cancelled, now, timers);
             }
             Action::OpenWatch => self.commands.push(Command::OpenWatch),
             Action::SetTimer(at) => {
-                timers.reschedule(&mut self.scheduler_timer, Some(at), Timer::Scheduler);
+                let timer = DispatcherTimer::Scheduler.into();
+                timers.reschedule(&mut self.scheduler_timer, Some(at), timer);
             }
         }
     }
--- a/crates/gateway/src/inventory/yaml_format.rs
+++ b/crates/gateway/src/inventory/yaml_format.rs
@@ -1,8 +1,9 @@
-//! Inventories in YAML, in the structure of an Ansible inventory: groups with `hosts`, `vars` and `children`.
+//! Inventories in YAML, in the structure of an Ansible inventory: groups with `hosts`, `vars` and
+//! `children`.
 
 use super::error::{InventoryError, Location};
+use super::node::InventoryNode;
 use super::vars::Vars;
-use super::InventoryNode;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -43,8 +44,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the text is not well-formed YAML, groups are nested too deeply, or the vars of a host do not
-/// describe a node.
+/// Fails if the text is not well-formed YAML, groups are nested too deeply, or the vars of a host
+/// do not describe a node.
 pub fn from_yaml(text: &str, file: &str) -> Result<Vec<InventoryNode>, InventoryError> {
     let groups = decode(text, file)?;
     let mut collector = HostCollector {
@@ -73,7 +74,8 @@
 }
 
 impl HostCollector<'_> {
-    /// Collects the hosts of a group and of its subgroups. `inherited` holds the vars of the groups that contain it.
+    /// Collects the hosts of a group and of its subgroups. `inherited` holds the vars of the
+    /// groups that contain it.
     fn collect(
         &mut self,
         path: &str,
@@ -88,26 +90,19 @@
                 group: path.to_owned(),
             });
         }
-        let group_vars = match &group.vars {
-            Some(vars) => vars.with_defaults(inherited),
-            None => inherited.clone(),
-        };
+        let group_vars = with_inherited(group.vars.as_ref(), inherited);
         for (name, host_vars) in group.hosts.iter().flatten() {
             self.add_host(path, name, host_vars.as_ref(), &group_vars);
         }
         for (name, child) in group.children.iter().flatten() {
-            self.collect(
-                &format!("{path}.children.{name}"),
-                child.as_ref(),
-                &group_vars,
-                depth + 1,
-            )?;
+            let child_path = format!("{path}.children.{name}");
+            self.collect(&child_path, child.as_ref(), &group_vars, depth + 1)?;
         }
         Ok(())
     }
 
-    /// Adds a host of a group. If several groups list the host, their vars are merged, and the group that comes
-    /// last takes precedence.
+    /// Adds a host of a group. If several groups list the host, their vars are merged, and the
+    /// group that comes last takes precedence.
     fn add_host(
         &mut self,
         group_path: &str,
@@ -115,10 +110,7 @@
         host_vars: Option<&Vars>,
         group_vars: &Vars,
     ) {
-        let vars = match host_vars {
-            Some(vars) => vars.with_defaults(group_vars),
-            None => group_vars.clone(),
-        };
+        let vars = with_inherited(host_vars, group_vars);
         let host = self.hosts.entry(name.to_owned()).or_insert_with(|| Host {
             path: format!("{group_path}.hosts.{name}"),
             vars: Vars::default(),
@@ -143,3 +135,11 @@
         Ok(nodes)
     }
 }
+
+/// The vars of a host or group: its own, if it has any, and those that it inherits.
+fn with_inherited(own: Option<&Vars>, inherited: &Vars) -> Vars {
+    match own {
+        Some(own) => own.with_defaults(inherited),
+        None => inherited.clone(),
+    }
+}
--- a/crates/gateway/src/node_protocol/mod.rs
+++ b/crates/gateway/src/node_protocol/mod.rs
@@ -9,7 +9,7 @@
 
 pub use error::ProtocolError;
 
-use crate::dispatcher::{AttemptResult, StorageRequest};
+use crate::storage_request::{AttemptResult, StorageRequest};
 
 /// A node's protocol on one connection, which has at most one request in flight.
 pub trait NodeProtocol {
--- a/crates/gateway/src/node_protocol/resp/protocol.rs
+++ b/crates/gateway/src/node_protocol/resp/protocol.rs
@@ -1,11 +1,11 @@
 //! The protocol state of one connection, and the encoding of requests.
 
 use super::reply::{announced_value_length, parse_reply, MAX_REPORT_BYTES};
-use crate::dispatcher::{AttemptResult, Operation, RequestParameters, StorageRequest};
 use crate::hex_id::HexId;
 use crate::node_protocol::{NodeProtocol, ProtocolError};
 use crate::resp_bulk_string::append_bulk_string;
 use crate::resp_wire_names::command;
+use crate::storage_request::{AttemptResult, Operation, RequestParameters, StorageRequest};
 
 /// Smallest time limit that a node is given, in milliseconds.
 const MIN_TIME_LIMIT_MS: i64 = 1;
@@ -71,7 +71,7 @@
     ) -> usize {
         self.awaiting_reply = true;
         let start = out.len();
-        let object = HexId(request.object).to_string();
+        let object = HexId(request.object.0).to_string();
         let object = object.as_bytes();
         let id = request.client_request_id.as_bytes();
         let parameters = encode_parameters(&request.parameters, time_limit_ms);
--- a/crates/gateway/src/node_protocol/resp/reply.rs
+++ b/crates/gateway/src/node_protocol/resp/reply.rs
@@ -5,9 +5,9 @@
 
 use super::reader::{ReadError, ReplyReader, RespValue, MAX_LENGTH_LINE_BYTES};
 use super::usage_report::UsageReport;
-use crate::dispatcher::{AttemptResult, ResponseBody};
 use crate::node_protocol::ProtocolError;
 use crate::resp_wire_names::BUSY_ERROR;
+use crate::storage_request::{AttemptResult, ResponseBody};
 use io_scheduler::Outcome;
 
 /// Largest size of each report, in bytes.
--- a/crates/gateway/src/node_protocol/resp/usage_report.rs
+++ b/crates/gateway/src/node_protocol/resp/usage_report.rs
@@ -1,7 +1,7 @@
 //! What a node reports on the service that the volume of a request has got.
 
-use crate::dispatcher::{AttemptResult, ResponseBody};
 use crate::resp_wire_names::usage_report::{REMOTE_UNITS, UTILIZATION};
+use crate::storage_request::{AttemptResult, ResponseBody};
 use io_scheduler::Outcome;
 
 /// Largest accepted utilization, in percent. A larger value cannot be a measurement, and would be
--- a/crates/gateway/src/node_protocol/sftp/protocol.rs
+++ b/crates/gateway/src/node_protocol/sftp/protocol.rs
@@ -3,9 +3,9 @@
 use super::command_writer::{CommandIds, CommandWriter};
 use super::reply::RequestProgress;
 use super::stage::Stage;
-use crate::dispatcher::{AttemptResult, Operation, StorageRequest};
 use crate::node_protocol::{NodeProtocol, ProtocolError};
 use crate::sftp_packet::{decode_packet, DecodedPacket, Packet, PacketType, VERSION};
+use crate::storage_request::{AttemptResult, Operation, StorageRequest};
 
 /// The protocol state of one connection to a file server.
 pub struct SftpProtocol {
--- a/crates/gateway/src/node_protocol/sftp/reply.rs
+++ b/crates/gateway/src/node_protocol/sftp/reply.rs
@@ -2,9 +2,9 @@
 
 use super::command_writer::{CommandWriter, ServerHandle};
 use super::stage::Stage;
-use crate::dispatcher::{AttemptResult, ObjectEntry, Operation, ResponseBody};
 use crate::node_protocol::ProtocolError;
 use crate::sftp_packet::{Fields, PacketType, StatusCode};
+use crate::storage_request::{AttemptResult, ObjectEntry, Operation, ResponseBody};
 use io_scheduler::Outcome;
 
 /// Largest number of entries in the listing of one shard.
@@ -88,7 +88,7 @@
             }
             (Stage::Listing { handle, entries }, Some(StatusCode::Eof)) => {
                 commands.close_ignoring_reply(&handle);
-                RequestProgress::served(ResponseBody::Names(entries))
+                RequestProgress::served(ResponseBody::Entries(entries))
             }
             (Stage::Writing(upload), Some(StatusCode::Ok)) => {
                 RequestProgress::Continues(upload.send_next(commands))
@@ -113,7 +113,7 @@
 /// yet; a write creates its file, so it has failed.
 fn no_such_file(operation: Operation) -> RequestProgress {
     match operation {
-        Operation::List => RequestProgress::served(ResponseBody::Names(Vec::new())),
+        Operation::List => RequestProgress::served(ResponseBody::Entries(Vec::new())),
         Operation::Read | Operation::Stat => RequestProgress::served(ResponseBody::NotFound),
         Operation::Write => RequestProgress::failed(),
     }
--- a/crates/gateway/src/node_protocol/sftp/stage.rs
+++ b/crates/gateway/src/node_protocol/sftp/stage.rs
@@ -1,9 +1,9 @@
 //! The stages of a request to a file server. Each begins with a command.
 
 use super::command_writer::{CommandWriter, ServerHandle};
-use crate::dispatcher::{ObjectEntry, Operation, StorageRequest};
 use crate::hex_id::HexId;
 use crate::sftp_packet::OpenFlags;
+use crate::storage_request::{ObjectEntry, Operation, StorageRequest};
 use std::collections::VecDeque;
 
 /// Largest number of bytes that one READ or WRITE transfers.
@@ -154,7 +154,7 @@
 
 /// The path of the directory of a request's volume.
 fn volume_path(request: &StorageRequest) -> String {
-    format!("/{}", HexId(request.volume))
+    format!("/{}", HexId(request.volume.0))
 }
 
 /// The path of a request's object: its name or, if the client's protocol has no names, its id.
@@ -162,6 +162,6 @@
     let directory = volume_path(request);
     match &request.object_name {
         Some(name) => format!("{directory}/{name}"),
-        None => format!("{directory}/{}", HexId(request.object)),
+        None => format!("{directory}/{}", HexId(request.object.0)),
     }
 }
--- a/crates/gateway/src/sftp_packet/reader.rs
+++ b/crates/gateway/src/sftp_packet/reader.rs
@@ -3,7 +3,7 @@
 use super::attributes::{HAS_EXTENSIONS, HAS_OWNER, HAS_PERMISSIONS, HAS_SIZE, HAS_TIMES};
 use super::packet_type::PacketType;
 use super::request_id::RequestId;
-use crate::config::MAX_VALUE_BYTES;
+use crate::storage_request::MAX_VALUE_BYTES;
 
 /// Bytes of the length field before each packet.
 pub(super) const LENGTH_FIELD_BYTES: usize = 4;
--- a/crates/gateway/tests/in_process/dispatcher/bounded_state.rs
+++ b/crates/gateway/tests/in_process/dispatcher/bounded_state.rs
@@ -2,7 +2,7 @@
 
 use super::harness::{in_service, Harness, Responded, DEFAULT_VOLUME, MEMORY_MB, MS};
 use crate::support::settings::deployment_settings;
-use io_scheduler::{EndpointListEvent, EndpointStatus, Outcome};
+use io_scheduler::{EndpointListEvent, EndpointStatus, Outcome, VolumeId};
 use storage_gateway::dispatcher::{Operation, Response, StorageRequest};
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::memory_budget::MemoryBudget;
@@ -29,7 +29,7 @@
 }
 
 /// Submits requests of a volume that is never used again, for shards that no node stores.
-fn submit_for_unknown_shards(harness: &mut Harness, volume: u64) {
+fn submit_for_unknown_shards(harness: &mut Harness, volume: VolumeId) {
     for _ in 0..3 {
         let unknown_shard = Some(1_000_000 + harness.submitted);
         let request = harness.new_request(Operation::Read, unknown_shard);
@@ -59,7 +59,7 @@
             .iter()
             .filter(|responded| matches!(responded.response, Response::Served(_)));
         assert_eq!(served.count(), 1);
-        submit_for_unknown_shards(&mut harness, 1_000_000 + number);
+        submit_for_unknown_shards(&mut harness, VolumeId(1_000_000 + number));
         harness.advance(2_000 * MS);
         let _ = harness.take_started_attempts();
     }
@@ -104,7 +104,7 @@
     for volume in 0..2_500 {
         let request = harness.new_request(Operation::Read, Some(0));
         harness.submit_request(StorageRequest {
-            volume: 1_000_000 + volume,
+            volume: VolumeId(1_000_000 + volume),
             ..request
         });
     }
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -2,7 +2,10 @@
 
 use crate::support::settings::deployment_settings;
 use deployment_settings::DeploymentSettings;
-use io_scheduler::{EndpointListEvent, EndpointStatus, Micros, NodeId, Outcome, RequestId};
+use io_scheduler::{
+    EndpointListEvent, EndpointStatus, Micros, NodeId, ObjectKey, Outcome, RequestId, Shard,
+    VolumeId,
+};
 use storage_gateway::connection_token::ConnectionToken;
 use storage_gateway::dispatcher::{
     AttemptResult, Command, Dispatcher, Operation, ReplySlot, Response, ResponseBody,
@@ -10,7 +13,8 @@
 };
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::memory_budget::MemoryBudget;
-use storage_gateway::timer_queue::{AttemptId, TimerQueue};
+use storage_gateway::storage_request::{ClassIndex, PlanIndex, SlotNumber};
+use storage_gateway::timer_queue::{AttemptId, Timer, TimerQueue};
 
 /// Microseconds in one millisecond.
 pub const MS: Micros = 1_000;
@@ -19,11 +23,11 @@
 /// How long a client waits for a response.
 pub const CLIENT_TIMEOUT: Micros = 6_000 * MS;
 /// The volume of requests that state no other.
-pub const DEFAULT_VOLUME: u64 = 1;
-/// Index of the class of reads in the settings.
-const READ_CLASS: usize = 0;
-/// Index of the class of writes in the settings.
-const WRITE_CLASS: usize = 1;
+pub const DEFAULT_VOLUME: VolumeId = VolumeId(1);
+/// The class of reads in the settings.
+const READ_CLASS: ClassIndex = ClassIndex(0);
+/// The class of writes in the settings.
+const WRITE_CLASS: ClassIndex = ClassIndex(1);
 /// When the tests start.
 const START: Micros = 1_000_000 * MS;
 /// Seed of the scheduler's random numbers.
@@ -81,7 +85,7 @@
     EndpointRecord {
         name: name.into(),
         zone: "a".into(),
-        shard,
+        shard: Shard(shard),
         status,
         started_at: None,
     }
@@ -115,7 +119,7 @@
     pub fn new_request(&self, operation: Operation, shard: Option<u64>) -> StorageRequest {
         StorageRequest {
             operation,
-            object: self.submitted,
+            object: ObjectKey(self.submitted),
             object_name: None,
             volume: DEFAULT_VOLUME,
             client_request_id: self.submitted.to_string().into(),
@@ -124,9 +128,9 @@
             } else {
                 READ_CLASS
             },
-            plan: 0,
+            plan: PlanIndex(0),
             units: 1.0,
-            shard,
+            shard: shard.map(Shard),
             hosts: 1.0,
             client_timeout: CLIENT_TIMEOUT,
             is_retry: false,
@@ -146,7 +150,7 @@
         let slot = self.submitted;
         let reply_slot = ReplySlot {
             connection: ConnectionToken::from(0),
-            slot,
+            slot: SlotNumber(slot),
         };
         let id = self
             .dispatcher
@@ -163,6 +167,9 @@
     /// One turn of the event loop: expired timers, then the scheduler.
     pub fn run_turn(&mut self) {
         while let Some(timer) = self.timers.pop_expired(self.now) {
+            let Timer::Dispatcher(timer) = timer else {
+                panic!("the dispatcher has set {timer:?}");
+            };
             self.dispatcher
                 .handle_timer(timer, self.now, &mut self.timers);
         }
@@ -207,7 +214,7 @@
                 response,
             } => {
                 responses.push(Responded {
-                    slot: reply_slot.slot,
+                    slot: reply_slot.slot.0,
                     response: response.clone(),
                 });
                 false
