--- a/crates/scheduler/tests/characterization/cluster.rs
+++ b/crates/scheduler/tests/characterization/cluster.rs
@@ -20,7 +20,7 @@
     /// Attempts that end with a lost connection.
     pub reset: u64,
     /// Attempts that get no connection.
-    pub refused: u64,
+    pub connect_failed: u64,
     /// Attempts that end with an error.
     pub error: u64,
     /// Attempts that are cancelled on their own.
@@ -40,8 +40,8 @@
     Slow(Time),
     /// It loses all attempts.
     Silent,
-    /// It refuses all connections.
-    Refusing,
+    /// It accepts no connection.
+    Unreachable,
     /// It loses connections.
     Resetting,
     /// It responds with errors only.
@@ -85,7 +85,9 @@
     pub fn nodes(&self, now: Time) -> Nodes {
         let mut nodes = Nodes::new();
         for id in 0..self.shards {
-            let started_at = self.known_starts.then(|| now - 700 * MILLISECOND * id as Time);
+            let started_at = self
+                .known_starts
+                .then(|| now - 700 * MILLISECOND * id as Time);
             nodes.insert(id, NodeModel::new(id, id % self.zones, id, started_at));
         }
         nodes
@@ -99,7 +101,9 @@
         time_left: Time,
         random: &mut Random,
     ) -> Fate {
-        let Some(node) = node else { return Fate::new(300, Ending::ConnectFailed) };
+        let Some(node) = node else {
+            return Fate::new(300, Ending::ConnectFailed);
+        };
         let latency = self.latency_at(node, relative_size, random);
         let is_lucky = random.chance(500);
         let rare_fate = self.rare_fate(latency, time_left, random);
@@ -112,7 +116,7 @@
         };
         match node.condition {
             Condition::Silent => Fate::new(time_left, Ending::TimedOut),
-            Condition::Refusing => Fate::new(400, Ending::ConnectFailed),
+            Condition::Unreachable => Fate::new(400, Ending::ConnectFailed),
             Condition::Resetting => Fate::new(2 * MILLISECOND, Ending::Reset),
             Condition::Failing => Fate::new(3 * MILLISECOND, Ending::Error),
             Condition::Full => Fate::new(MILLISECOND, Ending::Overloaded),
@@ -128,7 +132,7 @@
         let fates = [
             (self.lost, Fate::new(time_left, Ending::TimedOut)),
             (self.reset, Fate::new(latency / 2, Ending::Reset)),
-            (self.refused, Fate::new(300, Ending::ConnectFailed)),
+            (self.connect_failed, Fate::new(300, Ending::ConnectFailed)),
             (self.error, Fate::new(latency, Ending::Error)),
             (self.cancelled, Fate::new(latency / 3, Ending::Cancelled)),
             (self.not_dispatched, Fate::new(0, Ending::NotDispatched)),
@@ -144,7 +148,11 @@
 
     /// Latency at a node: it grows with its queue, with the size, and varies.
     fn latency_at(&self, node: &NodeModel, relative_size: f64, random: &mut Random) -> Time {
-        let slowness = if let Condition::Slow(factor) = node.condition { factor } else { 1 };
+        let slowness = if let Condition::Slow(factor) = node.condition {
+            factor
+        } else {
+            1
+        };
         let queued = 1 + node.load as Time / 2;
         let mean = self.latency * slowness * queued;
         let sized = (mean as f64 * (0.5 + 0.5 * relative_size.clamp(0.0, 20.0))) as Time;
@@ -156,7 +164,13 @@
     /// A healthy node in service.
     pub fn new(node: u64, zone: u64, shard: u64, started_at: Option<Time>) -> Self {
         NodeModel {
-            line: Line { node, zone, shard, status: Status::InService, started_at },
+            line: Line {
+                node,
+                zone,
+                shard,
+                status: Status::InService,
+                started_at,
+            },
             condition: Condition::Healthy,
             load: 0,
         }
--- a/crates/scheduler/tests/characterization/traffic.rs
+++ b/crates/scheduler/tests/characterization/traffic.rs
@@ -26,15 +26,15 @@
     /// Keys, numbered from 0.
     pub keys: u64,
     /// Requests that name a key.
-    pub keyed: u64,
+    pub with_object_key: u64,
     /// Requests for new objects.
     pub new_objects: u64,
     /// Sizes, one of these.
     pub units: &'static [f64],
     /// Shortest time to the deadline.
-    pub patience_min: Time,
+    pub min_client_timeout: Time,
     /// Longest time to the deadline.
-    pub patience_max: Time,
+    pub max_client_timeout: Time,
     /// Requests with an invalid index, an unknown shard, or odd sizes or deadlines.
     pub odd: u64,
     /// Requests whose plan or number of hosts differs from the volume's last one.
@@ -65,22 +65,34 @@
         // Lower volumes send more.
         let volume = random.below(self.volumes).min(random.below(self.volumes));
         let change = random.chance(self.plan_changes);
-        let plan = if change { random.below(plans as u64) } else { volume % plans as u64 };
-        let hosts = if change { random.pick(self.hosts) } else { self.usual_hosts(volume) };
+        let plan = if change {
+            random.below(plans as u64)
+        } else {
+            volume % plans as u64
+        };
+        let hosts = if change {
+            random.pick(self.hosts)
+        } else {
+            self.usual_hosts(volume)
+        };
         let is_new = random.chance(self.new_objects);
-        let is_keyed = random.chance(self.keyed);
+        let has_object_key = random.chance(self.with_object_key);
         let key = random.below(self.keys);
-        let shard = if is_keyed { key % shards } else { random.below(shards) };
+        let shard = if has_object_key {
+            key % shards
+        } else {
+            random.below(shards)
+        };
         let arrival = Arrival {
             id,
             volume,
             plan: plan as usize,
             class: random.below(classes as u64) as usize,
-            key: is_keyed.then_some(key),
+            key: has_object_key.then_some(key),
             shard: (!is_new).then_some(shard),
             units: random.pick(self.units),
             hosts,
-            deadline: now + random.between(self.patience_min, self.patience_max),
+            deadline: now + random.between(self.min_client_timeout, self.max_client_timeout),
         };
         if random.chance(self.odd) {
             return odd(arrival, now, random);
@@ -97,15 +109,45 @@
 /// A request with one oddity.
 fn odd(arrival: Arrival, now: Time, random: &mut Random) -> Arrival {
     match random.below(10) {
-        0 => Arrival { class: UNKNOWN_CLASS, ..arrival },
-        1 => Arrival { plan: UNKNOWN_PLAN, ..arrival },
-        2 => Arrival { shard: Some(UNKNOWN_SHARD), ..arrival },
-        3 => Arrival { units: 0.0, ..arrival },
-        4 => Arrival { units: -1.5, ..arrival },
-        5 => Arrival { units: 400.0, ..arrival },
-        6 => Arrival { deadline: now - 5 * MILLISECOND, ..arrival },
-        7 => Arrival { deadline: now + 900, ..arrival },
-        8 => Arrival { deadline: now, ..arrival },
-        _ => Arrival { deadline: now + 150 * SECOND, ..arrival },
+        0 => Arrival {
+            class: UNKNOWN_CLASS,
+            ..arrival
+        },
+        1 => Arrival {
+            plan: UNKNOWN_PLAN,
+            ..arrival
+        },
+        2 => Arrival {
+            shard: Some(UNKNOWN_SHARD),
+            ..arrival
+        },
+        3 => Arrival {
+            units: 0.0,
+            ..arrival
+        },
+        4 => Arrival {
+            units: -1.5,
+            ..arrival
+        },
+        5 => Arrival {
+            units: 400.0,
+            ..arrival
+        },
+        6 => Arrival {
+            deadline: now - 5 * MILLISECOND,
+            ..arrival
+        },
+        7 => Arrival {
+            deadline: now + 900,
+            ..arrival
+        },
+        8 => Arrival {
+            deadline: now,
+            ..arrival
+        },
+        _ => Arrival {
+            deadline: now + 150 * SECOND,
+            ..arrival
+        },
     }
 }
