--- a/crates/gateway/src/connections/node/responses.rs
+++ b/crates/gateway/src/connections/node/responses.rs
@@ -47,8 +47,8 @@
         match self.decode(&mut connection, context) {
             // The node is reachable, so an invalid response counts as an error response, not as a
             // lost connection.
-            Err(ProtocolError) => {
-                log_invalid_response(&connection);
+            Err(error) => {
+                log_invalid_response(&connection, error);
                 return self.fail_connection(connection, Outcome::Error, context);
             }
             Ok(Some(result)) => {
@@ -83,7 +83,7 @@
         if self.large_response_bytes > context.config.budget.large_response_bytes {
             let node = connection.node.0;
             log::warn!("node {node}: no memory for a response of {buffered} bytes");
-            return Err(ProtocolError);
+            return Err(ProtocolError::ReplyTooLong);
         }
         result
     }
@@ -109,12 +109,12 @@
     }
 }
 
-/// Logs the first bytes of the input that could not be decoded.
-fn log_invalid_response(connection: &NodeConnection) {
+/// Logs why the input could not be decoded, and its first bytes.
+fn log_invalid_response(connection: &NodeConnection, error: ProtocolError) {
     let input = &connection.socket.input;
     let head = &input[..input.len().min(MAX_LOGGED_BYTES)];
     log::debug!(
-        "node {}: invalid response: {}",
+        "node {}: invalid response: {error}: {}",
         connection.node.0,
         head.escape_ascii()
     );
