--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test lint lint-terms run
+.PHONY: build test lint lint-terms lint-width run
 
 # Both programs, into target/release/.
 build:
@@ -9,7 +9,7 @@
 	cargo test --workspace --locked
 
 # Names, formatting, clippy and documentation; every warning is an error.
-lint: lint-terms
+lint: lint-terms lint-width
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
@@ -19,6 +19,11 @@
 	python3 -B lint/test_check_terms.py --quiet
 	python3 -B lint/check_terms.py
 
+# No line of Rust over 100 characters: rustfmt leaves comments as they are.
+lint-width:
+	@git ls-files -z '*.rs' | xargs -0 awk 'length > 100 { print FILENAME ":" FNR ": over 100 characters"; wide = 1 } \
+		END { exit wide }'
+
 # A gateway with a console, on the example configuration for operators.
 run: build
 	exec target/release/storage-gateway --config deploy/operator.example.json
