--- a/crates/gateway/src/connections/client/accept.rs
+++ b/crates/gateway/src/connections/client/accept.rs
@@ -94,7 +94,7 @@
     fn new_protocol(&self, protocol: ListenerProtocol) -> Box<dyn ClientProtocol> {
         match (protocol, &self.sftp) {
             (ListenerProtocol::Sftp, Some(shared)) => Box::new(SftpProtocol::new(shared.clone())),
-            _ => Box::new(RespProtocol::new(self.request_names.clone())),
+            _ => Box::new(RespProtocol::new(self.request_schema.clone())),
         }
     }
 }
--- a/crates/gateway/src/connections/client/client_connections.rs
+++ b/crates/gateway/src/connections/client/client_connections.rs
@@ -2,7 +2,7 @@
 
 use super::connection::ClientConnection;
 use super::eviction_queue::EvictionQueue;
-use crate::client_protocol::resp::RequestNames;
+use crate::client_protocol::resp::RequestSchema;
 use crate::client_protocol::sftp::SftpShared;
 use crate::config::Config;
 use crate::connection_token::ConnectionToken;
@@ -17,7 +17,7 @@
     /// The connections, except one that is being handled.
     connections: HashMap<ConnectionToken, ClientConnection>,
     /// The names of classes and plans, and the bounds, that all RESP2 requests share.
-    pub(super) request_names: Rc<RequestNames>,
+    pub(super) request_schema: Rc<RequestSchema>,
     /// State shared by all SFTP connections, if SFTP is configured.
     pub(super) sftp: Option<Rc<SftpShared>>,
     /// Limits on the numbers of connections.
@@ -45,7 +45,7 @@
             .map(|settings| SftpShared::new(settings, &config.settings, file_bytes, now as u64));
         ClientConnections {
             connections: HashMap::new(),
-            request_names: RequestNames::new(&config.settings),
+            request_schema: RequestSchema::new(&config.settings),
             sftp,
             limits,
             count: 0,
--- a/crates/gateway/tests/scenario_runner/launch.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/launch.rs
@@ -1,7 +1,8 @@
 //! Starts the gateway of a scenario, on the platform's or on an operator's configuration.
 
-use crate::harness::config::{replace_setting, TestDirectory, SETTINGS};
+use crate::harness::config::{replace_setting, SETTINGS};
 use crate::harness::gateway_process::{GatewayProcess, GATEWAY_PROGRAM};
+use crate::harness::test_directory::TestDirectory;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::process::{ChildStdin, Command, Stdio};
@@ -25,7 +26,8 @@
 
 /// The configuration that a gateway starts with.
 pub enum Launch {
-    /// The configuration that `ROUTER_CONFIG` names, with the address of discovery in the environment too.
+    /// The configuration that `ROUTER_CONFIG` names, with the address of discovery in the
+    /// environment too.
     Platform {
         /// The content of the configuration file.
         config: String,
@@ -40,34 +42,15 @@
 }
 
 impl Launch {
-    /// Starts the gateway. With fewer file descriptors than its configuration says, accepting and connecting
-    /// must fail at times.
+    /// Starts the gateway. With fewer file descriptors than its configuration says, accepting and
+    /// connecting must fail at times.
     pub fn start(
         &self,
         directory: &TestDirectory,
         max_descriptors: Option<&str>,
     ) -> RunningGateway {
-        let limit =
-            max_descriptors.map_or_else(String::new, |count| format!("ulimit -n {count}; "));
-        let mut command = Command::new("/bin/sh");
-        command
-            .arg("-c")
-            .arg(limit + "exec \"$0\" \"$@\"")
-            .arg(GATEWAY_PROGRAM);
-        match self {
-            Self::Platform { config, discovery } => {
-                let path = directory.write(CONFIG_FILE, config);
-                command
-                    .env("ROUTER_CONFIG", path)
-                    .env("ROUTER_DISCOVERY", discovery.to_string());
-            }
-            Self::Operator { config } => {
-                command
-                    .arg("--config")
-                    .arg(directory.write(CONFIG_FILE, config));
-            }
-        }
-        command.stdin(Stdio::piped()).stdout(Stdio::piped());
+        let mut command = gateway_command(max_descriptors);
+        self.configure(&mut command, directory);
         let mut process = GatewayProcess::spawn(&mut command);
         let resp_address = process.wait_for_resp_listener();
         let sftp_address = match self {
@@ -82,13 +65,49 @@
             sftp_address,
         }
     }
+
+    /// Writes the configuration file and names it to the gateway.
+    fn configure(&self, command: &mut Command, directory: &TestDirectory) {
+        match self {
+            Self::Platform { config, discovery } => {
+                let path = directory.write(CONFIG_FILE, config);
+                command
+                    .env("ROUTER_CONFIG", path)
+                    .env("ROUTER_DISCOVERY", discovery.to_string());
+            }
+            Self::Operator { config } => {
+                let path = directory.write(CONFIG_FILE, config);
+                command.arg("--config").arg(path);
+            }
+        }
+    }
+}
+
+/// The command that runs the gateway, with a console and at most so many file descriptors.
+fn gateway_command(max_descriptors: Option<&str>) -> Command {
+    let limit = max_descriptors.map_or_else(String::new, |count| format!("ulimit -n {count}; "));
+    let mut command = Command::new("/bin/sh");
+    command
+        .arg("-c")
+        .arg(limit + "exec \"$0\" \"$@\"")
+        .arg(GATEWAY_PROGRAM)
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped());
+    command
 }
 
 /// An operator's configuration for this number of shards.
 pub fn operator_config(shard_count: usize) -> String {
     let volumes = r#"[{"name":"notes","id":"00000000000000a1","plan":"gold"}]"#;
     let sftp = format!(
-        r#"{{"listen":"127.0.0.1:0","unit_bytes":4,"max_upload_bytes":64,"read_class":"read","write_class":"write","volumes":{volumes}}}"#
+        r#"{{
+            "listen":"127.0.0.1:0",
+            "unit_bytes":4,
+            "max_upload_bytes":64,
+            "read_class":"read",
+            "write_class":"write",
+            "volumes":{volumes}
+        }}"#
     );
     let settings = replace_setting(
         SETTINGS,
@@ -97,7 +116,13 @@
     );
     let settings = replace_setting(&settings, "subscribe", "automatic");
     format!(
-        r#"{{"listen":"127.0.0.1:0","inventory":"{INVENTORY_FILE}","limits":{{"sockets":256}},"sftp":{sftp},"settings":{settings}}}"#
+        r#"{{
+            "listen":"127.0.0.1:0",
+            "inventory":"{INVENTORY_FILE}",
+            "limits":{{"sockets":256}},
+            "sftp":{sftp},
+            "settings":{settings}
+        }}"#
     )
 }
 
--- a/crates/gateway/tests/idle_timeout.rs
+++ b/crates/gateway/tests/in_process/idle_timeout.rs
@@ -7,8 +7,9 @@
 /// The longest idle timeout that the settings allow.
 const MAX_IDLE_TIMEOUT: Micros = 21_000 * MS;
 
-/// A node that closes idle connections sooner than its settings say gets no request on a connection that was
-/// idle for so long, least of all a write. A single reset with another cause has no lasting effect.
+/// A node that closes idle connections sooner than its settings say gets no request on a
+/// connection that was idle for so long, least of all a write. A single reset with another cause
+/// has no lasting effect.
 #[test]
 fn connections_idle_beyond_the_estimate_are_not_reused() {
     let mut estimate = IdleTimeoutEstimate::new(MAX_IDLE_TIMEOUT);
@@ -20,7 +21,8 @@
     assert_eq!(
         estimate.max_idle_time(),
         MAX_IDLE_TIMEOUT,
-        "the first reset came long after the request, the second on a connection that was hardly idle"
+        "the first reset came long after the request, \
+         the second on a connection that was hardly idle"
     );
     estimate.record_reset(200 * MS, MS);
     assert!(estimate.allows_idempotent(150 * MS));
