--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -13,7 +13,6 @@
 mod sftp_volumes;
 mod validate;
 
-pub use crate::storage_request::MAX_VALUE_BYTES;
 pub use error::{ConfigError, InvalidValue};
 pub use model::{Config, Precedence};
 pub use operator::from_file;
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -7,7 +7,6 @@
 mod request;
 mod watch_parser;
 
-pub use crate::endpoint::{EndpointEntry, EndpointListUpdate, ListedEndpoint};
 pub use error::{FramingError, WatchError};
 pub use request::watch_request;
 pub use watch_parser::WatchParser;
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -23,11 +23,6 @@
 mod unfinished_requests;
 mod volume_counters;
 
-pub use crate::memory_budget::OVERLOADED_RETRY_AFTER;
-pub use crate::storage_request::{
-    AttemptResult, InvalidRequest, ObjectEntry, Operation, ReplySlot, RequestParameters, Response,
-    ResponseBody, StorageRequest,
-};
 pub use abort_cause::AbortCause;
 pub use command::Command;
 pub use node_state::NodeState;
--- a/crates/gateway/src/inventory/mod.rs
+++ b/crates/gateway/src/inventory/mod.rs
@@ -9,7 +9,6 @@
 mod vars;
 mod yaml_format;
 
-pub use crate::endpoint::Protocol;
 pub use csv_format::from_csv;
 pub use error::{InvalidVar, InventoryError, Location};
 pub use file::read;
--- a/crates/gateway/src/timer_queue.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -1,9 +1,8 @@
 //! The timers of the gateway, sorted by time. The event loop handles the expired ones in every
 //! turn.
 
-pub use crate::storage_request::AttemptId;
-
 use crate::connection_token::ConnectionToken;
+use crate::storage_request::AttemptId;
 use io_scheduler::{Micros, RequestId};
 use std::collections::BTreeSet;
 
--- a/crates/gateway/tests/in_process/discovery.rs
+++ b/crates/gateway/tests/in_process/discovery.rs
@@ -2,7 +2,8 @@
 //! any framing.
 
 use io_scheduler::EndpointStatus;
-use storage_gateway::discovery::{EndpointListUpdate, WatchParser};
+use storage_gateway::discovery::WatchParser;
+use storage_gateway::endpoint::EndpointListUpdate;
 
 /// The list indices of the updates.
 fn indices(updates: &[EndpointListUpdate]) -> Vec<u64> {
--- a/crates/gateway/tests/in_process/dispatcher/attempts.rs
+++ b/crates/gateway/tests/in_process/dispatcher/attempts.rs
@@ -2,7 +2,8 @@
 
 use super::harness::{in_service, settings_with, Harness, StartedAttempt};
 use crate::support::settings::deployment_settings;
-use storage_gateway::dispatcher::{AbortCause, Command, Operation, Response};
+use storage_gateway::dispatcher::{AbortCause, Command};
+use storage_gateway::storage_request::{Operation, Response};
 
 #[test]
 fn an_aborted_write_is_rejected_before_its_first_byte_and_failed_after_it() {
--- a/crates/gateway/tests/in_process/dispatcher/bounded_state.rs
+++ b/crates/gateway/tests/in_process/dispatcher/bounded_state.rs
@@ -3,9 +3,9 @@
 use super::harness::{in_service, Harness, Responded, DEFAULT_VOLUME, MEMORY_MB, MS};
 use crate::support::settings::deployment_settings;
 use io_scheduler::{EndpointListEvent, EndpointStatus, Outcome, VolumeId};
-use storage_gateway::dispatcher::{Operation, Response, StorageRequest};
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::memory_budget::MemoryBudget;
+use storage_gateway::storage_request::{Operation, Response, StorageRequest};
 
 /// The record of a node that is replaced by the one with the next number.
 fn numbered_node(number: u64) -> EndpointRecord {
--- a/crates/gateway/tests/in_process/dispatcher/client_request_ids.rs
+++ b/crates/gateway/tests/in_process/dispatcher/client_request_ids.rs
@@ -3,7 +3,7 @@
 use super::harness::{in_service, Harness};
 use crate::support::settings::deployment_settings;
 use io_scheduler::Outcome;
-use storage_gateway::dispatcher::{InvalidRequest, Operation, Response};
+use storage_gateway::storage_request::{InvalidRequest, Operation, Response};
 
 /// A request with the client request id of another one in flight gets an error; neither ends the
 /// other.
--- a/crates/gateway/tests/in_process/dispatcher/drains.rs
+++ b/crates/gateway/tests/in_process/dispatcher/drains.rs
@@ -3,8 +3,8 @@
 use super::harness::{endpoint, in_service, Harness, MS};
 use crate::support::settings::deployment_settings;
 use io_scheduler::EndpointStatus;
-use storage_gateway::dispatcher::Operation;
 use storage_gateway::endpoint::EndpointRecord;
+use storage_gateway::storage_request::Operation;
 
 #[test]
 fn nothing_is_written_to_a_draining_node_after_the_drain_grace() {
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -7,14 +7,14 @@
     RequestId, Shard, VolumeId,
 };
 use storage_gateway::connection_token::ConnectionToken;
-use storage_gateway::dispatcher::{
-    AbortCause, AttemptResult, Command, Dispatcher, Operation, ReplySlot, Response, ResponseBody,
-    StorageRequest,
-};
+use storage_gateway::dispatcher::{AbortCause, Command, Dispatcher};
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::memory_budget::MemoryBudget;
-use storage_gateway::storage_request::SlotNumber;
-use storage_gateway::timer_queue::{AttemptId, Timer, TimerQueue};
+use storage_gateway::storage_request::{
+    AttemptId, AttemptResult, Operation, ReplySlot, Response, ResponseBody, SlotNumber,
+    StorageRequest,
+};
+use storage_gateway::timer_queue::{Timer, TimerQueue};
 
 /// Microseconds in one millisecond.
 pub const MS: Micros = 1_000;
--- a/crates/gateway/tests/in_process/dispatcher/random_load.rs
+++ b/crates/gateway/tests/in_process/dispatcher/random_load.rs
@@ -7,9 +7,9 @@
 use crate::support::settings::deployment_settings;
 use io_scheduler::{EndpointStatus, Micros, Outcome, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
-use storage_gateway::dispatcher::{AbortCause, Operation};
+use storage_gateway::dispatcher::AbortCause;
 use storage_gateway::endpoint::EndpointRecord;
-use storage_gateway::timer_queue::AttemptId;
+use storage_gateway::storage_request::{AttemptId, Operation};
 
 /// Random requests, disconnects, drains and results, checked against what the dispatcher promises.
 struct RandomLoad {
--- a/crates/gateway/tests/in_process/dispatcher/slow_start.rs
+++ b/crates/gateway/tests/in_process/dispatcher/slow_start.rs
@@ -3,8 +3,8 @@
 use super::harness::{in_service, settings_with, Harness, MS};
 use io_scheduler::{Micros, NodeId, Outcome};
 use std::collections::BTreeMap;
-use storage_gateway::dispatcher::Operation;
 use storage_gateway::endpoint::EndpointRecord;
+use storage_gateway::storage_request::Operation;
 
 /// The bound of `slow_start_units` in
 /// [`listings_keep_to_the_slow_start_budget_and_get_one_response_each`].
--- a/crates/gateway/tests/in_process/malformed_input.rs
+++ b/crates/gateway/tests/in_process/malformed_input.rs
@@ -7,9 +7,8 @@
 use storage_gateway::client_protocol::resp::{RequestSchema, RespProtocol};
 use storage_gateway::client_protocol::{ClientProtocol, CommandStep};
 use storage_gateway::discovery::WatchParser;
-use storage_gateway::dispatcher::Operation;
 use storage_gateway::node_protocol::{self, NodeProtocol};
-use storage_gateway::storage_request::SlotNumber;
+use storage_gateway::storage_request::{Operation, SlotNumber};
 
 /// Pieces that random input is made of: what the protocols use, so that it gets past their first
 /// bytes.
--- a/crates/gateway/tests/in_process/node_protocols.rs
+++ b/crates/gateway/tests/in_process/node_protocols.rs
@@ -3,12 +3,12 @@
 
 use crate::support::storage_request::{storage_request, MAX_VALUE_BYTES};
 use io_scheduler::Outcome;
-use storage_gateway::dispatcher::{AttemptResult, Operation, ResponseBody};
 use storage_gateway::node_protocol::resp::RespProtocol;
 use storage_gateway::node_protocol::sftp::SftpProtocol;
 use storage_gateway::node_protocol::{NodeProtocol, ProtocolError};
 use storage_gateway::resp_bulk_string::MissingTerminator;
 use storage_gateway::sftp_packet::{OpenFlags, Packet, PacketType, RequestId, StatusCode};
+use storage_gateway::storage_request::{AttemptResult, Operation, ResponseBody};
 
 /// What the tests compare of an attempt's result.
 #[derive(Debug, PartialEq)]
--- a/crates/gateway/tests/in_process/timer_queue.rs
+++ b/crates/gateway/tests/in_process/timer_queue.rs
@@ -2,7 +2,8 @@
 
 use io_scheduler::RequestId;
 use storage_gateway::connection_token::ConnectionToken;
-use storage_gateway::timer_queue::{AttemptId, DispatcherTimer, Timer, TimerQueue};
+use storage_gateway::storage_request::AttemptId;
+use storage_gateway::timer_queue::{DispatcherTimer, Timer, TimerQueue};
 
 #[test]
 fn timers_expire_in_order_of_time_and_attempts_before_the_scheduler() {
