--- a/crates/gateway/src/client_protocol/resp/parameters.rs
+++ b/crates/gateway/src/client_protocol/resp/parameters.rs
@@ -31,8 +31,6 @@
     pub(super) units: f64,
     /// Number of gateways through which the requests of the volume arrive.
     pub(super) hosts: f64,
-    /// Whether the request is a client's retry of an earlier one.
-    pub(super) is_retry: bool,
 }
 
 /// The shard that a request states.
@@ -83,7 +81,6 @@
             shard: None,
             units: DEFAULT_UNITS,
             hosts: DEFAULT_HOSTS,
-            is_retry: false,
         }
     }
 }
@@ -126,7 +123,7 @@
             parameter::HOSTS => {
                 self.hosts = parameter.positive_number()?.clamp(1.0, schema.max_hosts);
             }
-            parameter::RETRY => self.is_retry = value == parameter::IS_RETRY,
+            // The mark of a client's retry is one of these: no decision depends on it.
             _ => {}
         }
         Ok(())
--- a/crates/gateway/src/client_protocol/resp/request.rs
+++ b/crates/gateway/src/client_protocol/resp/request.rs
@@ -76,7 +76,6 @@
         shard: shard.shard(),
         hosts: parameters.hosts,
         client_timeout: timeout.capped_micros(class.max_timeout_ms),
-        is_retry: parameters.is_retry,
         body: arguments.body.to_vec(),
         parameters: RequestParameters {
             before_timeout: timeout.text_before.into(),
--- a/crates/gateway/src/client_protocol/sftp/requests.rs
+++ b/crates/gateway/src/client_protocol/sftp/requests.rs
@@ -175,7 +175,6 @@
             shard: Some(location.shard),
             hosts: self.hosts,
             client_timeout: class.timeout,
-            is_retry: false,
             body,
         }
     }
--- a/crates/gateway/src/resp_wire_names.rs
+++ b/crates/gateway/src/resp_wire_names.rs
@@ -11,7 +11,8 @@
     pub(crate) const WRITE: &[u8] = b"IO.OUT";
 }
 
-/// Names in a request's list of parameters.
+/// Names in a request's list of parameters. `r`, which marks a client's retry, is not used: like
+/// unknown names it is accepted, and forwarded with the list.
 pub(crate) mod parameter {
     /// The class of the request.
     pub(crate) const CLASS: &str = "c";
@@ -29,10 +30,6 @@
     pub(crate) const UNASSIGNED_SHARD: &str = "-1";
     /// The number of gateways through which the requests of the volume arrive.
     pub(crate) const HOSTS: &str = "hosts";
-    /// Whether the request is a client's retry.
-    pub(crate) const RETRY: &str = "r";
-    /// The value of [`RETRY`] for a retry.
-    pub(crate) const IS_RETRY: &str = "1";
 }
 
 /// Names in the usage report of a node's reply.
--- a/crates/gateway/src/storage_request/request.rs
+++ b/crates/gateway/src/storage_request/request.rs
@@ -44,8 +44,6 @@
     pub hosts: f64,
     /// How long the client waits for the response, in microseconds.
     pub client_timeout: Micros,
-    /// Whether the client marked the request as a retry.
-    pub is_retry: bool,
     /// Content of the object for a write, else empty.
     pub body: Vec<u8>,
     /// The client's list of parameters.
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -133,7 +133,6 @@
             shard: shard.map(Shard),
             hosts: 1.0,
             client_timeout: CLIENT_TIMEOUT,
-            is_retry: false,
             body: Vec::new(),
             parameters: Default::default(),
         }
