--- a/crates/gateway/src/client_protocol/resp/parameters.rs
+++ b/crates/gateway/src/client_protocol/resp/parameters.rs
@@ -7,10 +7,10 @@
 use crate::resp_wire_names::parameter;
 
 use deployment_settings::micros;
-use io_scheduler::{ClassIndex, Micros, PlanIndex, Shard, VolumeId};
+use io_scheduler::{ClassIndex, Micros, PlanIndex, Shard, Units, VolumeId};
 
-/// Size of a request in units if it is not stated.
-const DEFAULT_UNITS: f64 = 1.0;
+/// Size of a request if it is not stated.
+const DEFAULT_UNITS: Units = Units(1.0);
 /// Number of gateways for a volume if it is not stated.
 const DEFAULT_HOSTS: f64 = 1.0;
 
@@ -27,8 +27,8 @@
     pub(super) volume: Option<VolumeId>,
     /// The shard that stores the object.
     pub(super) shard: Option<StatedShard>,
-    /// Size of the request in units.
-    pub(super) units: f64,
+    /// Size of the request.
+    pub(super) units: Units,
     /// Number of gateways through which the requests of the volume arrive.
     pub(super) hosts: f64,
 }
@@ -118,7 +118,10 @@
             parameter::PLAN => self.plan = schema.plan_index(value),
             parameter::TIMEOUT => self.timeout = Some(parameter.timeout()?),
             parameter::VOLUME => self.volume = Some(parameter.volume()?),
-            parameter::UNITS => self.units = parameter.positive_number()?.min(schema.max_units),
+            parameter::UNITS => {
+                let units = Units(parameter.positive_number()?);
+                self.units = units.min(schema.max_units);
+            }
             parameter::SHARD => self.shard = Some(parameter.shard()?),
             parameter::HOSTS => {
                 self.hosts = parameter.positive_number()?.clamp(1.0, schema.max_hosts);
--- a/crates/gateway/src/client_protocol/resp/schema.rs
+++ b/crates/gateway/src/client_protocol/resp/schema.rs
@@ -4,13 +4,13 @@
 use super::error::RequestError;
 use crate::storage_request::Operation;
 use deployment_settings::{ClassSettings, DeploymentSettings, DomainSettings};
-use io_scheduler::{ClassIndex, PlanIndex};
+use io_scheduler::{ClassIndex, PlanIndex, Units};
 use std::rc::Rc;
 
 /// Longest timeout that a client may state if its class has no deadline, in milliseconds.
 const DEFAULT_MAX_TIMEOUT_MS: f64 = 600_000.0;
-/// Largest size of a request in units if the settings state none.
-const DEFAULT_MAX_UNITS: f64 = 1e6;
+/// Largest size of a request if the settings state none.
+const DEFAULT_MAX_UNITS: Units = Units(1e6);
 
 /// The names that RESP requests may refer to, and the bounds on their values. All connections
 /// share it.
@@ -19,8 +19,8 @@
     classes: Vec<RequestClass>,
     /// Names of the plans, in the order of the settings.
     plans: Vec<String>,
-    /// Largest size of one request in units; larger values are reduced to it.
-    pub(super) max_units: f64,
+    /// Largest size of one request; larger values are reduced to it.
+    pub(super) max_units: Units,
     /// Largest number of gateways for a volume; larger values are reduced to it.
     pub(super) max_hosts: f64,
 }
@@ -73,11 +73,11 @@
     }
 }
 
-/// Largest size of one request in units. A request with an excessive size would be charged to its
+/// Largest size of one request. A request with an excessive size would be charged to its
 /// volume, which would get no further service for a long time.
-fn max_units(storage: &DomainSettings) -> f64 {
+fn max_units(storage: &DomainSettings) -> Units {
     if storage.max_units > 0.0 {
-        storage.max_units
+        Units(storage.max_units)
     } else {
         DEFAULT_MAX_UNITS
     }
--- a/crates/gateway/src/client_protocol/sftp/requests.rs
+++ b/crates/gateway/src/client_protocol/sftp/requests.rs
@@ -8,13 +8,13 @@
 use crate::resp_wire_names::parameter::{CLASS, HOSTS, PLAN, SHARD, TIMEOUT, UNITS, VOLUME};
 use crate::storage_request::{Operation, RequestParameters, StorageRequest};
 use deployment_settings::{micros, DeploymentSettings};
-use io_scheduler::{ClassIndex, Micros, ObjectKey, Shard};
+use io_scheduler::{ClassIndex, Micros, ObjectKey, Shard, Units};
 use std::cell::Cell;
 
 /// The id of the object in which a RESP2 node stores the index of a volume's objects.
 const INDEX_OBJECT: ObjectKey = ObjectKey(0);
-/// Units of a request that transfers no object: a listing or a question for the size.
-const METADATA_UNITS: f64 = 1.0;
+/// Size of a request that transfers no object: a listing or a question for the size.
+const METADATA_UNITS: Units = Units(1.0);
 /// Smallest size of a request in units.
 const MIN_UNITS: f64 = 1.0;
 
@@ -158,7 +158,7 @@
         &self,
         operation: Operation,
         class: &RequestClass,
-        units: f64,
+        units: Units,
         location: Location,
         body: Vec<u8>,
     ) -> StorageRequest {
@@ -183,13 +183,14 @@
     fn parameters(
         &self,
         class: &RequestClass,
-        units: f64,
+        units: Units,
         location: &Location,
     ) -> RequestParameters {
         let plan = &self.plans[location.volume.plan.0];
         let before_timeout = format!("{CLASS}={},{PLAN}={plan},{TIMEOUT}=", class.name);
         let volume = HexId(location.volume.id.0);
         let shard = location.shard.0;
+        let Units(units) = units;
         let hosts = self.hosts;
         let after_timeout =
             format!(",{VOLUME}={volume},{UNITS}={units},{SHARD}={shard},{HOSTS}={hosts}");
@@ -245,11 +246,11 @@
 impl UnitScale {
     /// The units of a request that transfers an object of `size` bytes; the mean if the size is
     /// not known.
-    fn of_transfer(&self, size: Option<u64>) -> f64 {
+    fn of_transfer(&self, size: Option<u64>) -> Units {
         let units = match size {
             Some(size) => size.div_ceil(self.unit_bytes) as f64,
             None => self.mean.round(),
         };
-        units.clamp(MIN_UNITS, self.max)
+        Units(units.clamp(MIN_UNITS, self.max))
     }
 }
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -69,7 +69,7 @@
         let Some(completed) = unfinished.remove_attempt(attempt.number, timed_out) else {
             return;
         };
-        let units = Units(unfinished.storage_request().units);
+        let units = unfinished.storage_request().units;
         let timer = DispatcherTimer::AttemptTimeout(attempt);
         timers.cancel(completed.times_out_at, timer.into());
         let is_served = result.outcome == Outcome::Served;
@@ -99,7 +99,7 @@
             outcome: result.outcome,
             request_closed: !self.awaits_response(id.request),
             elapsed: now - attempt.dispatched_at,
-            remote_units: Units(result.remote_units),
+            remote_units: result.remote_units,
             utilization: result.utilization,
         }));
     }
--- a/crates/gateway/src/dispatcher/responses.rs
+++ b/crates/gateway/src/dispatcher/responses.rs
@@ -5,7 +5,7 @@
 use super::unfinished_request::UnfinishedRequest;
 use crate::storage_request::Response;
 use crate::timer_queue::{DispatcherTimer, TimerQueue};
-use io_scheduler::{Event, Micros, RequestId, Units};
+use io_scheduler::{Event, Micros, RequestId};
 
 impl Dispatcher {
     /// Ends a request that the scheduler has failed.
@@ -53,7 +53,7 @@
         };
         let request = unfinished.storage_request();
         self.volume_counters
-            .record_response(request.volume, Units(request.units), &response);
+            .record_response(request.volume, request.units, &response);
         self.commands.push(Command::Respond {
             reply_slot,
             response,
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -8,7 +8,7 @@
 use crate::memory_budget::OVERLOADED_RETRY_AFTER;
 use crate::storage_request::{InvalidRequest, ReplySlot, Response, StorageRequest};
 use crate::timer_queue::{DispatcherTimer, TimerQueue};
-use io_scheduler::{Event, Micros, Request, RequestId, Units};
+use io_scheduler::{Event, Micros, Request, RequestId};
 
 /// Time reserved for the final response to reach the client before the client's timeout, in
 /// microseconds. It is longer than `OVERDUE_GRACE`, so that the dispatcher's own response to an
@@ -75,7 +75,7 @@
             retry_after: OVERLOADED_RETRY_AFTER,
         };
         self.volume_counters
-            .record_response(request.volume, Units(request.units), &response);
+            .record_response(request.volume, request.units, &response);
         self.commands.push(Command::Respond {
             reply_slot,
             response,
@@ -99,7 +99,7 @@
         class: request.class,
         key: Some(request.object),
         shard: request.shard,
-        units: Units(request.units),
+        units: request.units,
         hosts: request.hosts,
         deadline,
     }
--- a/crates/gateway/src/node_protocol/resp/usage_report.rs
+++ b/crates/gateway/src/node_protocol/resp/usage_report.rs
@@ -2,7 +2,7 @@
 
 use crate::resp_wire_names::usage_report::{REMOTE_UNITS, UTILIZATION};
 use crate::storage_request::{AttemptResult, ResponseBody};
-use io_scheduler::Outcome;
+use io_scheduler::{Outcome, Units};
 
 /// Largest accepted utilization, in percent. A larger value cannot be a measurement, and would be
 /// charged to the volume for a long time.
@@ -18,7 +18,7 @@
     /// See [`AttemptResult::utilization`].
     utilization: Option<f64>,
     /// See [`AttemptResult::remote_units`].
-    remote_units: f64,
+    remote_units: Units,
 }
 
 impl UsageReport {
@@ -45,7 +45,7 @@
                 self.utilization = Some(value / PERCENT);
             }
             REMOTE_UNITS if (0.0..=MAX_REMOTE_UNITS).contains(&value) => {
-                self.remote_units = value;
+                self.remote_units = Units(value);
             }
             _ => {}
         }
--- a/crates/gateway/src/storage_request/attempt.rs
+++ b/crates/gateway/src/storage_request/attempt.rs
@@ -1,7 +1,7 @@
 //! The attempts of a request at nodes: their ids and their results.
 
 use super::response::ResponseBody;
-use io_scheduler::{Outcome, RequestId};
+use io_scheduler::{Outcome, RequestId, Units};
 
 /// One attempt of a request at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -19,9 +19,9 @@
     pub outcome: Outcome,
     /// The node's result, if the node has served the request.
     pub body: Option<ResponseBody>,
-    /// Units of service that the volume got from the node through other gateways since the node's
-    /// last response to this gateway; 0 if not reported.
-    pub remote_units: f64,
+    /// Service that the volume got from the node through other gateways since the node's last
+    /// response to this gateway; zero if not reported.
+    pub remote_units: Units,
     /// Part of the volume's provisioned rate that was served in the last report period, over all
     /// gateways and nodes; `None` if not reported.
     pub utilization: Option<f64>,
@@ -34,7 +34,7 @@
         AttemptResult {
             outcome,
             body: None,
-            remote_units: 0.0,
+            remote_units: Units::ZERO,
             utilization: None,
         }
     }
--- a/crates/gateway/src/storage_request/request.rs
+++ b/crates/gateway/src/storage_request/request.rs
@@ -1,6 +1,6 @@
 //! The request of a client, independent of the protocol that it came by.
 
-use io_scheduler::{ClassIndex, Micros, ObjectKey, PlanIndex, Shard, VolumeId};
+use io_scheduler::{ClassIndex, Micros, ObjectKey, PlanIndex, Shard, Units, VolumeId};
 
 /// Largest value that is forwarded to a node, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 << 10;
@@ -36,8 +36,8 @@
     pub class: ClassIndex,
     /// Plan of the volume.
     pub plan: PlanIndex,
-    /// Size of the request in units of service.
-    pub units: f64,
+    /// The service that the request takes.
+    pub units: Units,
     /// Shard that stores the object; `None` for a new object, which any node may take.
     pub shard: Option<Shard>,
     /// Number of gateways through which the requests of the volume arrive.
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -4,7 +4,7 @@
 use deployment_settings::DeploymentSettings;
 use io_scheduler::{
     ClassIndex, EndpointListEvent, EndpointStatus, Micros, NodeId, ObjectKey, Outcome, PlanIndex,
-    RequestId, Shard, VolumeId,
+    RequestId, Shard, Units, VolumeId,
 };
 use storage_gateway::connection_token::ConnectionToken;
 use storage_gateway::dispatcher::{AbortCause, Command, Dispatcher};
@@ -129,7 +129,7 @@
                 READ_CLASS
             },
             plan: PlanIndex(0),
-            units: 1.0,
+            units: Units(1.0),
             shard: shard.map(Shard),
             hosts: 1.0,
             client_timeout: CLIENT_TIMEOUT,
--- a/crates/gateway/tests/in_process/node_protocols.rs
+++ b/crates/gateway/tests/in_process/node_protocols.rs
@@ -2,7 +2,7 @@
 //! or unsolicited ones are errors.
 
 use crate::support::storage_request::{storage_request, MAX_VALUE_BYTES};
-use io_scheduler::Outcome;
+use io_scheduler::{Outcome, Units};
 use storage_gateway::node_protocol::resp::RespProtocol;
 use storage_gateway::node_protocol::sftp::SftpProtocol;
 use storage_gateway::node_protocol::{NodeProtocol, ProtocolError};
@@ -46,7 +46,7 @@
         let AttemptResult {
             outcome,
             body,
-            remote_units,
+            remote_units: Units(remote_units),
             utilization,
         } = result;
         ComparedResult {
