--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -72,7 +72,7 @@
     is_ended: bool,
     /// Whether the input restarts [`SILENCE_TIMEOUT`]. Parts of an object that was incomplete
     /// before do not: the object must become complete in time.
-    extends_deadline: bool,
+    restarts_silence_timeout: bool,
 }
 
 impl WatchConnection {
@@ -113,7 +113,7 @@
         Ok(WatchInput {
             parsed,
             is_ended: status == StreamStatus::Ended || self.parser.is_complete(),
-            extends_deadline: !bytes.is_empty() && (!was_mid_object || completes_object),
+            restarts_silence_timeout: !bytes.is_empty() && (!was_mid_object || completes_object),
         })
     }
 }
@@ -123,7 +123,7 @@
     /// Its connection, if it is open.
     connection: Option<WatchConnection>,
     /// When [`Timer::DiscoveryWatch`] expires, if it is set.
-    timer_deadline: Option<Micros>,
+    timer_set_for: Option<Micros>,
     /// When its connection was opened.
     opened_at: Micros,
     /// Whether the current connection has delivered an update.
@@ -138,7 +138,7 @@
     pub(crate) fn new(list_index: u64) -> DiscoveryWatch {
         DiscoveryWatch {
             connection: None,
-            timer_deadline: None,
+            timer_set_for: None,
             opened_at: 0,
             has_delivered: false,
             list_index,
@@ -204,7 +204,7 @@
         if input.is_ended {
             return Err(WatchFailure::Ended);
         }
-        if input.extends_deadline {
+        if input.restarts_silence_timeout {
             self.set_timer(Some(context.now + SILENCE_TIMEOUT), &mut context.timers);
         }
         if let Some(connection) = &mut self.connection {
@@ -227,7 +227,7 @@
 
     /// Handles the watch's timer.
     pub(crate) fn handle_timeout(&mut self, context: &mut Context) {
-        self.timer_deadline = None;
+        self.timer_set_for = None;
         self.fail(&WatchFailure::TimedOut, context);
     }
 
@@ -262,7 +262,7 @@
 
     /// Sets the watch's timer for another time, or cancels it if that is `None`.
     fn set_timer(&mut self, at: Option<Micros>, timers: &mut TimerQueue) {
-        timers.reschedule(&mut self.timer_deadline, at, Timer::DiscoveryWatch);
+        timers.reschedule(&mut self.timer_set_for, at, Timer::DiscoveryWatch);
     }
 
     /// Milliseconds since the connection was opened.
