--- a/crates/gateway/src/client_protocol/resp/parameters.rs
+++ b/crates/gateway/src/client_protocol/resp/parameters.rs
@@ -5,9 +5,8 @@
 use super::schema::RequestSchema;
 use crate::hex_id::HexId;
 use crate::resp_wire_names::parameter;
-use crate::storage_request::{ClassIndex, PlanIndex};
 use deployment_settings::micros;
-use io_scheduler::{Micros, Shard, VolumeId};
+use io_scheduler::{ClassIndex, Micros, PlanIndex, Shard, VolumeId};
 
 /// Size of a request in units if it is not stated.
 const DEFAULT_UNITS: f64 = 1.0;
--- a/crates/gateway/src/client_protocol/resp/schema.rs
+++ b/crates/gateway/src/client_protocol/resp/schema.rs
@@ -2,8 +2,9 @@
 //! bounds on numbers.
 
 use super::error::RequestError;
-use crate::storage_request::{ClassIndex, Operation, PlanIndex};
+use crate::storage_request::Operation;
 use deployment_settings::{ClassSettings, DeploymentSettings, DomainSettings};
+use io_scheduler::{ClassIndex, PlanIndex};
 use std::rc::Rc;
 
 /// Longest timeout that a client may state if its class has no deadline, in milliseconds.
--- a/crates/gateway/src/client_protocol/sftp/requests.rs
+++ b/crates/gateway/src/client_protocol/sftp/requests.rs
@@ -6,9 +6,9 @@
 use crate::config::SftpSettings;
 use crate::hex_id::HexId;
 use crate::resp_wire_names::parameter::{CLASS, HOSTS, PLAN, SHARD, TIMEOUT, UNITS, VOLUME};
-use crate::storage_request::{ClassIndex, Operation, RequestParameters, StorageRequest};
+use crate::storage_request::{Operation, RequestParameters, StorageRequest};
 use deployment_settings::{micros, DeploymentSettings};
-use io_scheduler::{Micros, ObjectKey, Shard};
+use io_scheduler::{ClassIndex, Micros, ObjectKey, Shard};
 use std::cell::Cell;
 
 /// The id of the object in which a RESP2 node stores the index of a volume's objects.
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -3,8 +3,8 @@
 use crate::support::settings::deployment_settings;
 use deployment_settings::DeploymentSettings;
 use io_scheduler::{
-    EndpointListEvent, EndpointStatus, Micros, NodeId, ObjectKey, Outcome, RequestId, Shard,
-    VolumeId,
+    ClassIndex, EndpointListEvent, EndpointStatus, Micros, NodeId, ObjectKey, Outcome, PlanIndex,
+    RequestId, Shard, VolumeId,
 };
 use storage_gateway::connection_token::ConnectionToken;
 use storage_gateway::dispatcher::{
@@ -13,7 +13,7 @@
 };
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::memory_budget::MemoryBudget;
-use storage_gateway::storage_request::{ClassIndex, PlanIndex, SlotNumber};
+use storage_gateway::storage_request::SlotNumber;
 use storage_gateway::timer_queue::{AttemptId, Timer, TimerQueue};
 
 /// Microseconds in one millisecond.
