--- a/crates/gateway/src/client_protocol/resp/parameters.rs
+++ b/crates/gateway/src/client_protocol/resp/parameters.rs
@@ -5,6 +5,7 @@
 use super::schema::RequestSchema;
 use crate::hex_id::HexId;
 use crate::resp_wire_names::parameter;
+
 use deployment_settings::micros;
 use io_scheduler::{ClassIndex, Micros, PlanIndex, Shard, VolumeId};
 
