--- a/crates/gateway/tests/gateway_process/harness/connection.rs
+++ b/crates/gateway/tests/gateway_process/harness/connection.rs
@@ -1,5 +1,6 @@
 //! One end of a TCP connection, held by a test.
 
+use super::gateway_process::without_spawning;
 use super::requests::value_response;
 use super::resp::{decode_value, encode_command};
 use super::TEST_TIMEOUT;
@@ -188,9 +189,10 @@
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Ends the connection with a reset.
+    /// Ends the connection with a reset, which has been sent when this returns.
     pub fn reset(self) {
         rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO))
             .expect("a socket option");
+        without_spawning(|| drop(self));
     }
 }
--- a/crates/gateway/tests/gateway_process/harness/gateway_process.rs
+++ b/crates/gateway/tests/gateway_process/harness/gateway_process.rs
@@ -6,11 +6,22 @@
 use std::net::SocketAddr;
 use std::process::{Child, ChildStdin, ChildStdout, Command, ExitStatus, Stdio};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError};
+use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
 /// The path of the program under test.
 pub const GATEWAY_PROGRAM: &str = env!("CARGO_BIN_EXE_storage-gateway");
 
+/// Held while a child process is started. Until the child executes its program, it has copies of all
+/// descriptors of this process, and a connection that another test closes meanwhile stays open.
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
+
+/// Does something while no child process has copies of this process's descriptors.
+pub fn without_spawning<T>(action: impl FnOnce() -> T) -> T {
+    let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    action()
+}
+
 /// A gateway process, which is killed when the test ends before it.
 pub struct GatewayProcess {
     child: Child,
@@ -21,10 +32,9 @@
 impl GatewayProcess {
     /// Starts the process and a thread that reads its log from the standard error stream.
     pub fn spawn(command: &mut Command) -> Self {
-        let mut child = command
-            .stderr(Stdio::piped())
-            .spawn()
-            .expect("the gateway starts");
+        command.stderr(Stdio::piped());
+        // `spawn` returns once the child executes its program.
+        let mut child = without_spawning(|| command.spawn()).expect("the gateway starts");
         let lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         let (sender, log) = channel();
         std::thread::spawn(move || {
