--- a/crates/scheduler/src/node/slow_start.rs
+++ b/crates/scheduler/src/node/slow_start.rs
@@ -95,9 +95,9 @@
         host_quota + random_part - dispatched >= units
     }
 
-    /// This host's part of `node_quota`. It follows the provisioned rates of the node's volumes;
-    /// the fewer hosts there are, the closer it is to an even part, since few volumes then say
-    /// little about other hosts.
+    /// This host's part of `node_quota`: a mean of what the provisioned rates of the node's volumes
+    /// give and of an even part, in which the even part has the weight of one over the square root
+    /// of the number of hosts.
     fn host_quota(&self, capacity: f64, node_quota: Units) -> Units {
         let slow_start = &self.settings.slow_start;
         let nominal_units = self.nominal_rate.units_within(slow_start.window);
