--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -6,14 +6,17 @@
 
 use crate::connections::socket::{start_connecting, Interest, Socket, StreamStatus};
 use crate::context::{ConnectionKind, Context, MICROS_PER_MILLI};
-use crate::discovery::{watch_request, EndpointListUpdate, WatchError, WatchParser};
+use crate::discovery::{watch_request, WatchError, WatchParser};
+use crate::endpoint::EndpointListUpdate;
 use crate::timer_queue::{Timer, TimerQueue};
 use io_scheduler::{EndpointListEvent, Micros};
 use std::io;
 use std::net::SocketAddr;
 
 /// A watch is closed if it has delivered nothing this long, in microseconds, after it was opened.
-/// Discovery itself ends a request that it cannot serve after 2 s.
+/// Discovery itself ends a request that it cannot serve after 2 s. This is shorter than the time
+/// after which the scheduler repeats a poll without a response (`POLL_TIMEOUT` in its
+/// `endpoints::polling`, 3 s), so a silent watch is closed by then.
 const FIRST_RESPONSE_TIMEOUT: Micros = 2_500_000;
 /// A watch is closed if nothing arrives on it for this long, in microseconds. Discovery sends an
 /// empty line as a heartbeat every 2 s, so a longer silence means that the connection is broken.
@@ -43,6 +46,8 @@
 /// The connection of a watch.
 struct WatchConnection {
     socket: Socket,
+    /// The address of discovery that it was opened to.
+    address: SocketAddr,
     /// Decodes the response.
     parser: WatchParser,
     /// Whether the request was put into the output buffer.
@@ -67,7 +72,7 @@
     is_ended: bool,
     /// Whether the input restarts [`SILENCE_TIMEOUT`]. Parts of an object that was incomplete
     /// before do not: the object must become complete in time.
-    extends_deadline: bool,
+    restarts_silence_timeout: bool,
 }
 
 impl WatchConnection {
@@ -77,6 +82,7 @@
         let kind = ConnectionKind::Discovery;
         Ok(WatchConnection {
             socket: Socket::register(stream, kind, Interest::Connect, context)?,
+            address,
             parser: WatchParser::default(),
             is_requested: false,
         })
@@ -84,16 +90,14 @@
 
     /// Sends the request for the changes after version `list_index`, once the connection is
     /// established; returns false until then.
-    fn send_request(&mut self, address: Option<SocketAddr>, list_index: u64) -> io::Result<bool> {
+    fn send_request(&mut self, list_index: u64) -> io::Result<bool> {
         if !self.is_requested {
             if !self.socket.is_connected()? {
                 return Ok(false);
             }
             self.is_requested = true;
-            if let Some(address) = address {
-                let request = watch_request(&address, list_index);
-                self.socket.output().extend_from_slice(request.as_bytes());
-            }
+            let request = watch_request(&self.address, list_index);
+            self.socket.output().extend_from_slice(request.as_bytes());
         }
         self.socket.flush()?;
         Ok(true)
@@ -109,7 +113,7 @@
         Ok(WatchInput {
             parsed,
             is_ended: status == StreamStatus::Ended || self.parser.is_complete(),
-            extends_deadline: !bytes.is_empty() && (!was_mid_object || completes_object),
+            restarts_silence_timeout: !bytes.is_empty() && (!was_mid_object || completes_object),
         })
     }
 }
@@ -119,7 +123,7 @@
     /// Its connection, if it is open.
     connection: Option<WatchConnection>,
     /// When [`Timer::DiscoveryWatch`] expires, if it is set.
-    timer_deadline: Option<Micros>,
+    timer_set_for: Option<Micros>,
     /// When its connection was opened.
     opened_at: Micros,
     /// Whether the current connection has delivered an update.
@@ -134,31 +138,28 @@
     pub(crate) fn new(list_index: u64) -> DiscoveryWatch {
         DiscoveryWatch {
             connection: None,
-            timer_deadline: None,
+            timer_set_for: None,
             opened_at: 0,
             has_delivered: false,
             list_index,
         }
     }
 
-    /// Whether a connection is open or being established.
-    pub(crate) fn is_open(&self) -> bool {
-        self.connection.is_some()
-    }
-
     /// Makes the next request ask for the complete list: another discovery service numbers its
     /// versions on its own.
     pub(crate) fn reset_list_index(&mut self) {
         self.list_index = 0;
     }
 
-    /// Opens a watch, if an address of discovery is configured. A watch that is still open is
-    /// closed first.
+    /// Opens a watch, if an address of discovery is configured. A watch that is open or being
+    /// established stays as it is, with its own timeout.
     pub(crate) fn open(&mut self, context: &mut Context) {
         let Some(address) = context.config.discovery else {
             return;
         };
-        self.close_connection(context);
+        if self.connection.is_some() {
+            return;
+        }
         self.opened_at = context.now;
         match WatchConnection::open(address, context) {
             Ok(connection) => {
@@ -192,7 +193,7 @@
         let Some(connection) = &mut self.connection else {
             return Ok(());
         };
-        if !connection.send_request(context.config.discovery, self.list_index)? {
+        if !connection.send_request(self.list_index)? {
             return Ok(());
         }
         let input = connection.receive(updates)?;
@@ -203,7 +204,7 @@
         if input.is_ended {
             return Err(WatchFailure::Ended);
         }
-        if input.extends_deadline {
+        if input.restarts_silence_timeout {
             self.set_timer(Some(context.now + SILENCE_TIMEOUT), &mut context.timers);
         }
         if let Some(connection) = &mut self.connection {
@@ -226,7 +227,7 @@
 
     /// Handles the watch's timer.
     pub(crate) fn handle_timeout(&mut self, context: &mut Context) {
-        self.timer_deadline = None;
+        self.timer_set_for = None;
         self.fail(&WatchFailure::TimedOut, context);
     }
 
@@ -261,7 +262,7 @@
 
     /// Sets the watch's timer for another time, or cancels it if that is `None`.
     fn set_timer(&mut self, at: Option<Micros>, timers: &mut TimerQueue) {
-        timers.reschedule(&mut self.timer_deadline, at, Timer::DiscoveryWatch);
+        timers.reschedule(&mut self.timer_set_for, at, Timer::DiscoveryWatch);
     }
 
     /// Milliseconds since the connection was opened.
--- a/crates/gateway/src/connections/node/attempts.rs
+++ b/crates/gateway/src/connections/node/attempts.rs
@@ -1,17 +1,17 @@
 //! Starting and abandoning attempts, and writing their requests.
 
-use super::connection::{Attempt, InFlight, NodeConnection};
+use super::connection::{AttemptSpec, CarriedAttempt, NodeConnection};
 use super::idle_timeout::IdleTimeoutEstimate;
 use super::node_connections::NodeConnections;
 use super::open::OpenError;
 use crate::context::Context;
-use crate::dispatcher::Operation;
-use crate::timer_queue::AttemptId;
-use io_scheduler::{Micros, NodeId, Outcome};
+use crate::dispatcher::AbortCause;
+use crate::storage_request::{AttemptId, Operation};
+use io_scheduler::{Micros, NodeId};
 
 impl NodeConnections {
     /// Starts an attempt on an idle connection or on a new one.
-    pub(crate) fn start_attempt(&mut self, attempt: Attempt, context: &mut Context) {
+    pub(crate) fn start_attempt(&mut self, attempt: AttemptSpec, context: &mut Context) {
         // The client may have disconnected earlier in this turn.
         if !context.dispatcher.is_awaiting(attempt.id) {
             return;
@@ -21,12 +21,14 @@
             Ok(connection) => connection,
             Err(error) => {
                 log::debug!("node {}: {error}", attempt.node.0);
-                return context.abort_attempt(attempt.id, Outcome::ConnectFailed);
+                // The scheduler counts this as a fault of the node, also where the gateway itself
+                // is short of connections.
+                return context.abort_attempt(attempt.id, AbortCause::NoConnection);
             }
         };
         self.attempt_connections
             .insert(attempt.id, connection.token());
-        connection.in_flight = Some(InFlight::new(attempt, context.now));
+        connection.carried = Some(CarriedAttempt::new(attempt, context.now));
         self.advance(connection, context);
     }
 
@@ -96,16 +98,16 @@
         let Some(mut connection) = self.take(token) else {
             return;
         };
-        let in_flight = connection.in_flight.take();
-        if in_flight.is_some_and(|in_flight| !in_flight.is_encoded()) {
+        let carried = connection.carried.take();
+        if carried.is_some_and(|carried| !carried.is_encoded()) {
             self.advance(connection, context);
         } else {
             self.drop_connection(connection, context);
         }
     }
 
-    /// Takes the next steps on a connection: encodes the request in flight if the connection is
-    /// ready, writes pending output, and returns the connection to its pool if it carries no
+    /// Takes the next steps on a connection: encodes the request that it carries if the connection
+    /// is ready, writes pending output, and returns the connection to its pool if it carries no
     /// request.
     pub(super) fn advance(&mut self, mut connection: NodeConnection, context: &mut Context) {
         if connection.is_ready() {
@@ -119,30 +121,32 @@
         let result =
             flushed.and_then(|()| connection.socket.set_interest(interest, &context.poller));
         if result.is_err() {
-            return self.fail_connection(connection, Outcome::Reset, context);
+            return self.fail_connection(connection, AbortCause::ConnectionLost, context);
         }
-        if connection.in_flight.is_some() {
+        if connection.carried.is_some() {
             return self.store(connection);
         }
         self.return_to_pool(connection, context);
     }
 
-    /// Encodes the request in flight, once. If the node has been draining for too long to start
-    /// writing to it, the attempt is aborted instead and the connection is left without a request.
+    /// Encodes the request that a connection carries, once. If the node has been draining for too
+    /// long to start writing to it, the attempt is aborted instead and the connection is left
+    /// without a request.
     fn write_request(&mut self, connection: &mut NodeConnection, context: &mut Context) {
-        let Some(in_flight) = &connection.in_flight else {
+        let Some(carried) = &connection.carried else {
             return;
         };
-        if in_flight.is_encoded() {
+        if carried.is_encoded() {
             return;
         }
         if context.dispatcher.may_write(connection.node, context.now) {
             return connection.encode_request(context.now, &mut context.timers);
         }
-        let attempt = in_flight.attempt.id;
-        connection.in_flight = None;
+        let attempt = carried.attempt.id;
+        connection.carried = None;
         self.attempt_connections.remove(&attempt);
-        context.abort_attempt(attempt, Outcome::ConnectFailed);
+        // The scheduler counts this as a fault of the node, like a connection that was refused.
+        context.abort_attempt(attempt, AbortCause::DrainGuard);
     }
 }
 
--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -11,13 +11,14 @@
 
 pub(crate) use clock::{Clock, MICROS_PER_MILLI};
 pub(crate) use poller::Poller;
-pub(crate) use shutdown::{Shutdown, DRAIN_GRACE};
+pub(crate) use shutdown::{Shutdown, EXIT_IDLE_TIME};
 
 use crate::config::Config;
 use crate::connection_token::ConnectionToken;
-use crate::dispatcher::{AttemptResult, Dispatcher, ReplySlot, StorageRequest};
-use crate::timer_queue::{AttemptId, TimerQueue};
-use io_scheduler::{Micros, Outcome, RequestId};
+use crate::dispatcher::{AbortCause, Dispatcher};
+use crate::storage_request::{AttemptId, AttemptResult, ReplySlot, StorageRequest};
+use crate::timer_queue::TimerQueue;
+use io_scheduler::{Micros, RequestId};
 use rustix::event::epoll::EventFlags;
 use rustix::fd::AsFd;
 use slab::Slab;
@@ -52,7 +53,7 @@
     pub(crate) poller: Poller,
     /// The kind of each open connection, by token.
     connections: Slab<ConnectionKind>,
-    /// Requests in flight and the scheduler.
+    /// The unfinished requests, the nodes and the scheduler.
     pub(crate) dispatcher: Dispatcher,
     /// All timers.
     pub(crate) timers: TimerQueue,
@@ -152,8 +153,8 @@
     }
 
     /// Notifies the dispatcher that an attempt failed without a response.
-    pub(crate) fn abort_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
+    pub(crate) fn abort_attempt(&mut self, attempt: AttemptId, cause: AbortCause) {
         self.dispatcher
-            .abort_attempt(attempt, outcome, self.now, &mut self.timers);
+            .abort_attempt(attempt, cause, self.now, &mut self.timers);
     }
 }
--- a/crates/gateway/src/dispatcher/command.rs
+++ b/crates/gateway/src/dispatcher/command.rs
@@ -9,12 +9,12 @@
 pub enum Command {
     /// Forward a request to a node.
     StartAttempt {
-        /// The attempt.
+        /// Id by which the result of the attempt is reported.
         attempt: AttemptId,
         /// The node to forward to.
         node: NodeId,
         /// When the attempt times out.
-        deadline: Micros,
+        times_out_at: Micros,
         /// The request to forward.
         request: Arc<StorageRequest>,
     },
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -5,27 +5,25 @@
 //! exactly one final response, prevents new attempts from being written to draining nodes, and
 //! counts the service that each volume gets.
 //!
-//! [`Dispatcher`] is declared in `state`. Its methods are in the module of their task: `submit`
-//! accepts requests, `scheduling` calls the scheduler, `attempts` follows attempts, and
-//! `responses` ends requests.
+//! [`Dispatcher`] is declared in `state`. Its methods are in the module of their task: `endpoints`
+//! applies the endpoint list, `submit` accepts requests, `scheduling` calls the scheduler,
+//! `attempts` follows attempts, and `responses` ends requests.
 
+mod abort_cause;
 mod attempts;
 mod command;
-mod in_flight_request;
-mod in_flight_table;
+mod endpoints;
+mod node_registry;
 mod node_state;
-mod node_table;
 mod responses;
 mod scheduling;
 mod state;
 mod submit;
+mod unfinished_request;
+mod unfinished_requests;
 mod volume_counters;
 
-pub use crate::memory_budget::OVERLOADED_RETRY_AFTER;
-pub use crate::storage_request::{
-    AttemptResult, InvalidRequest, ObjectEntry, Operation, ReplySlot, RequestParameters, Response,
-    ResponseBody, StorageRequest,
-};
+pub use abort_cause::AbortCause;
 pub use command::Command;
 pub use node_state::NodeState;
 pub use state::Dispatcher;
--- a/crates/gateway/src/dispatcher/node_table.rs
+++ b/crates/gateway/src/dispatcher/node_registry.rs
@@ -6,17 +6,18 @@
 
 use super::node_state::NodeState;
 use crate::endpoint::EndpointRecord;
-use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, Micros, NodeId, Zone};
+use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, Micros, NodeId, Units, Zone};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// No attempt is written to a draining node in the last part of its drain grace, as it would reach
-/// the node too late. That part is this long, in microseconds, or half of the drain grace if that
-/// is shorter.
+/// the node too late. That part is this long, in microseconds.
 const DRAIN_SAFETY_MARGIN: Micros = 30_000;
+/// That part is at most the drain grace divided by this.
+const MIN_DRAIN_GRACE_PER_MARGIN: Micros = 2;
 
 /// The nodes of the endpoint list, and removed ones with attempts in flight.
 #[derive(Debug)]
-pub(super) struct NodeTable {
+pub(super) struct NodeRegistry {
     /// The nodes by id.
     nodes: BTreeMap<NodeId, NodeState>,
     /// The ids of `nodes` by the name of the node.
@@ -29,10 +30,10 @@
     drain_grace: Micros,
 }
 
-impl NodeTable {
-    /// An empty table; `zones` are the zones that the settings name.
-    pub(super) fn new(zones: Vec<String>, drain_grace: Micros) -> NodeTable {
-        NodeTable {
+impl NodeRegistry {
+    /// No nodes at first; `zones` are the zones that the settings name.
+    pub(super) fn new(zones: Vec<String>, drain_grace: Micros) -> NodeRegistry {
+        NodeRegistry {
             nodes: BTreeMap::new(),
             ids_by_name: HashMap::new(),
             next_id: 0,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The id of a node. A node that is not in the table yet is added to it.
+    /// The id of a node. A node that is not known yet is added.
     pub(super) fn id_of(&mut self, name: &str) -> NodeId {
         if let Some(id) = self.ids_by_name.get(name) {
             return *id;
@@ -110,7 +111,7 @@
 
     /// Counts an attempt that ended at a node, with the units of service that the node has served
     /// for it.
-    pub(super) fn attempt_completed(&mut self, id: NodeId, served_units: f64) {
+    pub(super) fn attempt_completed(&mut self, id: NodeId, served_units: Units) {
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
         };
@@ -165,15 +166,15 @@
 
     /// Applies the drain guard to all nodes.
     fn update_write_deadlines(&mut self, now: Micros) {
-        let margin = DRAIN_SAFETY_MARGIN.min(self.drain_grace / 2);
+        let margin = DRAIN_SAFETY_MARGIN.min(self.drain_grace / MIN_DRAIN_GRACE_PER_MARGIN);
         let deadline = now + self.drain_grace - margin;
         for node in self.nodes.values_mut() {
             node.update_write_deadline(deadline);
         }
     }
 
-    /// Removes nodes that can be forgotten. The table would grow without bound otherwise, as nodes
-    /// that replace others may have new names.
+    /// Removes nodes that can be forgotten. The registry would grow without bound otherwise, as
+    /// nodes that replace others may have new names.
     fn forget_obsolete(&mut self) {
         let ids_by_name = &mut self.ids_by_name;
         self.nodes.retain(|_, node| {
--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -1,16 +1,18 @@
 //! Counters of the requests and the service of each volume, for the console.
 
 use crate::storage_request::Response;
-use io_scheduler::VolumeId;
+use io_scheduler::{Units, VolumeId};
 use std::collections::BTreeMap;
 
-/// How many volumes may have counters at once.
+/// With counters of this many volumes, the first request of a further volume evicts some of them.
+/// The table can be larger by the volumes that were evicted while they had unfinished requests, as
+/// those get counters again.
 const MAX_VOLUME_COUNTERS: usize = 2_000;
 
 /// Requests and service of one volume since its counters were created.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VolumeCounters {
-    /// Requests received, without those whose client request id was in flight already.
+    /// Requests received, without those whose client request id was that of an unfinished one.
     pub received: u64,
     /// Requests served.
     pub served: u64,
@@ -18,8 +20,8 @@
     pub rejected: u64,
     /// Requests failed, timeouts included.
     pub failed: u64,
-    /// Units of service of the requests served.
-    pub units: f64,
+    /// Service of the requests served.
+    pub units: Units,
     /// Attempts started at nodes.
     pub attempts: u64,
 }
@@ -40,7 +42,7 @@
     /// Counts a request received.
     pub(super) fn record_received(&mut self, volume: VolumeId) {
         if self.by_volume.len() >= MAX_VOLUME_COUNTERS && !self.by_volume.contains_key(&volume) {
-            self.evict_less_used_half();
+            self.evict_up_to_median();
         }
         self.counters(volume).received += 1;
     }
@@ -51,7 +53,7 @@
     }
 
     /// Counts a final response to a request of `units`.
-    pub(super) fn record_response(&mut self, volume: VolumeId, units: f64, response: &Response) {
+    pub(super) fn record_response(&mut self, volume: VolumeId, units: Units, response: &Response) {
         let counters = self.counters(volume);
         match response {
             Response::Served(_) => {
@@ -63,14 +65,16 @@
         }
     }
 
-    /// The counters of a volume, which may have been evicted since its request was received.
+    /// The counters of a volume. They start from 0 again if they were evicted since its request was
+    /// received.
     fn counters(&mut self, volume: VolumeId) -> &mut VolumeCounters {
         self.by_volume.entry(volume).or_default()
     }
 
-    /// Removes the counters of the half of the volumes with the fewest requests. This bounds the
-    /// table, as clients may name any number of volumes.
-    fn evict_less_used_half(&mut self) {
+    /// Removes the counters of the volumes with at most the median number of requests: about half
+    /// of the volumes, or all of them if their numbers are equal. This bounds the table, as clients
+    /// may name any number of volumes.
+    fn evict_up_to_median(&mut self) {
         let mut received: Vec<u64> = self
             .by_volume
             .values()
--- a/crates/gateway/src/event_loop/events.rs
+++ b/crates/gateway/src/event_loop/events.rs
@@ -5,7 +5,7 @@
 use crate::connection_token::ConnectionToken;
 use crate::connections::client::AcceptOutcome;
 use crate::connections::discovery_watch::WatchOutcome;
-use crate::connections::node::Attempt;
+use crate::connections::node::AttemptSpec;
 use crate::context::ConnectionKind;
 use crate::dispatcher::Command;
 use crate::timer_queue::Timer;
@@ -54,7 +54,7 @@
 
     /// Starts what a signal asks for.
     fn handle_signal(&mut self, token: ConnectionToken) {
-        match self.signals.drain(token) {
+        match self.signals.read_signals(token) {
             Some(SignalKind::Shutdown) => self.request_shutdown(),
             Some(SignalKind::Reload) => self.reload_config(),
             None => {}
@@ -101,13 +101,13 @@
             Command::StartAttempt {
                 attempt,
                 node,
-                deadline,
+                times_out_at,
                 request,
             } => {
-                let attempt = Attempt {
+                let attempt = AttemptSpec {
                     id: attempt,
                     node,
-                    deadline,
+                    times_out_at,
                     request,
                 };
                 self.node_connections.start_attempt(attempt, context);
@@ -122,8 +122,6 @@
                 self.client_connections
                     .respond(reply_slot, response, context);
             }
-            // A watch that is open already keeps its own timeout.
-            Command::OpenWatch if self.watch.is_open() => {}
             Command::OpenWatch => self.watch.open(context),
         }
     }
--- a/crates/gateway/src/storage_request/request.rs
+++ b/crates/gateway/src/storage_request/request.rs
@@ -1,6 +1,6 @@
 //! The request of a client, independent of the protocol that it came by.
 
-use io_scheduler::{ClassIndex, Micros, ObjectKey, PlanIndex, Shard, VolumeId};
+use io_scheduler::{ClassIndex, Micros, ObjectKey, PlanIndex, Shard, Units, VolumeId};
 
 /// Largest value that is forwarded to a node, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 << 10;
@@ -29,23 +29,21 @@
     pub object_name: Option<Box<str>>,
     /// The volume that the object belongs to.
     pub volume: VolumeId,
-    /// The client's id of the request, which is also sent to the nodes. Unique among the requests
-    /// in flight.
+    /// The client's id of the request, which is also sent to the nodes. Unique among the
+    /// unfinished requests.
     pub client_request_id: Box<str>,
     /// Class of the request.
     pub class: ClassIndex,
     /// Plan of the volume.
     pub plan: PlanIndex,
-    /// Size of the request in units of service.
-    pub units: f64,
+    /// The service that the request takes.
+    pub units: Units,
     /// Shard that stores the object; `None` for a new object, which any node may take.
     pub shard: Option<Shard>,
     /// Number of gateways through which the requests of the volume arrive.
     pub hosts: f64,
     /// How long the client waits for the response, in microseconds.
     pub client_timeout: Micros,
-    /// Whether the client marked the request as a retry.
-    pub is_retry: bool,
     /// Content of the object for a write, else empty.
     pub body: Vec<u8>,
     /// The client's list of parameters.
--- a/crates/gateway/tests/in_process/dispatcher/attempts.rs
+++ b/crates/gateway/tests/in_process/dispatcher/attempts.rs
@@ -2,8 +2,8 @@
 
 use super::harness::{in_service, settings_with, Harness, StartedAttempt};
 use crate::support::settings::deployment_settings;
-use io_scheduler::Outcome;
-use storage_gateway::dispatcher::{Command, Operation, Response};
+use storage_gateway::dispatcher::{AbortCause, Command};
+use storage_gateway::storage_request::{Operation, Response};
 
 #[test]
 fn an_aborted_write_is_rejected_before_its_first_byte_and_failed_after_it() {
@@ -16,7 +16,7 @@
         if written {
             harness.mark_written(attempt);
         }
-        harness.abort(attempt, Outcome::Reset);
+        harness.abort(attempt, AbortCause::ConnectionLost);
         harness.run_turn();
         let responses = harness.take_responses();
         assert_eq!(responses.len(), 1);
@@ -31,9 +31,11 @@
     harness.submit(Operation::Read, Some(0));
     harness.run_turn();
     let started = harness.take_started_attempts();
-    let StartedAttempt { id, deadline, .. } = started[0];
+    let StartedAttempt {
+        id, times_out_at, ..
+    } = started[0];
     harness.mark_written(id);
-    harness.advance(deadline - 1 - harness.now);
+    harness.advance(times_out_at - 1 - harness.now);
     assert!(harness.dispatcher.is_awaiting(id));
     harness.advance(1);
     assert!(!harness.dispatcher.is_awaiting(id));
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -4,17 +4,17 @@
 use deployment_settings::DeploymentSettings;
 use io_scheduler::{
     ClassIndex, EndpointListEvent, EndpointStatus, Micros, NodeId, ObjectKey, Outcome, PlanIndex,
-    RequestId, Shard, VolumeId,
+    RequestId, Shard, Units, VolumeId,
 };
 use storage_gateway::connection_token::ConnectionToken;
-use storage_gateway::dispatcher::{
-    AttemptResult, Command, Dispatcher, Operation, ReplySlot, Response, ResponseBody,
-    StorageRequest,
-};
+use storage_gateway::dispatcher::{AbortCause, Command, Dispatcher};
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::memory_budget::MemoryBudget;
-use storage_gateway::storage_request::SlotNumber;
-use storage_gateway::timer_queue::{AttemptId, Timer, TimerQueue};
+use storage_gateway::storage_request::{
+    AttemptId, AttemptResult, Operation, ReplySlot, Response, ResponseBody, SlotNumber,
+    StorageRequest,
+};
+use storage_gateway::timer_queue::{Timer, TimerQueue};
 
 /// Microseconds in one millisecond.
 pub const MS: Micros = 1_000;
@@ -56,7 +56,7 @@
     /// The node that it goes to.
     pub node: NodeId,
     /// When it times out.
-    pub deadline: Micros,
+    pub times_out_at: Micros,
 }
 
 /// A dispatcher with the timers and the clock of an event loop.
@@ -129,11 +129,10 @@
                 READ_CLASS
             },
             plan: PlanIndex(0),
-            units: 1.0,
+            units: Units(1.0),
             shard: shard.map(Shard),
             hosts: 1.0,
             client_timeout: CLIENT_TIMEOUT,
-            is_retry: false,
             body: Vec::new(),
             parameters: Default::default(),
         }
@@ -190,13 +189,13 @@
             Command::StartAttempt {
                 attempt,
                 node,
-                deadline,
+                times_out_at,
                 ..
             } => {
                 started.push(StartedAttempt {
                     id: *attempt,
                     node: *node,
-                    deadline: *deadline,
+                    times_out_at: *times_out_at,
                 });
                 false
             }
@@ -240,8 +239,8 @@
     }
 
     /// The attempt ends without an answer.
-    pub fn abort(&mut self, attempt: AttemptId, outcome: Outcome) {
+    pub fn abort(&mut self, attempt: AttemptId, cause: AbortCause) {
         self.dispatcher
-            .abort_attempt(attempt, outcome, self.now, &mut self.timers);
+            .abort_attempt(attempt, cause, self.now, &mut self.timers);
     }
 }
--- a/crates/gateway/tests/in_process/dispatcher/random_load.rs
+++ b/crates/gateway/tests/in_process/dispatcher/random_load.rs
@@ -7,9 +7,9 @@
 use crate::support::settings::deployment_settings;
 use io_scheduler::{EndpointStatus, Micros, Outcome, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
-use storage_gateway::dispatcher::Operation;
+use storage_gateway::dispatcher::AbortCause;
 use storage_gateway::endpoint::EndpointRecord;
-use storage_gateway::timer_queue::AttemptId;
+use storage_gateway::storage_request::{AttemptId, Operation};
 
 /// Random requests, disconnects, drains and results, checked against what the dispatcher promises.
 struct RandomLoad {
@@ -128,7 +128,7 @@
             let attempt = self.in_flight.swap_remove(position as usize);
             let written = self.may_have_run.contains(&attempt.request);
             match self.random.below(6) {
-                0 => self.harness.abort(attempt, Outcome::Reset),
+                0 => self.harness.abort(attempt, AbortCause::ConnectionLost),
                 // The node never responds: the timeout ends the attempt.
                 1 => {}
                 2 if !self.writes.contains(&attempt.request) => {
