--- a/crates/gateway/src/client_protocol/sftp/object_sizes.rs
+++ b/crates/gateway/src/client_protocol/sftp/object_sizes.rs
@@ -11,7 +11,9 @@
 /// Identifies an object by its volume's id and its own.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CachedObject {
+    /// The volume of the object.
     volume: VolumeId,
+    /// The key of the object.
     object: ObjectKey,
 }
 
--- a/crates/gateway/src/client_protocol/sftp/requests.rs
+++ b/crates/gateway/src/client_protocol/sftp/requests.rs
@@ -37,12 +37,15 @@
 
 /// The class of each operation.
 struct OperationClasses {
+    /// Class of reads.
     read: RequestClass,
     /// Class of reads of objects known to be large.
     large_read: RequestClass,
     /// Smallest size in bytes of an object that counts as large.
     large_bytes: u64,
+    /// Class of writes.
     write: RequestClass,
+    /// Class of listings.
     list: RequestClass,
 }
 
@@ -68,9 +71,11 @@
 
 /// The place that a request is about.
 struct Location {
+    /// The volume and its plan.
     volume: VolumeTarget,
     /// The shard that stores the object.
     shard: Shard,
+    /// The key of the object.
     object: ObjectKey,
     /// The name of the object; `None` for a listing.
     object_name: Option<Box<str>>,
--- a/crates/gateway/src/connections/client/eviction_queue.rs
+++ b/crates/gateway/src/connections/client/eviction_queue.rs
@@ -47,6 +47,7 @@
 /// The connections that have no reply pending and may be evicted.
 #[derive(Debug, Default)]
 pub(super) struct EvictionQueue {
+    /// The connections, in the order of eviction.
     candidates: BTreeSet<EvictionCandidate>,
 }
 
--- a/crates/gateway/src/connections/client/reply_queue.rs
+++ b/crates/gateway/src/connections/client/reply_queue.rs
@@ -9,6 +9,7 @@
 /// commands, so those that are ready wait for earlier ones.
 #[derive(Debug, Default)]
 pub(super) struct ReplyQueue {
+    /// The replies in the order of their commands.
     pending: VecDeque<PendingReply>,
     /// The slot of the next command's reply.
     next_slot: SlotNumber,
@@ -19,6 +20,7 @@
 struct PendingReply {
     /// Position among the replies of the connection.
     slot: SlotNumber,
+    /// The reply, or what it waits for.
     content: ReplyContent,
 }
 
@@ -57,6 +59,7 @@
         self.push(ReplyContent::AwaitingResponses(requests));
     }
 
+    /// Adds a place for the reply to the next command.
     fn push(&mut self, content: ReplyContent) {
         self.pending.push_back(PendingReply {
             slot: self.next_slot,
--- a/crates/gateway/src/connections/connection_timer.rs
+++ b/crates/gateway/src/connections/connection_timer.rs
@@ -8,6 +8,7 @@
 /// connection: a connect timeout, an idle timeout or the like.
 #[derive(Debug)]
 pub(crate) struct ConnectionTimer {
+    /// Token of the connection.
     token: ConnectionToken,
     /// The time for which it is set, if it is set.
     expires_at: Option<Micros>,
--- a/crates/gateway/src/connections/counted_bytes.rs
+++ b/crates/gateway/src/connections/counted_bytes.rs
@@ -6,6 +6,7 @@
 /// reduced when the connection closes.
 #[derive(Debug, Default)]
 pub(crate) struct CountedBytes {
+    /// The bytes counted so far.
     bytes: usize,
 }
 
--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -45,6 +45,7 @@
 
 /// The connection of a watch.
 struct WatchConnection {
+    /// The TCP stream with its buffers.
     socket: Socket,
     /// The address of discovery that it was opened to.
     address: SocketAddr,
--- a/crates/gateway/src/connections/listener.rs
+++ b/crates/gateway/src/connections/listener.rs
@@ -37,9 +37,11 @@
 
 /// A socket that accepts client connections.
 pub(crate) struct Listener {
+    /// Its token.
     token: ConnectionToken,
     /// The listening socket, in non-blocking mode.
     socket: TcpListener,
+    /// The protocol of its clients.
     protocol: ListenerProtocol,
 }
 
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -51,6 +51,7 @@
 /// A non-blocking TCP stream with its buffers, registered with the poller.
 #[derive(Debug)]
 pub(crate) struct Socket {
+    /// The TCP stream.
     stream: TcpStream,
     /// The token by which the poller reports it.
     token: ConnectionToken,
--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -45,6 +45,7 @@
 pub(crate) struct Context {
     /// The configuration; some of it can be reloaded.
     pub(crate) config: Config,
+    /// Reads the time.
     clock: Clock,
     /// The time of this turn, in microseconds since the Unix epoch. Read once a turn, so that
     /// everything in a turn happens at the same time.
--- a/crates/gateway/src/context/poller.rs
+++ b/crates/gateway/src/context/poller.rs
@@ -16,6 +16,7 @@
 /// registration.
 #[derive(Debug)]
 pub(crate) struct Poller {
+    /// The epoll instance.
     epoll: OwnedFd,
 }
 
--- a/crates/gateway/src/context/slab.rs
+++ b/crates/gateway/src/context/slab.rs
@@ -7,6 +7,7 @@
 /// Values by token. The slots of freed tokens are used again in a new generation.
 #[derive(Debug)]
 pub struct Slab<T> {
+    /// The slots, by the index of a token.
     slots: Vec<Slot<T>>,
     /// Indices of slots without a reserved token; the last one freed is used next.
     free: Vec<u32>,
--- a/crates/gateway/src/discovery/framing.rs
+++ b/crates/gateway/src/discovery/framing.rs
@@ -15,11 +15,17 @@
     /// A chunk size line.
     ChunkSize,
     /// The data of a chunk, of which `remaining` bytes have not been received.
-    ChunkData { remaining: usize },
+    ChunkData {
+        /// Bytes of the chunk that are to come.
+        remaining: usize,
+    },
     /// The line end after the data of a chunk.
     ChunkEnd,
     /// A body with a Content-Length, of which `remaining` bytes have not been received.
-    FixedLength { remaining: usize },
+    FixedLength {
+        /// Bytes of the body that are to come.
+        remaining: usize,
+    },
     /// A body that ends when the connection is closed.
     UntilClose,
     /// Nothing: the response is complete.
--- a/crates/gateway/src/dispatcher/unfinished_requests.rs
+++ b/crates/gateway/src/dispatcher/unfinished_requests.rs
@@ -9,6 +9,7 @@
 /// The unfinished requests, within the bounds of the memory budget.
 #[derive(Debug)]
 pub(super) struct UnfinishedRequests {
+    /// The requests by id.
     requests: HashMap<RequestId, UnfinishedRequest>,
     /// The client request ids of `requests`.
     client_request_ids: HashSet<Box<str>>,
--- a/crates/gateway/src/event_loop/console_input.rs
+++ b/crates/gateway/src/event_loop/console_input.rs
@@ -17,6 +17,7 @@
 
 /// Lines typed at the console.
 pub(super) struct ConsoleInput {
+    /// Token of the standard input.
     token: ConnectionToken,
     /// The end of the pipe from the thread that reads standard input.
     stream: UnixStream,
--- a/crates/gateway/src/event_loop/signals.rs
+++ b/crates/gateway/src/event_loop/signals.rs
@@ -22,7 +22,9 @@
 
 /// The end of a pipe that becomes readable when a signal arrives.
 struct SignalPipe {
+    /// Token of the pipe.
     token: ConnectionToken,
+    /// The end that is read.
     stream: UnixStream,
     /// The meaning of the signals that this pipe reports.
     kind: SignalKind,
@@ -31,6 +33,7 @@
 /// The pipes of all signals that the gateway handles.
 #[derive(Default)]
 pub(super) struct SignalPipes {
+    /// A pipe for each signal.
     pipes: Vec<SignalPipe>,
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,6 +3,7 @@
 //! [`event_loop::Gateway`] runs the program. `docs/architecture.md` describes its parts, the
 //! owners of its state and the path of a request.
 #![forbid(unsafe_code)]
+#![warn(clippy::missing_docs_in_private_items)]
 
 pub mod client_protocol;
 pub mod config;
--- a/crates/gateway/src/node_protocol/resp/reader.rs
+++ b/crates/gateway/src/node_protocol/resp/reader.rs
@@ -47,7 +47,9 @@
 
 /// Reads values off a reply.
 pub(super) struct ReplyReader<'a> {
+    /// The bytes received and not consumed.
     input: &'a [u8],
+    /// How many of them are read.
     position: usize,
 }
 
--- a/crates/gateway/tests/gateway_process/harness/gateway_process.rs
+++ b/crates/gateway/tests/gateway_process/harness/gateway_process.rs
@@ -12,8 +12,8 @@
 /// The path of the program under test.
 pub const GATEWAY_PROGRAM: &str = env!("CARGO_BIN_EXE_storage-gateway");
 
-/// Held while a child process is started. Until the child executes its program, it has copies of all
-/// descriptors of this process, and a connection that another test closes meanwhile stays open.
+/// Held while a child process is started. Until the child executes its program, it has copies of
+/// all descriptors of this process, and a connection that another test closes meanwhile stays open.
 static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 /// Does something while no child process has copies of this process's descriptors.
