--- a/crates/scheduler/src/api/units.rs
+++ b/crates/scheduler/src/api/units.rs
@@ -3,8 +3,7 @@
 //! A service unit measures the size of a request. Units and rates have types of their own, so that
 //! neither is taken for the other, for a time or for a plain factor.
 
-use std::iter::Sum;
-use std::ops::{Add, AddAssign, Div, Mul, Sub, SubAssign};
+use derive_more::{Add, AddAssign, Div, Mul, Sub, SubAssign, Sum};
 
 /// A point in time or a span of time, in microseconds of the caller's clock.
 pub type Micros = i64;
@@ -13,7 +12,21 @@
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 
 /// An amount of service, in units.
-#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    PartialOrd,
+    Add,
+    AddAssign,
+    Sub,
+    SubAssign,
+    Mul,
+    Div,
+    Sum,
+)]
 pub struct Units(pub f64);
 
 impl Units {
@@ -39,58 +52,8 @@
     }
 }
 
-impl Add for Units {
-    type Output = Units;
-
-    fn add(self, other: Units) -> Units {
-        Units(self.0 + other.0)
-    }
-}
-
-impl AddAssign for Units {
-    fn add_assign(&mut self, other: Units) {
-        self.0 += other.0;
-    }
-}
-
-impl Sub for Units {
-    type Output = Units;
-
-    fn sub(self, other: Units) -> Units {
-        Units(self.0 - other.0)
-    }
-}
-
-impl SubAssign for Units {
-    fn sub_assign(&mut self, other: Units) {
-        self.0 -= other.0;
-    }
-}
-
-impl Mul<f64> for Units {
-    type Output = Units;
-
-    fn mul(self, factor: f64) -> Units {
-        Units(self.0 * factor)
-    }
-}
-
-impl Div<f64> for Units {
-    type Output = Units;
-
-    fn div(self, divisor: f64) -> Units {
-        Units(self.0 / divisor)
-    }
-}
-
-impl Sum for Units {
-    fn sum<I: Iterator<Item = Units>>(amounts: I) -> Units {
-        Units(amounts.map(|amount| amount.0).sum())
-    }
-}
-
 /// A rate of service, in units a second.
-#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Add, Mul, Div, Sum)]
 pub struct UnitsPerSecond(pub f64);
 
 impl UnitsPerSecond {
@@ -112,25 +75,3 @@
         Units(self.0 * span as f64 / MICROS_PER_SECOND)
     }
 }
-
-impl Mul<f64> for UnitsPerSecond {
-    type Output = UnitsPerSecond;
-
-    fn mul(self, factor: f64) -> UnitsPerSecond {
-        UnitsPerSecond(self.0 * factor)
-    }
-}
-
-impl Div<f64> for UnitsPerSecond {
-    type Output = UnitsPerSecond;
-
-    fn div(self, divisor: f64) -> UnitsPerSecond {
-        UnitsPerSecond(self.0 / divisor)
-    }
-}
-
-impl Sum for UnitsPerSecond {
-    fn sum<I: Iterator<Item = UnitsPerSecond>>(rates: I) -> UnitsPerSecond {
-        UnitsPerSecond(rates.map(|rate| rate.0).sum())
-    }
-}
--- a/crates/scheduler/src/time.rs
+++ b/crates/scheduler/src/time.rs
@@ -4,10 +4,11 @@
 //! else.
 
 use crate::api::{Micros, Units, UnitsPerSecond, MICROS_PER_SECOND};
-use std::ops::{Add, Div, Mul, Sub, SubAssign};
+use derive_more::{Add, Div, Mul, Sub, SubAssign, Sum};
+use std::ops::{Div, Mul};
 
 /// Time in seconds on the axis of dmClock's tags, which begins when the scheduler starts.
-#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Add, Sub, SubAssign)]
 pub struct Seconds(pub f64);
 
 impl Seconds {
@@ -30,28 +31,6 @@
     }
 }
 
-impl Add for Seconds {
-    type Output = Seconds;
-
-    fn add(self, other: Seconds) -> Seconds {
-        Seconds(self.0 + other.0)
-    }
-}
-
-impl Sub for Seconds {
-    type Output = Seconds;
-
-    fn sub(self, other: Seconds) -> Seconds {
-        Seconds(self.0 - other.0)
-    }
-}
-
-impl SubAssign for Seconds {
-    fn sub_assign(&mut self, other: Seconds) {
-        self.0 -= other.0;
-    }
-}
-
 /// The time that an amount of service takes at a rate.
 impl Div<UnitsPerSecond> for Units {
     type Output = Seconds;
@@ -71,7 +50,7 @@
 }
 
 /// A latency, in microseconds with fractions.
-#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Add, Mul, Div, Sum)]
 pub struct Latency(f64);
 
 impl Latency {
@@ -105,33 +84,3 @@
         Latency(self.0 + gain * (sample.0 - self.0))
     }
 }
-
-impl Add for Latency {
-    type Output = Latency;
-
-    fn add(self, other: Latency) -> Latency {
-        Latency(self.0 + other.0)
-    }
-}
-
-impl Mul<f64> for Latency {
-    type Output = Latency;
-
-    fn mul(self, factor: f64) -> Latency {
-        Latency(self.0 * factor)
-    }
-}
-
-impl Div<f64> for Latency {
-    type Output = Latency;
-
-    fn div(self, divisor: f64) -> Latency {
-        Latency(self.0 / divisor)
-    }
-}
-
-impl std::iter::Sum for Latency {
-    fn sum<I: Iterator<Item = Latency>>(latencies: I) -> Latency {
-        Latency(latencies.map(|latency| latency.0).sum())
-    }
-}
