--- a/crates/scheduler/src/dmclock/flow.rs
+++ b/crates/scheduler/src/dmclock/flow.rs
@@ -29,9 +29,11 @@
 /// Where a request is inserted into its flow.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Position {
-    /// Before all others.
+    /// Before all that wait now, whatever its priority weight. A request that is inserted by
+    /// priority later may still go before it.
     Front,
-    /// Behind those of the same priority weight.
+    /// Behind those of the same priority weight, in a queue that is ordered by weight but for those
+    /// at its front.
     ByPriority,
 }
 
--- a/crates/scheduler/src/dmclock/selection.rs
+++ b/crates/scheduler/src/dmclock/selection.rs
@@ -16,7 +16,7 @@
 use super::phase::Phase;
 use super::shard_queue::ShardQueue;
 use crate::api::{Micros, RequestId, Settings, VolumeId};
-use crate::node::slow_start::{FULL_QUOTA, SURPLUS_QUOTA};
+use crate::node::slow_start::QuotaPart;
 use crate::node::Node;
 use crate::time::Seconds;
 use crate::volume::VolumeTable;
@@ -38,7 +38,7 @@
 pub trait Admission {
     /// Whether these rules let a request be dispatched now; it may use `quota_part` of this host's
     /// slow-start quota.
-    fn admits(&self, request: RequestId, quota_part: f64) -> bool;
+    fn admits(&self, request: RequestId, quota_part: QuotaPart) -> bool;
 }
 
 /// The selection from the queue of one shard for the node that holds it.
@@ -76,7 +76,7 @@
             .queue
             .heads()
             .filter(|(volume, head)| self.has_due_reservation(*volume, head))
-            .filter(|(_, head)| self.admission.admits(head.id, FULL_QUOTA))
+            .filter(|(_, head)| self.admission.admits(head.id, QuotaPart::Full))
             .map(|(_, head)| (head.id, head.tags.reservation));
         Some(Selected {
             request: with_smallest_tag(due)?,
@@ -110,7 +110,7 @@
         let request = self
             .queue
             .late()
-            .find(|id| self.admission.admits(*id, SURPLUS_QUOTA))?;
+            .find(|id| self.admission.admits(*id, QuotaPart::Surplus))?;
         Some(Selected {
             request,
             phase: Phase::Late,
@@ -151,11 +151,11 @@
     }
 
     /// Part of this host's slow-start quota that a request may use.
-    fn quota_part(&self, volume: VolumeId, head: &QueuedRequest) -> f64 {
+    fn quota_part(&self, volume: VolumeId, head: &QueuedRequest) -> QuotaPart {
         if self.is_surplus(head) && !self.has_due_reservation(volume, head) {
-            SURPLUS_QUOTA
+            QuotaPart::Surplus
         } else {
-            FULL_QUOTA
+            QuotaPart::Full
         }
     }
 }
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -154,8 +154,9 @@
         self.in_flight >= MAX_IN_FLIGHT
     }
 
-    /// Whether a trial attempt is in flight at an ejected node.
-    pub fn has_trial_in_flight(&self) -> bool {
+    /// Whether as many attempts are in flight as an ejected node may have, those from before its
+    /// ejection included.
+    pub fn is_full_for_trials(&self) -> bool {
         self.in_flight >= MAX_TRIALS_IN_FLIGHT
     }
 
--- a/crates/scheduler/src/node/outlier_ejection.rs
+++ b/crates/scheduler/src/node/outlier_ejection.rs
@@ -13,7 +13,8 @@
 /// Attempts without a response, none served between them, that eject a node.
 const FAILURES_TO_EJECT: u32 = 3;
 /// Time between the first trial attempt of an ejected node and the second, in microseconds; it
-/// doubles with each further failure. The first one follows the ejection without a pause.
+/// doubles with each further failure. The first one needs no pause: it is dispatched once no
+/// attempt from before the ejection is in flight.
 const MIN_TRIAL_INTERVAL: Micros = 100_000;
 /// Longest time between two trial attempts, in microseconds.
 const MAX_TRIAL_INTERVAL: Micros = 1_000_000;
@@ -51,7 +52,7 @@
     }
 }
 
-/// Whether most of the nodes are ejected.
+/// Whether more of the nodes are ejected than not.
 pub fn exceeds_panic_threshold<'a>(nodes: impl Iterator<Item = &'a Node>) -> bool {
     let mut ejected = 0;
     let mut not_ejected = 0;
--- a/crates/scheduler/src/node/slow_start.rs
+++ b/crates/scheduler/src/node/slow_start.rs
@@ -19,10 +19,27 @@
 /// Lower bound of the initial capacity, which divides the units that a node bears at its start.
 const MIN_INITIAL_CAPACITY: f64 = 1e-9;
 
-/// Part of a host's quota that surplus and late requests may use: the rest is left to the others.
-pub const SURPLUS_QUOTA: f64 = 0.5;
-/// Part of a host's quota that other requests may use.
-pub const FULL_QUOTA: f64 = 1.0;
+/// Fraction of a host's quota that surplus and late requests may use.
+const SURPLUS_QUOTA: f64 = 0.5;
+
+/// How much of a host's quota a request may use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum QuotaPart {
+    /// All of it.
+    Full,
+    /// A part, for surplus and late requests: the rest is left to the others.
+    Surplus,
+}
+
+impl QuotaPart {
+    /// The part as a fraction of the quota.
+    fn fraction(self) -> f64 {
+        match self {
+            QuotaPart::Full => 1.0,
+            QuotaPart::Surplus => SURPLUS_QUOTA,
+        }
+    }
+}
 
 /// Units that this host dispatched to a node while it was warming up.
 #[derive(Default)]
@@ -74,11 +91,11 @@
 impl SlowStartLimiter<'_> {
     /// Whether a request of so many units may be dispatched; it may use `quota_part` of this host's
     /// quota.
-    pub fn admits(&self, units: Units, quota_part: f64, started_at: Micros) -> bool {
+    pub fn admits(&self, units: Units, quota_part: QuotaPart, started_at: Micros) -> bool {
         let slow_start = &self.settings.slow_start;
         let capacity = capacity(slow_start, started_at, self.now);
         let node_quota = node_quota(slow_start, capacity);
-        let host_quota = self.host_quota(capacity, node_quota) * quota_part;
+        let host_quota = self.host_quota(capacity, node_quota) * quota_part.fraction();
         let dispatched = self
             .node
             .slow_start_usage()
--- a/crates/scheduler/src/request/pending.rs
+++ b/crates/scheduler/src/request/pending.rs
@@ -23,7 +23,7 @@
     relative_latency: f64,
     /// When its latency objective ends; at most its deadline.
     objective_at: Micros,
-    /// When it is rejected, if it is still open then.
+    /// When it is rejected, if it is still open then and is not postponed (`shedding`).
     reject_at: Micros,
     /// Whether it has no final response yet.
     is_open: bool,
@@ -80,7 +80,7 @@
         self.objective_at
     }
 
-    /// When it is rejected, if it is still open then.
+    /// When it is rejected, if it is still open then and is not postponed (`shedding`).
     pub fn reject_at(&self) -> Micros {
         self.reject_at
     }
--- a/crates/scheduler/src/request/shedding.rs
+++ b/crates/scheduler/src/request/shedding.rs
@@ -1,8 +1,9 @@
 //! When a request that waits is given up (load shedding).
 //!
-//! Input: the request's deadline, in microseconds. A request that was not dispatched within a
-//! fraction of its time to the deadline is rejected, so that its client has time to retry. One that
-//! a node may have executed is kept until its deadline, as its client could not safely retry.
+//! Input: the request's deadline, in microseconds. After a fraction of its time to the deadline a
+//! request is rejected, so that its client has time to retry, unless a node may have executed it or
+//! may be executing it: then it is kept until its deadline, as its client could not safely retry.
+//! So a request that was dispatched, but that no node took, is rejected as well.
 
 use super::PendingRequest;
 use crate::api::{Micros, RequestId};
@@ -11,7 +12,7 @@
 /// A request may wait for its time to the deadline divided by this.
 const MAX_QUEUE_TIME_DIVISOR: i64 = 2;
 
-/// When a request that is received now is rejected, if it was not dispatched by then.
+/// When a request that is received now is rejected, if no node may have executed it by then.
 pub fn reject_at(deadline: Micros, now: Micros) -> Micros {
     let time_left = (deadline - now).max(0);
     now + time_left / MAX_QUEUE_TIME_DIVISOR
--- a/crates/scheduler/src/retry/idempotency.rs
+++ b/crates/scheduler/src/retry/idempotency.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// Whether the client may safely retry, at any node.
+/// Whether the client may safely retry, at any node. The window of an idempotency key is not looked
+/// at: when the client will retry is not known.
 pub fn client_may_retry(pending: &PendingRequest) -> bool {
     match pending.class().idempotency {
         Idempotency::Idempotent => true,
--- a/crates/scheduler/src/scheduler/admission.rs
+++ b/crates/scheduler/src/scheduler/admission.rs
@@ -9,7 +9,7 @@
 use super::Scheduler;
 use crate::api::RequestId;
 use crate::dmclock::{Admission, ShardQueue};
-use crate::node::slow_start::{warming_up_since, SlowStartLimiter};
+use crate::node::slow_start::{warming_up_since, QuotaPart, SlowStartLimiter};
 use crate::node::Node;
 use crate::request::PendingRequest;
 
@@ -24,7 +24,7 @@
 }
 
 impl Admission for DispatchAdmission<'_> {
-    fn admits(&self, request: RequestId, quota_part: f64) -> bool {
+    fn admits(&self, request: RequestId, quota_part: QuotaPart) -> bool {
         let Some(pending) = self.scheduler.requests.get(&request) else {
             return false;
         };
@@ -53,7 +53,7 @@
     }
 
     /// Whether the node has its full capacity, or the quota of slow start holds the units.
-    fn slow_start_admits(&self, pending: &PendingRequest, quota_part: f64) -> bool {
+    fn slow_start_admits(&self, pending: &PendingRequest, quota_part: QuotaPart) -> bool {
         let Scheduler { settings, now, .. } = self.scheduler;
         let Some(started_at) = warming_up_since(self.node, &settings.slow_start, *now) else {
             return true;
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -47,14 +47,15 @@
         }
     }
 
-    /// Whether a node gets trial attempts only: it is ejected, and most other nodes are not.
+    /// Whether a node gets trial attempts only: it is ejected, and no more nodes are ejected than
+    /// not.
     fn is_limited_to_trials(&self, node: &Node) -> bool {
         node.is_ejected() && !exceeds_panic_threshold(self.nodes.in_service())
     }
 
     /// Whether nothing can be dispatched to a node now, whatever is queued for it.
     fn is_blocked(&self, node: &Node, is_trial: bool) -> bool {
-        node.is_full() || node.is_paused(self.now) || (is_trial && node.has_trial_in_flight())
+        node.is_full() || node.is_paused(self.now) || (is_trial && node.is_full_for_trials())
     }
 
     /// Pauses an ejected node after a trial attempt.
--- a/crates/scheduler/src/scheduler/wakeup.rs
+++ b/crates/scheduler/src/scheduler/wakeup.rs
@@ -3,9 +3,10 @@
 use super::Scheduler;
 use crate::api::{Action, Micros, Shard};
 
-/// Interval in microseconds at which requests that wait for a tag, a token bucket or a quota are
-/// checked again. What a request waits for has no single time at which it ends: each of the three
-/// also depends on what other requests are dispatched meanwhile.
+/// Interval in microseconds at which requests are checked again that wait for a tag, tokens,
+/// pacing, a quota of slow start, the retry budget or a node. What a request waits for has no
+/// single time at which it ends: most of these also depend on what other requests are dispatched
+/// meanwhile.
 const RECHECK_INTERVAL: Micros = 4_000;
 
 impl Scheduler {
