--- a/crates/gateway/src/client_protocol/mod.rs
+++ b/crates/gateway/src/client_protocol/mod.rs
@@ -48,9 +48,13 @@
         ready: bool,
     ) -> CommandStep;
 
-    /// Handles the response to a request of the command at `slot`. Called exactly once for each
+    /// Handles the response to a request of the command at `slot`. Called at most once for each
     /// submitted request, in any order. When the command can be answered, its slot and encoded
     /// reply are appended to `out`.
+    ///
+    /// A command may be answered before all its requests are: once one part of a listing has
+    /// failed, the responses to the others are not awaited any more. One that still arrives is
+    /// ignored.
     fn encode_response(
         &mut self,
         slot: SlotNumber,
@@ -69,8 +73,11 @@
     /// Idle time after a command until the connection is closed, in microseconds.
     fn idle_timeout(&self) -> Micros;
 
-    /// Whether closing the connection now would lose state between commands, such as a buffered
-    /// upload.
+    /// Whether an upload is open: the client has opened an object for writing and not closed it,
+    /// so that nothing of it is stored yet. Such a connection is not closed as idle.
+    ///
+    /// Other state between commands does not count. Handles open for reading or listing are lost
+    /// when the connection is closed as idle; the client can open them again.
     fn is_mid_command(&self) -> bool {
         false
     }
--- a/crates/gateway/src/client_protocol/resp/error.rs
+++ b/crates/gateway/src/client_protocol/resp/error.rs
@@ -1,4 +1,7 @@
-//! Why a command or its request is invalid. The texts are sent to the client.
+//! Why a command or its request is invalid.
+//!
+//! The texts are sent to the client and must not change: clients rely on them. So some use other
+//! terms than the code.
 
 use crate::resp_bulk_string::MissingTerminator;
 use crate::resp_wire_names::parameter;
--- a/crates/gateway/src/client_protocol/sftp/error.rs
+++ b/crates/gateway/src/client_protocol/sftp/error.rs
@@ -1,4 +1,7 @@
 //! Errors that are answered with a STATUS packet.
+//!
+//! The texts are sent to the client and must not change: clients rely on them. So some use other
+//! terms than the code.
 
 use crate::sftp_packet::{encode_status, MalformedPacket, RequestId, StatusCode};
 use crate::storage_request::InvalidRequest;
--- a/crates/gateway/src/client_protocol/sftp/responses.rs
+++ b/crates/gateway/src/client_protocol/sftp/responses.rs
@@ -82,6 +82,7 @@
         let value = match body {
             ResponseBody::Value(value) => value,
             ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
+            // No node protocol responds to a read with these.
             ResponseBody::Size(_) | ResponseBody::Entries(_) => return Err(SftpError::Failed),
         };
         let size = value.len() as u64;
@@ -101,6 +102,7 @@
         let size = match body {
             ResponseBody::Value(value) => value.len() as u64,
             ResponseBody::Size(size) => *size,
+            // No node protocol responds to a STAT or a read with entries.
             ResponseBody::Entries(_) => 0,
             ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
         };
@@ -117,6 +119,8 @@
         size: u64,
         body: &ResponseBody,
     ) -> Result<Vec<u8>, SftpError> {
+        // No node protocol responds to a write with this: a file server's "no such file" fails the
+        // write.
         if *body == ResponseBody::NotFound {
             return Err(SftpError::NoSuchFile);
         }
--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -72,7 +72,9 @@
         self.store(client, &mut context.timers);
     }
 
-    /// Closes a connection at once. Its requests without a final response are cancelled.
+    /// Closes a connection at once. The requests of its commands without a reply are reported as
+    /// those of a client that has disconnected, which does not cancel every attempt; see
+    /// [`crate::dispatcher::Dispatcher::client_disconnected`].
     pub(super) fn drop_connection(&mut self, mut client: ClientConnection, context: &mut Context) {
         context.free(client.token());
         client.timer.cancel(&mut context.timers);
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -134,14 +134,14 @@
         self.replies.is_empty() && self.socket.unsent_bytes() == 0
     }
 
-    /// Whether a command has arrived in part, or a sequence of commands such as an upload is
-    /// incomplete.
+    /// Whether a command has arrived in part, or an upload is open.
     pub(super) fn has_partial_command(&self) -> bool {
         !self.socket.input.is_empty() || self.protocol.is_mid_command()
     }
 
-    /// Whether the connection can be closed without loss: no reply is pending and no command has
-    /// begun.
+    /// Whether the connection may be closed as idle: no reply is pending, no command has begun and
+    /// no upload is open. Handles that an SFTP client has open for reading or listing do not
+    /// prevent it: they are lost with the connection.
     pub(super) fn is_idle(&self) -> bool {
         self.is_fully_replied() && !self.has_partial_command()
     }
@@ -240,8 +240,8 @@
         }
     }
 
-    /// The entry for the eviction queue; `None` if a reply is pending or a sequence of commands
-    /// such as an upload has begun.
+    /// The entry for the eviction queue; `None` if a reply is pending or an upload is open. As with
+    /// [`Self::is_idle`], other open handles do not prevent it.
     pub(super) fn as_eviction_candidate(&self) -> Option<EvictionCandidate> {
         if !self.is_fully_replied() || self.protocol.is_mid_command() {
             return None;
--- a/crates/gateway/src/connections/client/events.rs
+++ b/crates/gateway/src/connections/client/events.rs
@@ -61,7 +61,7 @@
             .protocol
             .encode_response(reply_slot.slot, response, &mut encoded);
         // A reply may be complete before all requests of its command are: once one part of a
-        // listing has failed, the other parts are cancelled.
+        // listing has failed, the others are reported as no longer needed.
         for id in client.complete_replies(encoded) {
             context.client_disconnected(id);
         }
@@ -76,8 +76,8 @@
         return client.socket.discard_available(remaining);
     }
     if flags.intersects(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR) {
-        // The end of the stream may be behind more input than one call reads. The client's open
-        // requests are cancelled now rather than once all of that input has been read.
+        // The end of the stream may be behind more input than one call reads. The disconnection is
+        // reported now rather than once all of that input has been read.
         return Ok(StreamStatus::Ended);
     }
     if flags.contains(EventFlags::IN) {
--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -6,7 +6,10 @@
 use crate::context::Context;
 
 impl ClientConnections {
-    /// Evicts a connection without pending replies; returns false if there is none.
+    /// Tries to evict a connection without pending replies; returns false if there is none.
+    ///
+    /// The connection stays open if input has arrived that was not read yet, see [`Self::evict`].
+    /// The result is true and the log line is written in that case too.
     pub(super) fn evict_one(&mut self, context: &mut Context) -> bool {
         let Some(token) = self.eviction_queue.next_to_evict(context.now) else {
             return false;
--- a/crates/gateway/src/connections/client/reply_queue.rs
+++ b/crates/gateway/src/connections/client/reply_queue.rs
@@ -103,7 +103,8 @@
         lengths.sum()
     }
 
-    /// The requests of all commands that wait for responses, in the order of the commands.
+    /// The requests of all commands that wait for responses, in the order of the commands. Some of
+    /// them may have their response already, if their command waits for others.
     pub(super) fn into_open_requests(self) -> impl Iterator<Item = RequestId> {
         self.pending
             .into_iter()
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -121,9 +121,10 @@
         self.complete_attempt(attempt, AttemptResult::without_body(outcome), now, timers);
     }
 
-    /// Records that the client of a request has disconnected. Attempts that cannot have taken
-    /// effect yet are aborted at once, whether or not the scheduler cancels attempts that may have
-    /// run.
+    /// Records that the client of a request has disconnected or no longer needs its response.
+    /// Attempts that cannot have taken effect yet are aborted at once. The scheduler decides on
+    /// those that may have run: unless it cancels them, they run to their end, and their results
+    /// are still reported to it.
     pub fn client_disconnected(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
         let Some(unfinished) = self.requests.get_mut(id) else {
             return;
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -1,4 +1,4 @@
-//! The acceptance of requests. It decides two things: a client request id of an unfinished request
+//! The submission of requests. It decides two things: a client request id of an unfinished request
 //! is an error of the client, and a request that the memory budget has no capacity for is rejected
 //! with Retry-After.
 
@@ -20,8 +20,9 @@
 const MIN_TIMEOUT_PER_MARGIN: Micros = 4;
 
 impl Dispatcher {
-    /// Accepts a request. Its final response is a [`Command::Respond`] of this turn or a later
-    /// one.
+    /// Takes a request from a client and accepts or rejects it, or answers it as invalid. In each
+    /// case its final response is a [`Command::Respond`] of this turn or a later one, unless the
+    /// client disconnects before.
     pub fn submit(
         &mut self,
         request: StorageRequest,
--- a/crates/gateway/src/event_loop/reload.rs
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -35,8 +35,11 @@
         }
     }
 
-    /// Changes the address of the discovery service. The watch at the previous address is closed;
-    /// the scheduler then requests one at the new address.
+    /// Changes the address of the discovery service. The watch at the previous address is closed,
+    /// and the scheduler then requests another one.
+    ///
+    /// No watch is opened if there is no new address, or if the scheduler does not poll at all,
+    /// which [`io_scheduler::Settings::discovery_clients`] decides when the gateway starts.
     fn set_discovery_address(&mut self, address: Option<SocketAddr>) {
         self.context.config.discovery = address;
         self.watch.reset_list_index();
--- a/crates/gateway/src/node_protocol/mod.rs
+++ b/crates/gateway/src/node_protocol/mod.rs
@@ -33,8 +33,10 @@
         out: &mut Vec<u8>,
     ) -> usize;
 
-    /// Size in bytes of the reply that is being received, as far as known: its announced length,
-    /// or the bytes received so far.
+    /// Bytes of the reply that is being received that count against the budget of large
+    /// responses. For RESP2 this is the announced length of the value, 0 before it is known. For
+    /// SFTP it is the part of an object that READ commands have returned so far; the entries of a
+    /// listing and an incomplete packet are not counted.
     fn buffered_bytes(&self) -> usize;
 
     /// Consumes received bytes from the front of `input`. Returns the result of the request in
@@ -45,7 +47,9 @@
     ///
     /// [`ProtocolError`] if the bytes are not a reply of this protocol or exceed its bounds, or if
     /// they arrive while no request is in flight, as they would be mistaken for the reply to the
-    /// next request.
+    /// next request. SFTP has two exceptions: the reply to a CLOSE that was sent after the end of
+    /// its request is ignored, and so is one packet behind the last reply of a request if both are
+    /// decoded by the same call.
     fn decode(
         &mut self,
         input: &mut Vec<u8>,
--- a/crates/gateway/src/node_protocol/sftp/command_writer.rs
+++ b/crates/gateway/src/node_protocol/sftp/command_writer.rs
@@ -11,8 +11,9 @@
 
 /// The ids of the commands that were sent on one connection.
 pub(super) struct CommandIds {
-    /// The id of the last command; a reply with another id belongs to an earlier request and is
-    /// ignored.
+    /// The id that was allocated last. While a request is in flight, it is the id of its last
+    /// command: a reply with another id belongs to an earlier request and is ignored. After
+    /// [`CommandWriter::close_ignoring_reply`] no command has it.
     last: RequestId,
     /// The id of the last CLOSE that was sent after its request was complete; its reply is
     /// ignored.
@@ -121,6 +122,7 @@
     pub(super) fn close_ignoring_reply(&mut self, handle: &[u8]) {
         self.close(handle);
         self.ids.ignored = Some(self.ids.last);
+        // Skips an id, so that the CLOSE does not have the last one.
         self.ids.allocate();
     }
 }
--- a/crates/gateway/src/node_protocol/sftp/protocol.rs
+++ b/crates/gateway/src/node_protocol/sftp/protocol.rs
@@ -151,8 +151,9 @@
                 DecodeStep::PacketConsumed => {}
                 DecodeStep::InputConsumed => break None,
                 DecodeStep::RequestCompleted(result) => {
-                    // Skips a packet that arrived together with the last reply: it belongs to no
-                    // request.
+                    // Skips one complete packet that arrived together with the last reply,
+                    // whatever it is. One that arrives later, but before the next request, is an
+                    // error unless it is the ignored reply to a CLOSE.
                     decode_packet(input, &mut position)?;
                     break Some(result);
                 }
--- a/crates/gateway/src/node_protocol/sftp/stage.rs
+++ b/crates/gateway/src/node_protocol/sftp/stage.rs
@@ -20,6 +20,10 @@
         /// The request's operation, which states how the handle is used.
         operation: Operation,
         /// The bytes of the object to write; empty for other operations.
+        ///
+        /// A copy: the request keeps its own until it is finished, and only that one is counted in
+        /// [`crate::memory_budget::MemoryBudget::request_body_bytes`]. So an upload takes twice
+        /// the counted memory, and three times while [`Upload::new`] splits this copy.
         body: Vec<u8>,
     },
     /// The reply to READ.
@@ -58,7 +62,7 @@
 }
 
 impl Upload {
-    /// An upload of which nothing is sent.
+    /// An upload of which nothing is sent. Copies `body`, which the caller drops afterwards.
     fn new(handle: ServerHandle, body: &[u8]) -> Upload {
         Upload {
             handle,
@@ -111,6 +115,7 @@
         match operation {
             Operation::Write => Upload::new(handle, body).send_next(commands),
             Operation::List => Stage::read_directory(handle, Vec::new(), commands),
+            // A STAT opens no handle, so only reads come here; see `Stage::start`.
             Operation::Read | Operation::Stat => {
                 Stage::read_next_chunk(handle, Vec::new(), commands)
             }
--- a/crates/gateway/src/storage_request/response.rs
+++ b/crates/gateway/src/storage_request/response.rs
@@ -20,7 +20,7 @@
     Size(u64),
     /// The objects of a volume on one shard.
     Entries(Vec<ObjectEntry>),
-    /// The node has no such object.
+    /// The node has no such object. Only SFTP nodes respond so, to a read or a STAT.
     NotFound,
 }
 
