--- a/crates/gateway/src/client_protocol/mod.rs
+++ b/crates/gateway/src/client_protocol/mod.rs
@@ -78,7 +78,7 @@
     ///
     /// Other state between commands does not count. Handles open for reading or listing are lost
     /// when the connection is closed as idle; the client can open them again.
-    fn is_mid_command(&self) -> bool {
+    fn has_open_upload(&self) -> bool {
         false
     }
 }
--- a/crates/gateway/src/client_protocol/sftp/error.rs
+++ b/crates/gateway/src/client_protocol/sftp/error.rs
@@ -6,6 +6,10 @@
 use crate::sftp_packet::{encode_status, MalformedPacket, RequestId, StatusCode};
 use crate::storage_request::InvalidRequest;
 
+/// When a client should retry a command that the memory budget for buffered objects has no capacity
+/// for, in milliseconds.
+const BUFFERS_FULL_RETRY_AFTER_MS: u32 = 500;
+
 /// Why a command failed. The text is the STATUS message that the client gets.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SftpError {
@@ -34,7 +38,7 @@
     #[error("no such handle")]
     NoSuchHandle,
     /// The memory budget for the buffered objects of all clients is used up.
-    #[error("busy: try again in 500 ms")]
+    #[error("busy: try again in {} ms", BUFFERS_FULL_RETRY_AFTER_MS)]
     BuffersFull,
     /// A write beyond the largest object size.
     #[error("larger than an object may be")]
--- a/crates/gateway/src/client_protocol/sftp/protocol.rs
+++ b/crates/gateway/src/client_protocol/sftp/protocol.rs
@@ -134,7 +134,7 @@
         IDLE_TIMEOUT
     }
 
-    fn is_mid_command(&self) -> bool {
+    fn has_open_upload(&self) -> bool {
         self.session.handles.has_upload()
     }
 }
--- a/crates/gateway/src/client_protocol/sftp/responses.rs
+++ b/crates/gateway/src/client_protocol/sftp/responses.rs
@@ -30,7 +30,7 @@
         match served_body(response) {
             Ok(body) => self.handle_body(command, body),
             Err(error) => {
-                self.abandon(&command.operation);
+                self.undo_state_changes(&command.operation);
                 CommandProgress::Completed(error.to_status(command.request_id))
             }
         }
@@ -64,7 +64,7 @@
     }
 
     /// Undoes the state changes of an operation whose request failed.
-    fn abandon(&mut self, operation: &PendingOperation) {
+    fn undo_state_changes(&mut self, operation: &PendingOperation) {
         if let PendingOperation::List(listing) = operation {
             if let Ok(directory) = self.handles.directory_mut(listing.handle()) {
                 directory.reset_listing();
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -21,7 +21,7 @@
         let parsed_bytes = self.run_commands(&mut client, context);
         self.consume_input(&mut client, parsed_bytes, context);
         let input_is_full = client.socket.input.len() >= MAX_INPUT_BYTES;
-        let is_drained = context.shutdown.is_draining() && !client.has_partial_command();
+        let is_drained = context.shutdown.is_draining() && !client.has_begun_command_or_upload();
         let may_close = client.is_closing() || is_drained;
         let flushed = self.flush(&mut client, context.now);
         if flushed.is_err() || self.has_excessive_backlog(&client, context) {
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -135,15 +135,15 @@
     }
 
     /// Whether a command has arrived in part, or an upload is open.
-    pub(super) fn has_partial_command(&self) -> bool {
-        !self.socket.input.is_empty() || self.protocol.is_mid_command()
+    pub(super) fn has_begun_command_or_upload(&self) -> bool {
+        !self.socket.input.is_empty() || self.protocol.has_open_upload()
     }
 
     /// Whether the connection may be closed as idle: no reply is pending, no command has begun and
     /// no upload is open. Handles that an SFTP client has open for reading or listing do not
     /// prevent it: they are lost with the connection.
     pub(super) fn is_idle(&self) -> bool {
-        self.is_fully_replied() && !self.has_partial_command()
+        self.is_fully_replied() && !self.has_begun_command_or_upload()
     }
 
     /// Whether the limits of this connection allow the next command to be parsed. Limits on all
@@ -243,7 +243,7 @@
     /// The entry for the eviction queue; `None` if a reply is pending or an upload is open. As with
     /// [`Self::is_idle`], other open handles do not prevent it.
     pub(super) fn as_eviction_candidate(&self) -> Option<EvictionCandidate> {
-        if !self.is_fully_replied() || self.protocol.is_mid_command() {
+        if !self.is_fully_replied() || self.protocol.has_open_upload() {
             return None;
         }
         let priority = if self.socket.input.is_empty() {
--- a/crates/gateway/src/connections/node/attempts.rs
+++ b/crates/gateway/src/connections/node/attempts.rs
@@ -88,9 +88,12 @@
         self.store(connection);
     }
 
-    /// Stops an attempt whose result is no longer awaited. Its connection is closed, which cancels
-    /// the request at the node. If the request has not been encoded yet, the connection is
-    /// returned to its pool instead.
+    /// Abandons an attempt: frees its connection, after the dispatcher has aborted it. Nothing is
+    /// reported. The connection is closed, which cancels the request at the node; if the request
+    /// has not been encoded yet, the connection is returned to its pool instead.
+    ///
+    /// An attempt that was aborted here, as by [`Self::fail_connection`], has no connection any
+    /// more.
     pub(crate) fn abandon_attempt(&mut self, attempt: AttemptId, context: &mut Context) {
         let Some(token) = self.attempt_connections.remove(&attempt) else {
             return;
@@ -114,8 +117,8 @@
             self.write_request(&mut connection, context);
         }
         let flushed = connection.flush();
-        if let Some(attempt) = connection.take_newly_written() {
-            context.dispatcher.mark_written(attempt);
+        if let Some(attempt) = connection.take_possible_execution() {
+            context.dispatcher.note_may_have_executed(attempt);
         }
         let interest = connection.interest();
         let result =
--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -69,7 +69,8 @@
         self.remove_pool_if_unused(connection.node, context);
     }
 
-    /// Closes a connection that failed, and aborts the attempt that it carries, if any.
+    /// Fails a connection: closes it, and aborts the attempt that it carries, if any. A connection
+    /// that carries none is closed by [`Self::drop_connection`] in the same way.
     pub(super) fn fail_connection(
         &mut self,
         mut connection: NodeConnection,
@@ -81,7 +82,7 @@
         let idle_before_request = connection.idle_before_request;
         self.drop_connection(connection, context);
         let Some(carried) = carried else { return };
-        if cause == AbortCause::ConnectionLost && carried.is_marked_written {
+        if cause == AbortCause::ConnectionLost && carried.may_have_executed {
             let reset_after = context.now - carried.started_at;
             self.record_reset(node, idle_before_request, reset_after);
         }
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -58,13 +58,13 @@
 pub(super) struct CarriedAttempt {
     /// What the attempt is to do.
     pub(super) attempt: AttemptSpec,
-    /// Position in the connection's output stream, in bytes, beyond which the request may take
-    /// effect at the node; compared with [`Socket::bytes_sent`]. `None` before the request is
+    /// Position in the connection's output stream, in bytes, beyond which the node may have
+    /// executed the request; compared with [`Socket::bytes_sent`]. `None` before the request is
     /// encoded.
-    effect_offset: Option<u64>,
-    /// Whether the dispatcher was notified that the request may take effect; see
-    /// [`crate::dispatcher::Dispatcher::mark_written`].
-    pub(super) is_marked_written: bool,
+    execution_offset: Option<u64>,
+    /// Whether the node may have executed the request, and the dispatcher was notified; see
+    /// [`crate::dispatcher::Dispatcher::note_may_have_executed`].
+    pub(super) may_have_executed: bool,
     /// When the connection was assigned to the attempt.
     pub(super) started_at: Micros,
 }
@@ -74,15 +74,15 @@
     pub(super) fn new(attempt: AttemptSpec, now: Micros) -> CarriedAttempt {
         CarriedAttempt {
             attempt,
-            effect_offset: None,
-            is_marked_written: false,
+            execution_offset: None,
+            may_have_executed: false,
             started_at: now,
         }
     }
 
     /// Whether the request is in the output buffer or was sent from there, at least in part.
     pub(super) fn is_encoded(&self) -> bool {
-        self.effect_offset.is_some()
+        self.execution_offset.is_some()
     }
 }
 
@@ -194,10 +194,10 @@
         let wait_ms = (attempt.times_out_at - now) / MICROS_PER_MILLI;
         let start_offset = self.socket.bytes_sent + self.socket.unsent_bytes() as u64;
         let output = self.socket.output();
-        let bytes_without_effect = self
-            .protocol
-            .encode_request(&attempt.request, wait_ms, output);
-        carried.effect_offset = Some(start_offset + bytes_without_effect as u64);
+        let bytes_before_execution =
+            self.protocol
+                .encode_request(&attempt.request, wait_ms, output);
+        carried.execution_offset = Some(start_offset + bytes_before_execution as u64);
         self.timer.cancel(timers);
     }
 
@@ -209,15 +209,15 @@
         self.socket.flush()
     }
 
-    /// Returns the attempt in flight, once, when enough of its request has been sent for it to
-    /// take effect at the node.
-    pub(super) fn take_newly_written(&mut self) -> Option<AttemptId> {
+    /// Returns the attempt in flight, once, when so much of its request has been sent that the node
+    /// may have executed it.
+    pub(super) fn take_possible_execution(&mut self) -> Option<AttemptId> {
         let carried = self.carried.as_mut()?;
-        let effect_offset = carried.effect_offset?;
-        if carried.is_marked_written || self.socket.bytes_sent <= effect_offset {
+        let execution_offset = carried.execution_offset?;
+        if carried.may_have_executed || self.socket.bytes_sent <= execution_offset {
             return None;
         }
-        carried.is_marked_written = true;
+        carried.may_have_executed = true;
         Some(carried.attempt.id)
     }
 }
--- a/crates/gateway/src/connections/node/events.rs
+++ b/crates/gateway/src/connections/node/events.rs
@@ -101,7 +101,7 @@
         };
         let attempt = carried.attempt.id;
         self.attempt_connections.remove(&attempt);
-        context.dispatcher.mark_written(attempt);
+        context.dispatcher.note_may_have_executed(attempt);
         context.complete_attempt(attempt, result);
         if let Some(pool) = self.pools.get_mut(&connection.node) {
             pool.idle_timeout_estimate
--- a/crates/gateway/src/context/shutdown.rs
+++ b/crates/gateway/src/context/shutdown.rs
@@ -47,22 +47,18 @@
         self.is_draining
     }
 
-    /// For how many microseconds a client connection must have been idle to be closed now: 0 when
-    /// draining starts, later [`EXIT_IDLE_TIME`], so that new connections have time to send a
-    /// request.
-    pub(crate) fn min_idle_time_to_close(&self) -> Micros {
-        if self.is_draining {
+    /// Starts draining; further calls change nothing. Returns for how many microseconds a client
+    /// connection must have been idle to be closed now: 0 when draining starts, later
+    /// [`EXIT_IDLE_TIME`], so that new connections have time to send a request.
+    pub(crate) fn start_draining(&mut self) -> Micros {
+        let was_draining = std::mem::replace(&mut self.is_draining, true);
+        if was_draining {
             EXIT_IDLE_TIME
         } else {
             0
         }
     }
 
-    /// Starts draining; further calls change nothing.
-    pub(crate) fn start_draining(&mut self) {
-        self.is_draining = true;
-    }
-
     /// When the gateway will have been idle for long enough to end; `None` if it is not idle.
     pub(crate) fn completes_at(&self) -> Option<Micros> {
         self.idle_since.map(|since| since + EXIT_IDLE_TIME)
--- a/crates/gateway/src/dispatcher/abort_cause.rs
+++ b/crates/gateway/src/dispatcher/abort_cause.rs
@@ -22,12 +22,12 @@
 impl AbortCause {
     /// The outcome that is reported to the scheduler.
     ///
-    /// If the request cannot have run, the cancellation of its attempt says nothing about the
-    /// node, and every other cause counts as a failure to connect to the node.
-    pub(super) fn outcome(self, may_have_run: bool) -> Outcome {
+    /// If the node cannot have executed the request, the cancellation of its attempt says nothing
+    /// about the node, and every other cause counts as a failure to connect to the node.
+    pub(super) fn outcome(self, may_have_executed: bool) -> Outcome {
         match self {
-            AbortCause::Cancelled if !may_have_run => Outcome::NotDispatched,
-            _ if !may_have_run => Outcome::ConnectFailed,
+            AbortCause::Cancelled if !may_have_executed => Outcome::NotDispatched,
+            _ if !may_have_executed => Outcome::ConnectFailed,
             AbortCause::NoConnection | AbortCause::DrainGuard => Outcome::ConnectFailed,
             AbortCause::ConnectionLost => Outcome::Reset,
             AbortCause::InvalidResponse => Outcome::Error,
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -46,10 +46,11 @@
         self.requests.attempt(attempt).is_some()
     }
 
-    /// Records that enough of an attempt was written to its node for the request to take effect.
-    pub fn mark_written(&mut self, attempt: AttemptId) {
+    /// Records that so much of an attempt was written to its node that the node may have executed
+    /// the request.
+    pub fn note_may_have_executed(&mut self, attempt: AttemptId) {
         if let Some(attempt) = self.requests.attempt_mut(attempt) {
-            attempt.may_have_run = true;
+            attempt.may_have_executed = true;
         }
     }
 
@@ -104,8 +105,11 @@
         }));
     }
 
-    /// Ends an attempt that has no result, and reports the outcome that follows from the cause and
-    /// from whether the request may have run to the scheduler.
+    /// Aborts an attempt: ends it without a result, and reports to the scheduler the outcome that
+    /// follows from the cause and from whether the node may have executed the request.
+    ///
+    /// The scheduler's own cancellation of an attempt ends here too, as one of the causes. Then
+    /// [`Command::AbandonAttempt`] frees the connection of the attempt, if it still has one.
     pub fn abort_attempt(
         &mut self,
         attempt: AttemptId,
@@ -116,15 +120,15 @@
         let Some(awaited) = self.requests.attempt(attempt) else {
             return;
         };
-        let outcome = cause.outcome(awaited.may_have_run);
+        let outcome = cause.outcome(awaited.may_have_executed);
         self.commands.push(Command::AbandonAttempt(attempt));
         self.complete_attempt(attempt, AttemptResult::without_body(outcome), now, timers);
     }
 
     /// Records that the client of a request has disconnected or no longer needs its response.
-    /// Attempts that cannot have taken effect yet are aborted at once. The scheduler decides on
-    /// those that may have run: unless it cancels them, they run to their end, and their results
-    /// are still reported to it.
+    /// Attempts that cannot have been executed yet are aborted at once. The scheduler decides on
+    /// the others: unless it cancels them, they run to their end, and their results are still
+    /// reported to it.
     pub fn client_disconnected(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
         let Some(unfinished) = self.requests.get_mut(id) else {
             return;
@@ -132,9 +136,9 @@
         if unfinished.take_reply_slot().is_none() {
             return;
         }
-        let unwritten = unfinished.unwritten_attempts();
+        let unexecuted = unfinished.unexecuted_attempts();
         self.events.push(Event::ClientDisconnected(id));
-        for number in unwritten {
+        for number in unexecuted {
             let attempt = AttemptId {
                 request: id,
                 number,
--- a/crates/gateway/src/dispatcher/endpoints.rs
+++ b/crates/gateway/src/dispatcher/endpoints.rs
@@ -6,10 +6,10 @@
 use io_scheduler::{EndpointListEvent, Event, Micros, NodeId};
 
 impl Dispatcher {
-    /// The id of a node, allocated if the name has none. A name has the same id until the node is
-    /// removed and its last attempt has ended.
-    pub fn node_id(&mut self, name: &str) -> NodeId {
-        self.nodes.id_of(name)
+    /// The id of a node. A node that is not known yet is added with a new id. A name has the same
+    /// id until the node is removed and its last attempt has ended.
+    pub fn node_id_or_insert(&mut self, name: &str) -> NodeId {
+        self.nodes.id_or_insert(name)
     }
 
     /// Applies an endpoint list or a delta, and reports it to the scheduler. `kind` may also be
--- a/crates/gateway/src/dispatcher/node_registry.rs
+++ b/crates/gateway/src/dispatcher/node_registry.rs
@@ -13,7 +13,7 @@
 /// the node too late. That part is this long, in microseconds.
 const DRAIN_SAFETY_MARGIN: Micros = 30_000;
 /// That part is at most the drain grace divided by this.
-const MIN_DRAIN_GRACE_PER_MARGIN: Micros = 2;
+const SAFETY_MARGIN_DIVISOR: Micros = 2;
 
 /// The nodes of the endpoint list, and removed ones with attempts in flight.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
     }
 
     /// The id of a node. A node that is not known yet is added.
-    pub(super) fn id_of(&mut self, name: &str) -> NodeId {
+    pub(super) fn id_or_insert(&mut self, name: &str) -> NodeId {
         if let Some(id) = self.ids_by_name.get(name) {
             return *id;
         }
@@ -126,7 +126,7 @@
     /// Applies a record and returns it in the scheduler's form.
     fn apply_record(&mut self, record: &EndpointRecord) -> Endpoint {
         let zone = self.zone_number(&record.zone);
-        let id = self.id_of(&record.name);
+        let id = self.id_or_insert(&record.name);
         if let Some(node) = self.nodes.get_mut(&id) {
             node.shard = record.shard;
             node.status = record.status;
@@ -166,7 +166,7 @@
 
     /// Applies the drain guard to all nodes.
     fn update_write_deadlines(&mut self, now: Micros) {
-        let margin = DRAIN_SAFETY_MARGIN.min(self.drain_grace / MIN_DRAIN_GRACE_PER_MARGIN);
+        let margin = DRAIN_SAFETY_MARGIN.min(self.drain_grace / SAFETY_MARGIN_DIVISOR);
         let deadline = now + self.drain_grace - margin;
         for node in self.nodes.values_mut() {
             node.update_write_deadline(deadline);
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -17,7 +17,7 @@
 /// The time reserved is at most the client's timeout divided by this, so that a short timeout
 /// leaves most of its time to the attempts. An overdue request with a timeout below
 /// `OVERDUE_GRACE` times this gets its response too late.
-const MIN_TIMEOUT_PER_MARGIN: Micros = 4;
+const DELIVERY_MARGIN_DIVISOR: Micros = 4;
 
 impl Dispatcher {
     /// Takes a request from a client and accepts or rejects it, or answers it as invalid. In each
@@ -87,7 +87,7 @@
 /// The latest time to send the final response to a client that waits for `client_timeout` from
 /// `now` on.
 fn response_deadline(now: Micros, client_timeout: Micros) -> Micros {
-    let margin = RESPONSE_DELIVERY_MARGIN.min(client_timeout / MIN_TIMEOUT_PER_MARGIN);
+    let margin = RESPONSE_DELIVERY_MARGIN.min(client_timeout / DELIVERY_MARGIN_DIVISOR);
     now + (client_timeout - margin).max(0)
 }
 
--- a/crates/gateway/src/dispatcher/unfinished_request.rs
+++ b/crates/gateway/src/dispatcher/unfinished_request.rs
@@ -25,8 +25,11 @@
     pub(super) dispatched_at: Micros,
     /// When it times out.
     pub(super) times_out_at: Micros,
-    /// Whether enough of the request was written for it to take effect at the node.
-    pub(super) may_have_run: bool,
+    /// Whether the node may have executed the request: more of it was written than the node can
+    /// receive without executing it; see
+    /// [`crate::node_protocol::NodeProtocol::encode_request`]. A request of which less was written
+    /// certainly was not executed.
+    pub(super) may_have_executed: bool,
 }
 
 /// A request that awaits its final response or the result of an attempt; see the [module](self).
@@ -98,7 +101,7 @@
             node,
             dispatched_at: now,
             times_out_at,
-            may_have_run: false,
+            may_have_executed: false,
         });
         number
     }
@@ -131,10 +134,11 @@
             .find(|attempt| attempt.number == number)
     }
 
-    /// Numbers of the attempts of which not enough was written to take effect at their node.
-    pub(super) fn unwritten_attempts(&self) -> Vec<u32> {
-        let unwritten = self.attempts.iter().filter(|attempt| !attempt.may_have_run);
-        unwritten.map(|attempt| attempt.number).collect()
+    /// Numbers of the attempts that cannot have been executed.
+    pub(super) fn unexecuted_attempts(&self) -> Vec<u32> {
+        let attempts = self.attempts.iter();
+        let unexecuted = attempts.filter(|attempt| !attempt.may_have_executed);
+        unexecuted.map(|attempt| attempt.number).collect()
     }
 
     /// Whether neither the client nor an attempt needs the request any more.
--- a/crates/gateway/src/event_loop/endpoint_updates.rs
+++ b/crates/gateway/src/event_loop/endpoint_updates.rs
@@ -61,7 +61,7 @@
 
     /// Sets the address of the node with this name.
     fn set_node_address(&mut self, name: &str, address: NodeAddress) {
-        let node = self.context.dispatcher.node_id(name);
+        let node = self.context.dispatcher.node_id_or_insert(name);
         self.node_connections
             .set_address(node, address, &mut self.context);
     }
--- a/crates/gateway/src/event_loop/shutdown.rs
+++ b/crates/gateway/src/event_loop/shutdown.rs
@@ -16,8 +16,7 @@
     /// Closes idle client connections, and sets the timer to do so again until the shutdown is
     /// complete.
     pub(super) fn drain_clients(&mut self) {
-        let min_idle_time = self.context.shutdown.min_idle_time_to_close();
-        self.context.shutdown.start_draining();
+        let min_idle_time = self.context.shutdown.start_draining();
         self.client_connections
             .close_idle_for(min_idle_time, &mut self.context);
         self.context
--- a/crates/gateway/src/node_protocol/mod.rs
+++ b/crates/gateway/src/node_protocol/mod.rs
@@ -24,8 +24,8 @@
     /// node's time limit where the protocol states one. Called only while [`ready`](Self::ready)
     /// and with no request in flight.
     ///
-    /// Returns how many of the appended bytes can be written before the request can take effect:
-    /// once more than that are written, the node may have executed the request.
+    /// Returns how many of the appended bytes can be written before the node can execute the
+    /// request: once more than that are written, the node may have executed it.
     fn encode_request(
         &mut self,
         request: &StorageRequest,
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -223,9 +223,9 @@
         responses
     }
 
-    /// Enough of the attempt is written for the request to take effect.
-    pub fn mark_written(&mut self, attempt: AttemptId) {
-        self.dispatcher.mark_written(attempt);
+    /// So much of the attempt is written that the node may have executed the request.
+    pub fn note_may_have_executed(&mut self, attempt: AttemptId) {
+        self.dispatcher.note_may_have_executed(attempt);
     }
 
     /// The node answers the attempt.
--- a/crates/gateway/tests/in_process/dispatcher/random_load.rs
+++ b/crates/gateway/tests/in_process/dispatcher/random_load.rs
@@ -22,8 +22,8 @@
     disconnected: BTreeSet<u64>,
     /// Requests that write.
     writes: BTreeSet<RequestId>,
-    /// Requests of which a byte that may take effect was written to a node.
-    may_have_run: BTreeSet<RequestId>,
+    /// Requests that a node may have executed.
+    may_have_executed: BTreeSet<RequestId>,
     /// Attempts that the test has not ended.
     in_flight: Vec<AttemptId>,
     /// Nodes that drain, by the number of their shard.
@@ -48,7 +48,7 @@
             client_deadlines: BTreeMap::new(),
             disconnected: BTreeSet::new(),
             writes: BTreeSet::new(),
-            may_have_run: BTreeSet::new(),
+            may_have_executed: BTreeSet::new(),
             in_flight: Vec::new(),
             draining: BTreeSet::new(),
         }
@@ -108,14 +108,14 @@
                 "seed {seed}: an attempt at a draining node"
             );
             let is_write = self.writes.contains(&id.request);
-            let repeated = is_write && self.may_have_run.contains(&id.request);
+            let repeated = is_write && self.may_have_executed.contains(&id.request);
             assert!(
                 !repeated,
                 "seed {seed}: a write that may have run is dispatched again"
             );
             if !self.one_in(4) {
-                self.harness.mark_written(id);
-                self.may_have_run.insert(id.request);
+                self.harness.note_may_have_executed(id);
+                self.may_have_executed.insert(id.request);
             }
             self.in_flight.push(id);
         }
@@ -126,7 +126,7 @@
         while !self.in_flight.is_empty() && !self.one_in(3) {
             let position = self.random.below(self.in_flight.len() as u64);
             let attempt = self.in_flight.swap_remove(position as usize);
-            let written = self.may_have_run.contains(&attempt.request);
+            let written = self.may_have_executed.contains(&attempt.request);
             match self.random.below(6) {
                 0 => self.harness.abort(attempt, AbortCause::ConnectionLost),
                 // The node never responds: the timeout ends the attempt.
