--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -221,7 +221,9 @@
             self.has_delivered = true;
             let count = update.endpoints.len();
             let elapsed_ms = self.elapsed_ms(now);
-            log::info!("discovery: received {count} endpoints {elapsed_ms} ms after the call");
+            log::info!(
+                "discovery: received {count} endpoints {elapsed_ms} ms after opening the watch"
+            );
         }
         self.list_index = update.index;
     }
@@ -235,7 +237,7 @@
     /// Closes a watch that has failed or ended. The scheduler decides when to open another one.
     pub(crate) fn fail(&mut self, failure: &WatchFailure, context: &mut Context) {
         log::info!(
-            "discovery: {failure}, {} ms after the call",
+            "discovery: {failure}, {} ms after opening the watch",
             self.elapsed_ms(context.now)
         );
         let event = if self.has_delivered {
