--- a/crates/gateway/tests/gateway_process/scenario_runner/connections.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of one party, each read by a thread of its own.
+//! The connections of one peer, each read by a thread of its own.
 
 use super::message::{decode_message, Message, Protocol};
 use crate::harness::connection::ConnectionEnd;
@@ -12,7 +12,7 @@
 
 /// What a thread saw on a connection.
 pub struct ConnectionEvent {
-    /// The number of the connection among its party's.
+    /// The number of the connection among its peer's.
     pub connection: usize,
     /// What happened on it.
     pub kind: ConnectionEventKind,
@@ -26,7 +26,7 @@
     Ended(ConnectionEnd),
 }
 
-/// The connections of one party, in the order in which they were opened.
+/// The connections of one peer, in the order in which they were opened.
 #[derive(Clone, Default)]
 pub struct Connections(Arc<Mutex<Vec<TcpStream>>>);
 
--- a/crates/gateway/tests/gateway_process/scenario_runner/deployment.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/deployment.rs
@@ -5,7 +5,7 @@
     inventory, operator_config, InventoryEntry, Launch, CONFIG_FILE, INVENTORY_FILE,
 };
 use super::message::Protocol;
-use super::party::Party;
+use super::peer::Peer;
 use super::scenario::{Node, Scenario, CONSOLE, DISCOVERY, FORMER_DISCOVERY};
 use crate::harness::config::{platform_config, replace_setting};
 use crate::harness::discovery::{endpoint_entry, EndpointEntry};
@@ -21,8 +21,7 @@
         };
         let shard = arguments.first().and_then(|shard| shard.parse().ok());
         let shard = shard.ok_or(ScenarioError::MissingShard)?;
-        self.parties
-            .insert(name.to_owned(), Party::listen(protocol));
+        self.peers.insert(name.to_owned(), Peer::listen(protocol));
         self.nodes.push(Node {
             name: name.to_owned(),
             shard,
@@ -38,8 +37,8 @@
             self.platform_launch()
         };
         let mut gateway = launch.start(&self.directory, max_descriptors);
-        let console = Party::console(gateway.process.take_stdout());
-        self.parties.insert(CONSOLE.to_owned(), console);
+        let console = Peer::console(gateway.process.take_stdout());
+        self.peers.insert(CONSOLE.to_owned(), console);
         self.gateway = Some(gateway);
     }
 
@@ -53,7 +52,7 @@
 
     /// The launch on the platform's configuration, with a cached list of all nodes.
     fn platform_launch(&self) -> Launch {
-        let discovery = self.parties[DISCOVERY].address();
+        let discovery = self.peers[DISCOVERY].address();
         Launch::Platform {
             config: platform_config(discovery, &self.in_service_entries()),
             discovery,
@@ -68,14 +67,14 @@
             .collect()
     }
 
-    /// The entry of a node at the address where a party listens.
-    pub fn endpoint_entry(&self, name: &str, listening_party: &str, status: &str) -> String {
+    /// The entry of a node at the address where a peer listens.
+    pub fn endpoint_entry(&self, name: &str, listening_peer: &str, status: &str) -> String {
         let node = self
             .nodes
             .iter()
             .find(|node| node.name == name)
             .expect("a declared node");
-        let address = self.parties[listening_party].address();
+        let address = self.peers[listening_peer].address();
         endpoint_entry(&EndpointEntry {
             name,
             address,
@@ -103,13 +102,13 @@
 
     /// A node's entry in the inventory.
     fn inventory_entry<'a>(&self, node: &'a Node) -> InventoryEntry<'a> {
-        let party = &self.parties[&node.name];
+        let peer = &self.peers[&node.name];
         let just_started = self.restarted_node.as_ref() == Some(&node.name);
         InventoryEntry {
             name: &node.name,
-            address: party.address(),
+            address: peer.address(),
             shard: node.shard,
-            protocol: if party.protocol == Protocol::Sftp {
+            protocol: if peer.protocol == Protocol::Sftp {
                 "sftp"
             } else {
                 "resp2"
@@ -121,10 +120,10 @@
     /// Lets discovery listen at a new address, which the configuration names from now on.
     pub fn move_discovery(&mut self) {
         let former = self
-            .parties
+            .peers
             .remove(DISCOVERY)
             .expect("there is one discovery");
-        let new = Party::listen(Protocol::Http);
+        let new = Peer::listen(Protocol::Http);
         let config = self.directory.read(CONFIG_FILE);
         let config = replace_setting(
             &config,
@@ -132,8 +131,8 @@
             &new.address().to_string(),
         );
         self.directory.write(CONFIG_FILE, &config);
-        self.parties.insert(DISCOVERY.to_owned(), new);
-        self.parties.insert(FORMER_DISCOVERY.to_owned(), former);
+        self.peers.insert(DISCOVERY.to_owned(), new);
+        self.peers.insert(FORMER_DISCOVERY.to_owned(), former);
         self.record("discovery moves");
     }
 
--- a/crates/gateway/tests/gateway_process/scenario_runner/message.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/message.rs
@@ -1,9 +1,9 @@
-//! Splits the bytes that a party receives into messages and shows each as text.
+//! Splits the bytes that a peer receives into messages and shows each as text.
 
 use super::sftp_message;
 use crate::harness::resp;
 
-/// The protocol between a party and the gateway.
+/// The protocol between a peer and the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// RESP2: commands, responses.
--- a/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
@@ -8,19 +8,19 @@
 //!   file descriptors.
 //! - `start operator [DESCRIPTORS]`: starts it on an operator's file and an inventory.
 //! - `node_restarted NODE`: writes the inventory again, with a node that has just started.
-//! - `send PARTY WORDS`: the party sends a message; a party not seen yet is a client that
+//! - `send PEER WORDS`: the peer sends a message; a peer not seen yet is a client that
 //!   connects.
-//! - `open PARTY`: a client connects and sends nothing.
-//! - `expect PARTY [WORDS]`: waits for the next message to the party, which must be WORDS if they
+//! - `open PEER`: a client connects and sends nothing.
+//! - `expect PEER [WORDS]`: waits for the next message to the peer, which must be WORDS if they
 //!   are given.
 //! - `move_discovery`: discovery listens at a new address, which the configuration names from now
-//!   on; the party at the former address is `old`.
+//!   on; the peer at the former address is `old`.
 //! - `invalidate_config`: the configuration file can't be parsed any more.
-//! - `close PARTY`: closes all connections of the party.
-//! - `wait PARTY`: waits until the gateway closes a connection to the party, or, for `gateway`,
+//! - `close PEER`: closes all connections of the peer.
+//! - `wait PEER`: waits until the gateway closes a connection to the peer, or, for `gateway`,
 //!   until it has ended.
 //!
-//! What a party sends depends on its protocol:
+//! What a peer sends depends on its protocol:
 //!
 //! - A client whose name begins with `s` sends an SFTP packet (see [`sftp_message`]); any other
 //!   sends a RESP2 command, or after `raw` one line as it stands.
@@ -40,7 +40,7 @@
 mod launch;
 mod masking;
 mod message;
-mod party;
+mod peer;
 mod runner;
 mod scenario;
 mod sending;
--- a/crates/gateway/tests/gateway_process/scenario_runner/party.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/peer.rs
@@ -1,4 +1,4 @@
-//! The parties of a scenario, which exchange messages with the gateway: clients, stand-in nodes,
+//! The gateway's peers in a scenario, which exchange messages with it: clients, stand-in nodes,
 //! discovery and the console.
 
 use super::connections::{ConnectionEvent, ConnectionEventKind, Connections};
@@ -22,15 +22,15 @@
     request_id: u32,
 }
 
-/// Where a party's next message goes.
+/// Where a peer's next message goes.
 pub struct ReplyAddress {
-    /// The number of the connection among the party's.
+    /// The number of the connection among the peer's.
     pub connection: usize,
     /// The id that the message carries, where the protocol has one.
     pub request_id: u32,
 }
 
-/// On which side of a connection the party stands.
+/// On which side of a connection the peer stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     /// It has one connection, which it opened.
@@ -39,8 +39,8 @@
     Server { address: SocketAddr },
 }
 
-/// A party that exchanges messages with the gateway.
-pub struct Party {
+/// A peer that exchanges messages with the gateway.
+pub struct Peer {
     /// What it speaks.
     pub protocol: Protocol,
     role: Role,
@@ -53,7 +53,7 @@
     last_request_id: u32,
 }
 
-impl Party {
+impl Peer {
     fn new(
         protocol: Protocol,
         role: Role,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A party that listens at a free port.
+    /// A peer that listens at a free port.
     pub fn listen(protocol: Protocol) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("it listens");
@@ -119,7 +119,7 @@
         )
     }
 
-    /// Where a party that listens does so.
+    /// Where a peer that listens does so.
     pub fn address(&self) -> SocketAddr {
         match self.role {
             Role::Server { address } => address,
@@ -133,7 +133,7 @@
             .map_err(|_| ScenarioError::NothingReceived)
     }
 
-    /// Waits for the next message. Ends of a listening party's connections are skipped.
+    /// Waits for the next message. Ends of a listening peer's connections are skipped.
     pub fn receive(&mut self) -> Result<String, ScenarioError> {
         loop {
             let event = match self.deferred.pop_front() {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Waits for the end of a connection. A listening party may receive messages before, which
+    /// Waits for the end of a connection. A listening peer may receive messages before, which
     /// stay for [`Self::receive`]; how its connection ends makes no difference.
     pub fn wait_for_end(&mut self) -> Result<ConnectionEnd, ScenarioError> {
         loop {
--- a/crates/gateway/tests/gateway_process/scenario_runner/runner.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/runner.rs
@@ -23,7 +23,7 @@
 }
 
 impl Scenario {
-    /// Runs a line: a verb, the party that it is about, and arguments.
+    /// Runs a line: a verb, the peer that it is about, and arguments.
     fn run_line(&mut self, line: &str) -> Result<(), ScenarioError> {
         let words: Vec<&str> = line.split(' ').collect();
         let subject = words.get(1).copied().unwrap_or_default();
@@ -35,7 +35,7 @@
             "move_discovery" => self.move_discovery(),
             "invalidate_config" => self.invalidate_config(),
             "send" => self.send(subject, arguments),
-            "open" => drop(self.party(subject)),
+            "open" => drop(self.peer(subject)),
             "expect" => self.expect_message(subject, &arguments.join(" "))?,
             "close" => self.close_connections(subject),
             "wait" if subject == GATEWAY => self.wait_for_exit(),
@@ -45,9 +45,9 @@
         Ok(())
     }
 
-    /// The next message to the party must be this one, or any if it is empty.
+    /// The next message to the peer must be this one, or any if it is empty.
     fn expect_message(&mut self, name: &str, expected: &str) -> Result<(), ScenarioError> {
-        let message = self.party(name).receive()?;
+        let message = self.peer(name).receive()?;
         if !expected.is_empty() && message != expected {
             return Err(ScenarioError::UnexpectedMessage(message));
         }
@@ -55,9 +55,9 @@
         Ok(())
     }
 
-    /// Waits until the gateway closes a connection to the party.
+    /// Waits until the gateway closes a connection to the peer.
     fn wait_for_end(&mut self, name: &str) -> Result<(), ScenarioError> {
-        let end = match self.party(name).wait_for_end()? {
+        let end = match self.peer(name).wait_for_end()? {
             ConnectionEnd::Closed => "closed",
             ConnectionEnd::Reset => "reset",
         };
@@ -71,9 +71,9 @@
         self.record(&format!("gateway ended, {status}"));
     }
 
-    /// Closes all connections of the party.
+    /// Closes all connections of the peer.
     fn close_connections(&mut self, name: &str) {
-        self.party(name).close_connections();
+        self.peer(name).close_connections();
         self.record(&format!("{name} closes"));
     }
 }
--- a/crates/gateway/tests/gateway_process/scenario_runner/scenario.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/scenario.rs
@@ -1,23 +1,23 @@
-//! The state of a running scenario: its parties, the gateway and the transcript.
+//! The state of a running scenario: its peers, the gateway and the transcript.
 
 use super::launch::RunningGateway;
 use super::message::Protocol;
-use super::party::Party;
+use super::peer::Peer;
 use crate::harness::test_directory::TestDirectory;
 use std::collections::BTreeMap;
 
-/// The name of the party that stands for discovery.
+/// The name of the peer that stands for discovery.
 pub const DISCOVERY: &str = "discovery";
-/// The name of the party at discovery's former address.
+/// The name of the peer at discovery's former address.
 pub const FORMER_DISCOVERY: &str = "old";
-/// The name of the party that uses the gateway's console.
+/// The name of the peer that uses the gateway's console.
 pub const CONSOLE: &str = "console";
 /// The name of the gateway itself, which is sent signals.
 pub const GATEWAY: &str = "gateway";
 /// The index of the endpoint list that the gateway has cached at its start.
 const CACHED_LIST_INDEX: u64 = 1;
 
-/// A stand-in node; the party of its name listens for it.
+/// A stand-in node; the peer of its name listens for it.
 pub struct Node {
     /// The node's name.
     pub name: String,
@@ -28,7 +28,7 @@
 /// A running scenario.
 pub struct Scenario {
     /// Everyone who exchanges messages with the gateway, by name.
-    pub parties: BTreeMap<String, Party>,
+    pub peers: BTreeMap<String, Peer>,
     /// The nodes that were declared.
     pub nodes: Vec<Node>,
     // Declared before the directory: the process ends before its files are removed.
@@ -47,9 +47,9 @@
 impl Scenario {
     /// A scenario in which only discovery exists.
     pub fn new() -> Self {
-        let discovery = Party::listen(Protocol::Http);
+        let discovery = Peer::listen(Protocol::Http);
         Self {
-            parties: BTreeMap::from([(DISCOVERY.to_owned(), discovery)]),
+            peers: BTreeMap::from([(DISCOVERY.to_owned(), discovery)]),
             nodes: Vec::new(),
             gateway: None,
             directory: TestDirectory::new(),
@@ -70,26 +70,24 @@
         self.gateway.as_mut().expect("the gateway has been started")
     }
 
-    /// The party of this name; a new one is a client, which connects.
-    pub fn party(&mut self, name: &str) -> &mut Party {
-        if !self.parties.contains_key(name) {
+    /// The peer of this name; a new one is a client, which connects.
+    pub fn peer(&mut self, name: &str) -> &mut Peer {
+        if !self.peers.contains_key(name) {
             let client = self.connect_client(name);
-            self.parties.insert(name.to_owned(), client);
+            self.peers.insert(name.to_owned(), client);
         }
-        self.parties
-            .get_mut(name)
-            .expect("it has just been inserted")
+        self.peers.get_mut(name).expect("it has just been inserted")
     }
 
     /// Connects a client, whose name says what it speaks.
-    fn connect_client(&mut self, name: &str) -> Party {
+    fn connect_client(&mut self, name: &str) -> Peer {
         let gateway = self.gateway();
         if name.starts_with('s') {
             let address = gateway
                 .sftp_address
                 .expect("the gateway accepts SFTP clients");
-            return Party::connect(Protocol::Sftp, address);
+            return Peer::connect(Protocol::Sftp, address);
         }
-        Party::connect(Protocol::Resp, gateway.resp_address)
+        Peer::connect(Protocol::Resp, gateway.resp_address)
     }
 }
--- a/crates/gateway/tests/gateway_process/scenario_runner/sending.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/sending.rs
@@ -1,4 +1,4 @@
-//! What the parties of a scenario send.
+//! What the peers of a scenario send.
 
 use super::message::Protocol;
 use super::scenario::{Scenario, CONSOLE, DISCOVERY, GATEWAY};
@@ -9,7 +9,7 @@
 use std::io::Write;
 
 impl Scenario {
-    /// Sends a message as the party of this name.
+    /// Sends a message as the peer of this name.
     pub fn send(&mut self, name: &str, words: &[&str]) {
         self.record(&format!("{name} > {}", words.join(" ")));
         match name {
@@ -39,28 +39,28 @@
 
     /// Sends a command, on the one connection of the client.
     fn send_as_client(&mut self, name: &str, words: &[&str]) {
-        let party = self.party(name);
-        let address = party.next_request();
-        let bytes = match (party.protocol, words) {
+        let peer = self.peer(name);
+        let address = peer.next_request();
+        let bytes = match (peer.protocol, words) {
             (Protocol::Sftp, _) => sftp_message::encode(words, address.request_id),
             (_, ["raw", line @ ..]) => encode_line(line),
             _ => encode_array(words).into_bytes(),
         };
-        party.send(address.connection, &bytes);
+        peer.send(address.connection, &bytes);
     }
 
     /// Sends a response, on the connection of the request that it answers.
     fn send_as_node(&mut self, name: &str, words: &[&str]) {
-        let party = self.party(name);
+        let peer = self.peer(name);
         let address = match words[0] {
-            "more" => party.last_connection(),
-            _ => party.take_pending_request(),
+            "more" => peer.last_connection(),
+            _ => peer.take_pending_request(),
         };
-        let bytes = match party.protocol {
+        let bytes = match peer.protocol {
             Protocol::Sftp => sftp_message::encode(words, address.request_id),
             _ => encode_node_response(words),
         };
-        party.send(address.connection, &bytes);
+        peer.send(address.connection, &bytes);
     }
 
     /// Discovery sends `list`, or a change: `STATUS NODE`, or `STATUS NODE OTHER` for a node that
@@ -77,13 +77,13 @@
             [status, node, other] => self.encode_delta(node, other, status),
             _ => panic!("discovery sends no such message"),
         };
-        let discovery = self.party(DISCOVERY);
+        let discovery = self.peer(DISCOVERY);
         discovery.send(discovery.last_connection().connection, bytes.as_bytes());
     }
 
-    /// Encodes a change of one node, which listens where another party does.
-    fn encode_delta(&self, node: &str, listening_party: &str, status: &str) -> String {
-        let entry = self.endpoint_entry(node, listening_party, status);
+    /// Encodes a change of one node, which listens where another peer does.
+    fn encode_delta(&self, node: &str, listening_peer: &str, status: &str) -> String {
+        let entry = self.endpoint_entry(node, listening_peer, status);
         encode_chunk(&watch_event(self.list_index, UpdateKind::Delta, &[entry]))
     }
 }
