--- a/crates/gateway/src/client_protocol/sftp/responses.rs
+++ b/crates/gateway/src/client_protocol/sftp/responses.rs
@@ -30,7 +30,7 @@
         match served_body(response) {
             Ok(body) => self.handle_body(command, body),
             Err(error) => {
-                self.abandon(&command.operation);
+                self.undo_state_changes(&command.operation);
                 CommandProgress::Completed(error.to_status(command.request_id))
             }
         }
@@ -64,7 +64,7 @@
     }
 
     /// Undoes the state changes of an operation whose request failed.
-    fn abandon(&mut self, operation: &PendingOperation) {
+    fn undo_state_changes(&mut self, operation: &PendingOperation) {
         if let PendingOperation::List(listing) = operation {
             if let Ok(directory) = self.handles.directory_mut(listing.handle()) {
                 directory.reset_listing();
@@ -82,6 +82,7 @@
         let value = match body {
             ResponseBody::Value(value) => value,
             ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
+            // No node protocol responds to a read with these.
             ResponseBody::Size(_) | ResponseBody::Entries(_) => return Err(SftpError::Failed),
         };
         let size = value.len() as u64;
@@ -101,6 +102,7 @@
         let size = match body {
             ResponseBody::Value(value) => value.len() as u64,
             ResponseBody::Size(size) => *size,
+            // No node protocol responds to a STAT or a read with entries.
             ResponseBody::Entries(_) => 0,
             ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
         };
@@ -117,6 +119,8 @@
         size: u64,
         body: &ResponseBody,
     ) -> Result<Vec<u8>, SftpError> {
+        // No node protocol responds to a write with this: a file server's "no such file" fails the
+        // write.
         if *body == ResponseBody::NotFound {
             return Err(SftpError::NoSuchFile);
         }
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -1,4 +1,4 @@
-//! The acceptance of requests. It decides two things: a client request id of an unfinished request
+//! The submission of requests. It decides two things: a client request id of an unfinished request
 //! is an error of the client, and a request that the memory budget has no capacity for is rejected
 //! with Retry-After.
 
@@ -17,11 +17,12 @@
 /// The time reserved is at most the client's timeout divided by this, so that a short timeout
 /// leaves most of its time to the attempts. An overdue request with a timeout below
 /// `OVERDUE_GRACE` times this gets its response too late.
-const MIN_TIMEOUT_PER_MARGIN: Micros = 4;
+const DELIVERY_MARGIN_DIVISOR: Micros = 4;
 
 impl Dispatcher {
-    /// Accepts a request. Its final response is a [`Command::Respond`] of this turn or a later
-    /// one.
+    /// Takes a request from a client and accepts or rejects it, or answers it as invalid. In each
+    /// case its final response is a [`Command::Respond`] of this turn or a later one, unless the
+    /// client disconnects before.
     pub fn submit(
         &mut self,
         request: StorageRequest,
@@ -86,7 +87,7 @@
 /// The latest time to send the final response to a client that waits for `client_timeout` from
 /// `now` on.
 fn response_deadline(now: Micros, client_timeout: Micros) -> Micros {
-    let margin = RESPONSE_DELIVERY_MARGIN.min(client_timeout / MIN_TIMEOUT_PER_MARGIN);
+    let margin = RESPONSE_DELIVERY_MARGIN.min(client_timeout / DELIVERY_MARGIN_DIVISOR);
     now + (client_timeout - margin).max(0)
 }
 
