--- a/crates/gateway/src/config/operator.rs
+++ b/crates/gateway/src/config/operator.rs
@@ -13,7 +13,8 @@
 
 /// Name of the gateway if the operator's file gives none.
 const DEFAULT_NAME: &str = "storage-gateway";
-/// Seed of the random number generator; an operator's file states none.
+/// Seed of the random number generator: the same for all gateways with an operator's file, which
+/// states none.
 const SEED: u64 = 0;
 
 /// Loads an operator's file. Paths in it are relative to the file's own folder.
--- a/crates/gateway/src/config/reload.rs
+++ b/crates/gateway/src/config/reload.rs
@@ -8,8 +8,8 @@
 
 impl Config {
     /// Reads the configuration again from the same file. The file takes precedence over the
-    /// environment, which cannot have changed since the start; only `STORAGE_GATEWAY_LOG` always
-    /// takes precedence over the file.
+    /// environment, which cannot have changed since the start; only `STORAGE_GATEWAY_LOG` takes
+    /// precedence over the file that `ROUTER_CONFIG` names.
     ///
     /// # Errors
     ///
--- a/crates/gateway/src/config/validate.rs
+++ b/crates/gateway/src/config/validate.rs
@@ -11,7 +11,7 @@
 const MIN_MAX_DESCRIPTORS: usize = 64;
 /// Smallest allowed memory limit, in MiB.
 const MIN_MEMORY_MB: usize = 16;
-/// Largest allowed memory limit, in MiB; a larger one would have no effect.
+/// Largest allowed memory limit, in MiB; a larger one is an error.
 const MAX_MEMORY_MB: usize = 1 << 20;
 
 /// The requirement on `deadline_ms` of the classes.
--- a/crates/scheduler/src/api/mod.rs
+++ b/crates/scheduler/src/api/mod.rs
@@ -30,7 +30,7 @@
 ids! {
     /// A client request; an id is never used twice.
     RequestId,
-    /// A storage node; it keeps its id when it restarts.
+    /// A storage node; it keeps its id when it restarts, as long as the endpoint list names it.
     NodeId,
     /// A volume, to which reservation, weight and limit belong.
     VolumeId,
@@ -49,6 +49,7 @@
     pub nodes: usize,
     /// Volumes with recent requests.
     pub volumes: usize,
-    /// Shards that a node holds or that have queued requests.
+    /// Shards that a node holds, or that have queued requests or remembered flows; others go at the
+    /// next cleanup.
     pub shards: usize,
 }
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -104,8 +104,9 @@
     pub max_poll_interval: Micros,
     /// Capacity of nodes that warm up.
     pub slow_start: SlowStart,
-    /// Time in microseconds for which no request of a key is dispatched after an attempt of that
-    /// key ended while it may still be executing.
+    /// Time in microseconds for which the next ordered request of a key waits after an attempt of
+    /// that key ended while it may still be executing. Retries of the same request and requests of
+    /// other classes do not wait.
     pub quiesce_period: Micros,
     /// Limit on retries, if there is one.
     pub retry_budget: Option<RetryBudget>,
--- a/crates/scheduler/src/dmclock/shard_queues.rs
+++ b/crates/scheduler/src/dmclock/shard_queues.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-/// A queue for each shard that a node holds or that has queued requests.
+/// A queue for each shard that a node holds, or that has queued requests or remembered flows.
 #[derive(Default)]
 pub struct ShardQueues {
     /// The queues by shard.
--- a/crates/scheduler/src/endpoints/polling.rs
+++ b/crates/scheduler/src/endpoints/polling.rs
@@ -32,9 +32,11 @@
     clients: u32,
     /// Longest time between two polls without a watch; 0 for no maximum.
     max_poll_interval: Micros,
-    /// Input of the hash that stands in for random numbers; differs from host to host.
+    /// Input of the hash that stands in for random numbers; should differ from host to
+    /// host.
     seed: u64,
-    /// When the next poll is due; `None` while a watch is open or no polls are needed.
+    /// When the next poll is due, or is repeated; `None` after an update of the list until the
+    /// watch ends, or if no polls are needed.
     next_poll_at: Option<Micros>,
 }
 
@@ -51,7 +53,8 @@
         polling
     }
 
-    /// Notes that a list or changes to it were received by a watch.
+    /// Notes that a complete list or changes to it were received, from wherever: no poll follows
+    /// until one fails or a watch ends.
     pub fn record_update(&mut self) {
         self.next_poll_at = None;
     }
--- a/crates/scheduler/src/node/attempt_timeout.rs
+++ b/crates/scheduler/src/node/attempt_timeout.rs
@@ -1,7 +1,7 @@
 //! When an attempt at a node times out.
 //!
 //! Inputs: the node's latency and loss rate, and the size, latency objective and its end of the
-//! request. An attempt usually has until the end of the objective, or a multiple of the expected
+//! request. An attempt usually has until the end of the objective, or a multiple of the mean
 //! latency if that is longer. Where responses get lost and those that arrive are quick, it times
 //! out early: a lost response must not occupy one of the few slots of the node's concurrency limit.
 //! The result is a time in microseconds.
--- a/crates/scheduler/src/node/outlier_ejection.rs
+++ b/crates/scheduler/src/node/outlier_ejection.rs
@@ -1,11 +1,12 @@
 //! Which nodes get no requests but trial attempts, since their attempts end without a response.
 //!
 //! Inputs: attempts without a response (timeouts, failed connects, resets) and served ones.
-//! Decided: whether a node is ejected, and the time between its trial attempts, in microseconds.
-//! Only a served attempt ends the ejection. A response that is an error or says that the node is
-//! overloaded neither counts as a failure nor ends one: it shows that a process answers, but not
-//! that it serves. If more nodes are ejected than not, the fault is likely not theirs, and none of
-//! them is treated as ejected (panic threshold).
+//! Decided: whether a node is ejected, and the time between its trial attempts, in microseconds. Of
+//! the outcomes only a served attempt ends the ejection; a restart of the node does so, too. A
+//! response that is an error or says that the node is overloaded neither counts as a failure nor
+//! ends one: it shows that a process answers, but not that it serves. If more nodes are ejected
+//! than not, the fault is likely not theirs, and none of them is treated as ejected (panic
+//! threshold).
 
 use super::Node;
 use crate::api::Micros;
--- a/crates/scheduler/src/node/slow_start.rs
+++ b/crates/scheduler/src/node/slow_start.rs
@@ -1,10 +1,10 @@
 //! How much a node that warms up may be sent (slow start).
 //!
 //! Inputs: when the node's process started, the deployment's slow-start settings, the rates that
-//! the volumes queued for the node are provisioned for, the number of hosts, and the units that
-//! this host sent the node within the last window. A node bears only so many units within a window
-//! from all hosts together, and hosts do not coordinate, so each keeps to a quota: its part of what
-//! the node bears. Units and microseconds.
+//! the volumes with a flow at the node's shard are provisioned for, the number of hosts, and the
+//! units that this host sent the node within the last window. A node bears only so many units
+//! within a window from all hosts together, and hosts do not coordinate, so each keeps to a quota:
+//! its part of what the node bears. Units and microseconds.
 //!
 //! A quota can be smaller than one request. A random number for each window then admits a request
 //! now and then, so that the quota is kept in the mean.
@@ -77,12 +77,13 @@
 pub struct SlowStartLimiter<'a> {
     /// Settings of the deployment.
     pub settings: &'a Settings,
-    /// Input of the hash that stands in for random numbers; differs from host to host.
+    /// Input of the hash that stands in for random numbers; should differ from host to
+    /// host.
     pub seed: u64,
     /// The node that warms up.
     pub node: &'a Node,
-    /// Rate at the node's shard that the volumes queued for it are provisioned for through this
-    /// host.
+    /// Rate at the node's shard that the volumes with a flow there are provisioned for through this
+    /// host; a flow stays until its volume is forgotten.
     pub nominal_rate: UnitsPerSecond,
     /// The current time, in microseconds.
     pub now: Micros,
--- a/crates/scheduler/src/request/key_ordering.rs
+++ b/crates/scheduler/src/request/key_ordering.rs
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Removes and returns a key whose quiesce period is over.
+    /// Removes and returns a key whose quiesce period is over, as it was when the key began to
+    /// wait; it may have been extended since.
     pub fn pop_quiesced(&mut self, now: Micros) -> Option<ObjectKey> {
         self.quiescing.pop_expired(now)
     }
--- a/crates/scheduler/src/request/latency_objective.rs
+++ b/crates/scheduler/src/request/latency_objective.rs
@@ -11,8 +11,9 @@
 use crate::time::Latency;
 use std::collections::BTreeMap;
 
-/// Time after the end of an objective for which a repeat of its request is recognized, in
-/// microseconds.
+/// Time in microseconds after the end of an objective for which it is certainly remembered. Older
+/// ones are dropped when the next one is kept; until then a repeat is recognized however late it
+/// is.
 const REPEAT_WINDOW: Micros = 1_000_000;
 
 /// The fields in which a repeat equals the earlier request; the ids differ.
--- a/crates/scheduler/src/request/shedding.rs
+++ b/crates/scheduler/src/request/shedding.rs
@@ -2,7 +2,7 @@
 //!
 //! Input: the request's deadline, in microseconds. After a fraction of its time to the deadline a
 //! request is rejected, so that its client has time to retry, unless a node may have executed it or
-//! may be executing it: then it is kept until its deadline, as its client could not safely retry.
+//! may be executing it: then it is kept until its deadline, whatever its idempotency.
 //! So a request that was dispatched, but that no node took, is rejected as well.
 
 use super::PendingRequest;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -37,7 +37,8 @@
 pub struct Scheduler {
     /// Settings of the deployment.
     settings: Settings,
-    /// Input of the hashes that stand in for random numbers; differs from host to host.
+    /// Input of the hashes that stand in for random numbers; should differ from host to
+    /// host.
     seed: u64,
     /// Origin of the tags' time axis.
     started_at: Micros,
--- a/crates/scheduler/src/volume/table.rs
+++ b/crates/scheduler/src/volume/table.rs
@@ -56,7 +56,8 @@
         self.volumes.len()
     }
 
-    /// Removes the volumes that have no pending request and had none for [`VOLUME_RETENTION`].
+    /// Removes the volumes that have no pending request, had none for [`VOLUME_RETENTION`], and
+    /// whose token bucket is full.
     pub fn remove_idle(&mut self, in_use: &BTreeSet<VolumeId>, now: Micros) {
         self.volumes.retain(|id, volume| {
             in_use.contains(id) || !volume.is_removable(VOLUME_RETENTION, now)
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -197,8 +197,8 @@
     /// for none.
     #[serde(rename = "must_ask_in_ms")]
     pub max_poll_interval_ms: f64,
-    /// Time in milliseconds for which an object key stays blocked after an attempt that may still
-    /// be running at its node.
+    /// Time in milliseconds for which the next ordered request of an object key waits after an
+    /// attempt that may still be running at its node.
     #[serde(rename = "order_settle_ms")]
     pub quiesce_period_ms: f64,
     /// Length in milliseconds of the retry budget's window; absent if there is no budget.
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -26,7 +26,7 @@
 /// Why an event of a valid batch cannot be handled.
 #[derive(Debug, Error)]
 pub enum EventError {
-    /// The instance has not been started.
+    /// The instance has not been started, or has stopped.
     #[error("dispatcher_id {instance}: event before ENLIST")]
     NotStarted {
         /// The instance.
--- a/crates/simulator-adapter/src/wire/status.rs
+++ b/crates/simulator-adapter/src/wire/status.rs
@@ -1,4 +1,4 @@
-//! Status codes of attempts and health checks.
+//! Status codes of attempts.
 
 use io_scheduler::Outcome;
 use serde::Deserialize;
