--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::admission::DispatchAdmission;
 use super::Scheduler;
-use crate::api::{Action, NodeId, Request, Shard};
+use crate::api::{Action, NodeId, Shard};
 use crate::dmclock::{Position, Selected, Selection};
 use crate::node::attempt_timeout::{times_out_at, AttemptTerms};
 use crate::node::outlier_ejection::exceeds_panic_threshold;
@@ -107,7 +107,7 @@
 
     /// Starts an attempt of the selected request.
     fn dispatch(&mut self, selected: &Selected, node_id: NodeId) {
-        let request = self.take_from_queue(selected);
+        self.take_from_queue(selected);
         let pending = self
             .requests
             .get_mut(&selected.request)
@@ -116,6 +116,7 @@
             .nodes
             .get_mut(node_id)
             .expect("invariant: the node of a shard is listed");
+        let request = pending.request();
         if pending.attempts() > 0 {
             self.retry_budget.record_retry(self.now);
         } else if let Some(volume) = self.volumes.get_mut(request.volume) {
@@ -123,30 +124,30 @@
         }
         node.start_attempt(request.units, &self.settings.slow_start, self.now);
         let timeout = times_out_at(node, &attempt_terms(pending), self.now);
+        let times_out_at = timeout.min(request.deadline);
         pending.start_attempt(node_id, self.now);
         self.actions.push(Action::Dispatch {
             request: selected.request,
             node: node_id,
-            times_out_at: timeout.min(request.deadline),
+            times_out_at,
         });
     }
 
     /// Removes the selected request from its queue.
-    fn take_from_queue(&mut self, selected: &Selected) -> Request {
+    fn take_from_queue(&mut self, selected: &Selected) {
         let pending = self
             .requests
             .get_mut(&selected.request)
             .expect("invariant: queued requests are pending");
-        let request = pending.request().clone();
-        let reservation = self.volumes[request.volume].plan().reservation;
         let shard = pending
             .dequeue()
             .expect("invariant: the request selected is queued");
+        let request = pending.request();
+        let reservation = self.volumes[request.volume].plan().reservation;
         self.queues
             .get_mut(shard)
             .expect("invariant: the queue of a request exists")
-            .take(&request, selected.phase, reservation);
-        request
+            .take(request, selected.phase, reservation);
     }
 }
 
