--- a/crates/gateway/src/context/slab.rs
+++ b/crates/gateway/src/context/slab.rs
@@ -18,7 +18,7 @@
 struct Slot<T> {
     /// How often a token of this slot has been freed.
     generation: u32,
-    /// The value, unless it is taken out or no token of this slot is reserved.
+    /// The value; `None` until it is stored, and while no token of this slot is reserved.
     value: Option<T>,
 }
 
@@ -53,7 +53,7 @@
         Some(&mut slot.value)
     }
 
-    /// The value of a token; `None` if the token is freed or its value taken out.
+    /// The value of a token; `None` if the token is freed or its value not stored yet.
     #[must_use]
     pub fn get(&self, token: ConnectionToken) -> Option<&T> {
         let slot = self.slots.get(token.index())?;
@@ -63,11 +63,6 @@
         slot.value.as_ref()
     }
 
-    /// Takes a value out of the table; its token stays reserved until [`Slab::free`].
-    pub fn take(&mut self, token: ConnectionToken) -> Option<T> {
-        self.value_mut(token)?.take()
-    }
-
     /// Stores the value of a reserved token. If the token is freed, the value is dropped.
     pub fn put(&mut self, token: ConnectionToken, value: T) {
         if let Some(slot) = self.value_mut(token) {
@@ -75,8 +70,8 @@
         }
     }
 
-    /// Frees a token for good and returns its value, unless that is taken out. Has no effect on a
-    /// token that is freed already.
+    /// Frees a token for good and returns its value, if it was stored. Has no effect on a token that
+    /// is freed already.
     pub fn free(&mut self, token: ConnectionToken) -> Option<T> {
         let value = self.value_mut(token)?.take();
         let index = token.index();
