--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -250,17 +250,12 @@
 
     /// Closes the connection, if it is open, and reports `event` to the dispatcher.
     pub(crate) fn close(&mut self, event: EndpointListEvent, context: &mut Context) {
-        self.close_connection(context);
-        self.set_timer(None, &mut context.timers);
-        context.dispatcher.update_endpoints(event, &[], context.now);
-    }
-
-    /// Closes the connection, if it is open.
-    fn close_connection(&mut self, context: &mut Context) {
         if let Some(connection) = self.connection.take() {
             context.free(connection.socket.token());
         }
         self.has_delivered = false;
+        self.set_timer(None, &mut context.timers);
+        context.dispatcher.update_endpoints(event, &[], context.now);
     }
 
     /// Sets the watch's timer for another time, or cancels it if that is `None`.
--- a/crates/gateway/tests/gateway_process/harness/cluster.rs
+++ b/crates/gateway/tests/gateway_process/harness/cluster.rs
@@ -69,12 +69,23 @@
         let node_b = StorageNode::new("b", 1);
         let discovery = DiscoveryService::new();
         let gateway = Gateway::start(&[&node_a, &node_b], &discovery, edit_config);
-        let watch = discovery.accept_watch_and_send(2, &[node_a.in_service(), node_b.in_service()]);
+        let list = [node_a.in_service(), node_b.in_service()];
+        Self::with_list(node_a, node_b, discovery, gateway, &list)
+    }
+
+    /// Sends the gateway its first list on a watch, and waits until it has received it.
+    fn with_list(
+        node_a: StorageNode,
+        node_b: StorageNode,
+        discovery: DiscoveryService,
+        gateway: Gateway,
+        list: &[String; 2],
+    ) -> Self {
         let mut cluster = Self {
+            watch: discovery.accept_watch_and_send(2, list),
             node_a,
             node_b,
             discovery,
-            watch,
             gateway,
         };
         cluster.wait_for_list_of_both_nodes();
@@ -94,16 +105,8 @@
         gateway.wait_for_log(log_lines::CONNECTION_REFUSED);
         let result = meanwhile(&gateway);
         discovery.listen_again();
-        let watch =
-            discovery.accept_watch_and_send(2, &[node_a.in_service(), node_b.terminating()]);
-        let mut cluster = Self {
-            node_a,
-            node_b,
-            discovery,
-            watch,
-            gateway,
-        };
-        cluster.wait_for_list_of_both_nodes();
+        let list = [node_a.in_service(), node_b.terminating()];
+        let cluster = Self::with_list(node_a, node_b, discovery, gateway, &list);
         (cluster, result)
     }
 
