--- a/crates/gateway/src/context/slab.rs
+++ b/crates/gateway/src/context/slab.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Frees a token for good and returns its value, if it was stored. Has no effect on a token that
-    /// is freed already.
+    /// Frees a token for good and returns its value, if it was stored. Has no effect on a token
+    /// that is freed already.
     pub fn free(&mut self, token: ConnectionToken) -> Option<T> {
         let value = self.value_mut(token)?.take();
         let index = token.index();
