--- a/crates/scheduler/src/dmclock/flow.rs
+++ b/crates/scheduler/src/dmclock/flow.rs
@@ -76,7 +76,7 @@
     }
 
     /// Share tag of the request dispatched last.
-    pub fn last_share(&self) -> Seconds {
+    pub fn last_share_tag(&self) -> Seconds {
         self.last_tags.share
     }
 
@@ -86,7 +86,7 @@
         pending: &PendingRequest,
         position: Position,
         volume: &Volume,
-        share_shift: Seconds,
+        share_tag_offset: Seconds,
         now: Seconds,
     ) {
         let added = QueuedRequest {
@@ -103,19 +103,19 @@
                 .partition_point(|queued| queued.priority_weight >= added.priority_weight),
         };
         self.queue.insert(index, added);
-        self.retag(index, volume, share_shift);
+        self.retag(index, volume, share_tag_offset);
     }
 
     /// Removes a request that is not dispatched, if it waits here; the tags of those behind it no
     /// longer count its service.
-    pub fn remove(&mut self, id: RequestId, volume: &Volume, share_shift: Seconds) {
+    pub fn remove(&mut self, id: RequestId, volume: &Volume, share_tag_offset: Seconds) {
         let Some(index) = self.queue.iter().position(|queued| queued.id == id) else {
             return;
         };
         if let Some(removed) = self.queue.remove(index) {
             self.counted_units -= removed.service.delta;
         }
-        self.retag(index, volume, share_shift);
+        self.retag(index, volume, share_tag_offset);
     }
 
     /// Removes the head for its dispatch.
@@ -129,7 +129,7 @@
 
     /// Sets the reservation tags back by a request that was dispatched in the weight phase, as its
     /// service does not count towards the reservation.
-    pub fn give_back_reservation(&mut self, units: Units, reservation: UnitsPerSecond) {
+    pub fn reduce_reservation_tags(&mut self, units: Units, reservation: UnitsPerSecond) {
         if !reservation.is_positive() {
             return;
         }
@@ -141,7 +141,7 @@
     }
 
     /// Takes units off those that the tags account for, as an attempt was not served.
-    pub fn uncount(&mut self, units: Units) {
+    pub fn subtract_unserved(&mut self, units: Units) {
         self.counted_units -= units;
     }
 
@@ -159,14 +159,14 @@
     }
 
     /// Recomputes the tags from an index on, each from those of the request before it.
-    fn retag(&mut self, start: usize, volume: &Volume, share_shift: Seconds) {
+    fn retag(&mut self, start: usize, volume: &Volume, share_tag_offset: Seconds) {
         let mut tags = if start == 0 {
             self.last_tags
         } else {
             self.queue[start - 1].tags
         };
         for queued in self.queue.iter_mut().skip(start) {
-            tags = tags.next(queued.service, queued.queued_at, volume, share_shift);
+            tags = tags.next(queued.service, queued.queued_at, volume, share_tag_offset);
             queued.tags = tags;
         }
     }
--- a/crates/scheduler/src/dmclock/selection.rs
+++ b/crates/scheduler/src/dmclock/selection.rs
@@ -24,7 +24,7 @@
 /// Relative value of reserved work.
 const RESERVED_VALUE: f64 = 1.0;
 /// A volume whose nominal tag is ahead of the time by more than this exceeds its provisioned rate.
-const SURPLUS_LEAD: Seconds = Seconds(1.0);
+const SURPLUS_THRESHOLD: Seconds = Seconds(1.0);
 
 /// The request to be dispatched next.
 pub struct Selected {
@@ -64,7 +64,7 @@
     pub fn next(&self) -> Option<Selected> {
         self.by_reservation()
             .or_else(|| self.by_weight())
-            .or_else(|| self.late())
+            .or_else(|| self.by_deadline())
     }
 
     /// The constraint-based phase.
@@ -79,7 +79,7 @@
             .filter(|(_, head)| self.admission.admits(head.id, QuotaPart::Full))
             .map(|(_, head)| (head.id, head.tags.reservation));
         Some(Selected {
-            request: with_smallest_tag(due)?,
+            request: min_by_tag(due)?,
             phase: Phase::Reservation,
         })
     }
@@ -97,19 +97,19 @@
             })
             .map(|(_, head)| (head.id, head.tags.share));
         Some(Selected {
-            request: with_smallest_tag(eligible)?,
+            request: min_by_tag(eligible)?,
             phase: Phase::Weight,
         })
     }
 
     /// The phase of late requests.
-    fn late(&self) -> Option<Selected> {
+    fn by_deadline(&self) -> Option<Selected> {
         if !self.node.is_idle_at_full_limit() {
             return None;
         }
         let request = self
             .queue
-            .late()
+            .late_requests()
             .find(|id| self.admission.admits(*id, QuotaPart::Surplus))?;
         Some(Selected {
             request,
@@ -138,7 +138,7 @@
 
     /// Whether the volume uses more than it is provisioned for.
     fn is_surplus(&self, head: &QueuedRequest) -> bool {
-        head.tags.nominal > self.tag_time + SURPLUS_LEAD
+        head.tags.nominal > self.tag_time + SURPLUS_THRESHOLD
     }
 
     /// Value of a request in the weight-based phase, relative to reserved work.
@@ -161,7 +161,7 @@
 }
 
 /// The request with the smallest tag; of several, the first.
-fn with_smallest_tag(requests: impl Iterator<Item = (RequestId, Seconds)>) -> Option<RequestId> {
+fn min_by_tag(requests: impl Iterator<Item = (RequestId, Seconds)>) -> Option<RequestId> {
     let mut smallest: Option<(RequestId, Seconds)> = None;
     for (request, tag) in requests {
         if smallest.is_none_or(|(_, least)| tag < least) {
--- a/crates/scheduler/src/dmclock/shard_queue.rs
+++ b/crates/scheduler/src/dmclock/shard_queue.rs
@@ -24,7 +24,7 @@
     /// Units of all queued requests, the late ones included.
     queued_units: Units,
     /// Offset between stored share tags and the time.
-    share_shift: Seconds,
+    share_tag_offset: Seconds,
 }
 
 impl ShardQueue {
@@ -38,20 +38,20 @@
     ) {
         let request = pending.request();
         self.queued_units += request.units;
-        let least_share = self.least_share();
+        let min_share_tag = self.min_share_tag();
         let flow = self
             .flows
             .entry(request.volume)
             .or_insert_with(|| Flow::new(volume.served_units(), now));
         if flow.is_empty() {
-            let idle_share = flow.last_share().max(now + self.share_shift);
-            self.share_shift = least_share.unwrap_or(idle_share) - now;
+            let idle_share_tag = flow.last_share_tag().max(now + self.share_tag_offset);
+            self.share_tag_offset = min_share_tag.unwrap_or(idle_share_tag) - now;
         }
-        flow.insert(pending, position, volume, self.share_shift, now);
+        flow.insert(pending, position, volume, self.share_tag_offset, now);
     }
 
     /// The smallest share tag of the requests that can be dispatched next.
-    fn least_share(&self) -> Option<Seconds> {
+    fn min_share_tag(&self) -> Option<Seconds> {
         self.heads()
             .map(|(_, head)| head.tags.share)
             .reduce(Seconds::min)
@@ -62,19 +62,24 @@
         self.queued_units -= request.units;
         self.late.remove(request.deadline, request.id);
         if let Some(flow) = self.flows.get_mut(&request.volume) {
-            flow.remove(request.id, volume, self.share_shift);
+            flow.remove(request.id, volume, self.share_tag_offset);
         }
     }
 
     /// Moves a request from its flow to the late requests.
-    pub fn set_aside(&mut self, request: &Request, volume: &Volume) {
+    pub fn move_to_late(&mut self, request: &Request, volume: &Volume) {
         self.remove(request, volume);
         self.queued_units += request.units;
         self.late.insert(request.deadline, request.id);
     }
 
     /// Removes a request for its dispatch: a late one, or the head of its flow.
-    pub fn take(&mut self, request: &Request, phase: Phase, reservation: UnitsPerSecond) {
+    pub fn remove_for_dispatch(
+        &mut self,
+        request: &Request,
+        phase: Phase,
+        reservation: UnitsPerSecond,
+    ) {
         self.queued_units -= request.units;
         if self.late.remove(request.deadline, request.id) {
             return;
@@ -85,14 +90,14 @@
             .expect("invariant: a queued request has a flow");
         flow.pop_head();
         if phase == Phase::Weight {
-            flow.give_back_reservation(request.units, reservation);
+            flow.reduce_reservation_tags(request.units, reservation);
         }
     }
 
     /// Takes units off those that a volume's tags account for, as an attempt was not served.
-    pub fn uncount(&mut self, volume: VolumeId, units: Units) {
+    pub fn subtract_unserved(&mut self, volume: VolumeId, units: Units) {
         if let Some(flow) = self.flows.get_mut(&volume) {
-            flow.uncount(units);
+            flow.subtract_unserved(units);
         }
     }
 
@@ -113,7 +118,7 @@
     }
 
     /// The late requests, earliest deadline first.
-    pub fn late(&self) -> impl Iterator<Item = RequestId> + '_ {
+    pub fn late_requests(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.late.iter()
     }
 
@@ -122,7 +127,7 @@
         self.flows
             .keys()
             .filter_map(|volume| volumes.get(*volume))
-            .map(Volume::rate_at_shard)
+            .map(Volume::rate_per_shard)
             .sum()
     }
 
@@ -132,18 +137,18 @@
     }
 
     /// Whether a request waits that is not late.
-    pub fn has_timely(&self) -> bool {
+    pub fn has_on_time_requests(&self) -> bool {
         self.heads().next().is_some()
     }
 
     /// Whether a late request waits.
-    pub fn has_late(&self) -> bool {
+    pub fn has_late_requests(&self) -> bool {
         !self.late.is_empty()
     }
 
     /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
-        !self.has_timely() && !self.has_late()
+        !self.has_on_time_requests() && !self.has_late_requests()
     }
 
     /// Whether it remembers tags of some volume.
--- a/crates/scheduler/src/dmclock/shard_queues.rs
+++ b/crates/scheduler/src/dmclock/shard_queues.rs
@@ -23,7 +23,7 @@
     }
 
     /// The queue of a shard to which a request is added.
-    pub fn backlog(&mut self, shard: Shard) -> &mut ShardQueue {
+    pub fn mark_backlogged(&mut self, shard: Shard) -> &mut ShardQueue {
         self.backlogged.insert(shard);
         self.queues.entry(shard).or_default()
     }
@@ -39,7 +39,7 @@
     }
 
     /// Removes a shard from those with queued requests if it has none left.
-    pub fn note_if_empty(&mut self, shard: Shard) {
+    pub fn unmark_backlogged_if_empty(&mut self, shard: Shard) {
         if self.queues[&shard].is_empty() {
             self.backlogged.remove(&shard);
         }
--- a/crates/scheduler/src/dmclock/tags.rs
+++ b/crates/scheduler/src/dmclock/tags.rs
@@ -55,7 +55,7 @@
         service: ServiceCount,
         queued_at: Seconds,
         volume: &Volume,
-        share_shift: Seconds,
+        share_tag_offset: Seconds,
     ) -> Tags {
         let mut tags = self;
         let plan = volume.plan();
@@ -71,9 +71,9 @@
         tags.nominal = advanced.max(queued_at);
         // A weight is the rate of the share tag's virtual clock.
         let weight = UnitsPerSecond(plan.weight.max(MIN_WEIGHT));
-        let earliest_share = queued_at - volume.idle_credit() / weight + share_shift;
+        let earliest_share_tag = queued_at - volume.idle_credit() / weight + share_tag_offset;
         let advanced = tags.share + service.delta / weight;
-        tags.share = advanced.max(earliest_share);
+        tags.share = advanced.max(earliest_share_tag);
         tags
     }
 }
--- a/crates/scheduler/src/endpoints/node_table.rs
+++ b/crates/scheduler/src/endpoints/node_table.rs
@@ -29,7 +29,7 @@
                 .or_insert_with(|| Node::new(endpoint.clone()))
                 .update(endpoint);
         }
-        self.nodes.retain(|_, node| !node.is_gone());
+        self.nodes.retain(|_, node| !node.is_removed_and_idle());
         self.assign_shards();
     }
 
--- a/crates/scheduler/src/endpoints/polling.rs
+++ b/crates/scheduler/src/endpoints/polling.rs
@@ -8,7 +8,7 @@
 //! deployment allows.
 
 use crate::api::{Micros, Settings};
-use crate::hash::{scatter, unit_hash};
+use crate::hash::{fibonacci_hash, unit_hash};
 
 /// Jitter for each other host that polls the same service, in microseconds.
 const JITTER_PER_HOST: Micros = 50_000;
@@ -49,7 +49,7 @@
             seed,
             next_poll_at: None,
         };
-        polling.schedule(now, scatter(seed), MAX_JITTER);
+        polling.schedule(now, fibonacci_hash(seed), MAX_JITTER);
         polling
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Whether a poll is due; it is repeated if there is no response to it.
-    pub fn take_due(&mut self, now: Micros) -> bool {
+    pub fn start_poll_if_due(&mut self, now: Micros) -> bool {
         let is_due = self.next_poll_at.is_some_and(|at| at <= now);
         if is_due {
             self.next_poll_at = Some(now + POLL_TIMEOUT);
--- a/crates/scheduler/src/hash.rs
+++ b/crates/scheduler/src/hash.rs
@@ -1,7 +1,7 @@
 //! Hashes in place of random numbers, so that decisions are reproducible.
 
 /// Maps numbers that are close to each other to distant ones (Fibonacci hashing).
-pub fn scatter(number: u64) -> u64 {
+pub fn fibonacci_hash(number: u64) -> u64 {
     number.wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
 
--- a/crates/scheduler/src/node/attempt_timeout.rs
+++ b/crates/scheduler/src/node/attempt_timeout.rs
@@ -15,12 +15,12 @@
 /// Deviations beyond the mean latency after which a response counts as lost.
 const LOSS_TIMEOUT_DEVIATIONS: f64 = 4.0;
 /// Longest such timeout, as a fraction of the latency objective: above it the node is not quick.
-const MAX_LOSS_TIMEOUT: f64 = 0.6;
+const MAX_LOSS_TIMEOUT_FRACTION: f64 = 0.6;
 /// Smallest factor by which a request's size scales the timeout for lost responses.
 const MIN_LOSS_TIMEOUT_SCALE: f64 = 1.0;
 
 /// What an attempt's timeout depends on besides its node.
-pub struct AttemptTerms {
+pub struct TimeoutInputs {
     /// Expected latency for the size of the request, as a multiple of that of a request of mean
     /// size.
     pub relative_latency: f64,
@@ -31,28 +31,28 @@
 }
 
 /// When an attempt dispatched to the node now times out, apart from the request's deadline.
-pub fn times_out_at(node: &Node, terms: &AttemptTerms, now: Micros) -> Micros {
+pub fn times_out_at(node: &Node, inputs: &TimeoutInputs, now: Micros) -> Micros {
     let Some(mean) = node.latency().mean() else {
-        return terms.objective_at.max(now);
+        return inputs.objective_at.max(now);
     };
-    if let Some(timeout) = loss_timeout(node, terms) {
+    if let Some(timeout) = loss_timeout(node, inputs) {
         return now + timeout.to_micros();
     }
-    let timeout = mean * (ATTEMPT_TIMEOUT_FACTOR * terms.relative_latency);
-    terms.objective_at.max(now + timeout.to_micros())
+    let timeout = mean * (ATTEMPT_TIMEOUT_FACTOR * inputs.relative_latency);
+    inputs.objective_at.max(now + timeout.to_micros())
 }
 
 /// The early timeout at a node that loses responses and is quick otherwise; `None` at any other.
-fn loss_timeout(node: &Node, terms: &AttemptTerms) -> Option<Latency> {
-    if !node.loses_responses() || node.is_ejected() {
+fn loss_timeout(node: &Node, inputs: &TimeoutInputs) -> Option<Latency> {
+    if !node.has_high_loss_rate() || node.is_ejected() {
         return None;
     }
     let timeout = node
         .latency()
         .mean_and_deviations(LOSS_TIMEOUT_DEVIATIONS)?;
-    let longest = Latency::from_micros(terms.latency_objective) * MAX_LOSS_TIMEOUT;
+    let longest = Latency::from_micros(inputs.latency_objective) * MAX_LOSS_TIMEOUT_FRACTION;
     if timeout < longest {
-        Some(timeout * terms.relative_latency.max(MIN_LOSS_TIMEOUT_SCALE))
+        Some(timeout * inputs.relative_latency.max(MIN_LOSS_TIMEOUT_SCALE))
     } else {
         None
     }
--- a/crates/scheduler/src/node/concurrency_limit.rs
+++ b/crates/scheduler/src/node/concurrency_limit.rs
@@ -23,7 +23,7 @@
 /// Requests that may always be in flight, however low the limit is.
 const MIN_IN_FLIGHT: usize = 1;
 /// Fraction of the latency objective above which a response is slow.
-const SLOW_RESPONSE: f64 = 0.25;
+const SLOW_RESPONSE_FRACTION: f64 = 0.25;
 /// Factor on the limit at a slow response or a timeout.
 const MULTIPLICATIVE_DECREASE: f64 = 0.75;
 /// Amount by which the limit rises while as many quick responses as the limit are received.
@@ -38,7 +38,7 @@
     /// Latency of the last response, at most its latency objective: the unit of pacing.
     pacing_interval: Latency,
     /// When that response was received.
-    paced_since: Micros,
+    pacing_started_at: Micros,
 }
 
 impl Default for ConcurrencyLimit {
@@ -47,7 +47,7 @@
             limit: INITIAL_CONCURRENCY_LIMIT,
             decreased_at: 0,
             pacing_interval: Latency::ZERO,
-            paced_since: 0,
+            pacing_started_at: 0,
         }
     }
 }
@@ -87,7 +87,7 @@
 
     /// Whether enough time has passed since the last response for the next dispatch at a limit.
     fn pacing_delay_is_over(&self, limit: f64, now: Micros) -> bool {
-        now >= self.paced_since + self.pacing_delay(limit).to_micros()
+        now >= self.pacing_started_at + self.pacing_delay(limit).to_micros()
     }
 
     /// Time between a response and the next dispatch at a limit; zero for a limit of one or more.
@@ -110,7 +110,7 @@
         }
         let interval = measurement.elapsed.min(measurement.latency_objective);
         self.pacing_interval = Latency::from_micros(interval);
-        self.paced_since = now;
+        self.pacing_started_at = now;
     }
 
     /// Raises the limit after a quick response.
@@ -138,6 +138,6 @@
 
 /// Whether a response took a noticeable part of its latency objective.
 fn is_slow(measurement: &Measurement) -> bool {
-    let slow_from = Latency::from_micros(measurement.latency_objective) * SLOW_RESPONSE;
+    let slow_from = Latency::from_micros(measurement.latency_objective) * SLOW_RESPONSE_FRACTION;
     Latency::from_micros(measurement.elapsed) > slow_from
 }
--- a/crates/scheduler/src/node/latency_estimate.rs
+++ b/crates/scheduler/src/node/latency_estimate.rs
@@ -18,14 +18,14 @@
 const DECAY_PER_HALF_LIFE: f64 = 0.5;
 /// Fraction of a latency that is proportional to the request's units; the rest does not depend on
 /// them.
-const SIZE_DEPENDENT_LATENCY: f64 = 0.5;
+const SIZE_DEPENDENT_FRACTION: f64 = 0.5;
 /// Lower bound of the mean size of a request, which divides the size of each.
 const MIN_MEAN_UNITS: Units = Units(1e-9);
 
 /// Expected latency of a request, as a multiple of that of a request of mean size.
 pub fn relative_latency(units: Units, mean_units: Units) -> f64 {
-    let size_dependent = (units * SIZE_DEPENDENT_LATENCY).ratio_to(mean_units.max(MIN_MEAN_UNITS));
-    1.0 - SIZE_DEPENDENT_LATENCY + size_dependent
+    let size_dependent = (units * SIZE_DEPENDENT_FRACTION).ratio_to(mean_units.max(MIN_MEAN_UNITS));
+    1.0 - SIZE_DEPENDENT_FRACTION + size_dependent
 }
 
 /// Mean and mean deviation of the latency of requests of mean size.
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -78,7 +78,7 @@
     }
 
     /// Whether it was removed from the endpoint list and has no attempts in flight.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_removed_and_idle(&self) -> bool {
         self.endpoint.status == EndpointStatus::Removed && self.in_flight == 0
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Whether a noticeable part of the attempts ends without a response.
-    pub fn loses_responses(&self) -> bool {
+    pub fn has_high_loss_rate(&self) -> bool {
         self.health.loss_rate.is_high()
     }
 
--- a/crates/scheduler/src/node/slow_start.rs
+++ b/crates/scheduler/src/node/slow_start.rs
@@ -12,15 +12,15 @@
 use super::Node;
 use crate::api::{Micros, Settings, SlowStart, Units, UnitsPerSecond};
 use crate::collections::SlidingWindow;
-use crate::hash::{scatter, unit_hash};
+use crate::hash::{fibonacci_hash, unit_hash};
 
 /// Factor on the provisioned rates in a host's quota, as volumes use their hosts unevenly.
-const UNEVEN_USE_FACTOR: f64 = 1.25;
+const HOST_IMBALANCE_FACTOR: f64 = 1.25;
 /// Lower bound of the initial capacity, which divides the units that a node bears at its start.
 const MIN_INITIAL_CAPACITY: f64 = 1e-9;
 
 /// Fraction of a host's quota that surplus and late requests may use.
-const SURPLUS_QUOTA: f64 = 0.5;
+const SURPLUS_QUOTA_FRACTION: f64 = 0.5;
 
 /// How much of a host's quota a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     fn fraction(self) -> f64 {
         match self {
             QuotaPart::Full => 1.0,
-            QuotaPart::Surplus => SURPLUS_QUOTA,
+            QuotaPart::Surplus => SURPLUS_QUOTA_FRACTION,
         }
     }
 }
@@ -119,7 +119,7 @@
     fn host_quota(&self, capacity: f64, node_quota: Units) -> Units {
         let slow_start = &self.settings.slow_start;
         let nominal_units = self.nominal_rate.units_within(slow_start.window);
-        let by_rate = nominal_units * UNEVEN_USE_FACTOR * slow_start.burst_factor * capacity;
+        let by_rate = nominal_units * HOST_IMBALANCE_FACTOR * slow_start.burst_factor * capacity;
         let by_rate = by_rate.min(node_quota);
         let hosts = f64::from(self.settings.hosts.max(1));
         let even_part = node_quota / hosts;
@@ -132,8 +132,8 @@
     fn random_number(&self) -> f64 {
         let window_length = self.settings.slow_start.window.max(1);
         let window_number = (self.now / window_length) as u64;
-        let node_and_window = window_number ^ scatter(self.node.endpoint().node.0);
-        unit_hash(self.seed ^ scatter(node_and_window))
+        let node_and_window = window_number ^ fibonacci_hash(self.node.endpoint().node.0);
+        unit_hash(self.seed ^ fibonacci_hash(node_and_window))
     }
 }
 
--- a/crates/scheduler/src/request/key_ordering.rs
+++ b/crates/scheduler/src/request/key_ordering.rs
@@ -31,7 +31,7 @@
 
 impl KeySequences {
     /// Adds a request to its key's sequence; returns whether it may run at once.
-    pub fn join(&mut self, key: ObjectKey, id: RequestId, now: Micros) -> bool {
+    pub fn add(&mut self, key: ObjectKey, id: RequestId, now: Micros) -> bool {
         let sequence = self.sequences.entry(key).or_default();
         sequence.requests.push_back(id);
         sequence.requests.len() == 1 && sequence.quiesced_until <= now
@@ -39,7 +39,7 @@
 
     /// Removes a request that is over from its key's sequence; returns the first one left if it may
     /// run.
-    pub fn leave(&mut self, key: ObjectKey, id: RequestId, now: Micros) -> Option<RequestId> {
+    pub fn remove(&mut self, key: ObjectKey, id: RequestId, now: Micros) -> Option<RequestId> {
         let sequence = self.sequences.get_mut(&key)?;
         let was_first = sequence.requests.front() == Some(&id);
         sequence.requests.retain(|waiting| *waiting != id);
--- a/crates/scheduler/src/request/latency_objective.rs
+++ b/crates/scheduler/src/request/latency_objective.rs
@@ -48,22 +48,22 @@
 impl LatencyObjectives {
     /// When the objective of a request that is received now ends. The client does not wait longer
     /// than its deadline, so a later objective is moved up to it.
-    pub fn start(&mut self, request: &Request, class: &RequestClass, now: Micros) -> Micros {
-        let objective_at = match self.take_first_objective(request) {
-            Some(first_objective_at) => first_objective_at,
+    pub fn assign(&mut self, request: &Request, class: &RequestClass, now: Micros) -> Micros {
+        let objective_at = match self.take_earlier_objective(request) {
+            Some(earlier_objective_at) => earlier_objective_at,
             None => now + class.latency_objective,
         };
         objective_at.min(request.deadline)
     }
 
     /// The objective of the earlier request that this one repeats.
-    fn take_first_objective(&mut self, request: &Request) -> Option<Micros> {
+    fn take_earlier_objective(&mut self, request: &Request) -> Option<Micros> {
         self.unserved.remove(&RepeatKey::of(request)?)
     }
 
     /// Keeps the objective of a request that is closed without service, in case its client sends it
     /// again.
-    pub fn keep(&mut self, pending: &PendingRequest, now: Micros) {
+    pub fn record_unserved(&mut self, pending: &PendingRequest, now: Micros) {
         let Some(key) = RepeatKey::of(pending.request()) else {
             return;
         };
--- a/crates/scheduler/src/request/pending.rs
+++ b/crates/scheduler/src/request/pending.rs
@@ -32,7 +32,7 @@
     /// Attempts that have not completed.
     in_flight: Vec<Attempt>,
     /// The earliest completed attempt that the node may have executed or may still be executing.
-    first_executed: Option<Attempt>,
+    first_maybe_executed: Option<Attempt>,
     /// The shard whose queue holds it.
     queue_shard: Option<Shard>,
 }
@@ -55,7 +55,7 @@
             is_open: true,
             attempts: 0,
             in_flight: Vec::new(),
-            first_executed: None,
+            first_maybe_executed: None,
             queue_shard: None,
         }
     }
@@ -111,8 +111,8 @@
     }
 
     /// The earliest completed attempt that the node may have executed or may still be executing.
-    pub fn first_executed(&self) -> Option<Attempt> {
-        self.first_executed
+    pub fn first_maybe_executed(&self) -> Option<Attempt> {
+        self.first_maybe_executed
     }
 
     /// Counts an attempt and adds it to those in flight.
@@ -134,7 +134,7 @@
             .position(|attempt| attempt.number == number)?;
         let attempt = self.in_flight.remove(index);
         if may_have_executed {
-            self.first_executed.get_or_insert(attempt);
+            self.first_maybe_executed.get_or_insert(attempt);
         }
         Some(attempt)
     }
@@ -159,7 +159,7 @@
     }
 
     /// Whether it is open and not queued.
-    pub fn is_waiting(&self) -> bool {
+    pub fn can_be_enqueued(&self) -> bool {
         self.is_open && self.queue_shard.is_none()
     }
 
@@ -169,12 +169,12 @@
     }
 
     /// Whether it is closed and has no attempt in flight.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         !self.is_open && self.in_flight.is_empty()
     }
 
     /// Whether an attempt may have been executed, or is in flight and may still be.
     pub fn may_have_executed(&self) -> bool {
-        self.first_executed.is_some() || !self.in_flight.is_empty()
+        self.first_maybe_executed.is_some() || !self.in_flight.is_empty()
     }
 }
--- a/crates/scheduler/src/retry/eligibility.rs
+++ b/crates/scheduler/src/retry/eligibility.rs
@@ -29,16 +29,16 @@
     ///
     /// If the request was not sent at all, the caller could not send it, and a retry would end the
     /// same way.
-    pub fn may_queue_again(
+    pub fn may_requeue(
         &self,
         pending: &PendingRequest,
-        failed_at: NodeId,
+        failed_node: NodeId,
         outcome: Outcome,
     ) -> bool {
         outcome != Outcome::NotDispatched
             && self.has_attempts_left(pending)
             && pending.request().deadline > self.now
-            && self.is_safe_at_successor(pending, failed_at)
+            && self.is_safe_at_successor(pending, failed_node)
     }
 
     /// Whether the node may be sent a retry of a request now.
@@ -55,11 +55,11 @@
     }
 
     /// Whether the node that now holds the shard of the failed attempt may execute the request.
-    fn is_safe_at_successor(&self, pending: &PendingRequest, failed_at: NodeId) -> bool {
-        if pending.first_executed().is_none() {
+    fn is_safe_at_successor(&self, pending: &PendingRequest, failed_node: NodeId) -> bool {
+        if pending.first_maybe_executed().is_none() {
             return true;
         }
-        match self.nodes.successor_of(failed_at) {
+        match self.nodes.successor_of(failed_node) {
             Some(node) => may_execute_at(pending, node, self.nodes, self.now),
             None => false,
         }
--- a/crates/scheduler/src/retry/idempotency.rs
+++ b/crates/scheduler/src/retry/idempotency.rs
@@ -53,7 +53,7 @@
     nodes: &NodeTable,
     now: Micros,
 ) -> bool {
-    let Some(first) = pending.first_executed() else {
+    let Some(first) = pending.first_maybe_executed() else {
         return true;
     };
     match pending.class().idempotency {
@@ -63,13 +63,14 @@
             let Some(first_node) = nodes.get(first.node) else {
                 return false;
             };
-            shares_duplicates(scope, first_node, node) && now - first.dispatched_at < window
+            in_same_deduplication_scope(scope, first_node, node)
+                && now - first.dispatched_at < window
         }
     }
 }
 
 /// Whether a node recognizes duplicates of requests that another node has executed.
-fn shares_duplicates(scope: DeduplicationScope, first: &Node, second: &Node) -> bool {
+fn in_same_deduplication_scope(scope: DeduplicationScope, first: &Node, second: &Node) -> bool {
     match scope {
         DeduplicationScope::All => true,
         DeduplicationScope::Zone => first.endpoint().zone == second.endpoint().zone,
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -158,7 +158,7 @@
 
     /// Opens a watch of the endpoint list if a poll is due.
     fn poll_if_due(&mut self) {
-        if self.polling.take_due(self.now) {
+        if self.polling.start_poll_if_due(self.now) {
             self.actions.push(Action::OpenWatch);
         }
     }
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -39,7 +39,7 @@
         } else if needs_attempt {
             self.retry_or_reject(id, attempt.node, outcome);
         } else {
-            self.remove_if_over(id);
+            self.remove_if_finished(id);
         }
     }
 
@@ -76,16 +76,16 @@
             return;
         }
         if let Some(queue) = self.queues.get_mut(node.endpoint().shard) {
-            queue.uncount(request.volume, request.units);
+            queue.subtract_unserved(request.volume, request.units);
         }
     }
 
     /// Queues a request for another attempt if that is allowed and safe, else gives it its final
     /// response.
-    fn retry_or_reject(&mut self, id: RequestId, failed_at: NodeId, outcome: Outcome) {
+    fn retry_or_reject(&mut self, id: RequestId, failed_node: NodeId, outcome: Outcome) {
         let pending = &self.requests[&id];
         let retry = self.retry_eligibility();
-        if retry.may_queue_again(pending, failed_at, outcome) {
+        if retry.may_requeue(pending, failed_node, outcome) {
             self.enqueue(id, Position::Front);
         } else {
             self.reject(id);
@@ -158,7 +158,7 @@
             return;
         };
         if pending.is_open() {
-            self.objectives.keep(pending, self.now);
+            self.objectives.record_unserved(pending, self.now);
         }
         self.close(id);
     }
@@ -178,23 +178,23 @@
         }
         pending.close();
         self.rejections.remove(pending);
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
     /// Removes a request that is closed and has no attempt in flight; the next one of its key may
     /// then run.
-    fn remove_if_over(&mut self, id: RequestId) {
+    fn remove_if_finished(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        if !pending.is_over() {
+        if !pending.is_finished() {
             return;
         }
         let key = pending.ordering_key();
         self.requests.remove(&id);
         if let Some(key) = key {
-            let next = self.sequences.leave(key, id, self.now);
-            self.run_first_of_key(next);
+            let next = self.sequences.remove(key, id, self.now);
+            self.enqueue_first_of_key(next);
         }
     }
 }
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -4,7 +4,7 @@
 use super::Scheduler;
 use crate::api::{Action, NodeId, Shard};
 use crate::dmclock::{Position, Selected, Selection};
-use crate::node::attempt_timeout::{times_out_at, AttemptTerms};
+use crate::node::attempt_timeout::{times_out_at, TimeoutInputs};
 use crate::node::outlier_ejection::exceeds_panic_threshold;
 use crate::node::Node;
 use crate::request::latency_objective::misses_objective;
@@ -16,7 +16,7 @@
     pub(super) fn dispatch_pending(&mut self) {
         while let Some(key) = self.sequences.pop_quiesced(self.now) {
             let first = self.sequences.first_ready(key, self.now);
-            self.run_first_of_key(first);
+            self.enqueue_first_of_key(first);
         }
         for id in std::mem::take(&mut self.unroutable) {
             self.enqueue(id, Position::ByPriority);
@@ -24,13 +24,13 @@
         let backlogged: Vec<Shard> = self.queues.backlogged().collect();
         for shard in backlogged {
             self.dispatch_from(shard);
-            self.queues.note_if_empty(shard);
+            self.queues.unmark_backlogged_if_empty(shard);
         }
     }
 
     /// Dispatches from a shard's queue for as long as its node takes requests.
     fn dispatch_from(&mut self, shard: Shard) {
-        self.set_late_requests_aside(shard);
+        self.move_late_requests(shard);
         while let Some(node) = self.nodes.node_of(shard) {
             let node_id = node.endpoint().node;
             let is_trial = self.is_limited_to_trials(node);
@@ -67,7 +67,7 @@
 
     /// Moves requests at the head of flows that can no longer meet their objective to the late
     /// requests.
-    fn set_late_requests_aside(&mut self, shard: Shard) {
+    fn move_late_requests(&mut self, shard: Shard) {
         let Some(node) = self.nodes.node_of(shard) else {
             return;
         };
@@ -81,7 +81,7 @@
         });
         for id in late {
             let request = self.requests[&id].request();
-            queue.set_aside(request, &self.volumes[request.volume]);
+            queue.move_to_late(request, &self.volumes[request.volume]);
         }
     }
 
@@ -107,7 +107,7 @@
 
     /// Starts an attempt of the selected request.
     fn dispatch(&mut self, selected: &Selected, node_id: NodeId) {
-        self.take_from_queue(selected);
+        self.remove_from_queue(selected);
         let pending = self
             .requests
             .get_mut(&selected.request)
@@ -120,10 +120,10 @@
         if pending.attempts() > 0 {
             self.retry_budget.record_retry(self.now);
         } else if let Some(volume) = self.volumes.get_mut(request.volume) {
-            volume.spend(request.units, self.now);
+            volume.consume_tokens(request.units, self.now);
         }
         node.start_attempt(request.units, &self.settings.slow_start, self.now);
-        let timeout = times_out_at(node, &attempt_terms(pending), self.now);
+        let timeout = times_out_at(node, &timeout_inputs(pending), self.now);
         let times_out_at = timeout.min(request.deadline);
         pending.start_attempt(node_id, self.now);
         self.actions.push(Action::Dispatch {
@@ -134,7 +134,7 @@
     }
 
     /// Removes the selected request from its queue.
-    fn take_from_queue(&mut self, selected: &Selected) {
+    fn remove_from_queue(&mut self, selected: &Selected) {
         let pending = self
             .requests
             .get_mut(&selected.request)
@@ -147,13 +147,13 @@
         self.queues
             .get_mut(shard)
             .expect("invariant: the queue of a request exists")
-            .take(request, selected.phase, reservation);
+            .remove_for_dispatch(request, selected.phase, reservation);
     }
 }
 
 /// What the timeout of an attempt depends on besides its node.
-fn attempt_terms(pending: &PendingRequest) -> AttemptTerms {
-    AttemptTerms {
+fn timeout_inputs(pending: &PendingRequest) -> TimeoutInputs {
+    TimeoutInputs {
         relative_latency: pending.relative_latency(),
         latency_objective: pending.class().latency_objective,
         objective_at: pending.objective_at(),
--- a/crates/scheduler/src/scheduler/intake.rs
+++ b/crates/scheduler/src/scheduler/intake.rs
@@ -27,14 +27,14 @@
             request,
             class,
             relative_latency(request.units, self.settings.mean_units),
-            self.objectives.start(request, class, self.now),
+            self.objectives.assign(request, class, self.now),
             reject_at(request.deadline, self.now),
         );
         let key = pending.ordering_key();
         self.rejections.add(&pending);
         self.requests.insert(request.id, pending);
         let may_run = match key {
-            Some(key) => self.sequences.join(key, request.id, self.now),
+            Some(key) => self.sequences.add(key, request.id, self.now),
             None => true,
         };
         if may_run {
@@ -55,7 +55,7 @@
         let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        if !pending.is_waiting() {
+        if !pending.can_be_enqueued() {
             return;
         }
         let Some(shard) = self.shard_of(pending) else {
@@ -64,7 +64,7 @@
         };
         let volume = &self.volumes[pending.request().volume];
         self.queues
-            .backlog(shard)
+            .mark_backlogged(shard)
             .insert(pending, position, volume, tag_time);
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.enqueue(shard);
@@ -89,7 +89,7 @@
     }
 
     /// Queues the first request of a key, unless it was dispatched before.
-    pub(super) fn run_first_of_key(&mut self, first: Option<RequestId>) {
+    pub(super) fn enqueue_first_of_key(&mut self, first: Option<RequestId>) {
         let Some(id) = first else {
             return;
         };
--- a/crates/scheduler/src/scheduler/wakeup.rs
+++ b/crates/scheduler/src/scheduler/wakeup.rs
@@ -60,8 +60,8 @@
             return None;
         }
         let queue = &self.queues[shard];
-        let may_dispatch_late = queue.has_late() && node.is_idle_at_full_limit();
-        if queue.has_timely() || may_dispatch_late {
+        let may_dispatch_late = queue.has_late_requests() && node.is_idle_at_full_limit();
+        if queue.has_on_time_requests() || may_dispatch_late {
             Some(node.paused_until().max(self.now + RECHECK_INTERVAL))
         } else {
             None
--- a/crates/scheduler/src/volume/mod.rs
+++ b/crates/scheduler/src/volume/mod.rs
@@ -30,7 +30,7 @@
     /// Idle credit (dmClock's sigma): one request of the largest size.
     idle_credit: Units,
     /// Whether its service through other hosts is reported to this host.
-    sees_other_hosts: bool,
+    receives_remote_usage: bool,
     /// Enforces the limit.
     bucket: TokenBucket,
     /// Its service over all nodes and hosts.
@@ -45,7 +45,8 @@
             hosts: MIN_HOSTS,
             shards: BTreeSet::new(),
             idle_credit: settings.max_units,
-            sees_other_hosts: settings.usage_report_period > 0 || settings.reports_remote_units,
+            receives_remote_usage: settings.usage_report_period > 0
+                || settings.reports_remote_units,
             bucket: TokenBucket::empty(started_at),
             usage: Usage::default(),
         }
@@ -88,9 +89,9 @@
     }
 
     /// Counts the units of a request's first attempt against the limit.
-    pub fn spend(&mut self, units: Units, now: Micros) {
+    pub fn consume_tokens(&mut self, units: Units, now: Micros) {
         if self.plan.limit.is_positive() {
-            self.bucket.spend(units, &self.plan, self.hosts, now);
+            self.bucket.consume(units, &self.plan, self.hosts, now);
         }
     }
 
@@ -120,7 +121,7 @@
     /// Provisioned rate: of all hosts if their service is reported to this host, else this host's
     /// part.
     pub fn nominal_rate(&self) -> UnitsPerSecond {
-        let hosts = if self.sees_other_hosts {
+        let hosts = if self.receives_remote_usage {
             1.0
         } else {
             self.hosts
@@ -129,7 +130,7 @@
     }
 
     /// This host's part of the provisioned rate, at each of the volume's shards.
-    pub fn rate_at_shard(&self) -> UnitsPerSecond {
+    pub fn rate_per_shard(&self) -> UnitsPerSecond {
         let shards = self.shards.len().max(1);
         self.plan.provisioned_rate / self.hosts / shards as f64
     }
--- a/crates/scheduler/src/volume/token_bucket.rs
+++ b/crates/scheduler/src/volume/token_bucket.rs
@@ -38,7 +38,7 @@
     }
 
     /// Takes units, which may bring the level below zero.
-    pub fn spend(&mut self, units: Units, plan: &VolumePlan, hosts: f64, now: Micros) {
+    pub fn consume(&mut self, units: Units, plan: &VolumePlan, hosts: f64, now: Micros) {
         self.refill(plan, hosts, now);
         self.level -= units;
     }
--- a/crates/scheduler/src/volume/usage.rs
+++ b/crates/scheduler/src/volume/usage.rs
@@ -15,7 +15,7 @@
     /// Served since the last usage report.
     served_since_report: Units,
     /// Reported beyond what responses have counted; zero or, while reports lag behind, negative.
-    surplus: Units,
+    report_excess: Units,
     /// When the last usage report was received.
     reported_at: Option<Micros>,
 }
@@ -39,11 +39,11 @@
         match self.reported_at {
             Some(reported_at) if now - reported_at <= max_age => {
                 let reported = rate.units_within(now - reported_at);
-                self.surplus += reported - self.served_since_report;
-                self.served += self.surplus.max(Units::ZERO);
-                self.surplus = self.surplus.min(Units::ZERO);
+                self.report_excess += reported - self.served_since_report;
+                self.served += self.report_excess.max(Units::ZERO);
+                self.report_excess = self.report_excess.min(Units::ZERO);
             }
-            _ => self.surplus = Units::ZERO,
+            _ => self.report_excess = Units::ZERO,
         }
         self.reported_at = Some(now);
         self.served_since_report = Units::ZERO;
