--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -1,4 +1,4 @@
-//! Actions: what the scheduler asks its caller to do.
+//! Actions that the scheduler returns to its caller.
 
 use super::{Micros, NodeId, RequestId};
 
@@ -9,30 +9,30 @@
     Dispatch {
         /// The request.
         request: RequestId,
-        /// The node it goes to.
+        /// Node that the attempt is sent to.
         node: NodeId,
-        /// When the attempt times out; not after the deadline of the request.
+        /// Time at which the attempt times out; never later than the deadline of the request.
         times_out_at: Micros,
     },
-    /// Final response: rejected; the client may safely retry.
+    /// Send the final response that the request is rejected. The client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// Time in microseconds after which the client should retry (Retry-After); 0 for none
+        /// Time in microseconds after which the client should retry (Retry-After); 0 if none is
         /// given.
         retry_after: Micros,
     },
-    /// Final response: failed; the request may have been executed.
+    /// Send the final response that the request failed. The request may have been executed.
     Fail(RequestId),
     /// Cancel an attempt in flight.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Number among the attempts of the request, from 0.
+        /// Number of the attempt within the request, from 0.
         attempt: u32,
     },
     /// Open a watch of the endpoint list.
     OpenWatch,
-    /// Deliver [`Event::TimerFired`](super::Event::TimerFired) at this time or later.
+    /// Deliver [`Event::TimerFired`](super::Event::TimerFired) at or after this time.
     SetTimer(Micros),
 }
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -1,4 +1,4 @@
-//! Events: what the caller reports to the scheduler.
+//! Events that the caller reports to the scheduler.
 
 use super::{
     ClassIndex, Micros, NodeId, ObjectKey, PlanIndex, RequestId, Shard, Units, VolumeId, Zone,
@@ -7,11 +7,11 @@
 /// State of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It accepts requests.
+    /// The node accepts requests.
     InService,
-    /// It completes its requests and accepts no new ones.
+    /// The node completes its requests and accepts no new ones.
     Draining,
-    /// It was removed from the list.
+    /// The node was removed from the list.
     Removed,
 }
 
@@ -20,20 +20,20 @@
 pub struct Endpoint {
     /// The node.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: Zone,
-    /// The shard that it holds.
+    /// Shard that the node holds.
     pub shard: Shard,
-    /// Its state.
+    /// State of the node.
     pub status: EndpointStatus,
-    /// When its process last started, if known.
+    /// Time at which the node's process last started, if known.
     pub started_at: Option<Micros>,
 }
 
 /// An update of the endpoint list, or the failure of a poll or watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListEvent {
-    /// The list that the host cached before it started; it may be out of date.
+    /// The list that the host cached before it started, which may be out of date.
     Cached,
     /// The complete list.
     Snapshot,
@@ -41,51 +41,51 @@
     Delta,
     /// A poll of the list failed.
     PollFailed,
-    /// The watch was closed, timed out, or has to be opened again.
+    /// The watch was closed, timed out, or must be reopened.
     WatchLost,
 }
 
 /// A client request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id, never used twice.
+    /// Id of the request; never reused.
     pub id: RequestId,
-    /// Its volume.
+    /// Volume that the request belongs to.
     pub volume: VolumeId,
-    /// The volume's plan.
+    /// Plan of the volume.
     pub plan: PlanIndex,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassIndex,
-    /// The object that it reads or writes, if it names one.
+    /// Object that the request reads or writes, if it names one.
     pub key: Option<ObjectKey>,
-    /// The shard that holds the object; `None` for a new object, which may be placed on any node.
+    /// Shard that holds the object. `None` for a new object, which may be placed on any node.
     pub shard: Option<Shard>,
-    /// Its size.
+    /// Size of the request.
     pub units: Units,
     /// Number of hosts that receive the volume's requests.
     pub hosts: f64,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Micros,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The node served it.
+    /// The node served the request.
     Served,
-    /// The node responded with an error; it may have been executed.
+    /// The node responded with an error. The request may have been executed.
     Error,
-    /// The node had no capacity; it was not executed.
+    /// The node had no capacity. The request was not executed.
     Overloaded,
-    /// No response in time; it may have been executed or may still be executing.
+    /// No response arrived in time. The request may have been executed or may still be executing.
     TimedOut,
-    /// No connection; it was not executed.
+    /// No connection could be established. The request was not executed.
     ConnectFailed,
-    /// The connection was lost; it may have been executed or may still be executing.
+    /// The connection was lost. The request may have been executed or may still be executing.
     Reset,
-    /// Cancelled; it may have been executed or may still be executing.
+    /// The attempt was cancelled. The request may have been executed or may still be executing.
     Cancelled,
-    /// It was not sent to the node at all.
+    /// The caller could not send the request to the node. The request was not executed.
     NotDispatched,
 }
 
@@ -94,21 +94,21 @@
 pub struct CompletedAttempt {
     /// The request.
     pub request: RequestId,
-    /// Number among the attempts of the request, from 0.
+    /// Number of the attempt within the request, from 0.
     pub number: u32,
-    /// The node it went to.
+    /// Node that the attempt was sent to.
     pub node: NodeId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
     /// Whether the request already has its final response.
     pub request_closed: bool,
-    /// Time since its dispatch, in microseconds.
+    /// Time since the dispatch, in microseconds.
     pub elapsed: Micros,
-    /// Service that the node gave the volume through other hosts since its last response; 0 if not
-    /// reported.
+    /// Units that the node served for the volume through other hosts since its last response; 0 if
+    /// the node does not report them.
     pub remote_units: Units,
-    /// Usage report, if there is one: the volume's service at all nodes in a past period, as a
-    /// fraction of its provisioned rate.
+    /// Usage report, if the response carries one: the volume's service at all nodes in a past
+    /// period, as a fraction of its provisioned rate.
     pub utilization: Option<f64>,
 }
 
@@ -119,9 +119,9 @@
     EndpointList(EndpointListEvent, Vec<Endpoint>),
     /// A client's request was received.
     RequestReceived(Request),
-    /// The time of [`Action::SetTimer`](super::Action::SetTimer) has come.
+    /// The timer requested by [`Action::SetTimer`](super::Action::SetTimer) fired.
     TimerFired,
-    /// The response of an attempt has started and is being forwarded to the client.
+    /// The response to an attempt has started and is being forwarded to the client.
     ResponseStarted(RequestId),
     /// The client has disconnected, or the request was closed.
     ClientDisconnected(RequestId),
--- a/crates/scheduler/src/api/mod.rs
+++ b/crates/scheduler/src/api/mod.rs
@@ -1,4 +1,5 @@
-//! The interface of the decision module: settings, events and actions. No decision is made here.
+//! Public interface of the scheduler: settings, events and actions. It contains no scheduling
+//! rules.
 
 mod actions;
 mod events;
@@ -10,15 +11,15 @@
 pub use settings::*;
 pub use units::*;
 
-/// A class, by its index in [`Settings::classes`].
+/// Index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassIndex(pub usize);
 
-/// A plan of volumes, by its index in [`Settings::plans`].
+/// Index of a plan in [`Settings::plans`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlanIndex(pub usize);
 
-/// Defines the types of ids: numbers that cannot be mistaken for each other.
+/// Defines a newtype for each kind of id, so that ids of different kinds cannot be mixed up.
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident),*) => {$(
         $(#[$doc])*
@@ -28,28 +29,30 @@
 }
 
 ids! {
-    /// A client request; an id is never used twice.
+    /// Id of a client request; never reused.
     RequestId,
-    /// A storage node; it keeps its id when it restarts, as long as the endpoint list names it.
+    /// Id of a storage node. A node keeps its id when it restarts, as long as the endpoint list
+    /// names it.
     NodeId,
-    /// A volume, to which reservation, weight and limit belong.
+    /// Id of a volume. Reservation, weight and limit are defined per volume.
     VolumeId,
-    /// The object that a request reads or writes.
+    /// Key of the object that a request reads or writes.
     ObjectKey,
-    /// The part of the data that a node holds; a node that replaces it holds the same shard.
+    /// Id of the part of the data that a node holds. A node that replaces another holds the same
+    /// shard.
     Shard,
-    /// A zone of nodes.
+    /// Id of a zone of nodes.
     Zone
 }
 
-/// Number of entries in a scheduler's state.
+/// Number of entries in the scheduler's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateSizes {
-    /// Nodes in the endpoint list, and removed nodes with attempts still in flight.
+    /// Nodes in the endpoint list, and removed nodes that still have attempts in flight.
     pub nodes: usize,
     /// Volumes with recent requests.
     pub volumes: usize,
-    /// Shards that a node holds, or that have queued requests or remembered flows; others go at the
-    /// next cleanup.
+    /// Shards that are held by a node, have queued requests, or have flows. Other shards are
+    /// removed by the next cleanup.
     pub shards: usize,
 }
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -2,23 +2,24 @@
 
 use super::{Micros, Units, UnitsPerSecond};
 
-/// Whether a request that may have been executed can safely be executed again.
+/// Whether it is safe to execute a request again that may already have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Executing it again is safe.
+    /// The request can safely be executed again.
     Idempotent,
-    /// It carries an idempotency key: the nodes of a scope drop duplicates for some time.
+    /// The request carries an idempotency key. The nodes of a scope drop duplicates of it for a
+    /// limited time.
     WithKey {
-        /// The nodes that recognize duplicates of each other's requests.
+        /// Nodes that recognize duplicates of each other's requests.
         scope: DeduplicationScope,
-        /// Time after the first dispatch for which they do, in microseconds.
+        /// Time after the first dispatch during which duplicates are dropped, in microseconds.
         window: Micros,
     },
-    /// Executing it again would take effect twice.
+    /// A second execution would take effect a second time.
     NonIdempotent,
 }
 
-/// Nodes that share the record of idempotency keys by which duplicates are dropped.
+/// Set of nodes that share a record of idempotency keys and use it to drop duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every node.
@@ -32,54 +33,60 @@
 /// A class of request.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Latency objective in microseconds: a response within this time has its full value.
+    /// Latency objective in microseconds. A response within this time has its full value.
     pub latency_objective: Micros,
-    /// Value of one request of mean size, relative to other classes.
+    /// Value of a request of mean size, relative to other classes.
     pub priority_weight: f64,
     /// Whether a request may be executed again.
     pub idempotency: Idempotency,
-    /// Whether requests of one key are executed one after the other, in the order of their receipt.
+    /// Whether requests with the same key are executed one after another, in the order in which
+    /// they were received.
     pub ordered: bool,
 }
 
-/// Reservation, weight, limit and provisioned rate of a volume; rates are over all hosts and nodes.
+/// Reservation, weight, limit and provisioned rate of a volume. Rates are totals over all hosts and
+/// nodes.
 #[derive(Clone, Debug, Default)]
 pub struct VolumePlan {
-    /// Reserved rate; 0 where there is none.
+    /// Reserved rate; 0 if there is no reservation.
     pub reservation: UnitsPerSecond,
     /// dmClock weight: the volume's share of the capacity that remains after the reservations.
     pub weight: f64,
-    /// Maximum rate; 0 where there is none.
+    /// Maximum rate; 0 if there is no limit.
     pub limit: UnitsPerSecond,
-    /// Capacity of the limit's token bucket.
+    /// Capacity of the token bucket that enforces the limit.
     pub burst_capacity: Units,
-    /// Provisioned rate.
+    /// Rate that the volume is provisioned for. Use beyond it is surplus.
     pub provisioned_rate: UnitsPerSecond,
 }
 
-/// Limit on retries within a sliding window: `allowance` plus `ratio` times the requests received.
+/// Limit on retries within a sliding window: `allowance` plus `ratio` times the number of requests
+/// received in the window.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     /// Length of the window, in microseconds.
     pub window: Micros,
-    /// Retries that are always allowed.
+    /// Number of retries that are always allowed.
     pub allowance: f64,
-    /// Retries allowed for each request received.
+    /// Number of retries allowed per request received.
     pub ratio: f64,
 }
 
-/// How the capacity of a node grows after the start of its process.
+/// How the capacity of a node grows after its process starts.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
-    /// Fraction of its full capacity that a node has at its start; above 0, at most 1.
+    /// Capacity of a node when its process starts, as a fraction of its full capacity; above 0 and
+    /// at most 1.
     pub initial_capacity: f64,
-    /// Time after the start by which it has its full capacity at the latest, in microseconds.
+    /// Time in microseconds from the start of the process until the node has its full capacity at
+    /// the latest.
     pub duration: Micros,
-    /// Length of the window in which the units dispatched to the node are limited, in microseconds.
+    /// Length in microseconds of the window within which the units dispatched to the node are
+    /// limited.
     pub window: Micros,
-    /// Burst that a node can take within a window, as a multiple of its capacity at that time.
+    /// Burst that a node can handle within a window, as a multiple of its capacity at that time.
     pub burst_factor: f64,
-    /// Service that a node can take within a window at its start, from all hosts together.
+    /// Units that a node can serve within a window when its process starts, for all hosts together.
     pub units: Units,
 }
 
@@ -96,31 +103,33 @@
     pub max_attempts: u32,
     /// Whether attempts in flight may be cancelled.
     pub cancellation_allowed: bool,
-    /// Number of hosts that poll the same discovery service, this one included; 0 where the
-    /// endpoint list is delivered without polls.
+    /// Number of hosts that poll the same discovery service, this one included; 0 if the endpoint
+    /// list is delivered without polls.
     pub discovery_clients: u32,
-    /// Maximum time between two polls of the list without a watch, in microseconds; 0 for no
-    /// maximum.
+    /// Maximum time between two polls of the list while there is no watch, in microseconds; 0 for
+    /// no maximum.
     pub max_poll_interval: Micros,
-    /// Capacity of nodes that warm up.
+    /// Slow start of nodes that are warming up.
     pub slow_start: SlowStart,
-    /// Time in microseconds for which the next ordered request of a key waits after an attempt of
+    /// Time in microseconds for which the next ordered request of a key waits after an attempt with
     /// that key ended while it may still be executing. Retries of the same request and requests of
     /// other classes do not wait.
     pub quiesce_period: Micros,
-    /// Limit on retries, if there is one.
+    /// Limit on retries; `None` if retries are not limited.
     pub retry_budget: Option<RetryBudget>,
-    /// Mean size of a request.
+    /// Mean size of a request. Expected latencies are scaled by the size of a request relative to
+    /// it.
     pub mean_units: Units,
-    /// Largest size of a request.
+    /// Largest size of a request; also the idle credit of a volume.
     pub max_units: Units,
-    /// Period of usage reports, in microseconds; 0 where responses carry none.
+    /// Period of usage reports, in microseconds; 0 if responses carry none.
     pub usage_report_period: Micros,
     /// Whether responses report the units that the node served for the volume through other hosts.
     pub reports_remote_units: bool,
-    /// Fraction of the value of units within the volume's provisioned rate, but beyond its
-    /// reservation.
+    /// Value of units that are within the volume's provisioned rate but beyond its reservation, as
+    /// a fraction of the value of reserved units.
     pub within_share_value: f64,
-    /// Fraction of the value of units beyond the volume's provisioned rate.
+    /// Value of units beyond the volume's provisioned rate, as a fraction of the value of reserved
+    /// units.
     pub surplus_value: f64,
 }
--- a/crates/scheduler/src/api/units.rs
+++ b/crates/scheduler/src/api/units.rs
@@ -1,7 +1,7 @@
-//! Time, service and rates in the interface.
+//! Types for time, service and rates.
 //!
-//! A service unit measures the size of a request. Units and rates have types of their own, so that
-//! neither is taken for the other, for a time or for a plain factor.
+//! A service unit measures the size of a request. Units and rates are separate types, so that they
+//! cannot be confused with each other, with a time or with a plain factor.
 
 use derive_more::{Add, AddAssign, Div, Mul, Sub, SubAssign, Sum};
 
@@ -30,46 +30,47 @@
 pub struct Units(pub f64);
 
 impl Units {
-    /// No service.
+    /// Zero units.
     pub const ZERO: Units = Units(0.0);
 
-    /// The greater of two amounts.
+    /// Returns the larger of two amounts.
     #[must_use]
     pub fn max(self, other: Units) -> Units {
         Units(self.0.max(other.0))
     }
 
-    /// The smaller of two amounts.
+    /// Returns the smaller of two amounts.
     #[must_use]
     pub fn min(self, other: Units) -> Units {
         Units(self.0.min(other.0))
     }
 
-    /// The amount as a multiple of another.
+    /// Returns the amount as a multiple of `other`.
     #[must_use]
     pub fn ratio_to(self, other: Units) -> f64 {
         self.0 / other.0
     }
 }
 
-/// A rate of service, in units a second.
+/// A service rate in units per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Add, Mul, Div, Sum)]
 pub struct UnitsPerSecond(pub f64);
 
 impl UnitsPerSecond {
-    /// The greater of two rates.
+    /// Returns the larger of two rates.
     #[must_use]
     pub fn max(self, other: UnitsPerSecond) -> UnitsPerSecond {
         UnitsPerSecond(self.0.max(other.0))
     }
 
-    /// Whether the rate is above zero; a reservation or limit of zero stands for none.
+    /// Returns whether the rate is above zero. A reservation or limit of zero means that there is
+    /// none.
     #[must_use]
     pub fn is_positive(self) -> bool {
         self.0 > 0.0
     }
 
-    /// The service within a span of time at this rate.
+    /// Returns the units served at this rate within a span of time.
     #[must_use]
     pub fn units_within(self, span: Micros) -> Units {
         Units(self.0 * span as f64 / MICROS_PER_SECOND)
--- a/crates/scheduler/src/hash.rs
+++ b/crates/scheduler/src/hash.rs
@@ -1,6 +1,6 @@
-//! Hashes in place of random numbers, so that decisions are reproducible.
+//! Hash functions used in place of random numbers, so that decisions are reproducible.
 
-/// Maps numbers that are close to each other to distant ones (Fibonacci hashing).
+/// Spreads numbers that are close together over the whole range (Fibonacci hashing).
 pub fn fibonacci_hash(number: u64) -> u64 {
     number.wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,42 +1,35 @@
-//! Decides, for one host of a storage gateway, which pending request is dispatched next, to which
-//! node, and what is retried, rejected or failed.
+//! Request scheduler of one host of a storage gateway: it decides which pending request is
+//! dispatched next and to which node, and which requests are retried, rejected or failed.
 //!
-//! The order follows dmClock: per node and volume a reservation, a limit and a share tag, advanced
-//! by the service of all nodes. Due reservation tags go first, then the smallest share tag whose
-//! limit tag is due or ahead by no more than a burst. A concurrency limit for each node bounds the
-//! requests in flight there.
+//! Requests are ordered by dmClock. Each request has a reservation tag, a limit tag and a share
+//! tag, which advance with the service that its volume receives from all nodes. Requests whose
+//! reservation tag is due are dispatched first. After them comes the request with the smallest
+//! share tag, among those whose limit tag is due or is ahead of the current time by no more than a
+//! burst. A concurrency limit for each node bounds the number of requests in flight at that node.
 //!
-//! The library does no I/O and reads no clock: a caller passes it [`Event`]s with their time and
-//! carries out the [`Action`]s that it returns.
+//! The library does no I/O and reads no clock: the caller passes in [`Event`]s with their time and
+//! carries out the [`Action`]s that are returned.
 //!
 //! # Modules
 //!
-//! `api` is the interface: settings, events, actions, ids and units.
-//!
-//! `scheduler` holds [`Scheduler`], which takes a batch of events, passes each to the owners of the
-//! state below, and starts attempts for as long as nodes take them. It has the order of work, but
-//! no rule of its own beyond that.
-//!
-//! `request` follows a request from its receipt to its end: its latency objective, when it is shed,
-//! and the order of requests of one key.
-//!
-//! `dmclock` is the paper's part: tags, flows, and the phases in which the next request is
-//! selected.
-//!
-//! `node` is what is known of a node and what it may be sent: latency, losses and errors,
-//! concurrency limit, ejection, slow start and the timeout of an attempt.
-//!
-//! `volume` has the token bucket that enforces a volume's limit, and its usage over all hosts and
-//! nodes.
-//!
-//! `retry` decides whether a request may be executed again, and what Retry-After a rejected client
-//! is given.
-//!
-//! `endpoints` applies the endpoint list and decides when to poll for it; `placement` chooses the
-//! node of a new object.
-//!
-//! `collections`, `hash` and `time` are containers, hashes in place of random numbers, and units of
-//! time; they contain no rule.
+//! - `api`: the interface, which consists of settings, events, actions, ids and units.
+//! - `scheduler`: [`Scheduler`], which takes a batch of events, passes each event to the modules
+//!   that own the affected state, and starts attempts as long as nodes have capacity. It defines
+//!   the order of these steps; the rules are in the modules below.
+//! - `request`: the state of a request from receipt to completion, which includes its latency
+//!   objective, load shedding, and the ordering of requests with the same key.
+//! - `dmclock`: the dmClock algorithm, with tags, flows, and the phases in which the next request
+//!   is selected.
+//! - `node`: the state of a node (latency, losses, errors) and the limits derived from it:
+//!   concurrency limit, outlier ejection, slow start and attempt timeout.
+//! - `volume`: the token bucket that enforces a volume's limit, and the volume's usage across all
+//!   hosts and nodes.
+//! - `retry`: whether a request may be executed again, and the Retry-After value of a rejected
+//!   request.
+//! - `endpoints`: applies the endpoint list and decides when to poll for it.
+//! - `placement`: chooses the node for a new object.
+//! - `collections`, `hash`, `time`: containers, hashes used in place of random numbers, and time
+//!   units. They contain no scheduling rules.
 
 #![warn(clippy::missing_docs_in_private_items)]
 
--- a/crates/scheduler/src/time.rs
+++ b/crates/scheduler/src/time.rs
@@ -1,37 +1,37 @@
-//! Times with fractions: the seconds of dmClock's tags, and latencies.
+//! Fractional times: [`Seconds`] for dmClock tags and [`Latency`] for latencies.
 //!
-//! Events and timers use whole [`Micros`]. The conversions between the three stand here and nowhere
-//! else.
+//! Events and timers use whole [`Micros`]. All conversions between the three types are in this
+//! file.
 
 use crate::api::{Micros, Units, UnitsPerSecond, MICROS_PER_SECOND};
 use derive_more::{Add, Div, Mul, Sub, SubAssign, Sum};
 use std::ops::{Div, Mul};
 
-/// Time in seconds on the axis of dmClock's tags, which begins when the scheduler starts.
+/// Time in seconds since the scheduler started, as used by the dmClock tags. Also a span of time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Add, Sub, SubAssign)]
 pub struct Seconds(pub f64);
 
 impl Seconds {
-    /// Before every other time.
+    /// The earliest representable time.
     pub const MIN: Seconds = Seconds(f64::MIN);
 
-    /// The span from `start` to `end`.
+    /// Returns the time from `start` to `end`.
     pub fn between(start: Micros, end: Micros) -> Seconds {
         Seconds((end - start) as f64 / MICROS_PER_SECOND)
     }
 
-    /// The later of two times.
+    /// Returns the later of two times.
     pub fn max(self, other: Seconds) -> Seconds {
         Seconds(self.0.max(other.0))
     }
 
-    /// The earlier of two times.
+    /// Returns the earlier of two times.
     pub fn min(self, other: Seconds) -> Seconds {
         Seconds(self.0.min(other.0))
     }
 }
 
-/// The time that an amount of service takes at a rate.
+/// Time that it takes to serve an amount of units at a rate.
 impl Div<UnitsPerSecond> for Units {
     type Output = Seconds;
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// The service within a time at a rate.
+/// Units served at a rate within a time.
 impl Mul<Seconds> for UnitsPerSecond {
     type Output = Units;
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// A latency, in microseconds with fractions.
+/// A latency in fractional microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Add, Mul, Div, Sum)]
 pub struct Latency(f64);
 
@@ -59,27 +59,28 @@
     /// One microsecond.
     pub const ONE_MICROSECOND: Latency = Latency(1.0);
 
-    /// A latency of whole microseconds.
+    /// Creates a latency from whole microseconds.
     pub fn from_micros(micros: Micros) -> Latency {
         Latency(micros as f64)
     }
 
-    /// The whole microseconds of the latency.
+    /// Returns the latency in whole microseconds; the fraction is dropped.
     pub fn to_micros(self) -> Micros {
         self.0 as Micros
     }
 
-    /// The greater of two latencies.
+    /// Returns the larger of two latencies.
     pub fn max(self, other: Latency) -> Latency {
         Latency(self.0.max(other.0))
     }
 
-    /// The absolute difference of two latencies.
+    /// Returns the absolute difference of two latencies.
     pub fn abs_difference(self, other: Latency) -> Latency {
         Latency((self.0 - other.0).abs())
     }
 
-    /// Moves the latency towards a sample by `gain`, a fraction from 0 to 1.
+    /// Returns the latency moved towards `sample` by the fraction `gain` (0 to 1) of their
+    /// difference.
     pub fn moved_towards(self, sample: Latency, gain: f64) -> Latency {
         Latency(self.0 + gain * (sample.0 - self.0))
     }
