--- a/crates/scheduler/src/node/attempt_timeout.rs
+++ b/crates/scheduler/src/node/attempt_timeout.rs
@@ -1,10 +1,10 @@
-//! When an attempt at a node times out.
+//! Determines when an attempt at a node times out, as a time in microseconds.
 //!
-//! Inputs: the node's latency and loss rate, and the size, latency objective and its end of the
-//! request. An attempt usually has until the end of the objective, or a multiple of the mean
-//! latency if that is longer. Where responses get lost and those that arrive are quick, it times
-//! out early: a lost response must not occupy one of the few slots of the node's concurrency limit.
-//! The result is a time in microseconds.
+//! The timeout depends on the node's latency and loss rate, and on the size and latency objective
+//! of the request. An attempt usually has until the end of the latency objective, or a multiple of
+//! the mean latency if that is longer. If the node loses responses but is otherwise fast, the
+//! attempt times out earlier, because a lost response must not occupy one of the few slots of the
+//! node's concurrency limit.
 
 use super::Node;
 use crate::api::Micros;
@@ -12,25 +12,27 @@
 
 /// Attempt timeout as a multiple of the node's mean latency.
 const ATTEMPT_TIMEOUT_FACTOR: f64 = 4.0;
-/// Deviations beyond the mean latency after which a response counts as lost.
+/// Number of deviations above the mean latency after which a response is considered lost.
 const LOSS_TIMEOUT_DEVIATIONS: f64 = 4.0;
-/// Longest such timeout, as a fraction of the latency objective: above it the node is not quick.
+/// Upper bound of the timeout for lost responses, as a fraction of the latency objective. A node
+/// whose timeout would be longer is not fast.
 const MAX_LOSS_TIMEOUT_FRACTION: f64 = 0.6;
-/// Smallest factor by which a request's size scales the timeout for lost responses.
+/// Lower bound of the factor by which the request's size scales the timeout for lost responses.
 const MIN_LOSS_TIMEOUT_SCALE: f64 = 1.0;
 
-/// What an attempt's timeout depends on besides its node.
+/// Properties of a request that determine the timeout of its attempt.
 pub struct TimeoutInputs {
     /// Expected latency for the size of the request, as a multiple of that of a request of mean
     /// size.
     pub relative_latency: f64,
-    /// Latency objective of its class.
+    /// Latency objective of the request's class.
     pub latency_objective: Micros,
-    /// When the objective ends.
+    /// Time at which the objective ends.
     pub objective_at: Micros,
 }
 
-/// When an attempt dispatched to the node now times out, apart from the request's deadline.
+/// Returns when an attempt that is dispatched to the node now times out. The caller also applies
+/// the request's deadline.
 pub fn times_out_at(node: &Node, inputs: &TimeoutInputs, now: Micros) -> Micros {
     let Some(mean) = node.latency().mean() else {
         return inputs.objective_at.max(now);
@@ -42,7 +44,8 @@
     inputs.objective_at.max(now + timeout.to_micros())
 }
 
-/// The early timeout at a node that loses responses and is quick otherwise; `None` at any other.
+/// Returns the shorter timeout for a node that loses responses but is otherwise fast, or `None` for
+/// any other node.
 fn loss_timeout(node: &Node, inputs: &TimeoutInputs) -> Option<Latency> {
     if !node.has_high_loss_rate() || node.is_ejected() {
         return None;
@@ -50,8 +53,8 @@
     let timeout = node
         .latency()
         .mean_and_deviations(LOSS_TIMEOUT_DEVIATIONS)?;
-    let longest = Latency::from_micros(inputs.latency_objective) * MAX_LOSS_TIMEOUT_FRACTION;
-    if timeout < longest {
+    let max_timeout = Latency::from_micros(inputs.latency_objective) * MAX_LOSS_TIMEOUT_FRACTION;
+    if timeout < max_timeout {
         Some(timeout * inputs.relative_latency.max(MIN_LOSS_TIMEOUT_SCALE))
     } else {
         None
--- a/crates/scheduler/src/node/dispatch_pause.rs
+++ b/crates/scheduler/src/node/dispatch_pause.rs
@@ -1,22 +1,23 @@
-//! Until when nothing is dispatched to a node.
+//! Pauses dispatches to a node.
 //!
-//! A node pauses for a moment after it responded that it is overloaded, and between the trial
-//! attempts of its ejection (`outlier_ejection`). Times are in microseconds.
+//! A node is paused for a short time after it responded that it is overloaded, and between the
+//! trial attempts while it is ejected (`outlier_ejection`). Times are in microseconds.
 
 use crate::api::Micros;
 
 /// Pause after a node responded that it is overloaded, in microseconds.
 const OVERLOAD_PAUSE: Micros = 20_000;
 
-/// The end of a node's pause; in the past if there is none.
+/// Pause of one node.
 #[derive(Default)]
 pub struct DispatchPause {
-    /// The end of the pause, in microseconds.
+    /// End of the pause, in microseconds; in the past if the node is not paused.
     until: Micros,
 }
 
 impl DispatchPause {
-    /// Pauses the node after it responded that it is overloaded; a longer pause stays.
+    /// Pauses the node after it responded that it is overloaded. A longer pause that is already
+    /// active remains.
     pub fn start_after_overload(&mut self, now: Micros) {
         self.until = self.until.max(now + OVERLOAD_PAUSE);
     }
@@ -31,12 +32,12 @@
         self.until = now;
     }
 
-    /// Whether the node pauses.
+    /// Returns whether the node is paused.
     pub fn is_active(&self, now: Micros) -> bool {
         self.until > now
     }
 
-    /// The end of the pause.
+    /// Returns the end of the pause, which is in the past if the node is not paused.
     pub fn until(&self) -> Micros {
         self.until
     }
--- a/crates/scheduler/src/node/error_rate.rs
+++ b/crates/scheduler/src/node/error_rate.rs
@@ -1,34 +1,34 @@
-//! How often a node responds with an error.
+//! Tracks how often a node responds with an error.
 //!
-//! Inputs: served attempts and errors. Decided: whether the node should get new objects only if
-//! there is no other (`placement`).
+//! Served attempts and errors are counted. A node with a high error rate receives new objects only
+//! if there is no other node (`placement`).
 
 use crate::collections::MovingFraction;
 
 /// Weight of a new response in the moving average.
 const ERROR_GAIN: f64 = 0.1;
-/// Fraction of errors above which the rate is high.
+/// The error rate is high if more than this fraction of the responses are errors.
 const HIGH_ERROR_RATE: f64 = 0.25;
 
-/// Moving average of the fraction of responses that are errors.
+/// Error rate of one node.
 #[derive(Default)]
 pub struct ErrorRate {
-    /// Fraction of the responses that are errors.
+    /// Moving average of the fraction of responses that are errors.
     errors: MovingFraction,
 }
 
 impl ErrorRate {
-    /// Counts an error.
+    /// Records a response that is an error.
     pub fn record_error(&mut self) {
         self.errors.record_hit(ERROR_GAIN);
     }
 
-    /// Counts an attempt that was served.
+    /// Records an attempt that was served.
     pub fn record_served(&mut self) {
         self.errors.record_miss(ERROR_GAIN);
     }
 
-    /// Whether a noticeable part of the responses are errors.
+    /// Returns whether the error rate is above [`HIGH_ERROR_RATE`].
     pub fn is_high(&self) -> bool {
         self.errors.fraction() > HIGH_ERROR_RATE
     }
--- a/crates/scheduler/src/node/health.rs
+++ b/crates/scheduler/src/node/health.rs
@@ -1,7 +1,7 @@
-//! What the attempts at a node have shown since its process started.
+//! Statistics and limits derived from the attempts at a node since its process started.
 //!
-//! Each measurement is a type with a rule of its own; this module passes each completed attempt to
-//! those that it concerns.
+//! Each of them is a type with its own rule. This module passes each completed attempt to the types
+//! that it affects.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::dispatch_pause::DispatchPause;
@@ -13,42 +13,43 @@
 use crate::api::{Micros, Outcome};
 use crate::time::Latency;
 
-/// A completed attempt, as far as it tells something about its node.
+/// Data of a completed attempt that updates the state of its node.
 pub struct Measurement {
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time from its dispatch to its end.
+    /// Time from the dispatch to the end of the attempt.
     pub elapsed: Micros,
-    /// When it was dispatched.
+    /// Time at which the attempt was dispatched.
     pub dispatched_at: Micros,
-    /// Expected latency for the size of its request, as a multiple of that of a request of mean
+    /// Expected latency for the size of the request, as a multiple of that of a request of mean
     /// size.
     pub relative_latency: f64,
-    /// Latency objective of its request's class.
+    /// Latency objective of the request's class.
     pub latency_objective: Micros,
 }
 
-/// Measurements of a node, and the limits derived from them.
+/// Statistics of a node, and the limits derived from them.
 #[derive(Default)]
 pub struct NodeHealth {
-    /// How long its responses take.
+    /// Estimate of the node's latency.
     pub latency: LatencyEstimate,
-    /// How often there is no response.
+    /// Fraction of attempts without a response.
     pub loss_rate: LossRate,
-    /// How often the response is an error.
+    /// Fraction of responses that are errors.
     pub error_rate: ErrorRate,
-    /// How many requests may be in flight.
+    /// Limit on the requests in flight.
     pub limit: ConcurrencyLimit,
-    /// How many attempts had no response since the last one that was served.
+    /// Attempts without a response since the last one that was served, and the ejection that they
+    /// cause.
     pub ejection: OutlierEjection,
-    /// Until when nothing is dispatched to it.
+    /// Pause of dispatches to the node.
     pub pause: DispatchPause,
-    /// What it was sent while it was warming up.
+    /// Units sent to the node while it was warming up.
     pub slow_start: SlowStartUsage,
 }
 
 impl NodeHealth {
-    /// Updates the measurements after an attempt.
+    /// Updates the statistics and limits after an attempt.
     pub fn record(&mut self, measurement: &Measurement, now: Micros) {
         match measurement.outcome {
             Outcome::Served => self.record_served(measurement, now),
@@ -63,9 +64,10 @@
         self.limit.record(measurement, now);
     }
 
-    /// Updates the measurements after an attempt that was served.
+    /// Updates the statistics after an attempt that was served.
     fn record_served(&mut self, measurement: &Measurement, now: Micros) {
-        // A served trial attempt ends the ejection and with it the pause before the next one.
+        // A served trial attempt ends the ejection, and with it the pause before the next trial
+        // attempt.
         if self.ejection.is_ejected() {
             self.pause.end(now);
         }
--- a/crates/scheduler/src/node/latency_estimate.rs
+++ b/crates/scheduler/src/node/latency_estimate.rs
@@ -1,50 +1,50 @@
-//! How long a node takes to serve a request.
+//! Estimates how long a node takes to serve a request.
 //!
-//! Inputs: the latencies of served attempts, divided by what the size of each request explains, in
-//! microseconds. Decided: the latency that a request of mean size is expected to have at the node
-//! now. Without recent responses the expectation falls, so that a node which was slow is tried
-//! again.
+//! The samples are the latencies of served attempts in microseconds, divided by the relative
+//! latency expected for the size of each request. The result is the latency expected for a request
+//! of mean size that is dispatched to the node now. Without recent samples, the expected latency
+//! decays, so that a node that was slow is tried again.
 
 use crate::api::{Micros, Units};
 use crate::time::Latency;
 
 /// Weight of a new sample in the moving averages of mean and deviation.
 const LATENCY_GAIN: f64 = 0.1;
-/// Deviation of a node with a single sample, as a fraction of that sample.
-const INITIAL_DEVIATION: f64 = 0.5;
-/// Time without a served attempt that halves the expected latency, in microseconds.
+/// Initial deviation, as a fraction of the first sample.
+const INITIAL_DEVIATION_FRACTION: f64 = 0.5;
+/// Time in microseconds without a served attempt after which the expected latency is halved.
 const LATENCY_HALF_LIFE: f64 = 250_000.0;
-/// Factor on the expected latency after one half-life.
+/// Factor applied to the expected latency per half-life.
 const DECAY_PER_HALF_LIFE: f64 = 0.5;
-/// Fraction of a latency that is proportional to the request's units; the rest does not depend on
-/// them.
+/// Fraction of the latency that is proportional to the units of the request; the rest does not
+/// depend on its size.
 const SIZE_DEPENDENT_FRACTION: f64 = 0.5;
-/// Lower bound of the mean size of a request, which divides the size of each.
+/// Lower bound of the mean request size, which is a divisor in [`relative_latency`].
 const MIN_MEAN_UNITS: Units = Units(1e-9);
 
-/// Expected latency of a request, as a multiple of that of a request of mean size.
+/// Returns the expected latency of a request, as a multiple of that of a request of mean size.
 pub fn relative_latency(units: Units, mean_units: Units) -> f64 {
     let size_dependent = (units * SIZE_DEPENDENT_FRACTION).ratio_to(mean_units.max(MIN_MEAN_UNITS));
     1.0 - SIZE_DEPENDENT_FRACTION + size_dependent
 }
 
-/// Mean and mean deviation of the latency of requests of mean size.
+/// Mean and mean absolute deviation of the latency of requests of mean size.
 #[derive(Default)]
 pub struct LatencyEstimate {
-    /// `None` before the first sample.
+    /// Moving average of the samples; `None` before the first sample.
     mean: Option<Latency>,
-    /// Moving average of the distance of the samples from the mean.
+    /// Moving average of the distance between a sample and the mean.
     deviation: Latency,
-    /// When the last sample was added.
+    /// Time at which the last sample was added.
     last_sample_at: Micros,
 }
 
 impl LatencyEstimate {
-    /// Adds a sample, scaled to a request of mean size.
+    /// Adds a sample, already scaled to a request of mean size.
     pub fn record(&mut self, sample: Latency, now: Micros) {
         let deviation = match self.mean {
             Some(mean) => sample.abs_difference(mean),
-            None => sample * INITIAL_DEVIATION,
+            None => sample * INITIAL_DEVIATION_FRACTION,
         };
         self.deviation = self.deviation.moved_towards(deviation, LATENCY_GAIN);
         self.mean = match self.mean {
@@ -54,18 +54,18 @@
         self.last_sample_at = now;
     }
 
-    /// The mean; `None` before the first sample.
+    /// Returns the mean, or `None` before the first sample.
     pub fn mean(&self) -> Option<Latency> {
         self.mean
     }
 
-    /// The mean and so many deviations; `None` before the first sample.
+    /// Returns the mean plus `deviations` times the deviation, or `None` before the first sample.
     pub fn mean_and_deviations(&self, deviations: f64) -> Option<Latency> {
         Some(self.mean? + self.deviation * deviations)
     }
 
-    /// Expected latency of a request of mean size that is dispatched now; zero before the first
-    /// sample.
+    /// Returns the expected latency of a request of mean size that is dispatched now, or zero
+    /// before the first sample.
     pub fn expected(&self, now: Micros) -> Latency {
         let Some(mean) = self.mean else {
             return Latency::ZERO;
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -1,10 +1,12 @@
-//! What is known of a node, and what it may be sent.
+//! State of a node, and the rules that limit what is dispatched to it.
 //!
-//! - `concurrency_limit`: how many requests may be in flight at it, and at which pace.
-//! - `outlier_ejection`, `dispatch_pause`: when it is avoided.
-//! - `slow_start`: how much it may be sent while it warms up.
-//! - `latency_estimate`, `loss_rate`, `error_rate`: what its responses show.
-//! - `attempt_timeout`: when an attempt at it times out.
+//! - `concurrency_limit`: how many requests may be in flight at the node, and the pacing of
+//!   dispatches.
+//! - `outlier_ejection`, `dispatch_pause`: when the node is avoided.
+//! - `slow_start`: how many units the node may be sent while it is warming up.
+//! - `latency_estimate`, `loss_rate`, `error_rate`: statistics of its responses.
+//! - `health`: these statistics and limits, updated by each completed attempt.
+//! - `attempt_timeout`: when an attempt at the node times out.
 
 pub mod attempt_timeout;
 mod concurrency_limit;
@@ -25,23 +27,23 @@
 use latency_estimate::LatencyEstimate;
 use slow_start::SlowStartUsage;
 
-/// Requests in flight at an ejected node: one trial attempt.
+/// Maximum number of requests in flight at an ejected node: one trial attempt.
 const MAX_TRIALS_IN_FLIGHT: usize = 1;
 
-/// A node of the endpoint list, or one that was removed with attempts still in flight.
+/// A node in the endpoint list, or a removed node that still has attempts in flight.
 pub struct Node {
-    /// Its entry of the endpoint list.
+    /// The node's entry in the endpoint list.
     endpoint: Endpoint,
-    /// Attempts of this host in flight at the node.
+    /// Number of this host's attempts in flight at the node.
     in_flight: usize,
-    /// Units of those attempts.
+    /// Units of these attempts.
     in_flight_units: Units,
-    /// What its attempts have shown since its process started.
+    /// Statistics and limits from the attempts since the node's process started.
     health: NodeHealth,
 }
 
 impl Node {
-    /// A node listed for the first time.
+    /// Creates a node that is listed for the first time.
     pub fn new(endpoint: Endpoint) -> Self {
         Node {
             endpoint,
@@ -51,13 +53,13 @@
         }
     }
 
-    /// Its entry of the endpoint list.
+    /// Returns the node's entry in the endpoint list.
     pub fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
 
-    /// Replaces its entry of the endpoint list. The measurements belong to a process, so that a
-    /// restarted one begins without any.
+    /// Replaces the node's entry in the endpoint list. If the node's process was restarted, its
+    /// statistics and limits are reset, because they describe the previous process.
     pub fn update(&mut self, endpoint: &Endpoint) {
         let is_restarted =
             endpoint.started_at.is_some() && endpoint.started_at != self.endpoint.started_at;
@@ -67,22 +69,22 @@
         self.endpoint = endpoint.clone();
     }
 
-    /// Marks it as removed from the endpoint list.
+    /// Marks the node as removed from the endpoint list.
     pub fn remove(&mut self) {
         self.endpoint.status = EndpointStatus::Removed;
     }
 
-    /// Whether the endpoint list has it in service.
+    /// Returns whether the node is in service according to the endpoint list.
     pub fn is_in_service(&self) -> bool {
         self.endpoint.status == EndpointStatus::InService
     }
 
-    /// Whether it was removed from the endpoint list and has no attempts in flight.
+    /// Returns whether the node was removed from the endpoint list and has no attempts in flight.
     pub fn is_removed_and_idle(&self) -> bool {
         self.endpoint.status == EndpointStatus::Removed && self.in_flight == 0
     }
 
-    /// Counts an attempt that is dispatched to it.
+    /// Records an attempt that is dispatched to the node.
     pub fn start_attempt(&mut self, units: Units, slow_start: &SlowStart, now: Micros) {
         self.in_flight += 1;
         self.in_flight_units += units;
@@ -91,81 +93,82 @@
         }
     }
 
-    /// Counts a completed attempt and what it shows.
+    /// Records a completed attempt and updates the node's statistics.
     pub fn complete_attempt(&mut self, units: Units, measurement: &Measurement, now: Micros) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.in_flight_units -= units;
         self.health.record(measurement, now);
     }
 
-    /// Units of this host's attempts in flight.
+    /// Returns the units of this host's attempts in flight at the node.
     pub fn in_flight_units(&self) -> Units {
         self.in_flight_units
     }
 
-    /// Latencies of its responses.
+    /// Returns the latency estimate of the node.
     pub fn latency(&self) -> &LatencyEstimate {
         &self.health.latency
     }
 
-    /// Limit on this host's requests in flight.
+    /// Returns the limit on this host's requests in flight at the node.
     pub fn concurrency_limit(&self) -> &ConcurrencyLimit {
         &self.health.limit
     }
 
-    /// Units sent to it while it was warming up.
+    /// Returns the units that this host sent to the node while it was warming up.
     pub fn slow_start_usage(&self) -> &SlowStartUsage {
         &self.health.slow_start
     }
 
-    /// Whether a noticeable part of the attempts ends without a response.
+    /// Returns whether the fraction of attempts that end without a response is high.
     pub fn has_high_loss_rate(&self) -> bool {
         self.health.loss_rate.is_high()
     }
 
-    /// Whether it is an outlier: ejected, or with many errors.
+    /// Returns whether the node is an outlier: it is ejected, or its error rate is high.
     pub fn is_faulty(&self) -> bool {
         self.is_ejected() || self.health.error_rate.is_high()
     }
 
-    /// Whether it gets trial attempts only.
+    /// Returns whether the node is ejected and receives only trial attempts.
     pub fn is_ejected(&self) -> bool {
         self.health.ejection.is_ejected()
     }
 
-    /// Whether nothing is dispatched to it now.
+    /// Returns whether dispatches to the node are paused.
     pub fn is_paused(&self, now: Micros) -> bool {
         self.health.pause.is_active(now)
     }
 
-    /// The end of its pause; in the past if there is none.
+    /// Returns the end of the node's pause, which is in the past if the node is not paused.
     pub fn paused_until(&self) -> Micros {
         self.health.pause.until()
     }
 
-    /// Pauses it until the next trial attempt of its ejection.
+    /// Pauses the ejected node until its next trial attempt.
     pub fn start_trial_interval(&mut self, now: Micros) {
         let interval = self.health.ejection.trial_interval();
         self.health.pause.start_between_trials(interval, now);
     }
 
-    /// Whether as many requests are in flight as a node can have at once, at any concurrency limit.
+    /// Returns whether [`MAX_IN_FLIGHT`] requests are in flight, the maximum for any concurrency
+    /// limit.
     pub fn is_full(&self) -> bool {
         self.in_flight >= MAX_IN_FLIGHT
     }
 
-    /// Whether as many attempts are in flight as an ejected node may have, those from before its
-    /// ejection included.
+    /// Returns whether an ejected node has as many attempts in flight as allowed. Attempts from
+    /// before the ejection count, too.
     pub fn is_full_for_trials(&self) -> bool {
         self.in_flight >= MAX_TRIALS_IN_FLIGHT
     }
 
-    /// Whether the concurrency limit allows one more request of this relative value.
+    /// Returns whether the concurrency limit allows one more request of this relative value.
     pub fn has_capacity(&self, value: f64, now: Micros) -> bool {
         self.health.limit.has_capacity(self.in_flight, value, now)
     }
 
-    /// Whether nothing is in flight and the concurrency limit is at its maximum.
+    /// Returns whether nothing is in flight and the concurrency limit is at its maximum.
     pub fn is_idle_at_full_limit(&self) -> bool {
         self.in_flight == 0 && self.health.limit.is_at_maximum()
     }
--- a/crates/scheduler/src/node/outlier_ejection.rs
+++ b/crates/scheduler/src/node/outlier_ejection.rs
@@ -1,28 +1,31 @@
-//! Which nodes get no requests but trial attempts, since their attempts end without a response.
+//! Ejects nodes whose attempts end without a response. An ejected node receives only trial
+//! attempts.
 //!
-//! Inputs: attempts without a response (timeouts, failed connects, resets) and served ones.
-//! Decided: whether a node is ejected, and the time between its trial attempts, in microseconds. Of
-//! the outcomes only a served attempt ends the ejection; a restart of the node does so, too. A
-//! response that is an error or says that the node is overloaded neither counts as a failure nor
-//! ends one: it shows that a process answers, but not that it serves. If more nodes are ejected
-//! than not, the fault is likely not theirs, and none of them is treated as ejected (panic
-//! threshold).
+//! Attempts without a response are timeouts, failed connects and resets. Among the outcomes, only a
+//! served attempt ends the ejection; a restart of the node ends it, too. A response that is an
+//! error or says that the node is overloaded neither counts as a failure nor ends the ejection: it
+//! shows that a process answers, but not that it serves requests. This module also determines the
+//! time between trial attempts, in microseconds.
+//!
+//! If more nodes are ejected than not, the cause is probably not in the nodes, and none of them is
+//! treated as ejected (panic threshold).
 
 use super::Node;
 use crate::api::Micros;
 
-/// Attempts without a response, none served between them, that eject a node.
+/// Number of attempts without a response, with no served attempt in between, that eject a node.
 const FAILURES_TO_EJECT: u32 = 3;
-/// Time between the first trial attempt of an ejected node and the second, in microseconds; it
-/// doubles with each further failure. The first one needs no pause: it is dispatched once no
-/// attempt from before the ejection is in flight.
+/// Time between the first and the second trial attempt of an ejected node, in microseconds. It
+/// doubles with each further failure. There is no pause before the first trial attempt: it is
+/// dispatched once no attempt from before the ejection is in flight.
 const MIN_TRIAL_INTERVAL: Micros = 100_000;
-/// Longest time between two trial attempts, in microseconds.
+/// Maximum time between two trial attempts, in microseconds.
 const MAX_TRIAL_INTERVAL: Micros = 1_000_000;
-/// Doublings after which the interval certainly is at its maximum; bounds the shift.
+/// Number of doublings after which the interval has certainly reached its maximum; bounds the
+/// shift.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// Attempts at a node that ended without a response since the last one that was served.
+/// Outlier ejection of one node.
 #[derive(Default)]
 pub struct OutlierEjection {
     /// Attempts without a response since the last one that was served.
@@ -30,22 +33,22 @@
 }
 
 impl OutlierEjection {
-    /// Counts an attempt that ended without a response.
+    /// Records an attempt that ended without a response.
     pub fn record_failure(&mut self) {
         self.failures_since_served += 1;
     }
 
-    /// Ends the ejection, as an attempt was served.
+    /// Records a served attempt, which ends the ejection.
     pub fn record_served(&mut self) {
         self.failures_since_served = 0;
     }
 
-    /// Whether the node gets trial attempts only.
+    /// Returns whether the node is ejected and receives only trial attempts.
     pub fn is_ejected(&self) -> bool {
         self.failures_since_served >= FAILURES_TO_EJECT
     }
 
-    /// Time from a trial attempt to the next one, for a node that is ejected.
+    /// Returns the time from a trial attempt to the next one. The node must be ejected.
     pub fn trial_interval(&self) -> Micros {
         let failures_since_ejection = self.failures_since_served - FAILURES_TO_EJECT;
         let doublings = failures_since_ejection.min(MAX_DOUBLINGS);
@@ -53,7 +56,7 @@
     }
 }
 
-/// Whether more of the nodes are ejected than not.
+/// Returns whether more nodes are ejected than not.
 pub fn exceeds_panic_threshold<'a>(nodes: impl Iterator<Item = &'a Node>) -> bool {
     let mut ejected = 0;
     let mut not_ejected = 0;
--- a/crates/scheduler/src/request/key_ordering.rs
+++ b/crates/scheduler/src/request/key_ordering.rs
@@ -1,17 +1,17 @@
-//! Which request of an object may run, in classes whose requests of one key run in the order of
-//! their receipt.
+//! Orders requests with the same key, in classes whose requests of one key must run in the order in
+//! which they were received.
 //!
-//! Inputs: receipt and end of the requests of each key, and attempts that ended while the node may
-//! still be executing them. After such an attempt no other request of its key is dispatched for the
-//! quiesce period of the settings (microseconds), so that the next one cannot overtake it at the
-//! node. A retry of the same request does not wait for the end of that period.
+//! After an attempt that ended while the node may still be executing it, no other request with its
+//! key is dispatched for the quiesce period of the settings (microseconds). Otherwise the next
+//! request could overtake the attempt at the node. A retry of the same request does not wait for
+//! the end of that period.
 
 use crate::api::{Micros, ObjectKey, RequestId};
 use crate::collections::DeadlineQueue;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests of one key in the order of their receipt; the first may run once the quiesce period is
-/// over.
+/// Requests of one key in the order in which they were received. The first may run once the quiesce
+/// period is over.
 #[derive(Default)]
 struct KeySequence {
     /// Requests that are open or have attempts in flight.
@@ -20,25 +20,25 @@
     quiesced_until: Micros,
 }
 
-/// The sequences of all keys with ordered requests.
+/// Sequences of all keys that have ordered requests.
 #[derive(Default)]
 pub struct KeySequences {
-    /// The sequences by key.
+    /// Sequences, by key.
     sequences: BTreeMap<ObjectKey, KeySequence>,
-    /// Keys whose next request waits for the end of the quiesce period, by that time.
+    /// Keys whose next request waits for the end of the quiesce period, ordered by that time.
     quiescing: DeadlineQueue<ObjectKey>,
 }
 
 impl KeySequences {
-    /// Adds a request to its key's sequence; returns whether it may run at once.
+    /// Adds a request to the sequence of its key. Returns whether the request may run at once.
     pub fn add(&mut self, key: ObjectKey, id: RequestId, now: Micros) -> bool {
         let sequence = self.sequences.entry(key).or_default();
         sequence.requests.push_back(id);
         sequence.requests.len() == 1 && sequence.quiesced_until <= now
     }
 
-    /// Removes a request that is over from its key's sequence; returns the first one left if it may
-    /// run.
+    /// Removes a finished request from the sequence of its key. Returns the first remaining request
+    /// if it may run now.
     pub fn remove(&mut self, key: ObjectKey, id: RequestId, now: Micros) -> Option<RequestId> {
         let sequence = self.sequences.get_mut(&key)?;
         let was_first = sequence.requests.front() == Some(&id);
@@ -54,21 +54,21 @@
         }
     }
 
-    /// Starts or extends the quiesce period of a key with ordered requests.
+    /// Starts or extends the quiesce period of a key that has ordered requests.
     pub fn quiesce(&mut self, key: ObjectKey, until: Micros) {
         if let Some(sequence) = self.sequences.get_mut(&key) {
             sequence.quiesced_until = sequence.quiesced_until.max(until);
         }
     }
 
-    /// Removes and returns a key whose quiesce period is over, as it was when the key began to
-    /// wait; it may have been extended since.
+    /// Removes and returns a key whose quiesce period is over. The end of the period is the one
+    /// that was known when the key began to wait; it may have been extended since.
     pub fn pop_quiesced(&mut self, now: Micros) -> Option<ObjectKey> {
         self.quiescing.pop_expired(now)
     }
 
-    /// The first request of a key if the quiesce period is over; a sequence without requests is
-    /// removed.
+    /// Returns the first request of a key if the quiesce period is over. Removes the sequence if it
+    /// has no requests.
     pub fn first_ready(&mut self, key: ObjectKey, now: Micros) -> Option<RequestId> {
         let sequence = self.sequences.get(&key)?;
         if sequence.quiesced_until > now {
@@ -81,7 +81,7 @@
         first
     }
 
-    /// The earliest end of a quiesce period for which a request waits.
+    /// Returns the earliest end of a quiesce period that a request waits for.
     pub fn next_quiesced(&self) -> Option<Micros> {
         self.quiescing.next_deadline()
     }
--- a/crates/scheduler/src/request/latency_objective.rs
+++ b/crates/scheduler/src/request/latency_objective.rs
@@ -1,34 +1,37 @@
-//! Until when a request should be served, and whether it still can be.
+//! Latency objectives: when a request should be served, and whether that is still possible.
 //!
-//! Inputs: the latency objective of the class, the deadline, the expected latency of the node, and
-//! the objectives of requests that were closed without service. A client that retries sends a new
-//! request; with a new objective it would compete as timely work again, so a repeat keeps the
-//! objective of the first request. Repeats are recognized by volume, object and class. All times
-//! are in microseconds.
+//! The end of the objective follows from the latency objective of the class and the deadline of the
+//! request. Whether it can be met depends on the expected latency of the node. Times are in
+//! microseconds.
+//!
+//! A client that retries sends a new request. With a new objective, the retry would again compete
+//! as a request that is not late, so it keeps the objective of the earlier request if that was
+//! closed without service. Such repeats are recognized by volume, object and class.
 
 use super::PendingRequest;
 use crate::api::{ClassIndex, Micros, ObjectKey, Request, RequestClass, VolumeId};
 use crate::time::Latency;
 use std::collections::BTreeMap;
 
-/// Time in microseconds after the end of an objective for which it is certainly remembered. Older
-/// ones are dropped when the next one is kept; until then a repeat is recognized however late it
-/// is.
+/// Minimum time in microseconds for which an objective is stored after its end. Older objectives
+/// are removed when the next one is recorded; until then, a repeat is recognized however late it is
+/// received.
 const REPEAT_WINDOW: Micros = 1_000_000;
 
-/// The fields in which a repeat equals the earlier request; the ids differ.
+/// Fields that are the same in a request and its repeat; their ids differ.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RepeatKey {
-    /// The volume.
+    /// Volume of both requests.
     volume: VolumeId,
-    /// The object that both read or write.
+    /// Object that both requests read or write.
     object: ObjectKey,
-    /// The class.
+    /// Class of both requests.
     class: ClassIndex,
 }
 
 impl RepeatKey {
-    /// The key of a request; `None` if it names no object, since its repeats can't be recognized.
+    /// Returns the key of a request, or `None` if the request names no object, in which case its
+    /// repeats cannot be recognized.
     fn of(request: &Request) -> Option<Self> {
         Some(RepeatKey {
             volume: request.volume,
@@ -38,16 +41,16 @@
     }
 }
 
-/// When the latency objectives of requests that were closed without service end.
+/// Ends of the latency objectives of requests that were closed without service.
 #[derive(Default)]
 pub struct LatencyObjectives {
-    /// End of the objective, by what a repeat has in common with the request.
+    /// End of the objective of each request, by the fields that its repeat has in common with it.
     unserved: BTreeMap<RepeatKey, Micros>,
 }
 
 impl LatencyObjectives {
-    /// When the objective of a request that is received now ends. The client does not wait longer
-    /// than its deadline, so a later objective is moved up to it.
+    /// Returns when the objective of a request that is received now ends. The client does not wait
+    /// beyond its deadline, so the objective ends at the deadline at the latest.
     pub fn assign(&mut self, request: &Request, class: &RequestClass, now: Micros) -> Micros {
         let objective_at = match self.take_earlier_objective(request) {
             Some(earlier_objective_at) => earlier_objective_at,
@@ -56,13 +59,13 @@
         objective_at.min(request.deadline)
     }
 
-    /// The objective of the earlier request that this one repeats.
+    /// Removes and returns the end of the objective of the earlier request that this one repeats.
     fn take_earlier_objective(&mut self, request: &Request) -> Option<Micros> {
         self.unserved.remove(&RepeatKey::of(request)?)
     }
 
-    /// Keeps the objective of a request that is closed without service, in case its client sends it
-    /// again.
+    /// Records the objective of a request that is closed without service, in case its client sends
+    /// it again.
     pub fn record_unserved(&mut self, pending: &PendingRequest, now: Micros) {
         let Some(key) = RepeatKey::of(pending.request()) else {
             return;
@@ -73,7 +76,7 @@
     }
 }
 
-/// Whether a request can no longer meet its objective at a node with this expected latency.
+/// Returns whether a request can no longer meet its objective at a node with this expected latency.
 pub fn misses_objective(pending: &PendingRequest, expected: Latency, now: Micros) -> bool {
     let completes_at = now + (expected * pending.relative_latency()).to_micros();
     completes_at > pending.objective_at()
--- a/crates/scheduler/src/request/mod.rs
+++ b/crates/scheduler/src/request/mod.rs
@@ -1,9 +1,9 @@
-//! A client's request from its receipt to its end.
+//! State of a client request from its receipt to its end.
 //!
-//! - `pending`: the record of a request and its attempts.
-//! - `latency_objective`: until when it should be served, and when that can no longer be met.
-//! - `shedding`: when a request that waits is given up, so that its client can retry in time.
-//! - `key_ordering`: which request of an object may run, in classes that are ordered.
+//! - `pending`: a request and its attempts.
+//! - `latency_objective`: when a request should be served, and when that is no longer possible.
+//! - `shedding`: when a waiting request is rejected, so that its client has time to retry.
+//! - `key_ordering`: the order of requests with the same key, in ordered classes.
 
 pub mod key_ordering;
 pub mod latency_objective;
--- a/crates/scheduler/src/request/pending.rs
+++ b/crates/scheduler/src/request/pending.rs
@@ -1,44 +1,45 @@
-//! The record of a request that a client waits for, or that still has attempts in flight.
+//! State of a request that a client waits for or that still has attempts in flight.
 
 use crate::api::{Micros, NodeId, ObjectKey, Request, RequestClass, Shard};
 
 /// One dispatch of a request to a node.
 #[derive(Clone, Copy)]
 pub struct Attempt {
-    /// Number among the attempts of the request, from 0.
+    /// Number of the attempt within the request, from 0.
     pub number: u32,
-    /// The node it went to.
+    /// Node that the attempt was sent to.
     pub node: NodeId,
-    /// When it was dispatched.
+    /// Time at which the attempt was dispatched.
     pub dispatched_at: Micros,
 }
 
-/// A request from its receipt until it is closed and its attempts have completed.
+/// A request, from its receipt until it is closed and all its attempts have completed.
 pub struct PendingRequest {
     /// The request as received.
     request: Request,
-    /// Its class.
+    /// Class of the request.
     class: RequestClass,
-    /// Expected latency for its size, as a multiple of the latency of a request of mean size.
+    /// Expected latency for the request's size, as a multiple of that of a request of mean size.
     relative_latency: f64,
-    /// When its latency objective ends; at most its deadline.
+    /// End of the latency objective; not later than the deadline.
     objective_at: Micros,
-    /// When it is rejected, if it is still open then and is not postponed (`shedding`).
+    /// Time at which the request is rejected, if it is still open and its rejection is not
+    /// postponed (`shedding`).
     reject_at: Micros,
-    /// Whether it has no final response yet.
+    /// Whether the request has no final response yet.
     is_open: bool,
-    /// Attempts dispatched so far.
+    /// Number of attempts dispatched so far.
     attempts: u32,
     /// Attempts that have not completed.
     in_flight: Vec<Attempt>,
-    /// The earliest completed attempt that the node may have executed or may still be executing.
+    /// The first attempt to complete that the node may have executed or may still be executing.
     first_maybe_executed: Option<Attempt>,
-    /// The shard whose queue holds it.
+    /// Shard in whose queue the request is; `None` if it is not queued.
     queue_shard: Option<Shard>,
 }
 
 impl PendingRequest {
-    /// A request just received.
+    /// Creates the state of a request that was just received.
     pub fn new(
         request: &Request,
         class: &RequestClass,
@@ -60,62 +61,65 @@
         }
     }
 
-    /// The request as received.
+    /// Returns the request as received.
     pub fn request(&self) -> &Request {
         &self.request
     }
 
-    /// Its class.
+    /// Returns the class of the request.
     pub fn class(&self) -> &RequestClass {
         &self.class
     }
 
-    /// Expected latency for its size, as a multiple of the latency of a request of mean size.
+    /// Returns the latency expected for the request's size, as a multiple of that of a request of
+    /// mean size.
     pub fn relative_latency(&self) -> f64 {
         self.relative_latency
     }
 
-    /// When its latency objective ends; at most its deadline.
+    /// Returns the end of the latency objective, which is not later than the deadline.
     pub fn objective_at(&self) -> Micros {
         self.objective_at
     }
 
-    /// When it is rejected, if it is still open then and is not postponed (`shedding`).
+    /// Returns the time at which the request is rejected, if it is still open and its rejection is
+    /// not postponed (`shedding`).
     pub fn reject_at(&self) -> Micros {
         self.reject_at
     }
 
-    /// Postpones its rejection.
+    /// Postpones the rejection until `reject_at`.
     pub fn postpone_rejection(&mut self, reject_at: Micros) {
         self.reject_at = reject_at;
     }
 
-    /// Whether it has no final response yet.
+    /// Returns whether the request has no final response yet.
     pub fn is_open(&self) -> bool {
         self.is_open
     }
 
-    /// Marks it as having its final response.
+    /// Marks the request as having its final response.
     pub fn close(&mut self) {
         self.is_open = false;
     }
 
-    /// Attempts dispatched so far.
+    /// Returns the number of attempts dispatched so far.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Attempts that have not completed.
+    /// Returns the attempts that have not completed.
     pub fn in_flight(&self) -> &[Attempt] {
         &self.in_flight
     }
 
-    /// The earliest completed attempt that the node may have executed or may still be executing.
+    /// Returns the first attempt to complete that the node may have executed or may still be
+    /// executing.
     pub fn first_maybe_executed(&self) -> Option<Attempt> {
         self.first_maybe_executed
     }
 
-    /// Counts an attempt and adds it to those in flight.
+    /// Adds an attempt to those in flight.
     pub fn start_attempt(&mut self, node: NodeId, now: Micros) {
         self.in_flight.push(Attempt {
             number: self.attempts,
@@ -125,8 +129,9 @@
         self.attempts += 1;
     }
 
-    /// Removes an attempt from those in flight. `may_have_executed` says whether the node may have
-    /// executed it or may still be executing it.
+    /// Removes an attempt from those in flight. `may_have_executed` states whether the node may
+    /// have executed the attempt or may still be executing it. Returns `None` if no attempt with
+    /// this number is in flight.
     pub fn complete_attempt(&mut self, number: u32, may_have_executed: bool) -> Option<Attempt> {
         let index = self
             .in_flight
@@ -139,17 +144,18 @@
         Some(attempt)
     }
 
-    /// Notes the shard whose queue it joined.
-    pub fn enqueue(&mut self, shard: Shard) {
+    /// Records the shard to whose queue the request was added.
+    pub fn mark_queued(&mut self, shard: Shard) {
         self.queue_shard = Some(shard);
     }
 
-    /// Notes that it leaves the queue that holds it; returns its shard.
-    pub fn dequeue(&mut self) -> Option<Shard> {
+    /// Records that the request is removed from its queue; returns the shard of that queue.
+    pub fn mark_dequeued(&mut self) -> Option<Shard> {
         self.queue_shard.take()
     }
 
-    /// The key by which it is ordered; `None` if its class is not ordered or it has no key.
+    /// Returns the key by which the request is ordered, or `None` if its class is not ordered or it
+    /// names no object.
     pub fn ordering_key(&self) -> Option<ObjectKey> {
         if self.class.ordered {
             self.request.key
@@ -158,22 +164,22 @@
         }
     }
 
-    /// Whether it is open and not queued.
+    /// Returns whether the request is open and not queued.
     pub fn can_be_enqueued(&self) -> bool {
         self.is_open && self.queue_shard.is_none()
     }
 
-    /// Whether it is open and has no attempt in flight.
+    /// Returns whether the request is open and has no attempt in flight.
     pub fn needs_attempt(&self) -> bool {
         self.is_open && self.in_flight.is_empty()
     }
 
-    /// Whether it is closed and has no attempt in flight.
+    /// Returns whether the request is closed and has no attempt in flight.
     pub fn is_finished(&self) -> bool {
         !self.is_open && self.in_flight.is_empty()
     }
 
-    /// Whether an attempt may have been executed, or is in flight and may still be.
+    /// Returns whether an attempt may have been executed or is still in flight.
     pub fn may_have_executed(&self) -> bool {
         self.first_maybe_executed.is_some() || !self.in_flight.is_empty()
     }
--- a/crates/scheduler/src/request/shedding.rs
+++ b/crates/scheduler/src/request/shedding.rs
@@ -1,27 +1,28 @@
-//! When a request that waits is given up (load shedding).
+//! Load shedding: rejects requests that have waited too long.
 //!
-//! Input: the request's deadline, in microseconds. After a fraction of its time to the deadline a
-//! request is rejected, so that its client has time to retry, unless a node may have executed it or
-//! may be executing it: then it is kept until its deadline, whatever its idempotency.
-//! So a request that was dispatched, but that no node took, is rejected as well.
+//! A request is rejected after a fraction of the time to its deadline, so that its client has time
+//! to retry. A request that a node may have executed or may be executing is kept until its
+//! deadline, whatever its idempotency. A request that was dispatched but not executed by any node
+//! is rejected like one that was never dispatched. Times are in microseconds.
 
 use super::PendingRequest;
 use crate::api::{Micros, RequestId};
 use crate::collections::DeadlineQueue;
 
-/// A request may wait for its time to the deadline divided by this.
+/// A request may wait for the time to its deadline divided by this.
 const MAX_QUEUE_TIME_DIVISOR: i64 = 2;
 
-/// When a request that is received now is rejected, if no node may have executed it by then.
+/// Returns when a request that is received now is rejected, if no node may have executed it by
+/// then.
 pub fn reject_at(deadline: Micros, now: Micros) -> Micros {
     let time_left = (deadline - now).max(0);
     now + time_left / MAX_QUEUE_TIME_DIVISOR
 }
 
-/// Open requests by the time at which they are rejected.
+/// Open requests, ordered by the time at which they are rejected.
 #[derive(Default)]
 pub struct RejectionTimes {
-    /// The requests by that time.
+    /// Requests, by rejection time.
     times: DeadlineQueue<RequestId>,
 }
 
@@ -36,13 +37,14 @@
         self.times.remove(pending.reject_at(), pending.request().id);
     }
 
-    /// Removes and returns a request whose time has come.
+    /// Removes and returns a request whose rejection time has passed.
     pub fn pop_expired(&mut self, now: Micros) -> Option<RequestId> {
         self.times.pop_expired(now)
     }
 
-    /// Keeps a request that a node may have executed until its deadline; returns whether it is
-    /// kept. Called when its time has come.
+    /// Postpones the rejection of a request to its deadline if a node may have executed the
+    /// request. Called when the rejection time has passed; returns whether the rejection was
+    /// postponed.
     pub fn postpone(&mut self, pending: &mut PendingRequest) -> bool {
         let deadline = pending.request().deadline;
         if !pending.may_have_executed() || pending.reject_at() >= deadline {
@@ -53,7 +55,7 @@
         true
     }
 
-    /// The earliest time at which a request is rejected.
+    /// Returns the earliest time at which a request is rejected.
     pub fn next(&self) -> Option<Micros> {
         self.times.next_deadline()
     }
--- a/crates/scheduler/src/retry/eligibility.rs
+++ b/crates/scheduler/src/retry/eligibility.rs
@@ -1,9 +1,9 @@
-//! Whether a request gets a further attempt after one that failed.
+//! Decides whether a request gets another attempt after one that failed.
 //!
-//! Inputs: the number of its attempts and its deadline (microseconds), how the last attempt ended,
-//! the retry budget, and its idempotency. The question is asked twice: when an attempt ends
-//! (whether the request is queued again or gets its final response), and when its turn comes in the
-//! queue of a node.
+//! The decision depends on the number of attempts, the deadline (microseconds), the outcome of the
+//! last attempt, the retry budget, and the idempotency of the request. It is made twice: when an
+//! attempt ends, to queue the request again or give it its final response, and when the request is
+//! about to be dispatched from a node's queue.
 
 use super::idempotency::may_execute_at;
 use super::retry_budget::RetryBudgetUsage;
@@ -12,23 +12,24 @@
 use crate::node::Node;
 use crate::request::PendingRequest;
 
-/// The retry rules at one moment.
+/// Inputs of the retry rules at one moment.
 pub struct RetryEligibility<'a> {
     /// Maximum number of attempts of one request, the first included.
     pub max_attempts: u32,
-    /// The use of the retry budget.
+    /// Usage of the retry budget.
     pub budget: &'a RetryBudgetUsage,
-    /// The nodes, among them those of earlier attempts.
+    /// All nodes, including those of earlier attempts.
     pub nodes: &'a NodeTable,
     /// The current time, in microseconds.
     pub now: Micros,
 }
 
 impl RetryEligibility<'_> {
-    /// Whether a request whose attempt at a node ended without service is queued for another one.
+    /// Returns whether a request is queued for another attempt after its attempt at `failed_node`
+    /// ended without service.
     ///
-    /// If the request was not sent at all, the caller could not send it, and a retry would end the
-    /// same way.
+    /// A request that the caller could not send (`NotDispatched`) is not retried, because a retry
+    /// would end the same way.
     pub fn may_requeue(
         &self,
         pending: &PendingRequest,
@@ -41,7 +42,7 @@
             && self.is_safe_at_successor(pending, failed_node)
     }
 
-    /// Whether the node may be sent a retry of a request now.
+    /// Returns whether a retry of a request may be dispatched to the node now.
     pub fn may_retry_at(&self, pending: &PendingRequest, node: &Node) -> bool {
         self.has_attempts_left(pending)
             && pending.in_flight().is_empty()
@@ -49,12 +50,13 @@
             && may_execute_at(pending, node, self.nodes, self.now)
     }
 
-    /// Whether the settings allow the request a further attempt.
+    /// Returns whether the request has had fewer attempts than the settings allow.
     fn has_attempts_left(&self, pending: &PendingRequest) -> bool {
         pending.attempts() < self.max_attempts
     }
 
-    /// Whether the node that now holds the shard of the failed attempt may execute the request.
+    /// Returns whether the node that now holds the shard of the failed attempt may execute the
+    /// request.
     fn is_safe_at_successor(&self, pending: &PendingRequest, failed_node: NodeId) -> bool {
         if pending.first_maybe_executed().is_none() {
             return true;
--- a/crates/scheduler/src/retry/idempotency.rs
+++ b/crates/scheduler/src/retry/idempotency.rs
@@ -1,15 +1,16 @@
-//! Where a request may be executed again without taking effect twice.
+//! Decides at which nodes a request may be executed again without taking effect twice.
 //!
-//! Inputs: the idempotency of the request's class, and the first of its attempts that a node may
-//! have executed. A request with an idempotency key is recognized as a duplicate by the nodes of a
-//! scope, for a window (microseconds) after the dispatch of that attempt.
+//! The decision depends on the idempotency of the request's class, and on the first of its attempts
+//! that a node may have executed. Duplicates of a request with an idempotency key are recognized by
+//! the nodes of a scope, for a window (microseconds) after the dispatch of that attempt.
 
 use crate::api::{DeduplicationScope, Idempotency, Micros, Outcome};
 use crate::endpoints::NodeTable;
 use crate::node::Node;
 use crate::request::PendingRequest;
 
-/// Whether a node may have executed an attempt that ended so, or may still be executing it.
+/// Returns whether a node may have executed an attempt with this outcome, or may still be executing
+/// it.
 pub fn may_have_executed(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Served
@@ -21,7 +22,7 @@
     }
 }
 
-/// Whether a node may still be executing an attempt that ended so.
+/// Returns whether a node may still be executing an attempt with this outcome.
 pub fn may_be_executing(outcome: Outcome) -> bool {
     match outcome {
         Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => true,
@@ -33,8 +34,8 @@
     }
 }
 
-/// Whether the client may safely retry, at any node. The window of an idempotency key is not looked
-/// at: when the client will retry is not known.
+/// Returns whether the client may safely retry at any node. The window of an idempotency key is not
+/// considered, because it is not known when the client will retry.
 pub fn client_may_retry(pending: &PendingRequest) -> bool {
     match pending.class().idempotency {
         Idempotency::Idempotent => true,
@@ -46,7 +47,8 @@
     }
 }
 
-/// Whether a node may execute a request, given an earlier attempt that may have been executed.
+/// Returns whether a node may execute a request, given an earlier attempt that may have been
+/// executed.
 pub fn may_execute_at(
     pending: &PendingRequest,
     node: &Node,
@@ -69,7 +71,7 @@
     }
 }
 
-/// Whether a node recognizes duplicates of requests that another node has executed.
+/// Returns whether one node recognizes duplicates of requests that the other has executed.
 fn in_same_deduplication_scope(scope: DeduplicationScope, first: &Node, second: &Node) -> bool {
     match scope {
         DeduplicationScope::All => true,
--- a/crates/scheduler/src/retry/mod.rs
+++ b/crates/scheduler/src/retry/mod.rs
@@ -1,9 +1,9 @@
-//! Which requests may be executed again, by a retry of the gateway or of the client.
+//! Retries by the gateway and by clients.
 //!
-//! - `idempotency`: where a request may be executed again without taking effect twice.
+//! - `idempotency`: at which nodes a request may be executed again without taking effect twice.
 //! - `retry_budget`: how many retries this host may dispatch.
-//! - `eligibility`: whether a request gets a further attempt.
-//! - `retry_after`: when a client whose request is rejected should retry.
+//! - `eligibility`: whether a request gets another attempt.
+//! - `retry_after`: when the client of a rejected request should retry.
 
 pub mod eligibility;
 pub mod idempotency;
--- a/crates/scheduler/src/retry/retry_after.rs
+++ b/crates/scheduler/src/retry/retry_after.rs
@@ -1,25 +1,25 @@
-//! When a client whose request is rejected should retry (Retry-After).
+//! Computes when the client of a rejected request should retry (Retry-After), in microseconds.
 //!
-//! Inputs: expected latency, concurrency limit and pause of the node that holds the request's
-//! shard. The client is told the time after which the node probably has a free slot: its expected
-//! latency, scaled up while its concurrency limit is below one, and at least the rest of its pause.
-//! Microseconds.
+//! Retry-After is the time after which the node that holds the request's shard probably has a free
+//! slot. It is the node's expected latency, divided by the concurrency limit if that is below one,
+//! and at least the remaining time of the node's pause.
 
 use crate::api::Micros;
 use crate::node::Node;
 
-/// Shortest Retry-After, in microseconds.
+/// Minimum Retry-After, in microseconds.
 const MIN_RETRY_AFTER: Micros = 10_000;
-/// Longest Retry-After, in microseconds; also that of a request that names no shard, as for a new
-/// object, and of one whose shard no node holds.
+/// Maximum Retry-After, in microseconds. Also used for requests that name no shard, such as those
+/// for a new object, and for requests whose shard no node holds.
 const MAX_RETRY_AFTER: Micros = 500_000;
 
-/// The Retry-After of a rejected request; `node` is the one that holds the shard that it names.
+/// Returns the Retry-After of a rejected request. `node` is the node that holds the shard named by
+/// the request.
 pub fn retry_after(node: Option<&Node>, now: Micros) -> Micros {
     let Some(node) = node else {
         return MAX_RETRY_AFTER;
     };
-    let limit = node.concurrency_limit().limit_up_to_one();
+    let limit = node.concurrency_limit().limit_capped_at_one();
     let next_slot = (node.latency().expected(now) / limit).to_micros();
     let pause = node.paused_until() - now;
     next_slot.max(pause).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
--- a/crates/scheduler/src/retry/retry_budget.rs
+++ b/crates/scheduler/src/retry/retry_budget.rs
@@ -1,19 +1,19 @@
-//! How many retries this host may dispatch.
+//! Limits how many retries this host may dispatch.
 //!
-//! Inputs: the requests received and the retries dispatched within a sliding window (microseconds).
-//! The settings allow a fixed number of retries, and more in proportion to the requests.
+//! The settings allow a fixed number of retries within a sliding window (microseconds), plus a
+//! number proportional to the requests received in that window.
 
 use crate::api::{Micros, RetryBudget};
 use crate::collections::SlidingWindow;
 
-/// Time in microseconds by which the window is shorter for requests than for retries: an entry
-/// exactly one window old counts as a retry but not as a request, the stricter reading of the
-/// window's end.
+/// Time in microseconds by which the window for requests is shorter than the one for retries. An
+/// entry that is exactly one window old counts as a retry but not as a request, which is the
+/// stricter interpretation of the end of the window.
 const REQUEST_WINDOW_MARGIN: Micros = 1;
 
-/// What of the retry budget is in use.
+/// The retry budget and its usage.
 pub struct RetryBudgetUsage {
-    /// `None` where retries are not limited.
+    /// The budget; `None` if retries are not limited.
     budget: Option<RetryBudget>,
     /// Requests received within the window.
     recent_requests: SlidingWindow<()>,
@@ -22,7 +22,7 @@
 }
 
 impl RetryBudgetUsage {
-    /// An unused budget.
+    /// Creates an unused budget.
     pub fn new(budget: Option<RetryBudget>) -> Self {
         RetryBudgetUsage {
             budget,
@@ -31,21 +31,21 @@
         }
     }
 
-    /// Counts a request that was received.
+    /// Records a received request.
     pub fn record_request(&mut self, now: Micros) {
         if let Some(budget) = &self.budget {
             self.recent_requests.record((), budget.window, now);
         }
     }
 
-    /// Counts a retry that is dispatched.
+    /// Records a dispatched retry.
     pub fn record_retry(&mut self, now: Micros) {
         if let Some(budget) = &self.budget {
             self.recent_retries.record((), budget.window, now);
         }
     }
 
-    /// Whether one more retry is within the budget.
+    /// Returns whether one more retry is within the budget.
     pub fn allows_retry(&self, now: Micros) -> bool {
         let Some(budget) = &self.budget else {
             return true;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,13 +1,14 @@
-//! The order of work for a batch of events.
+//! Processes a batch of events.
 //!
-//! [`Scheduler`] joins the owners of the state, each of which keeps a rule of its own; its
-//! submodules pass events to them and carry out what they decide:
+//! [`Scheduler`] owns the state of the other modules, each of which implements its own rule. The
+//! submodules of `scheduler` pass events to those modules and carry out their decisions:
 //!
-//! - `intake`: a request is registered and queued;
-//! - `dispatch`: attempts are started, as far as `admission` allows;
-//! - `completion`: attempts end, and each request gets its one final response;
-//! - `wakeup`: when the scheduler has to be called without an event;
-//! - `cleanup`: when state is forgotten.
+//! - `intake`: registers and queues a received request.
+//! - `admission`: checks whether a queued request may be dispatched now.
+//! - `dispatch`: starts attempts.
+//! - `completion`: handles the end of attempts and gives each request exactly one final response.
+//! - `wakeup`: computes when the scheduler must be called even if no event occurs.
+//! - `cleanup`: removes idle state.
 //!
 //! The interface is in `src/api`.
 
@@ -33,48 +34,49 @@
 use crate::volume::VolumeTable;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The scheduler of one host: takes events in order and returns actions to be carried out in order.
+/// The scheduler of one host. It takes events in order and returns actions, which the caller must
+/// carry out in order.
 pub struct Scheduler {
     /// Settings of the deployment.
     settings: Settings,
-    /// Input of the hashes that stand in for random numbers; should differ from host to
-    /// host.
+    /// Seed of the hashes that replace random numbers. Hosts should use different seeds.
     seed: u64,
-    /// Origin of the tags' time axis.
+    /// Start of the scheduler: time zero of the dmClock tags.
     started_at: Micros,
-    /// Time of the events that are being handled.
+    /// Time of the current batch of events.
     now: Micros,
-    /// Actions for the events that are being handled.
+    /// Actions that result from the current batch of events.
     actions: Vec<Action>,
-    /// The nodes and which of them holds each shard.
+    /// Nodes, and the node that holds each shard.
     nodes: NodeTable,
-    /// The requests that wait, by shard.
+    /// Queued requests, by shard.
     queues: ShardQueues,
-    /// What each volume may use and has used.
+    /// Plan, limit and usage of each volume.
     volumes: VolumeTable,
-    /// Requests that are open or have attempts in flight.
+    /// Requests that have no final response yet, or still have attempts in flight.
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// Open requests that name no shard and for which there is no node at present.
+    /// Open requests that name no shard and for which no node is currently available.
     unroutable: BTreeSet<RequestId>,
-    /// When open requests are shed.
+    /// Times at which open requests are rejected (load shedding).
     rejections: RejectionTimes,
-    /// Latency objectives for requests that clients send again.
+    /// Latency objectives of requests closed without service; they apply again if the client
+    /// resends the request.
     objectives: LatencyObjectives,
-    /// The order of requests of one key.
+    /// Order of the requests with the same key.
     sequences: KeySequences,
-    /// How many retries may be dispatched.
+    /// The retry budget and its usage.
     retry_budget: RetryBudgetUsage,
-    /// When to poll for the endpoint list.
+    /// Schedule of polls for the endpoint list.
     polling: EndpointPolling,
-    /// The earliest timer requested that has not fired yet.
+    /// Time of the earliest timer that was requested and has not fired yet.
     timer_at: Option<Micros>,
-    /// When idle state was last looked for.
+    /// Time of the last cleanup of idle state.
     last_cleanup_at: Micros,
 }
 
 impl Scheduler {
-    /// A scheduler that starts at `now`; `seed` replaces random numbers and should differ between
-    /// hosts.
+    /// Creates a scheduler that starts at `now`. `seed` is used in place of random numbers and
+    /// should differ between hosts.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Scheduler {
@@ -98,7 +100,7 @@
         }
     }
 
-    /// The number of nodes, volumes and shards in the state.
+    /// Returns the number of nodes, volumes and shards in the scheduler's state.
     #[must_use]
     pub fn state_sizes(&self) -> StateSizes {
         StateSizes {
@@ -122,13 +124,13 @@
         actions.append(&mut self.actions);
     }
 
-    /// Passes one event to the rules that it concerns.
+    /// Passes one event to the modules that it affects.
     fn handle_event(&mut self, event: &Event) {
         match event {
             Event::EndpointList(event, endpoints) => self.on_endpoint_list(*event, endpoints),
             Event::RequestReceived(request) => self.on_request(request),
-            // The client gets this response, whether or not it will be complete, so that the
-            // request has ended; that it was served is not known yet.
+            // Once the response has started, the client receives it whether or not it completes, so
+            // the request is closed. Whether it was served is not known yet.
             Event::ResponseStarted(id) => self.close_unserved(*id),
             Event::ClientDisconnected(id) => self.on_client_disconnected(*id),
             Event::AttemptCompleted(completed) => self.on_attempt_completed(completed),
@@ -136,7 +138,8 @@
         }
     }
 
-    /// Applies an endpoint list, or schedules the next poll if there is none.
+    /// Applies an update of the endpoint list, or schedules the next poll if the poll or watch
+    /// failed.
     fn on_endpoint_list(&mut self, event: EndpointListEvent, endpoints: &[Endpoint]) {
         match event {
             EndpointListEvent::PollFailed => {
@@ -163,7 +166,7 @@
         }
     }
 
-    /// The retry rules now.
+    /// Returns the retry rules, evaluated at the current time.
     fn retry_eligibility(&self) -> RetryEligibility<'_> {
         RetryEligibility {
             max_attempts: self.settings.max_attempts,
@@ -173,7 +176,7 @@
         }
     }
 
-    /// The current time on the tags' axis.
+    /// Returns the current time in seconds since the scheduler started, as used by the tags.
     fn tag_time(&self) -> Seconds {
         Seconds::between(self.started_at, self.now)
     }
--- a/crates/scheduler/src/scheduler/admission.rs
+++ b/crates/scheduler/src/scheduler/admission.rs
@@ -1,10 +1,12 @@
-//! Why a queued request may not be dispatched to a node now, apart from dmClock's order.
+//! Checks, apart from the dmClock order, whether a queued request may be dispatched to a node now.
 //!
-//! Each reason has a predicate: the volume's token bucket is empty, the retry rules forbid a
-//! further attempt, or the node warms up and the quota of slow start is used up. The request then
-//! waits; it is not rejected here. Whether the node's concurrency limit and pauses allow a dispatch
-//! is decided elsewhere (`dispatch`, `dmclock::selection`). A queued request is open and before its
-//! deadline, since expired ones are rejected first, and the node that holds a shard is in service.
+//! A request is not admitted if the volume's token bucket is empty, if the retry rules forbid
+//! another attempt, or if the node is warming up and its slow-start quota is used up. Such a
+//! request stays in the queue; it is not rejected here.
+//!
+//! The concurrency limit and the pauses of the node are checked elsewhere (`dispatch`,
+//! `dmclock::selection`). Every queued request is open and before its deadline, because expired
+//! requests are rejected first, and the node that holds a shard is in service.
 
 use super::Scheduler;
 use crate::api::RequestId;
@@ -13,13 +15,13 @@
 use crate::node::Node;
 use crate::request::PendingRequest;
 
-/// The admission of requests of one queue to the node that holds its shard.
+/// Admission check for the requests of one queue at the node that holds its shard.
 pub(super) struct DispatchAdmission<'a> {
-    /// The scheduler, whose state the rules read.
+    /// Scheduler whose state is checked.
     pub(super) scheduler: &'a Scheduler,
-    /// The queue of the requests.
+    /// Queue that the requests are taken from.
     pub(super) queue: &'a ShardQueue,
-    /// The node that holds the shard of the queue.
+    /// Node that holds the shard of the queue.
     pub(super) node: &'a Node,
 }
 
@@ -33,8 +35,8 @@
 }
 
 impl DispatchAdmission<'_> {
-    /// Whether the limit of the volume allows a first attempt, or the retry rules a further one.
-    /// Only first attempts count against the limit.
+    /// Returns whether the volume's limit allows a first attempt, or the retry rules allow a
+    /// further attempt. Only first attempts count against the limit.
     fn attempt_is_allowed(&self, pending: &PendingRequest) -> bool {
         if pending.attempts() == 0 {
             self.has_tokens(pending)
@@ -45,14 +47,15 @@
         }
     }
 
-    /// Whether the token bucket of the volume holds the units of the request.
+    /// Returns whether the volume's token bucket holds enough units for the request.
     fn has_tokens(&self, pending: &PendingRequest) -> bool {
         let request = pending.request();
         let volume = &self.scheduler.volumes[request.volume];
         volume.has_tokens(request.units, self.scheduler.now)
     }
 
-    /// Whether the node has its full capacity, or the quota of slow start holds the units.
+    /// Returns whether the node has its full capacity, or the slow-start quota has enough units
+    /// left for the request.
     fn slow_start_admits(&self, pending: &PendingRequest, quota_part: QuotaPart) -> bool {
         let Scheduler { settings, now, .. } = self.scheduler;
         let Some(started_at) = warming_up_since(self.node, &settings.slow_start, *now) else {
--- a/crates/scheduler/src/scheduler/cleanup.rs
+++ b/crates/scheduler/src/scheduler/cleanup.rs
@@ -1,4 +1,4 @@
-//! When state is forgotten that no request needs any longer.
+//! Removes state that no request needs any longer.
 
 use super::Scheduler;
 use crate::api::VolumeId;
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    /// Removes idle volumes with their flows, and shards without a node, a flow or a queued
-    /// request.
+    /// Removes idle volumes and their flows, and shards that have no node, no flow and no queued
+    /// request. Runs at most once per cleanup interval.
     pub(super) fn clean_up(&mut self) {
         if self.now - self.last_cleanup_at < CLEANUP_INTERVAL {
             return;
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -1,8 +1,8 @@
-//! Attempts end, and each request gets its one final response.
+//! Handles the end of attempts and gives each request exactly one final response.
 //!
-//! What can end a request: an attempt that is served or whose response has started, an attempt that
-//! fails and may not be retried, the time at which it is shed, and its client's disconnect. All of
-//! them go through `close`.
+//! A request ends when one of its attempts is served or its response has started, when an attempt
+//! fails and may not be retried, when the request is shed, or when its client disconnects. Every
+//! one of these cases calls `close`.
 
 use super::Scheduler;
 use crate::api::{Action, CompletedAttempt, NodeId, Outcome, RequestId, Units};
@@ -12,11 +12,12 @@
 use crate::retry::idempotency::{client_may_retry, may_be_executing, may_have_executed};
 use crate::retry::retry_after::retry_after;
 
-/// Age of the last usage report, in periods of these reports, above which the next one is ignored.
+/// Maximum age of the previous usage report, in report periods. If the previous report is older,
+/// the new one is ignored.
 const MAX_REPORT_AGE_PERIODS: i64 = 2;
 
 impl Scheduler {
-    /// Records how an attempt ended, then closes, retries or rejects its request.
+    /// Records the outcome of an attempt, then closes, retries or rejects its request.
     pub(super) fn on_attempt_completed(&mut self, completed: &CompletedAttempt) {
         let id = completed.request;
         let outcome = completed.outcome;
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Starts the quiesce period of a request's key, if the key has ordered requests. The request
-    /// itself need not be of an ordered class.
+    /// Starts the quiesce period of the request's key, if the key has ordered requests. The class
+    /// of this request may be unordered.
     fn quiesce_key(&mut self, id: RequestId) {
         let key = self.requests[&id].request().key;
         if let Some(key) = key {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Updates the usage of the volume, the node and the flow after an attempt.
+    /// Updates the state of the volume, the node and the flow after an attempt.
     fn record_attempt(&mut self, attempt: Attempt, completed: &CompletedAttempt) {
         let pending = &self.requests[&completed.request];
         let request = pending.request();
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Queues a request for another attempt if that is allowed and safe, else gives it its final
-    /// response.
+    /// Queues a request for another attempt if that is allowed and safe; otherwise gives it its
+    /// final response.
     fn retry_or_reject(&mut self, id: RequestId, failed_node: NodeId, outcome: Outcome) {
         let pending = &self.requests[&id];
         let retry = self.retry_eligibility();
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Rejects requests that have waited too long.
+    /// Rejects the requests whose rejection time has passed.
     pub(super) fn reject_expired(&mut self) {
         while let Some(id) = self.rejections.pop_expired(self.now) {
             let Some(pending) = self.requests.get_mut(&id) else {
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Gives an open request its final response: a rejection if the client may safely retry, else a
-    /// failure.
+    /// Gives an open request its final response: a rejection if the client can safely retry,
+    /// otherwise a failure.
     fn reject(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else {
             return;
@@ -130,7 +131,8 @@
         self.close_unserved(id);
     }
 
-    /// Cancels the attempts of a request whose client is gone, if allowed, and closes the request.
+    /// Closes a request whose client has disconnected, and cancels its attempts if the settings
+    /// allow cancellation.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         if self.settings.cancellation_allowed {
             self.cancel_attempts(id);
@@ -138,7 +140,7 @@
         self.close_unserved(id);
     }
 
-    /// Requests the cancellation of all attempts in flight.
+    /// Requests the cancellation of all attempts of a request that are in flight.
     fn cancel_attempts(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else {
             return;
@@ -151,8 +153,8 @@
         }
     }
 
-    /// Closes a request of which no attempt is known to have been served; keeps its objective in
-    /// case the client sends it again.
+    /// Closes a request none of whose attempts is known to have been served. Records its latency
+    /// objective, which applies again if the client resends the request.
     pub(super) fn close_unserved(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else {
             return;
@@ -163,14 +165,15 @@
         self.close(id);
     }
 
-    /// Closes a request, if it is open, and removes it from its queue without service.
+    /// Closes a request if it is open. If it is queued, removes it from its queue without counting
+    /// its units as served.
     fn close(&mut self, id: RequestId) {
         self.unroutable.remove(&id);
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
         let queue = pending
-            .dequeue()
+            .mark_dequeued()
             .and_then(|shard| self.queues.get_mut(shard));
         if let Some(queue) = queue {
             let request = pending.request();
@@ -181,8 +184,8 @@
         self.remove_if_finished(id);
     }
 
-    /// Removes a request that is closed and has no attempt in flight; the next one of its key may
-    /// then run.
+    /// Removes a request that is closed and has no attempt in flight. The next request with the
+    /// same key may then run.
     fn remove_if_finished(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else {
             return;
@@ -199,7 +202,7 @@
     }
 }
 
-/// What an attempt shows of its node.
+/// Returns the data of a completed attempt that updates the state of its node.
 fn measurement(
     pending: &PendingRequest,
     attempt: Attempt,
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Attempts are started, for as long as nodes have capacity.
+//! Starts attempts as long as nodes have capacity.
 
 use super::admission::DispatchAdmission;
 use super::Scheduler;
@@ -11,8 +11,8 @@
 use crate::request::PendingRequest;
 
 impl Scheduler {
-    /// Queues requests whose quiesce period is over or whose node is back, then dispatches from the
-    /// queues.
+    /// Queues the requests whose quiesce period has ended and those for which a node is available
+    /// again, then dispatches requests from all queues.
     pub(super) fn dispatch_pending(&mut self) {
         while let Some(key) = self.sequences.pop_quiesced(self.now) {
             let first = self.sequences.first_ready(key, self.now);
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Dispatches from a shard's queue for as long as its node takes requests.
+    /// Dispatches requests from a shard's queue until its node accepts no more, or none of the
+    /// queued requests may be dispatched.
     fn dispatch_from(&mut self, shard: Shard) {
         self.move_late_requests(shard);
         while let Some(node) = self.nodes.node_of(shard) {
@@ -47,26 +48,26 @@
         }
     }
 
-    /// Whether a node gets trial attempts only: it is ejected, and no more nodes are ejected than
-    /// not.
+    /// Returns whether a node receives only trial attempts: it is ejected, and at most half of the
+    /// nodes in service are ejected.
     fn is_limited_to_trials(&self, node: &Node) -> bool {
         node.is_ejected() && !exceeds_panic_threshold(self.nodes.in_service())
     }
 
-    /// Whether nothing can be dispatched to a node now, whatever is queued for it.
+    /// Returns whether nothing can be dispatched to a node now, whatever is queued for it.
     fn is_blocked(&self, node: &Node, is_trial: bool) -> bool {
         node.is_full() || node.is_paused(self.now) || (is_trial && node.is_full_for_trials())
     }
 
-    /// Pauses an ejected node after a trial attempt.
+    /// Pauses an ejected node until its next trial attempt.
     fn start_trial_interval(&mut self, node: NodeId) {
         if let Some(node) = self.nodes.get_mut(node) {
             node.start_trial_interval(self.now);
         }
     }
 
-    /// Moves requests at the head of flows that can no longer meet their objective to the late
-    /// requests.
+    /// Moves requests that can no longer meet their latency objective from the head of their flow
+    /// to the late requests.
     fn move_late_requests(&mut self, shard: Shard) {
         let Some(node) = self.nodes.node_of(shard) else {
             return;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Selects the request of a shard that its node is sent next.
+    /// Selects the request of a shard that is dispatched to its node next.
     fn select_next(&self, shard: Shard, node: &Node) -> Option<Selected> {
         let queue = &self.queues[shard];
         let admission = DispatchAdmission {
@@ -140,8 +141,8 @@
             .get_mut(&selected.request)
             .expect("invariant: queued requests are pending");
         let shard = pending
-            .dequeue()
-            .expect("invariant: the request selected is queued");
+            .mark_dequeued()
+            .expect("invariant: the selected request is queued");
         let request = pending.request();
         let reservation = self.volumes[request.volume].plan().reservation;
         self.queues
@@ -151,7 +152,7 @@
     }
 }
 
-/// What the timeout of an attempt depends on besides its node.
+/// Returns the properties of a request that determine the timeout of its attempt.
 fn timeout_inputs(pending: &PendingRequest) -> TimeoutInputs {
     TimeoutInputs {
         relative_latency: pending.relative_latency(),
--- a/crates/scheduler/src/scheduler/intake.rs
+++ b/crates/scheduler/src/scheduler/intake.rs
@@ -1,4 +1,4 @@
-//! A request is registered, and joins the queue of the shard that holds its object.
+//! Registers a received request and queues it for the shard that holds its object.
 
 use super::Scheduler;
 use crate::api::{Request, RequestId, Shard};
@@ -9,8 +9,8 @@
 use crate::request::PendingRequest;
 
 impl Scheduler {
-    /// Registers a request with its volume and queues it, unless an earlier one of its key has to
-    /// run first. A request whose class or plan is not in the settings is ignored.
+    /// Registers a request with its volume and queues it, unless an earlier request with the same
+    /// key has to run first. A request whose class or plan is not in the settings is ignored.
     pub(super) fn on_request(&mut self, request: &Request) {
         let known_shard = self.served_shard(request);
         let Some(class) = self.settings.classes.get(request.class.0) else {
@@ -42,14 +42,15 @@
         }
     }
 
-    /// The shard that a request names, if a node in service holds it.
+    /// Returns the shard that a request names, if a node in service holds it.
     fn served_shard(&self, request: &Request) -> Option<Shard> {
         let shard = request.shard?;
         self.nodes.node_of(shard)?;
         Some(shard)
     }
 
-    /// Queues an open request for the node of its shard; the shard of a new object is chosen here.
+    /// Queues an open request for the node of its shard. For a new object, the shard is chosen
+    /// here.
     pub(super) fn enqueue(&mut self, id: RequestId, position: Position) {
         let tag_time = self.tag_time();
         let Some(pending) = self.requests.get(&id) else {
@@ -67,18 +68,18 @@
             .mark_backlogged(shard)
             .insert(pending, position, volume, tag_time);
         if let Some(pending) = self.requests.get_mut(&id) {
-            pending.enqueue(shard);
+            pending.mark_queued(shard);
         }
     }
 
-    /// The shard that a request names, or the one chosen for a new object; `None` if no node may
-    /// take it.
+    /// Returns the shard that a request names, or the shard chosen for a new object. Returns `None`
+    /// if no node may execute the request.
     fn shard_of(&self, pending: &PendingRequest) -> Option<Shard> {
         let named_shard = pending.request().shard;
         named_shard.or_else(|| self.placement().choose_shard(pending))
     }
 
-    /// The choice of a node for a new object, now.
+    /// Returns the inputs for choosing the node of a new object now.
     fn placement(&self) -> Placement<'_> {
         Placement {
             nodes: &self.nodes,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Queues the first request of a key, unless it was dispatched before.
+    /// Queues the first request of a key, unless it was already dispatched.
     pub(super) fn enqueue_first_of_key(&mut self, first: Option<RequestId>) {
         let Some(id) = first else {
             return;
--- a/crates/scheduler/src/scheduler/wakeup.rs
+++ b/crates/scheduler/src/scheduler/wakeup.rs
@@ -1,17 +1,18 @@
-//! When the scheduler has to be called without an event, since a decision may change by time alone.
+//! Computes when the scheduler must be called even if no event occurs, because some decisions
+//! change with time alone.
 
 use super::Scheduler;
 use crate::api::{Action, Micros, Shard};
 
-/// Interval in microseconds at which requests are checked again that wait for a tag, tokens,
-/// pacing, a quota of slow start, the retry budget or a node. What a request waits for has no
-/// single time at which it ends: most of these also depend on what other requests are dispatched
-/// meanwhile.
+/// Interval in microseconds at which waiting requests are checked again. It applies to requests
+/// that wait for a tag, tokens, pacing, slow-start quota, the retry budget or a node. The end of
+/// such a wait cannot be computed in advance, because it usually also depends on the requests that
+/// are dispatched in the meantime.
 const RECHECK_INTERVAL: Micros = 4_000;
 
 impl Scheduler {
-    /// Requests a timer for the next time at which a decision may change, unless one is set that
-    /// fires earlier.
+    /// Requests a timer for the next time at which a decision may change, unless a timer that fires
+    /// no later is already set.
     pub(super) fn set_timer(&mut self) {
         if self.timer_at.is_some_and(|timer_at| timer_at <= self.now) {
             self.timer_at = None;
@@ -25,7 +26,8 @@
         }
     }
 
-    /// The next time at which a decision may change; `None` if only an event can change one.
+    /// Returns the next time at which a decision may change, or `None` if only an event can change
+    /// one.
     fn next_wakeup(&self) -> Option<Micros> {
         let times = [
             self.next_queue_check(),
@@ -37,7 +39,7 @@
         times.into_iter().flatten().min()
     }
 
-    /// When to look for nodes for the requests that have none.
+    /// Returns when to look again for a node for requests that have none.
     fn next_routing_check(&self) -> Option<Micros> {
         if self.unroutable.is_empty() {
             None
@@ -46,14 +48,14 @@
         }
     }
 
-    /// When to check one of the queues again.
+    /// Returns the earliest time at which a queue must be checked again.
     fn next_queue_check(&self) -> Option<Micros> {
         let shards = self.queues.backlogged();
         shards.filter_map(|shard| self.recheck_at(shard)).min()
     }
 
-    /// When to check a queue again; `None` where only a completed attempt or an update of the
-    /// endpoint list can let a request be dispatched.
+    /// Returns when to check a queue again, or `None` if only a completed attempt or an update of
+    /// the endpoint list can allow a dispatch.
     fn recheck_at(&self, shard: Shard) -> Option<Micros> {
         let node = self.nodes.node_of(shard)?;
         if node.is_full() {
