--- a/crates/scheduler/src/dmclock/flow.rs
+++ b/crates/scheduler/src/dmclock/flow.rs
@@ -1,9 +1,8 @@
-//! The requests of one volume that wait at one shard, in the order of their dispatch, with their
-//! tags.
+//! Queue of the requests of one volume at one shard, with their tags.
 //!
-//! Decided: the place of a new request within its flow (requests of a higher priority weight first,
-//! then the earlier ones), and the service that its tags account for: what the volume has got at
-//! all nodes and hosts since its last request here, and at least the request's own units.
+//! Requests are ordered by priority weight, highest first, and then by the time at which they were
+//! queued. The tags of a request count the service that the volume has received from all nodes and
+//! hosts since its last request at this shard, and at least the request's own units.
 
 use super::tags::{ServiceCount, Tags};
 use crate::api::{RequestId, Units, UnitsPerSecond};
@@ -12,45 +11,45 @@
 use crate::volume::Volume;
 use std::collections::VecDeque;
 
-/// A request in a flow.
+/// A queued request with its tags.
 pub struct QueuedRequest {
     /// Id of the request.
     pub id: RequestId,
-    /// Its tags.
+    /// Tags of the request.
     pub tags: Tags,
-    /// When it was queued.
+    /// Time at which the request was queued.
     queued_at: Seconds,
-    /// Priority weight of its class.
+    /// Priority weight of the request's class.
     priority_weight: f64,
-    /// Service that its tags account for.
+    /// Service by which its tags advance.
     service: ServiceCount,
 }
 
 /// Where a request is inserted into its flow.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Position {
-    /// Before all that wait now, whatever its priority weight. A request that is inserted by
-    /// priority later may still go before it.
+    /// Ahead of all requests that are queued now, whatever their priority weights. A request that
+    /// is inserted by priority later may still be placed ahead of it.
     Front,
-    /// Behind those of the same priority weight, in a queue that is ordered by weight but for those
-    /// at its front.
+    /// Behind the requests with the same or a higher priority weight. The queue is ordered by
+    /// weight, except for requests inserted at the front.
     ByPriority,
 }
 
-/// A volume's queue at one shard.
+/// The queue of a volume at one shard.
 pub struct Flow {
-    /// The requests in the order of their dispatch.
+    /// Queued requests, in the order of their dispatch.
     queue: VecDeque<QueuedRequest>,
-    /// Tags of the request dispatched last.
+    /// Tags of the last dispatched request.
     last_tags: Tags,
-    /// The volume's service that the tags of this flow account for.
+    /// Service of the volume that the tags of this flow already count.
     counted_units: Units,
-    /// When a request was last tagged here.
+    /// Time at which a request was last added to this flow.
     tagged_at: Seconds,
 }
 
 impl Flow {
-    /// An empty flow, whose tags account for all service of the volume so far.
+    /// Creates an empty flow whose tags count all service of the volume so far.
     pub fn new(served_units: Units, now: Seconds) -> Self {
         Flow {
             queue: VecDeque::new(),
@@ -60,27 +59,27 @@
         }
     }
 
-    /// The request that is dispatched next.
+    /// Returns the request that is dispatched next.
     pub fn head(&self) -> Option<&QueuedRequest> {
         self.queue.front()
     }
 
-    /// Whether no request waits.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// The requests in the order of their dispatch.
+    /// Returns the requests in the order of their dispatch.
     pub fn requests(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.queue.iter().map(|queued| queued.id)
     }
 
-    /// Share tag of the request dispatched last.
+    /// Returns the share tag of the last dispatched request.
     pub fn last_share_tag(&self) -> Seconds {
         self.last_tags.share
     }
 
-    /// Adds a request.
+    /// Inserts a request and recomputes the tags of the requests behind it.
     pub fn insert(
         &mut self,
         pending: &PendingRequest,
@@ -106,8 +105,8 @@
         self.retag(index, volume, share_tag_offset);
     }
 
-    /// Removes a request that is not dispatched, if it waits here; the tags of those behind it no
-    /// longer count its service.
+    /// Removes a request without dispatching it, if it is queued here. The tags of the requests
+    /// behind it no longer count its service.
     pub fn remove(&mut self, id: RequestId, volume: &Volume, share_tag_offset: Seconds) {
         let Some(index) = self.queue.iter().position(|queued| queued.id == id) else {
             return;
@@ -118,17 +117,17 @@
         self.retag(index, volume, share_tag_offset);
     }
 
-    /// Removes the head for its dispatch.
+    /// Removes the head of the flow in order to dispatch it.
     pub fn pop_head(&mut self) {
         let head = self
             .queue
             .pop_front()
-            .expect("invariant: the request selected is the head of its flow");
+            .expect("invariant: the selected request is the head of its flow");
         self.last_tags = head.tags;
     }
 
-    /// Sets the reservation tags back by a request that was dispatched in the weight phase, as its
-    /// service does not count towards the reservation.
+    /// Reduces the reservation tags by the units of a request that was dispatched in the
+    /// weight-based phase, because its service does not count towards the reservation.
     pub fn reduce_reservation_tags(&mut self, units: Units, reservation: UnitsPerSecond) {
         if !reservation.is_positive() {
             return;
@@ -140,13 +139,14 @@
         }
     }
 
-    /// Takes units off those that the tags account for, as an attempt was not served.
+    /// Subtracts the units of an attempt that was not served. The tags counted them when the
+    /// request was queued, but they are not part of the volume's service.
     pub fn subtract_unserved(&mut self, units: Units) {
         self.counted_units -= units;
     }
 
-    /// The service not counted yet, and at least the request's units; rho only as far as it is
-    /// reserved.
+    /// Returns the service that the tags do not count yet, but at least the request's units, and
+    /// marks it as counted. Rho is limited to the reserved rate.
     fn count_service(&mut self, units: Units, volume: &Volume, now: Seconds) -> ServiceCount {
         let units = units.max(Units::ZERO);
         let new_units = (volume.served_units() - self.counted_units).max(Units::ZERO);
@@ -158,7 +158,8 @@
         ServiceCount { rho, delta }
     }
 
-    /// Recomputes the tags from an index on, each from those of the request before it.
+    /// Recomputes the tags of the requests from index `start` on, each from the tags of the request
+    /// ahead of it.
     fn retag(&mut self, start: usize, volume: &Volume, share_tag_offset: Seconds) {
         let mut tags = if start == 0 {
             self.last_tags
--- a/crates/scheduler/src/dmclock/selection.rs
+++ b/crates/scheduler/src/dmclock/selection.rs
@@ -1,16 +1,19 @@
-//! Which request of a shard is dispatched next.
+//! Selects the request of a shard that is dispatched next.
 //!
-//! Inputs: the tags at the head of each flow, the current time on their axis (seconds), the node's
-//! concurrency limit, and whether limit, retry rules and slow start admit a request. The phases
+//! The selection depends on the tags of the request at the head of each flow, the current time in
+//! seconds since the scheduler started, and the node's concurrency limit. Requests that the
+//! volume's limit, the retry rules or slow start do not admit are skipped. The first two phases
 //! follow the dmClock paper:
 //!
-//! 1. constraint-based: the earliest reservation tag that is due;
-//! 2. weight-based: the smallest share tag among the volumes within their limits.
+//! 1. Constraint-based phase: the request with the earliest reservation tag, if that tag is due.
+//! 2. Weight-based phase: the request with the smallest share tag among the volumes within their
+//!    limits.
 //!
-//! A third phase comes after them: a request that can no longer meet its latency objective has
-//! little value and goes only to an idle node, earliest deadline first. While the concurrency limit
-//! is reduced, requests of less value need more of it, so that hosts leave a busy node to reserved
-//! work without coordination.
+//! A third phase handles late requests, which can no longer meet their latency objective. They have
+//! little value and are dispatched only to an idle node, earliest deadline first.
+//!
+//! While the concurrency limit is below its maximum, requests of lower value get a lower limit.
+//! Hosts thus leave a busy node to reserved work without coordinating.
 
 use super::flow::QueuedRequest;
 use super::phase::Phase;
@@ -21,53 +24,54 @@
 use crate::time::Seconds;
 use crate::volume::VolumeTable;
 
-/// Relative value of reserved work.
+/// Value of reserved work; the values of other requests are relative to it.
 const RESERVED_VALUE: f64 = 1.0;
-/// A volume whose nominal tag is ahead of the time by more than this exceeds its provisioned rate.
+/// A volume exceeds its provisioned rate if its nominal tag is ahead of the current time by more
+/// than this.
 const SURPLUS_THRESHOLD: Seconds = Seconds(1.0);
 
-/// The request to be dispatched next.
+/// The request to dispatch next.
 pub struct Selected {
     /// Id of the request.
     pub request: RequestId,
-    /// The phase in which it was selected.
+    /// Phase in which the request was selected.
     pub phase: Phase,
 }
 
-/// The rules for a dispatch besides dmClock's order and the concurrency limit.
+/// Dispatch rules other than the dmClock order and the concurrency limit.
 pub trait Admission {
-    /// Whether these rules let a request be dispatched now; it may use `quota_part` of this host's
-    /// slow-start quota.
+    /// Returns whether these rules allow a request to be dispatched now. The request may use
+    /// `quota_part` of this host's slow-start quota.
     fn admits(&self, request: RequestId, quota_part: QuotaPart) -> bool;
 }
 
-/// The selection from the queue of one shard for the node that holds it.
+/// Inputs for selecting the next request from the queue of one shard.
 pub struct Selection<'a, A> {
-    /// The queue that is selected from.
+    /// Queue from which a request is selected.
     pub queue: &'a ShardQueue,
-    /// The volumes of its requests.
+    /// Volumes of the queued requests.
     pub volumes: &'a VolumeTable,
     /// The node that holds the shard.
     pub node: &'a Node,
     /// Settings of the deployment.
     pub settings: &'a Settings,
-    /// The rules besides order and concurrency limit.
+    /// Dispatch rules other than the dmClock order and the concurrency limit.
     pub admission: A,
     /// The current time, in microseconds.
     pub now: Micros,
-    /// The current time on the tags' axis.
+    /// The current time in seconds since the scheduler started, as used by the tags.
     pub tag_time: Seconds,
 }
 
 impl<A: Admission> Selection<'_, A> {
-    /// Selects the next request; `None` if none may be dispatched now.
+    /// Selects the next request; returns `None` if no request may be dispatched now.
     pub fn next(&self) -> Option<Selected> {
         self.by_reservation()
             .or_else(|| self.by_weight())
             .or_else(|| self.by_deadline())
     }
 
-    /// The constraint-based phase.
+    /// Constraint-based phase: selects the request with the earliest reservation tag that is due.
     fn by_reservation(&self) -> Option<Selected> {
         if !self.node.has_capacity(RESERVED_VALUE, self.now) {
             return None;
@@ -84,7 +88,8 @@
         })
     }
 
-    /// The weight-based phase.
+    /// Weight-based phase: selects the request with the smallest share tag among the volumes within
+    /// their limits.
     fn by_weight(&self) -> Option<Selected> {
         let eligible = self
             .queue
@@ -102,7 +107,8 @@
         })
     }
 
-    /// The phase of late requests.
+    /// Phase for late requests: selects the one with the earliest deadline, if the node is idle and
+    /// its concurrency limit is at the maximum.
     fn by_deadline(&self) -> Option<Selected> {
         if !self.node.is_idle_at_full_limit() {
             return None;
@@ -117,17 +123,18 @@
         })
     }
 
-    /// Whether the volume has a reservation and the request's tag for it is due.
+    /// Returns whether the volume has a reservation and the reservation tag of the request is due.
     fn has_due_reservation(&self, volume: VolumeId, head: &QueuedRequest) -> bool {
         let reservation = self.volumes[volume].plan().reservation;
         reservation.is_positive() && head.tags.reservation <= self.tag_time
     }
 
-    /// Whether the volume has no limit, or the request's tag for it is due. The tag may run ahead
-    /// by a whole burst; rate and burst are split evenly over the hosts, so that their ratio is
-    /// that of the plan. The tag spreads a volume's service over its shards by the service of all
-    /// of them; the token bucket (`volume::token_bucket`) bounds what this host sends to all shards
-    /// together.
+    /// Returns whether the volume has no limit, or the limit tag of the request is due.
+    ///
+    /// The tag may be ahead of the current time by a whole burst. Rate and burst are both divided
+    /// evenly among the hosts, so their ratio is that of the plan. The limit tag counts the service
+    /// of all shards of the volume and thereby spreads the volume's service over them. The token
+    /// bucket (`volume::token_bucket`) bounds what this host sends to all shards together.
     fn limit_tag_is_due(&self, volume: VolumeId, head: &QueuedRequest) -> bool {
         let plan = self.volumes[volume].plan();
         if !plan.limit.is_positive() {
@@ -136,12 +143,12 @@
         head.tags.limit <= self.tag_time + plan.burst_capacity / plan.limit
     }
 
-    /// Whether the volume uses more than it is provisioned for.
+    /// Returns whether the volume uses more than its provisioned rate.
     fn is_surplus(&self, head: &QueuedRequest) -> bool {
         head.tags.nominal > self.tag_time + SURPLUS_THRESHOLD
     }
 
-    /// Value of a request in the weight-based phase, relative to reserved work.
+    /// Returns the value of a request in the weight-based phase, relative to reserved work.
     fn value(&self, head: &QueuedRequest) -> f64 {
         if self.is_surplus(head) {
             self.settings.surplus_value
@@ -150,7 +157,7 @@
         }
     }
 
-    /// Part of this host's slow-start quota that a request may use.
+    /// Returns the part of this host's slow-start quota that a request may use.
     fn quota_part(&self, volume: VolumeId, head: &QueuedRequest) -> QuotaPart {
         if self.is_surplus(head) && !self.has_due_reservation(volume, head) {
             QuotaPart::Surplus
@@ -160,7 +167,7 @@
     }
 }
 
-/// The request with the smallest tag; of several, the first.
+/// Returns the request with the smallest tag, or the first of several with the same tag.
 fn min_by_tag(requests: impl Iterator<Item = (RequestId, Seconds)>) -> Option<RequestId> {
     let mut smallest: Option<(RequestId, Seconds)> = None;
     for (request, tag) in requests {
--- a/crates/scheduler/src/dmclock/shard_queue.rs
+++ b/crates/scheduler/src/dmclock/shard_queue.rs
@@ -1,9 +1,9 @@
-//! The requests that wait for the node of one shard: a flow for each volume, and the late requests.
+//! Requests queued for the node of one shard: one flow per volume, and the late requests.
 //!
-//! Decided: how share tags are aligned when a volume becomes active after an idle time. dmClock
-//! then moves the share tags of all other volumes to the current time, which here is one shift that
-//! applies to all of them. Requests that can no longer meet their latency objective leave their
-//! flow and wait by deadline.
+//! When a volume becomes active after it was idle, dmClock moves the share tags of all other
+//! volumes to the current time. This module implements that as a single offset that applies to all
+//! share tags of the shard. Requests that can no longer meet their latency objective are moved from
+//! their flow to the late requests, which are ordered by deadline.
 
 use super::flow::{Flow, Position, QueuedRequest};
 use super::phase::Phase;
@@ -19,16 +19,16 @@
 pub struct ShardQueue {
     /// Requests that can still meet their latency objective, by volume.
     flows: BTreeMap<VolumeId, Flow>,
-    /// Requests that can no longer meet their latency objective, by their deadline.
+    /// Requests that can no longer meet their latency objective, ordered by deadline.
     late: DeadlineQueue<RequestId>,
     /// Units of all queued requests, the late ones included.
     queued_units: Units,
-    /// Offset between stored share tags and the time.
+    /// Offset between the stored share tags and the current time.
     share_tag_offset: Seconds,
 }
 
 impl ShardQueue {
-    /// Queues a request and tags it.
+    /// Queues a request and computes its tags.
     pub fn insert(
         &mut self,
         pending: &PendingRequest,
@@ -50,14 +50,14 @@
         flow.insert(pending, position, volume, self.share_tag_offset, now);
     }
 
-    /// The smallest share tag of the requests that can be dispatched next.
+    /// Returns the smallest share tag of the requests at the heads of the flows.
     fn min_share_tag(&self) -> Option<Seconds> {
         self.heads()
             .map(|(_, head)| head.tags.share)
             .reduce(Seconds::min)
     }
 
-    /// Removes a request that is not dispatched.
+    /// Removes a request without dispatching it.
     pub fn remove(&mut self, request: &Request, volume: &Volume) {
         self.queued_units -= request.units;
         self.late.remove(request.deadline, request.id);
@@ -73,7 +73,7 @@
         self.late.insert(request.deadline, request.id);
     }
 
-    /// Removes a request for its dispatch: a late one, or the head of its flow.
+    /// Removes a request in order to dispatch it: a late request, or the head of its flow.
     pub fn remove_for_dispatch(
         &mut self,
         request: &Request,
@@ -94,21 +94,23 @@
         }
     }
 
-    /// Takes units off those that a volume's tags account for, as an attempt was not served.
+    /// Subtracts the units of an attempt that was not served from the service counted by the
+    /// volume's tags.
     pub fn subtract_unserved(&mut self, volume: VolumeId, units: Units) {
         if let Some(flow) = self.flows.get_mut(&volume) {
             flow.subtract_unserved(units);
         }
     }
 
-    /// The first request of each volume.
+    /// Returns the head of each flow.
     pub fn heads(&self) -> impl Iterator<Item = (VolumeId, &QueuedRequest)> {
         self.flows
             .iter()
             .filter_map(|(volume, flow)| Some((*volume, flow.head()?)))
     }
 
-    /// The requests at the front of each flow up to the first one that does not meet `condition`.
+    /// Returns, for each flow, the requests from its head up to the first one that does not meet
+    /// `condition`.
     pub fn leading_requests(&self, condition: impl Fn(RequestId) -> bool) -> Vec<RequestId> {
         let mut leading = Vec::new();
         for flow in self.flows.values() {
@@ -117,12 +119,13 @@
         leading
     }
 
-    /// The late requests, earliest deadline first.
+    /// Returns the late requests, earliest deadline first.
     pub fn late_requests(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.late.iter()
     }
 
-    /// Rate at this shard that its volumes are provisioned for through this host.
+    /// Returns the total rate that the volumes with a flow here are provisioned for at this shard
+    /// through this host.
     pub fn nominal_rate(&self, volumes: &VolumeTable) -> UnitsPerSecond {
         self.flows
             .keys()
@@ -131,32 +134,32 @@
             .sum()
     }
 
-    /// Units of all queued requests.
+    /// Returns the units of all queued requests.
     pub fn queued_units(&self) -> Units {
         self.queued_units
     }
 
-    /// Whether a request waits that is not late.
+    /// Returns whether a request is queued that can still meet its latency objective.
     pub fn has_on_time_requests(&self) -> bool {
         self.heads().next().is_some()
     }
 
-    /// Whether a late request waits.
+    /// Returns whether a late request is queued.
     pub fn has_late_requests(&self) -> bool {
         !self.late.is_empty()
     }
 
-    /// Whether no request waits.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         !self.has_on_time_requests() && !self.has_late_requests()
     }
 
-    /// Whether it remembers tags of some volume.
+    /// Returns whether the queue stores the tags of any volume.
     pub fn has_flows(&self) -> bool {
         !self.flows.is_empty()
     }
 
-    /// Forgets the flows without requests whose volume was removed.
+    /// Removes the flows that have no requests and whose volume was removed.
     pub fn remove_idle_flows(&mut self, volumes: &VolumeTable) {
         self.flows
             .retain(|volume, flow| !flow.is_empty() || volumes.contains(*volume));
--- a/crates/scheduler/src/dmclock/shard_queues.rs
+++ b/crates/scheduler/src/dmclock/shard_queues.rs
@@ -1,4 +1,4 @@
-//! The queues of all shards, and which of them have requests.
+//! Queues of all shards, and the set of shards with queued requests.
 
 use super::shard_queue::ShardQueue;
 use crate::api::Shard;
@@ -6,52 +6,53 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-/// A queue for each shard that a node holds, or that has queued requests or remembered flows.
+/// One queue for each shard that is held by a node, has queued requests, or has flows.
 #[derive(Default)]
 pub struct ShardQueues {
     /// The queues by shard.
     queues: BTreeMap<Shard, ShardQueue>,
-    /// Shards with queued requests: only these are checked at each event, however many shards there
-    /// are.
+    /// Shards with queued requests. Each event checks only these, so its cost does not depend on
+    /// the total number of shards.
     backlogged: BTreeSet<Shard>,
 }
 
 impl ShardQueues {
-    /// Adds the queue of a shard, if it is not there yet.
+    /// Adds an empty queue for a shard, if there is none yet.
     pub fn add(&mut self, shard: Shard) {
         self.queues.entry(shard).or_default();
     }
 
-    /// The queue of a shard to which a request is added.
+    /// Marks a shard as having queued requests and returns its queue, to which the caller adds a
+    /// request.
     pub fn mark_backlogged(&mut self, shard: Shard) -> &mut ShardQueue {
         self.backlogged.insert(shard);
         self.queues.entry(shard).or_default()
     }
 
-    /// The queue of a shard, to be changed.
+    /// Returns the queue of a shard.
     pub fn get_mut(&mut self, shard: Shard) -> Option<&mut ShardQueue> {
         self.queues.get_mut(&shard)
     }
 
-    /// The shards with queued requests.
+    /// Returns the shards with queued requests.
     pub fn backlogged(&self) -> impl Iterator<Item = Shard> + '_ {
         self.backlogged.iter().copied()
     }
 
-    /// Removes a shard from those with queued requests if it has none left.
+    /// Removes a shard from the set of shards with queued requests if its queue is empty.
     pub fn unmark_backlogged_if_empty(&mut self, shard: Shard) {
         if self.queues[&shard].is_empty() {
             self.backlogged.remove(&shard);
         }
     }
 
-    /// Number of queues.
+    /// Returns the number of queues.
     pub fn len(&self) -> usize {
         self.queues.len()
     }
 
-    /// Forgets the flows of removed volumes, then the queues without flows and requests whose shard
-    /// no node holds.
+    /// Removes the idle flows of removed volumes, then the queues without flows and requests whose
+    /// shard is held by no node.
     pub fn remove_idle(&mut self, volumes: &VolumeTable, has_node: impl Fn(Shard) -> bool) {
         for queue in self.queues.values_mut() {
             queue.remove_idle_flows(volumes);
@@ -66,7 +67,8 @@
 impl Index<Shard> for ShardQueues {
     type Output = ShardQueue;
 
-    /// The queue of a shard that a node holds or that has queued requests.
+    /// Returns the queue of a shard that is held by a node or has queued requests. Panics if there
+    /// is none.
     fn index(&self, shard: Shard) -> &ShardQueue {
         &self.queues[&shard]
     }
