--- a/crates/scheduler/src/collections/deadline_queue.rs
+++ b/crates/scheduler/src/collections/deadline_queue.rs
@@ -3,7 +3,7 @@
 use crate::api::Micros;
 use std::collections::BTreeSet;
 
-/// Entries in the order of their deadlines, and by `Ord` within one deadline.
+/// Entries ordered by deadline; entries with the same deadline are ordered by `Ord`.
 pub struct DeadlineQueue<T> {
     /// The entries with their deadlines.
     entries: BTreeSet<(Micros, T)>,
@@ -28,7 +28,7 @@
         self.entries.remove(&(deadline, entry))
     }
 
-    /// Removes and returns the entry of the earliest deadline, if that has passed.
+    /// Removes and returns the entry with the earliest deadline, if that has passed.
     pub fn pop_expired(&mut self, now: Micros) -> Option<T> {
         let (deadline, _) = self.entries.first()?;
         if *deadline > now {
@@ -37,17 +37,17 @@
         self.entries.pop_first().map(|(_, entry)| entry)
     }
 
-    /// The earliest deadline.
+    /// Returns the earliest deadline.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.entries.first().map(|(deadline, _)| *deadline)
     }
 
-    /// All entries, earliest deadline first.
+    /// Returns all entries, earliest deadline first.
     pub fn iter(&self) -> impl Iterator<Item = T> + '_ {
         self.entries.iter().map(|(_, entry)| *entry)
     }
 
-    /// Whether there is no entry.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/scheduler/src/collections/mod.rs
+++ b/crates/scheduler/src/collections/mod.rs
@@ -1,4 +1,4 @@
-//! Containers without any rule of the scheduler.
+//! Containers that contain no scheduling rules.
 
 mod deadline_queue;
 mod moving_fraction;
--- a/crates/scheduler/src/collections/sliding_window.rs
+++ b/crates/scheduler/src/collections/sliding_window.rs
@@ -1,10 +1,9 @@
-//! Values recorded within a span of time up to now.
+//! Values recorded within a sliding time window.
 
 use crate::api::Micros;
 use std::collections::VecDeque;
 
-/// Values in the order of their times; those that are too old are dropped when a new one is
-/// recorded.
+/// Values ordered by time. Values that are too old are removed when a new one is recorded.
 #[derive(Default)]
 pub struct SlidingWindow<T> {
     /// Values with their times, oldest first.
@@ -12,7 +11,7 @@
 }
 
 impl<T> SlidingWindow<T> {
-    /// Adds a value and drops those that are older than `window`.
+    /// Adds a value and removes those that are older than `window`.
     pub fn record(&mut self, value: T, window: Micros, now: Micros) {
         while self
             .entries
@@ -24,7 +23,7 @@
         self.entries.push_back((now, value));
     }
 
-    /// The values that are no older than `window`.
+    /// Returns the values that are no older than `window`.
     pub fn within(&self, window: Micros, now: Micros) -> impl Iterator<Item = &T> {
         self.entries
             .iter()
--- a/crates/scheduler/src/endpoints/mod.rs
+++ b/crates/scheduler/src/endpoints/mod.rs
@@ -1,5 +1,5 @@
-//! The endpoint list: which nodes there are, which of them holds each shard, and when to poll for
-//! the list.
+//! The endpoint list: the nodes, the node that holds each shard, and the schedule of polls for the
+//! list.
 
 mod node_table;
 mod polling;
--- a/crates/scheduler/src/endpoints/node_table.rs
+++ b/crates/scheduler/src/endpoints/node_table.rs
@@ -1,24 +1,24 @@
-//! The nodes that the endpoint list names, and which of them serves each shard.
+//! Nodes in the endpoint list, and the node that serves each shard.
 //!
-//! Inputs: complete endpoint lists and changes to them. Decided: the node of a shard, among several
-//! in service the one that started last; and when a removed node is forgotten, which is once it has
-//! no attempts in flight, as new nodes come with new ids.
+//! The table is updated from complete endpoint lists and changes to them. If several nodes in
+//! service hold the same shard, the node that started last serves it. A removed node is dropped
+//! once it has no attempts in flight, because new nodes get new ids.
 
 use crate::api::{Endpoint, EndpointListEvent, NodeId, Shard};
 use crate::node::Node;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Nodes listed, and those removed with attempts still in flight.
+/// Nodes in the endpoint list, and removed nodes that still have attempts in flight.
 #[derive(Default)]
 pub struct NodeTable {
-    /// The nodes by id.
+    /// Nodes, by id.
     nodes: BTreeMap<NodeId, Node>,
-    /// The node in service that holds a shard.
+    /// The node in service that holds a shard; of several, the one that started last.
     node_of_shard: BTreeMap<Shard, NodeId>,
 }
 
 impl NodeTable {
-    /// Updates the nodes by an endpoint list, or by changes to it.
+    /// Updates the table from a complete endpoint list or from changes to it.
     pub fn apply(&mut self, event: EndpointListEvent, endpoints: &[Endpoint]) {
         if event != EndpointListEvent::Delta {
             self.remove_unlisted(endpoints);
@@ -33,7 +33,7 @@
         self.assign_shards();
     }
 
-    /// Marks the nodes that a complete list does not name as removed.
+    /// Marks the nodes that are not in a complete list as removed.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<NodeId> = endpoints.iter().map(|endpoint| endpoint.node).collect();
         for (id, node) in &mut self.nodes {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Assigns each shard the node in service that started last.
+    /// Assigns each shard to the node in service that started last.
     fn assign_shards(&mut self) {
         let mut endpoints: Vec<&Endpoint> = self.in_service().map(Node::endpoint).collect();
         endpoints.sort_by_key(|endpoint| (endpoint.started_at, endpoint.node));
@@ -53,39 +53,40 @@
             .collect();
     }
 
-    /// A node by its id.
+    /// Returns the node with this id.
     pub fn get(&self, id: NodeId) -> Option<&Node> {
         self.nodes.get(&id)
     }
 
-    /// A node by its id, to be changed.
+    /// Returns the node with this id.
     pub fn get_mut(&mut self, id: NodeId) -> Option<&mut Node> {
         self.nodes.get_mut(&id)
     }
 
-    /// The node in service that holds a shard.
+    /// Returns the node in service that holds a shard; of several, the one that started last.
     pub fn node_of(&self, shard: Shard) -> Option<&Node> {
         self.nodes.get(self.node_of_shard.get(&shard)?)
     }
 
-    /// The node in service that holds the same shard as a node, which may have been replaced by it.
+    /// Returns the node in service that holds the same shard as the given node: the node itself, or
+    /// the one that replaced it.
     pub fn successor_of(&self, id: NodeId) -> Option<&Node> {
         self.node_of(self.nodes.get(&id)?.endpoint().shard)
     }
 
-    /// The nodes that the endpoint list has in service.
+    /// Returns the nodes that are in service according to the endpoint list.
     pub fn in_service(&self) -> impl Iterator<Item = &Node> + Clone {
         self.nodes.values().filter(|node| node.is_in_service())
     }
 
-    /// The shards that a node in service holds, with their nodes.
+    /// Returns the shards that are held by a node in service, with their nodes.
     pub fn served_shards(&self) -> impl Iterator<Item = (Shard, &Node)> {
         self.node_of_shard
             .iter()
             .filter_map(|(shard, id)| Some((*shard, self.nodes.get(id)?)))
     }
 
-    /// Number of nodes.
+    /// Returns the number of nodes.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
--- a/crates/scheduler/src/endpoints/polling.rs
+++ b/crates/scheduler/src/endpoints/polling.rs
@@ -1,47 +1,46 @@
-//! When to poll the discovery service for the endpoint list, that is, to open a watch of it.
+//! Decides when to poll the discovery service for the endpoint list. A poll opens a watch of the
+//! list.
 //!
-//! Inputs: the number of hosts that poll the same service, the longest time between two polls that
-//! the settings allow (microseconds), and the ends of polls and watches. The service handles polls
-//! one by one, and also works on those that have timed out. So hosts that poll for the same reason
-//! spread their polls by a random jitter, and wait before they repeat one (backoff); both grow with
-//! the number of hosts up to a maximum, since every change has to arrive within the time that the
-//! deployment allows.
+//! The discovery service handles polls one at a time, and also works on polls that have timed out.
+//! Hosts that poll for the same reason therefore spread their polls by a random jitter, and wait
+//! before they repeat a poll (backoff). Jitter and backoff both grow with the number of hosts that
+//! poll the same service, up to a maximum, because every change has to arrive within the time that
+//! the deployment allows. The settings limit the time between two polls (microseconds).
 
 use crate::api::{Micros, Settings};
 use crate::hash::{fibonacci_hash, unit_hash};
 
-/// Jitter for each other host that polls the same service, in microseconds.
+/// Jitter per other host that polls the same service, in microseconds.
 const JITTER_PER_HOST: Micros = 50_000;
-/// Longest jitter of a first poll and after a failed one, in microseconds.
+/// Maximum jitter of the first poll and after a failed poll, in microseconds.
 const MAX_JITTER: Micros = 3_000_000;
-/// Longest jitter after a watch that was lost, in microseconds.
+/// Maximum jitter after a watch was lost, in microseconds.
 const MAX_JITTER_AFTER_WATCH: Micros = 1_000_000;
-/// The jitter takes at most the longest time between two polls divided by this.
+/// The jitter is at most the maximum poll interval divided by this.
 const MAX_JITTER_DIVISOR: i64 = 2;
-/// Time after which a poll without a response is repeated, in microseconds: two polls fit into the
-/// 6 s in which a change has to arrive.
+/// Time after which a poll without a response is repeated, in microseconds. Two polls fit into the
+/// 6 s within which a change has to arrive.
 const POLL_TIMEOUT: Micros = 3_000_000;
-/// Backoff for each host that polls the same service, in microseconds.
+/// Backoff per host that polls the same service, in microseconds.
 const BACKOFF_PER_HOST: Micros = 100_000;
-/// Longest backoff, in microseconds.
+/// Maximum backoff, in microseconds.
 const MAX_BACKOFF: Micros = 500_000;
 
-/// The schedule of polls.
+/// Schedule of polls.
 pub struct EndpointPolling {
-    /// Number of hosts that poll the same service, this one included; 0 where no polls are needed.
+    /// Number of hosts that poll the same service, this one included; 0 if no polls are needed.
     clients: u32,
-    /// Longest time between two polls without a watch; 0 for no maximum.
+    /// Maximum time between two polls without a watch, in microseconds; 0 for no maximum.
     max_poll_interval: Micros,
-    /// Input of the hash that stands in for random numbers; should differ from host to
-    /// host.
+    /// Seed of the hash that replaces random numbers. Hosts should use different seeds.
     seed: u64,
-    /// When the next poll is due, or is repeated; `None` after an update of the list until the
-    /// watch ends, or if no polls are needed.
+    /// Time at which the next poll is due or the current one is repeated. `None` after an update of
+    /// the list until a poll fails or the watch ends, or if no polls are needed.
     next_poll_at: Option<Micros>,
 }
 
 impl EndpointPolling {
-    /// Schedules the first poll.
+    /// Creates a schedule and schedules the first poll.
     pub fn new(settings: &Settings, seed: u64, now: Micros) -> Self {
         let mut polling = EndpointPolling {
             clients: settings.discovery_clients,
@@ -53,8 +52,8 @@
         polling
     }
 
-    /// Notes that a complete list or changes to it were received, from wherever: no poll follows
-    /// until one fails or a watch ends.
+    /// Records that a complete list or changes to it were received from any source. There is no
+    /// further poll until one fails or a watch ends.
     pub fn record_update(&mut self) {
         self.next_poll_at = None;
     }
@@ -69,7 +68,8 @@
         self.back_off(now, MAX_JITTER_AFTER_WATCH);
     }
 
-    /// Whether a poll is due; it is repeated if there is no response to it.
+    /// Returns whether a poll is due. If it is, schedules its repetition, in case there is no
+    /// response.
     pub fn start_poll_if_due(&mut self, now: Micros) -> bool {
         let is_due = self.next_poll_at.is_some_and(|at| at <= now);
         if is_due {
@@ -78,7 +78,7 @@
         is_due
     }
 
-    /// When the next poll is due.
+    /// Returns the time at which the next poll is due.
     pub fn next_poll_at(&self) -> Option<Micros> {
         self.next_poll_at
     }
@@ -89,19 +89,19 @@
         self.schedule(now + backoff, self.seed ^ now as u64, max_jitter);
     }
 
-    /// Schedules a poll at a time or later by a jitter taken from `random`.
-    fn schedule(&mut self, earliest: Micros, random: u64, max_jitter: Micros) {
+    /// Schedules a poll at `earliest` plus a jitter derived from `jitter_seed`.
+    fn schedule(&mut self, earliest: Micros, jitter_seed: u64, max_jitter: Micros) {
         let Some(other_hosts) = self.clients.checked_sub(1) else {
             self.next_poll_at = None;
             return;
         };
         let max_jitter = self.limit_jitter(max_jitter);
-        let span = (JITTER_PER_HOST * Micros::from(other_hosts)).min(max_jitter);
-        let jitter = unit_hash(random) * span as f64;
+        let jitter_range = (JITTER_PER_HOST * Micros::from(other_hosts)).min(max_jitter);
+        let jitter = unit_hash(jitter_seed) * jitter_range as f64;
         self.next_poll_at = Some(earliest + jitter as Micros);
     }
 
-    /// The longest jitter that the longest time between two polls allows.
+    /// Returns `max_jitter`, limited by the maximum poll interval.
     fn limit_jitter(&self, max_jitter: Micros) -> Micros {
         if self.max_poll_interval > 0 {
             max_jitter.min(self.max_poll_interval / MAX_JITTER_DIVISOR)
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,9 +1,10 @@
-//! Which node takes a new object.
+//! Chooses the node for a new object.
 //!
-//! A request for a new object names no shard; it may go to any node that may execute it. Inputs:
-//! each node's faults and slow start, its latency (microseconds) and concurrency limit, and the
-//! units of this host in flight at it and queued for it. Nodes that are faulty or warming up come
-//! last; among the others, the one with the shortest expected wait is chosen.
+//! A request for a new object names no shard, so any node that may execute the request can take it.
+//! The choice depends on each node's faults and slow start, its latency (microseconds) and
+//! concurrency limit, and the units that this host has in flight at the node or queued for it.
+//! Nodes that are faulty or warming up are used only if there is no other. Among the others, the
+//! node with the shortest expected wait is chosen.
 
 use crate::api::{Micros, Shard, SlowStart};
 use crate::dmclock::ShardQueues;
@@ -14,33 +15,36 @@
 use crate::retry::idempotency::may_execute_at;
 use crate::time::Latency;
 
-/// Lower bound of a latency in the expected wait, so that a node without samples is not free of
-/// cost.
+/// Lower bound of the latency used for the expected wait. Without it, a node whose latency is not
+/// known would have no cost.
 const MIN_LATENCY: Latency = Latency::ONE_MICROSECOND;
 
-/// Cost of placing an object at a node; the fields are compared in their order.
+/// Cost of placing an object at a node. Costs are compared field by field, in the order of
+/// declaration.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct PlacementCost {
     /// Whether the node is faulty or warming up.
     is_impaired: bool,
-    /// Time to serve what this host has queued or in flight there, and the request.
+    /// Expected time to serve the new request and all requests that this host has queued for the
+    /// node or in flight at it.
     expected_wait: Latency,
 }
 
-/// The choice of a node at one moment.
+/// Inputs for choosing the node of a new object at one moment.
 pub struct Placement<'a> {
-    /// The nodes to choose from.
+    /// Nodes to choose from.
     pub nodes: &'a NodeTable,
-    /// What is queued for them.
+    /// Requests queued for these nodes.
     pub queues: &'a ShardQueues,
-    /// The settings of slow start.
+    /// Slow-start settings.
     pub slow_start: &'a SlowStart,
     /// The current time, in microseconds.
     pub now: Micros,
 }
 
 impl Placement<'_> {
-    /// The shard whose node has the lowest cost among those that may execute the request.
+    /// Returns the shard whose node has the lowest cost among the nodes that may execute the
+    /// request, or `None` if no node may.
     pub fn choose_shard(&self, pending: &PendingRequest) -> Option<Shard> {
         let mean_latency = self.mean_latency();
         let mut cheapest: Option<(PlacementCost, Shard)> = None;
@@ -56,7 +60,8 @@
         cheapest.map(|(_, shard)| shard)
     }
 
-    /// Cost of placing an object at a node; `mean_latency` stands in for a latency not known yet.
+    /// Returns the cost of placing an object at a node. `mean_latency` is used if the node's
+    /// latency is not known yet.
     fn cost(
         &self,
         pending: &PendingRequest,
@@ -75,7 +80,8 @@
         }
     }
 
-    /// Mean latency of the nodes in service that have served an attempt; zero if there is none.
+    /// Returns the mean latency of the nodes in service that have served at least one attempt, or
+    /// zero if there are none.
     fn mean_latency(&self) -> Latency {
         let latencies = self
             .nodes
--- a/crates/scheduler/src/volume/mod.rs
+++ b/crates/scheduler/src/volume/mod.rs
@@ -1,7 +1,7 @@
-//! Volumes: what each may use, and what it has used.
+//! Volumes: their plans, limits and usage.
 //!
-//! A [`Volume`] joins a [`token_bucket`] for its limit and the [`usage`] of its service over all
-//! hosts and nodes with the rates that its plan provisions. Rates are in units a second.
+//! A [`Volume`] combines the rates of its plan, a [`token_bucket`] that enforces its limit, and the
+//! [`usage`] of its service over all hosts and nodes. Rates are in units per second.
 
 mod table;
 mod token_bucket;
@@ -14,31 +14,31 @@
 use token_bucket::TokenBucket;
 use usage::Usage;
 
-/// Lower bound of a provisioned rate, which divides service in dmClock's nominal tag.
+/// Lower bound of the provisioned rate, which is a divisor in dmClock's nominal tag.
 const MIN_NOMINAL_RATE: UnitsPerSecond = UnitsPerSecond(1e-9);
 /// Lower bound of the number of hosts that receive a volume's requests.
 const MIN_HOSTS: f64 = 1.0;
 
 /// A volume with recent requests.
 pub struct Volume {
-    /// Its reservation, weight, limit and provisioned rate.
+    /// Reservation, weight, limit and provisioned rate of the volume.
     plan: VolumePlan,
-    /// Number of hosts that receive its requests, at least 1.
+    /// Number of hosts that receive the volume's requests, at least 1.
     hosts: f64,
-    /// Shards to which its requests went.
+    /// Shards that the volume's requests named and that a node in service held.
     shards: BTreeSet<Shard>,
-    /// Idle credit (dmClock's sigma): one request of the largest size.
+    /// Idle credit (sigma): one request of the largest size.
     idle_credit: Units,
-    /// Whether its service through other hosts is reported to this host.
+    /// Whether this host receives reports of the volume's service through other hosts.
     receives_remote_usage: bool,
-    /// Enforces the limit.
+    /// Token bucket that enforces the limit.
     bucket: TokenBucket,
-    /// Its service over all nodes and hosts.
+    /// Service of the volume over all nodes and hosts.
     usage: Usage,
 }
 
 impl Volume {
-    /// A volume without usage.
+    /// Creates a volume without usage.
     pub fn new(plan: &VolumePlan, settings: &Settings, started_at: Micros) -> Self {
         Volume {
             plan: plan.clone(),
@@ -52,9 +52,10 @@
         }
     }
 
-    /// Notes a request that was received: the number of hosts that it states, and its shard if a
-    /// node in service holds it. The token bucket is filled up to now by the request's plan and the
-    /// former number of hosts; for all else the plan of the volume's first request applies.
+    /// Records a received request: the number of hosts that it states, and its shard if a node in
+    /// service holds it. The token bucket is refilled up to now with the plan of this request and
+    /// the previous number of hosts. For everything else, the plan of the volume's first request
+    /// applies.
     pub fn record_request(
         &mut self,
         plan: &VolumePlan,
@@ -67,38 +68,37 @@
         self.shards.extend(shard);
     }
 
-    /// Its reservation, weight, limit and provisioned rate.
+    /// Returns the reservation, weight, limit and provisioned rate of the volume.
     pub fn plan(&self) -> &VolumePlan {
         &self.plan
     }
 
-    /// Idle credit (dmClock's sigma): the service by which the share tag of a volume that was idle
-    /// may lie before the current time.
+    /// Returns the idle credit (dmClock's sigma): the service by which the share tag of a volume
+    /// that was idle may be behind the current time.
     pub fn idle_credit(&self) -> Units {
         self.idle_credit
     }
 
-    /// Units served at all nodes, as far as reported to this host.
+    /// Returns the units served at all nodes, as far as reported to this host.
     pub fn served_units(&self) -> Units {
         self.usage.served_units()
     }
 
-    /// Whether the token bucket holds so many units, or the volume has no limit.
+    /// Returns whether the token bucket holds `units`, or the volume has no limit.
     pub fn has_tokens(&self, units: Units, now: Micros) -> bool {
         !self.plan.limit.is_positive() || self.bucket.level(&self.plan, self.hosts, now) >= units
     }
 
-    /// Counts the units of a request's first attempt against the limit.
+    /// Consumes tokens for the first attempt of a request, if the volume has a limit.
     pub fn consume_tokens(&mut self, units: Units, now: Micros) {
         if self.plan.limit.is_positive() {
             self.bucket.consume(units, &self.plan, self.hosts, now);
         }
     }
 
-    /// Counts the service that an attempt reports.
-    ///
-    /// `units` were served by the attempt itself. A usage report is ignored if the last one is
-    /// older than `max_report_age`.
+    /// Records the service that a completed attempt reports. `units` were served by the attempt
+    /// itself. A usage report is ignored if there is no previous one, or if that is older than
+    /// `max_report_age`.
     pub fn record_usage(
         &mut self,
         units: Units,
@@ -113,13 +113,13 @@
         }
     }
 
-    /// This host's part of the limit.
+    /// Returns this host's part of the limit.
     pub fn limit_per_host(&self) -> UnitsPerSecond {
         self.plan.limit / self.hosts
     }
 
-    /// Provisioned rate: of all hosts if their service is reported to this host, else this host's
-    /// part.
+    /// Returns the provisioned rate of all hosts if their service is reported to this host,
+    /// otherwise this host's part of it.
     pub fn nominal_rate(&self) -> UnitsPerSecond {
         let hosts = if self.receives_remote_usage {
             1.0
@@ -129,14 +129,14 @@
         (self.plan.provisioned_rate / hosts).max(MIN_NOMINAL_RATE)
     }
 
-    /// This host's part of the provisioned rate, at each of the volume's shards.
+    /// Returns this host's part of the provisioned rate, per shard of the volume.
     pub fn rate_per_shard(&self) -> UnitsPerSecond {
         let shards = self.shards.len().max(1);
         self.plan.provisioned_rate / self.hosts / shards as f64
     }
 
-    /// Whether nothing is lost if the volume is forgotten: its token bucket is full, and it has had
-    /// no request for `retention`.
+    /// Returns whether the volume can be removed without losing state: its token bucket is full,
+    /// and it has had no request for `retention`.
     fn is_removable(&self, retention: Micros, now: Micros) -> bool {
         let capacity = self.plan.burst_capacity / self.hosts;
         self.has_tokens(capacity, now) && now - self.bucket.refilled_at() >= retention
--- a/crates/scheduler/src/volume/table.rs
+++ b/crates/scheduler/src/volume/table.rs
@@ -1,6 +1,6 @@
-//! The volumes with recent requests, and when an idle one is forgotten.
+//! Table of the volumes with recent requests.
 //!
-//! Clients may name an unbounded number of volumes, so the table drops a volume after a time
+//! Clients may name an unbounded number of volumes, so the table removes a volume after a time
 //! without requests.
 
 use super::Volume;
@@ -12,18 +12,19 @@
 const VOLUME_RETENTION: Micros = 60_000_000;
 /// Number of cleanups within [`VOLUME_RETENTION`].
 const CLEANUPS_PER_RETENTION: i64 = 8;
-/// Interval at which idle volumes are looked for, in microseconds.
+/// Interval between cleanups of idle volumes, in microseconds.
 pub const CLEANUP_INTERVAL: Micros = VOLUME_RETENTION / CLEANUPS_PER_RETENTION;
 
-/// Volumes by id.
+/// Table of volumes.
 #[derive(Default)]
 pub struct VolumeTable {
-    /// The volumes by id.
+    /// Volumes, by id.
     volumes: BTreeMap<VolumeId, Volume>,
 }
 
 impl VolumeTable {
-    /// The volume of a request; one that is not in the table is added with the plan.
+    /// Returns the volume of a request. A volume that is not in the table is added with the given
+    /// plan.
     pub fn entry(
         &mut self,
         id: VolumeId,
@@ -36,28 +37,28 @@
             .or_insert_with(|| Volume::new(plan, settings, started_at))
     }
 
-    /// A volume, unless it was removed.
+    /// Returns a volume, unless it was removed.
     pub fn get(&self, id: VolumeId) -> Option<&Volume> {
         self.volumes.get(&id)
     }
 
-    /// A volume to be changed, unless it was removed.
+    /// Returns a volume, unless it was removed.
     pub fn get_mut(&mut self, id: VolumeId) -> Option<&mut Volume> {
         self.volumes.get_mut(&id)
     }
 
-    /// Whether the table has a volume.
+    /// Returns whether the table contains a volume.
     pub fn contains(&self, id: VolumeId) -> bool {
         self.volumes.contains_key(&id)
     }
 
-    /// Number of volumes.
+    /// Returns the number of volumes.
     pub fn len(&self) -> usize {
         self.volumes.len()
     }
 
-    /// Removes the volumes that have no pending request, had none for [`VOLUME_RETENTION`], and
-    /// whose token bucket is full.
+    /// Removes the volumes that have no pending request, had no request for [`VOLUME_RETENTION`],
+    /// and have a full token bucket.
     pub fn remove_idle(&mut self, in_use: &BTreeSet<VolumeId>, now: Micros) {
         self.volumes.retain(|id, volume| {
             in_use.contains(id) || !volume.is_removable(VOLUME_RETENTION, now)
@@ -68,7 +69,8 @@
 impl Index<VolumeId> for VolumeTable {
     type Output = Volume;
 
-    /// The volume of a pending request, which is never removed.
+    /// Returns the volume of a pending request, which is never removed. Panics for other volumes
+    /// that are not in the table.
     fn index(&self, id: VolumeId) -> &Volume {
         &self.volumes[&id]
     }
--- a/crates/scheduler/src/volume/token_bucket.rs
+++ b/crates/scheduler/src/volume/token_bucket.rs
@@ -1,22 +1,22 @@
-//! The token bucket that enforces a volume's limit at this host.
+//! Token bucket that enforces a volume's limit at this host.
 //!
-//! Input: the volume's plan (rate in units a second, capacity in units) and the number of hosts
-//! that receive its requests. Each host fills a bucket of its own at an even part of the rate, up
-//! to an even part of the capacity, since hosts don't know each other's dispatches. Decided: how
-//! many units may be dispatched now.
+//! Hosts do not know each other's dispatches. Each host therefore has a bucket of its own, whose
+//! rate and capacity are the plan's limit (units per second) and burst capacity (units) divided by
+//! the number of hosts that receive the volume's requests.
 
 use crate::api::{Micros, Units, VolumePlan};
 
-/// Level of a token bucket, in units, when it was last set.
+/// Token bucket of one volume.
 pub struct TokenBucket {
-    /// Level at that time.
+    /// Level at `refilled_at`, in units; negative after more units were consumed than it held.
     level: Units,
-    /// When the level was set, in microseconds.
+    /// Time at which the level was last updated, in microseconds.
     refilled_at: Micros,
 }
 
 impl TokenBucket {
-    /// An empty bucket: the units spent before the scheduler started are not known.
+    /// Creates an empty bucket, because the units consumed before the scheduler started are not
+    /// known.
     pub fn empty(started_at: Micros) -> Self {
         TokenBucket {
             level: Units::ZERO,
@@ -24,26 +24,27 @@
         }
     }
 
-    /// Level at a time if the bucket is filled and capped by `plan`.
+    /// Returns the level at `now`, if the bucket is refilled at the rate of `plan` and capped at
+    /// its capacity.
     pub fn level(&self, plan: &VolumePlan, hosts: f64, now: Micros) -> Units {
         let rate = plan.limit / hosts;
         let refilled = self.level + rate.units_within(now - self.refilled_at);
         refilled.min(plan.burst_capacity / hosts)
     }
 
-    /// Sets the level to that of now.
+    /// Updates the level to `now`.
     pub fn refill(&mut self, plan: &VolumePlan, hosts: f64, now: Micros) {
         self.level = self.level(plan, hosts, now);
         self.refilled_at = now;
     }
 
-    /// Takes units, which may bring the level below zero.
+    /// Consumes units. The level may become negative.
     pub fn consume(&mut self, units: Units, plan: &VolumePlan, hosts: f64, now: Micros) {
         self.refill(plan, hosts, now);
         self.level -= units;
     }
 
-    /// When the level was set.
+    /// Returns the time at which the level was last updated.
     pub fn refilled_at(&self) -> Micros {
         self.refilled_at
     }
--- a/crates/scheduler/src/volume/usage.rs
+++ b/crates/scheduler/src/volume/usage.rs
@@ -1,40 +1,42 @@
-//! A volume's service over all nodes and hosts, from which dmClock's rho and delta are taken.
+//! Service of a volume over all nodes and hosts, from which dmClock's rho and delta are computed.
 //!
-//! Inputs: the units served by this host's attempts, the units that responses report for other
-//! hosts, and usage reports, which state the service of a past period at all nodes. Responses are
-//! counted at once; a report adds only what it shows beyond them. Reports come late, so that a
-//! shortfall of one is set off against the next.
+//! There are three sources: the units served by this host's attempts, the units that responses
+//! report for other hosts, and usage reports, which state the service at all nodes in a past
+//! period. Units from responses are counted at once; a usage report adds only the units beyond
+//! those. Because usage reports arrive late, a report that shows fewer units than the responses is
+//! offset against the next report.
 
 use crate::api::{Micros, Units, UnitsPerSecond};
 
-/// Service of a volume, in units.
+/// Service of one volume, in units.
 #[derive(Default)]
 pub struct Usage {
-    /// Served at all nodes, as far as known.
+    /// Units served at all nodes, as far as known.
     served: Units,
-    /// Served since the last usage report.
+    /// Units from responses since the last usage report.
     served_since_report: Units,
-    /// Reported beyond what responses have counted; zero or, while reports lag behind, negative.
+    /// Units by which usage reports exceed the responses, as far as not yet added to `served`.
+    /// Negative while usage reports lag behind the responses, otherwise zero.
     report_excess: Units,
-    /// When the last usage report was received.
+    /// Time at which the last usage report was received.
     reported_at: Option<Micros>,
 }
 
 impl Usage {
-    /// Units served at all nodes, as far as known.
+    /// Returns the units served at all nodes, as far as known.
     pub fn served_units(&self) -> Units {
         self.served
     }
 
-    /// Counts units that a response reports.
+    /// Records units that a response reports.
     pub fn record_served(&mut self, units: Units) {
         self.served_since_report += units;
         self.served += units;
     }
 
-    /// Counts what a usage report shows beyond the responses. `rate` is the mean rate of the
-    /// reported period, which is taken for that since the last report; if that is older than
-    /// `max_age`, the report is ignored.
+    /// Records a usage report and counts the units that it shows beyond those from responses.
+    /// `rate` is the mean rate of the reported period; it is assumed to apply to the time since the
+    /// last report. If there is no last report, or it is older than `max_age`, this one is ignored.
     pub fn record_report(&mut self, rate: UnitsPerSecond, max_age: Micros, now: Micros) {
         match self.reported_at {
             Some(reported_at) if now - reported_at <= max_age => {
