--- a/crates/scheduler/src/dmclock/shard_queues.rs
+++ b/crates/scheduler/src/dmclock/shard_queues.rs
@@ -11,8 +11,8 @@
 pub struct ShardQueues {
     /// The queues by shard.
     queues: BTreeMap<Shard, ShardQueue>,
-    /// Shards with queued requests. Each event checks only these, so its cost does not depend on
-    /// the total number of shards.
+    /// Shards with queued requests. Only these are checked at each event, so that the cost of an
+    /// event does not depend on the total number of shards.
     backlogged: BTreeSet<Shard>,
 }
 
--- a/crates/scheduler/src/node/latency_estimate.rs
+++ b/crates/scheduler/src/node/latency_estimate.rs
@@ -10,8 +10,9 @@
 
 /// Weight of a new sample in the moving averages of mean and deviation.
 const LATENCY_GAIN: f64 = 0.1;
-/// Initial deviation, as a fraction of the first sample.
-const INITIAL_DEVIATION_FRACTION: f64 = 0.5;
+/// Distance from the mean that the first sample adds to the moving average of the deviation, as a
+/// fraction of that sample.
+const FIRST_SAMPLE_DEVIATION_FRACTION: f64 = 0.5;
 /// Time in microseconds without a served attempt after which the expected latency is halved.
 const LATENCY_HALF_LIFE: f64 = 250_000.0;
 /// Factor applied to the expected latency per half-life.
@@ -44,7 +45,7 @@
     pub fn record(&mut self, sample: Latency, now: Micros) {
         let deviation = match self.mean {
             Some(mean) => sample.abs_difference(mean),
-            None => sample * INITIAL_DEVIATION_FRACTION,
+            None => sample * FIRST_SAMPLE_DEVIATION_FRACTION,
         };
         self.deviation = self.deviation.moved_towards(deviation, LATENCY_GAIN);
         self.mean = match self.mean {
--- a/crates/scheduler/src/request/key_ordering.rs
+++ b/crates/scheduler/src/request/key_ordering.rs
@@ -1,10 +1,10 @@
 //! Orders requests with the same key, in classes whose requests of one key must run in the order in
 //! which they were received.
 //!
-//! After an attempt that ended while the node may still be executing it, no other request with its
-//! key is dispatched for the quiesce period of the settings (microseconds). Otherwise the next
-//! request could overtake the attempt at the node. A retry of the same request does not wait for
-//! the end of that period.
+//! After an attempt that ended while the node may still be executing it, no other ordered request
+//! with its key is queued for dispatch until the quiesce period of the settings (microseconds) has
+//! ended. Otherwise the next request could overtake the attempt at the node. A retry of the same
+//! request does not wait for the end of that period.
 
 use crate::api::{Micros, ObjectKey, RequestId};
 use crate::collections::DeadlineQueue;
