--- a/crates/scheduler/src/dmclock/shard_queue.rs
+++ b/crates/scheduler/src/dmclock/shard_queue.rs
@@ -1,9 +1,9 @@
-//! The requests that wait for the node of one shard: a flow for each volume, and the late requests.
+//! Requests queued for the node of one shard: one flow per volume, and the late requests.
 //!
-//! Decided: how share tags are aligned when a volume becomes active after an idle time. dmClock
-//! then moves the share tags of all other volumes to the current time, which here is one shift that
-//! applies to all of them. Requests that can no longer meet their latency objective leave their
-//! flow and wait by deadline.
+//! When a volume becomes active after it was idle, dmClock moves the share tags of all other
+//! volumes to the current time. This module implements that as a single offset that applies to all
+//! share tags of the shard. Requests that can no longer meet their latency objective are moved from
+//! their flow to the late requests, which are ordered by deadline.
 
 use super::flow::{Flow, Position, QueuedRequest};
 use super::phase::Phase;
@@ -19,16 +19,16 @@
 pub struct ShardQueue {
     /// Requests that can still meet their latency objective, by volume.
     flows: BTreeMap<VolumeId, Flow>,
-    /// Requests that can no longer meet their latency objective, by their deadline.
+    /// Requests that can no longer meet their latency objective, ordered by deadline.
     late: DeadlineQueue<RequestId>,
     /// Units of all queued requests, the late ones included.
     queued_units: Units,
-    /// Offset between stored share tags and the time.
-    share_shift: Seconds,
+    /// Offset between the stored share tags and the current time.
+    share_tag_offset: Seconds,
 }
 
 impl ShardQueue {
-    /// Queues a request and tags it.
+    /// Queues a request and computes its tags.
     pub fn insert(
         &mut self,
         pending: &PendingRequest,
@@ -38,43 +38,48 @@
     ) {
         let request = pending.request();
         self.queued_units += request.units;
-        let least_share = self.least_share();
+        let min_share_tag = self.min_share_tag();
         let flow = self
             .flows
             .entry(request.volume)
             .or_insert_with(|| Flow::new(volume.served_units(), now));
         if flow.is_empty() {
-            let idle_share = flow.last_share().max(now + self.share_shift);
-            self.share_shift = least_share.unwrap_or(idle_share) - now;
+            let idle_share_tag = flow.last_share_tag().max(now + self.share_tag_offset);
+            self.share_tag_offset = min_share_tag.unwrap_or(idle_share_tag) - now;
         }
-        flow.insert(pending, position, volume, self.share_shift, now);
+        flow.insert(pending, position, volume, self.share_tag_offset, now);
     }
 
-    /// The smallest share tag of the requests that can be dispatched next.
-    fn least_share(&self) -> Option<Seconds> {
+    /// Returns the smallest share tag of the requests at the heads of the flows.
+    fn min_share_tag(&self) -> Option<Seconds> {
         self.heads()
             .map(|(_, head)| head.tags.share)
             .reduce(Seconds::min)
     }
 
-    /// Removes a request that is not dispatched.
+    /// Removes a request without dispatching it.
     pub fn remove(&mut self, request: &Request, volume: &Volume) {
         self.queued_units -= request.units;
         self.late.remove(request.deadline, request.id);
         if let Some(flow) = self.flows.get_mut(&request.volume) {
-            flow.remove(request.id, volume, self.share_shift);
+            flow.remove(request.id, volume, self.share_tag_offset);
         }
     }
 
     /// Moves a request from its flow to the late requests.
-    pub fn set_aside(&mut self, request: &Request, volume: &Volume) {
+    pub fn move_to_late(&mut self, request: &Request, volume: &Volume) {
         self.remove(request, volume);
         self.queued_units += request.units;
         self.late.insert(request.deadline, request.id);
     }
 
-    /// Removes a request for its dispatch: a late one, or the head of its flow.
-    pub fn take(&mut self, request: &Request, phase: Phase, reservation: UnitsPerSecond) {
+    /// Removes a request in order to dispatch it: a late request, or the head of its flow.
+    pub fn remove_for_dispatch(
+        &mut self,
+        request: &Request,
+        phase: Phase,
+        reservation: UnitsPerSecond,
+    ) {
         self.queued_units -= request.units;
         if self.late.remove(request.deadline, request.id) {
             return;
@@ -85,25 +90,27 @@
             .expect("invariant: a queued request has a flow");
         flow.pop_head();
         if phase == Phase::Weight {
-            flow.give_back_reservation(request.units, reservation);
+            flow.reduce_reservation_tags(request.units, reservation);
         }
     }
 
-    /// Takes units off those that a volume's tags account for, as an attempt was not served.
-    pub fn uncount(&mut self, volume: VolumeId, units: Units) {
+    /// Subtracts the units of an attempt that was not served from the service counted by the
+    /// volume's tags.
+    pub fn subtract_unserved(&mut self, volume: VolumeId, units: Units) {
         if let Some(flow) = self.flows.get_mut(&volume) {
-            flow.uncount(units);
+            flow.subtract_unserved(units);
         }
     }
 
-    /// The first request of each volume.
+    /// Returns the head of each flow.
     pub fn heads(&self) -> impl Iterator<Item = (VolumeId, &QueuedRequest)> {
         self.flows
             .iter()
             .filter_map(|(volume, flow)| Some((*volume, flow.head()?)))
     }
 
-    /// The requests at the front of each flow up to the first one that does not meet `condition`.
+    /// Returns, for each flow, the requests from its head up to the first one that does not meet
+    /// `condition`.
     pub fn leading_requests(&self, condition: impl Fn(RequestId) -> bool) -> Vec<RequestId> {
         let mut leading = Vec::new();
         for flow in self.flows.values() {
@@ -112,46 +119,47 @@
         leading
     }
 
-    /// The late requests, earliest deadline first.
-    pub fn late(&self) -> impl Iterator<Item = RequestId> + '_ {
+    /// Returns the late requests, earliest deadline first.
+    pub fn late_requests(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.late.iter()
     }
 
-    /// Rate at this shard that its volumes are provisioned for through this host.
+    /// Returns the total rate that the volumes with a flow here are provisioned for at this shard
+    /// through this host.
     pub fn nominal_rate(&self, volumes: &VolumeTable) -> UnitsPerSecond {
         self.flows
             .keys()
             .filter_map(|volume| volumes.get(*volume))
-            .map(Volume::rate_at_shard)
+            .map(Volume::rate_per_shard)
             .sum()
     }
 
-    /// Units of all queued requests.
+    /// Returns the units of all queued requests.
     pub fn queued_units(&self) -> Units {
         self.queued_units
     }
 
-    /// Whether a request waits that is not late.
-    pub fn has_timely(&self) -> bool {
+    /// Returns whether a request is queued that can still meet its latency objective.
+    pub fn has_on_time_requests(&self) -> bool {
         self.heads().next().is_some()
     }
 
-    /// Whether a late request waits.
-    pub fn has_late(&self) -> bool {
+    /// Returns whether a late request is queued.
+    pub fn has_late_requests(&self) -> bool {
         !self.late.is_empty()
     }
 
-    /// Whether no request waits.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
-        !self.has_timely() && !self.has_late()
+        !self.has_on_time_requests() && !self.has_late_requests()
     }
 
-    /// Whether it remembers tags of some volume.
+    /// Returns whether the queue stores the tags of any volume.
     pub fn has_flows(&self) -> bool {
         !self.flows.is_empty()
     }
 
-    /// Forgets the flows without requests whose volume was removed.
+    /// Removes the flows that have no requests and whose volume was removed.
     pub fn remove_idle_flows(&mut self, volumes: &VolumeTable) {
         self.flows
             .retain(|volume, flow| !flow.is_empty() || volumes.contains(*volume));
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -1,22 +1,22 @@
-//! Attempts are started, for as long as nodes have capacity.
+//! Starts attempts as long as nodes have capacity.
 
 use super::admission::DispatchAdmission;
 use super::Scheduler;
 use crate::api::{Action, NodeId, Shard};
 use crate::dmclock::{Position, Selected, Selection};
-use crate::node::attempt_timeout::{times_out_at, AttemptTerms};
+use crate::node::attempt_timeout::{times_out_at, TimeoutInputs};
 use crate::node::outlier_ejection::exceeds_panic_threshold;
 use crate::node::Node;
 use crate::request::latency_objective::misses_objective;
 use crate::request::PendingRequest;
 
 impl Scheduler {
-    /// Queues requests whose quiesce period is over or whose node is back, then dispatches from the
-    /// queues.
+    /// Queues the requests whose quiesce period has ended and those for which a node is available
+    /// again, then dispatches requests from all queues.
     pub(super) fn dispatch_pending(&mut self) {
         while let Some(key) = self.sequences.pop_quiesced(self.now) {
             let first = self.sequences.first_ready(key, self.now);
-            self.run_first_of_key(first);
+            self.enqueue_first_of_key(first);
         }
         for id in std::mem::take(&mut self.unroutable) {
             self.enqueue(id, Position::ByPriority);
@@ -24,13 +24,14 @@
         let backlogged: Vec<Shard> = self.queues.backlogged().collect();
         for shard in backlogged {
             self.dispatch_from(shard);
-            self.queues.note_if_empty(shard);
+            self.queues.unmark_backlogged_if_empty(shard);
         }
     }
 
-    /// Dispatches from a shard's queue for as long as its node takes requests.
+    /// Dispatches requests from a shard's queue until its node accepts no more, or none of the
+    /// queued requests may be dispatched.
     fn dispatch_from(&mut self, shard: Shard) {
-        self.set_late_requests_aside(shard);
+        self.move_late_requests(shard);
         while let Some(node) = self.nodes.node_of(shard) {
             let node_id = node.endpoint().node;
             let is_trial = self.is_limited_to_trials(node);
@@ -47,27 +48,27 @@
         }
     }
 
-    /// Whether a node gets trial attempts only: it is ejected, and no more nodes are ejected than
-    /// not.
+    /// Returns whether a node receives only trial attempts: it is ejected, and at most half of the
+    /// nodes in service are ejected.
     fn is_limited_to_trials(&self, node: &Node) -> bool {
         node.is_ejected() && !exceeds_panic_threshold(self.nodes.in_service())
     }
 
-    /// Whether nothing can be dispatched to a node now, whatever is queued for it.
+    /// Returns whether nothing can be dispatched to a node now, whatever is queued for it.
     fn is_blocked(&self, node: &Node, is_trial: bool) -> bool {
         node.is_full() || node.is_paused(self.now) || (is_trial && node.is_full_for_trials())
     }
 
-    /// Pauses an ejected node after a trial attempt.
+    /// Pauses an ejected node until its next trial attempt.
     fn start_trial_interval(&mut self, node: NodeId) {
         if let Some(node) = self.nodes.get_mut(node) {
             node.start_trial_interval(self.now);
         }
     }
 
-    /// Moves requests at the head of flows that can no longer meet their objective to the late
-    /// requests.
-    fn set_late_requests_aside(&mut self, shard: Shard) {
+    /// Moves requests that can no longer meet their latency objective from the head of their flow
+    /// to the late requests.
+    fn move_late_requests(&mut self, shard: Shard) {
         let Some(node) = self.nodes.node_of(shard) else {
             return;
         };
@@ -81,11 +82,11 @@
         });
         for id in late {
             let request = self.requests[&id].request();
-            queue.set_aside(request, &self.volumes[request.volume]);
+            queue.move_to_late(request, &self.volumes[request.volume]);
         }
     }
 
-    /// Selects the request of a shard that its node is sent next.
+    /// Selects the request of a shard that is dispatched to its node next.
     fn select_next(&self, shard: Shard, node: &Node) -> Option<Selected> {
         let queue = &self.queues[shard];
         let admission = DispatchAdmission {
@@ -107,7 +108,7 @@
 
     /// Starts an attempt of the selected request.
     fn dispatch(&mut self, selected: &Selected, node_id: NodeId) {
-        self.take_from_queue(selected);
+        self.remove_from_queue(selected);
         let pending = self
             .requests
             .get_mut(&selected.request)
@@ -120,10 +121,10 @@
         if pending.attempts() > 0 {
             self.retry_budget.record_retry(self.now);
         } else if let Some(volume) = self.volumes.get_mut(request.volume) {
-            volume.spend(request.units, self.now);
+            volume.consume_tokens(request.units, self.now);
         }
         node.start_attempt(request.units, &self.settings.slow_start, self.now);
-        let timeout = times_out_at(node, &attempt_terms(pending), self.now);
+        let timeout = times_out_at(node, &timeout_inputs(pending), self.now);
         let times_out_at = timeout.min(request.deadline);
         pending.start_attempt(node_id, self.now);
         self.actions.push(Action::Dispatch {
@@ -134,26 +135,26 @@
     }
 
     /// Removes the selected request from its queue.
-    fn take_from_queue(&mut self, selected: &Selected) {
+    fn remove_from_queue(&mut self, selected: &Selected) {
         let pending = self
             .requests
             .get_mut(&selected.request)
             .expect("invariant: queued requests are pending");
         let shard = pending
-            .dequeue()
-            .expect("invariant: the request selected is queued");
+            .mark_dequeued()
+            .expect("invariant: the selected request is queued");
         let request = pending.request();
         let reservation = self.volumes[request.volume].plan().reservation;
         self.queues
             .get_mut(shard)
             .expect("invariant: the queue of a request exists")
-            .take(request, selected.phase, reservation);
+            .remove_for_dispatch(request, selected.phase, reservation);
     }
 }
 
-/// What the timeout of an attempt depends on besides its node.
-fn attempt_terms(pending: &PendingRequest) -> AttemptTerms {
-    AttemptTerms {
+/// Returns the properties of a request that determine the timeout of its attempt.
+fn timeout_inputs(pending: &PendingRequest) -> TimeoutInputs {
+    TimeoutInputs {
         relative_latency: pending.relative_latency(),
         latency_objective: pending.class().latency_objective,
         objective_at: pending.objective_at(),
