--- a/crates/gateway/src/connection_token.rs
+++ b/crates/gateway/src/connection_token.rs
@@ -1,18 +1,18 @@
-//! The token by which the event loop, the poller and the timers refer to a connection.
+//! Tokens that identify connections to the event loop, the poller and the timers.
 
 /// Identifies a connection in the [`Slab`](crate::context::slab::Slab) of the event loop.
 ///
 /// The low 32 bits are the index of the connection's slot, the high 32 bits the generation of that
-/// slot. Tokens are ordered by their number, and epoll stores that number with each registered
+/// slot. Tokens are ordered by the resulting number, which epoll also stores with each registered
 /// descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionToken(u64);
 
 impl ConnectionToken {
-    /// The first token in the order of tokens.
+    /// The lowest token, as the lower end of a range.
     pub(crate) const MIN: ConnectionToken = ConnectionToken(u64::MIN);
 
-    /// The token of a slot in one of its generations.
+    /// Creates the token of one generation of a slot.
     pub(crate) fn new(generation: u32, index: u32) -> ConnectionToken {
         ConnectionToken(u64::from(generation) << 32 | u64::from(index))
     }
@@ -22,7 +22,7 @@
         self.0 as u32 as usize
     }
 
-    /// Generation of the slot for which the token was reserved.
+    /// Generation of the slot when the token was reserved.
     pub(crate) fn generation(self) -> u32 {
         (self.0 >> 32) as u32
     }
--- a/crates/gateway/src/dispatcher/abort_cause.rs
+++ b/crates/gateway/src/dispatcher/abort_cause.rs
@@ -1,29 +1,31 @@
-//! Why an attempt without a result is aborted, and the outcome that the scheduler gets for it.
+//! Why an attempt without a result is aborted, and which outcome is reported to the scheduler.
 
 use io_scheduler::Outcome;
 
-/// Why an attempt that has no result is aborted.
+/// Why an attempt is aborted before it has a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbortCause {
-    /// No connection to the node could be opened, or none was established in time.
+    /// No connection to the node could be opened, or it was not established in time.
     NoConnection,
-    /// The drain guard does not allow the request to be written to its node any more.
+    /// The drain guard: the node has been draining for too long for the request to be written to
+    /// it. See [`Dispatcher::may_write`](super::Dispatcher::may_write).
     DrainGuard,
     /// The connection was closed or reset before the response was complete.
     ConnectionLost,
-    /// The node sent an invalid response, or one that the gateway has no memory for.
+    /// The node sent an invalid response, or one that exceeds the memory budget.
     InvalidResponse,
     /// The attempt has timed out.
     TimedOut,
-    /// The scheduler has cancelled the attempt, or its client has disconnected.
+    /// The scheduler cancelled the attempt, or the client disconnected.
     Cancelled,
 }
 
 impl AbortCause {
-    /// The outcome that is reported to the scheduler.
+    /// The outcome to report to the scheduler.
     ///
-    /// If the node cannot have executed the request, the cancellation of its attempt says nothing
-    /// about the node, and every other cause counts as a failure to connect to the node.
+    /// If the node cannot have executed the request, a cancellation says nothing about the node and
+    /// is reported as [`Outcome::NotDispatched`]. Any other cause is then reported as a failure to
+    /// connect to the node.
     pub(super) fn outcome(self, may_have_executed: bool) -> Outcome {
         match self {
             AbortCause::Cancelled if !may_have_executed => Outcome::NotDispatched,
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of requests at nodes: their start, their progress and their end.
+//! Starts and completes the attempts of requests.
 
 use super::abort_cause::AbortCause;
 use super::command::Command;
@@ -10,7 +10,8 @@
 use std::sync::Arc;
 
 impl Dispatcher {
-    /// Starts an attempt at a node.
+    /// Starts an attempt at a node, unless the request is already finished. The attempt is aborted
+    /// if it has no result at the time `times_out_at`.
     pub(super) fn dispatch(
         &mut self,
         id: RequestId,
@@ -46,16 +47,15 @@
         self.requests.attempt(attempt).is_some()
     }
 
-    /// Records that so much of an attempt was written to its node that the node may have executed
-    /// the request.
+    /// Records that enough of the request was written to the node for the node to have executed it.
     pub fn note_may_have_executed(&mut self, attempt: AttemptId) {
         if let Some(attempt) = self.requests.attempt_mut(attempt) {
             attempt.may_have_executed = true;
         }
     }
 
-    /// Records the end of an attempt, responds to the client if the request was served, and
-    /// reports the result to the scheduler. Results of attempts that are not awaited are ignored.
+    /// Records the result of an attempt, responds to the client if the request was served, and
+    /// reports the result to the scheduler. Ignores the result if it is not awaited.
     pub fn complete_attempt(
         &mut self,
         attempt: AttemptId,
@@ -85,7 +85,7 @@
         self.remove_if_finished(attempt.request, timers);
     }
 
-    /// Reports the end of an attempt to the scheduler.
+    /// Reports the result of an attempt to the scheduler.
     fn report_completed(
         &mut self,
         id: AttemptId,
@@ -105,11 +105,11 @@
         }));
     }
 
-    /// Aborts an attempt: ends it without a result, and reports to the scheduler the outcome that
-    /// follows from the cause and from whether the node may have executed the request.
+    /// Ends an attempt that has no result. The outcome that is reported to the scheduler depends on
+    /// `cause` and on whether the node may have executed the request.
     ///
-    /// The scheduler's own cancellation of an attempt ends here too, as one of the causes. Then
-    /// [`Command::AbandonAttempt`] frees the connection of the attempt, if it still has one.
+    /// Attempts that the scheduler cancels end here too, with [`AbortCause::Cancelled`]. For every
+    /// cause, [`Command::AbandonAttempt`] frees the attempt's connection if it still has one.
     pub fn abort_attempt(
         &mut self,
         attempt: AttemptId,
@@ -125,10 +125,10 @@
         self.complete_attempt(attempt, AttemptResult::without_body(outcome), now, timers);
     }
 
-    /// Records that the client of a request has disconnected or no longer needs its response.
-    /// Attempts that cannot have been executed yet are aborted at once. The scheduler decides on
-    /// the others: unless it cancels them, they run to their end, and their results are still
-    /// reported to it.
+    /// Records that the client of a request has disconnected or no longer needs the response.
+    /// Attempts that the node cannot have executed yet are aborted immediately. The scheduler
+    /// decides about the others: those that it does not cancel run to completion, and their results
+    /// are still reported to it.
     pub fn client_disconnected(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
         let Some(unfinished) = self.requests.get_mut(id) else {
             return;
--- a/crates/gateway/src/dispatcher/command.rs
+++ b/crates/gateway/src/dispatcher/command.rs
@@ -1,28 +1,28 @@
-//! The commands that the dispatcher gives to the event loop.
+//! Commands from the dispatcher to the event loop.
 
 use crate::storage_request::{AttemptId, ReplySlot, Response, StorageRequest};
 use io_scheduler::{Micros, NodeId};
 use std::sync::Arc;
 
-/// A command for the event loop. Commands are carried out in the order in which they are given.
+/// A command for the event loop, which runs commands in the order in which they were issued.
 #[derive(Debug)]
 pub enum Command {
     /// Forward a request to a node.
     StartAttempt {
-        /// Id by which the result of the attempt is reported.
+        /// The attempt that the result is reported for.
         attempt: AttemptId,
-        /// The node to forward to.
+        /// The node that the request is forwarded to.
         node: NodeId,
         /// When the attempt times out.
         times_out_at: Micros,
         /// The request to forward.
         request: Arc<StorageRequest>,
     },
-    /// Stop an attempt: its result is no longer awaited.
+    /// Stop an attempt whose result is no longer awaited.
     AbandonAttempt(AttemptId),
     /// Send a request's final response to its client.
     Respond {
-        /// Where the response goes.
+        /// The slot on the client connection that receives the response.
         reply_slot: ReplySlot,
         /// The final response.
         response: Response,
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,13 +1,14 @@
-//! The dispatcher joins clients, nodes and the scheduler, independent of sockets and wire formats.
+//! The dispatcher connects clients, nodes and the scheduler. It is independent of sockets and wire
+//! formats.
 //!
-//! It reports requests, attempts and endpoint lists to the scheduler as events, and turns the
-//! scheduler's actions into commands for the event loop. It makes sure that each request gets
-//! exactly one final response, prevents new attempts from being written to draining nodes, and
-//! counts the service that each volume gets.
+//! It reports requests, attempts and endpoint lists to the scheduler as events, and translates the
+//! scheduler's actions into commands for the event loop. It ensures that each request gets exactly
+//! one final response and that no attempt is written to a node that has been draining for too long.
+//! It also counts the service that each volume gets.
 //!
-//! [`Dispatcher`] is declared in `state`. Its methods are in the module of their task: `endpoints`
-//! applies the endpoint list, `submit` accepts requests, `scheduling` calls the scheduler,
-//! `attempts` follows attempts, and `responses` ends requests.
+//! [`Dispatcher`] is declared in `state`. Its methods are grouped by task: `endpoints` applies
+//! endpoint lists, `submit` accepts requests, `scheduling` calls the scheduler, `attempts` starts
+//! and completes attempts, and `responses` completes requests.
 
 mod abort_cause;
 mod attempts;
--- a/crates/gateway/src/dispatcher/node_registry.rs
+++ b/crates/gateway/src/dispatcher/node_registry.rs
@@ -1,37 +1,39 @@
 //! The storage nodes of the endpoint list: their ids, their state and the drain guard.
 //!
-//! The drain guard decides until when an attempt may start to be written to a node that is out of
-//! service: until shortly before the end of the drain grace, counted from the first list that
-//! shows it.
+//! The drain guard sets a write deadline for each node that goes out of service, after which the
+//! gateway must not start to write an attempt to the node. The deadline is shortly before the end
+//! of the drain grace, which begins with the first endpoint list that shows the node out of
+//! service.
 
 use super::node_state::NodeState;
 use crate::endpoint::EndpointRecord;
 use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, Micros, NodeId, Units, Zone};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// No attempt is written to a draining node in the last part of its drain grace, as it would reach
-/// the node too late. That part is this long, in microseconds.
+/// The write deadline of a draining node is this long before the end of its drain grace, in
+/// microseconds, because an attempt that is written later reaches the node too late.
 const DRAIN_SAFETY_MARGIN: Micros = 30_000;
-/// That part is at most the drain grace divided by this.
+/// The safety margin is at most the drain grace divided by this.
 const SAFETY_MARGIN_DIVISOR: Micros = 2;
 
-/// The nodes of the endpoint list, and removed ones with attempts in flight.
+/// The listed nodes, and removed nodes with attempts in flight.
 #[derive(Debug)]
 pub(super) struct NodeRegistry {
     /// The nodes by id.
     nodes: BTreeMap<NodeId, NodeState>,
     /// The ids of `nodes` by the name of the node.
     ids_by_name: HashMap<String, NodeId>,
-    /// Number of the next node id; ids are not used again.
+    /// Number of the next node id; ids are never reused.
     next_id: u64,
-    /// Names of the zones; a zone's number is its position.
+    /// Zone names; the position of a name is the number of the zone.
     zones: Vec<String>,
-    /// How long a node still serves after an endpoint list has taken it out of service.
+    /// How long a node still serves requests after an endpoint list has taken it out of service, in
+    /// microseconds.
     drain_grace: Micros,
 }
 
 impl NodeRegistry {
-    /// No nodes at first; `zones` are the zones that the settings name.
+    /// Creates a registry without nodes. `zones` are the zones that the settings name.
     pub(super) fn new(zones: Vec<String>, drain_grace: Micros) -> NodeRegistry {
         NodeRegistry {
             nodes: BTreeMap::new(),
@@ -42,7 +44,7 @@
         }
     }
 
-    /// The id of a node. A node that is not known yet is added.
+    /// Returns the id of the node with this name, and adds the node if it is unknown.
     pub(super) fn id_or_insert(&mut self, name: &str) -> NodeId {
         if let Some(id) = self.ids_by_name.get(name) {
             return *id;
@@ -54,12 +56,12 @@
         id
     }
 
-    /// All nodes, by id.
+    /// The states of all nodes, ordered by id.
     pub(super) fn iter(&self) -> impl Iterator<Item = &NodeState> {
         self.nodes.values()
     }
 
-    /// Whether a node is listed, or removed with attempts in flight.
+    /// Whether a node is listed, or removed but with attempts in flight.
     pub(super) fn contains(&self, node: NodeId) -> bool {
         self.nodes.contains_key(&node)
     }
@@ -71,14 +73,15 @@
             .any(|node| node.status == EndpointStatus::InService)
     }
 
-    /// Whether an attempt may start to be written to a node at the time `now`.
+    /// Whether the gateway may start to write an attempt to a node at the time `now`.
     pub(super) fn may_write(&self, node: NodeId, now: Micros) -> bool {
         self.nodes
             .get(&node)
             .is_some_and(|node| node.may_write(now))
     }
 
-    /// Applies an endpoint list or a delta, and returns its records in the scheduler's form.
+    /// Applies a snapshot or a delta of the endpoint list, and returns its records in the
+    /// scheduler's form. Events that report a failure have no records.
     pub(super) fn apply(
         &mut self,
         kind: EndpointListEvent,
@@ -98,19 +101,19 @@
             | EndpointListEvent::WatchLost => {}
         }
         self.update_write_deadlines(now);
-        self.forget_obsolete();
+        self.remove_obsolete();
         endpoints
     }
 
-    /// Counts an attempt that starts at a node.
+    /// Counts an attempt that was started at a node.
     pub(super) fn attempt_started(&mut self, node: NodeId) {
         if let Some(node) = self.nodes.get_mut(&node) {
             node.attempts_in_flight += 1;
         }
     }
 
-    /// Counts an attempt that ended at a node, with the units of service that the node has served
-    /// for it.
+    /// Counts an attempt that has ended at a node, and adds the units that the node served for it.
+    /// Removes the node if it is obsolete.
     pub(super) fn attempt_completed(&mut self, id: NodeId, served_units: Units) {
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
@@ -123,7 +126,8 @@
         }
     }
 
-    /// Applies a record and returns it in the scheduler's form.
+    /// Stores the shard and the status of a listed node, and returns its record in the scheduler's
+    /// form.
     fn apply_record(&mut self, record: &EndpointRecord) -> Endpoint {
         let zone = self.zone_number(&record.zone);
         let id = self.id_or_insert(&record.name);
@@ -140,8 +144,8 @@
         }
     }
 
-    /// The number of a zone; a zone that no settings or record have named yet gets the next
-    /// number.
+    /// Returns the number of a zone. A zone that neither the settings nor a record has named before
+    /// gets the next number.
     fn zone_number(&mut self, name: &str) -> Zone {
         let known_position = self.zones.iter().position(|zone| zone == name);
         let position = match known_position {
@@ -154,7 +158,7 @@
         Zone(position as u64)
     }
 
-    /// Sets the status of all nodes that a complete endpoint list does not name.
+    /// Marks all nodes that a complete endpoint list does not name as removed.
     fn mark_unlisted_as_removed(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<NodeId> = endpoints.iter().map(|endpoint| endpoint.node).collect();
         for (id, node) in &mut self.nodes {
@@ -164,7 +168,7 @@
         }
     }
 
-    /// Applies the drain guard to all nodes.
+    /// Sets or clears the write deadline of every node according to its status.
     fn update_write_deadlines(&mut self, now: Micros) {
         let margin = DRAIN_SAFETY_MARGIN.min(self.drain_grace / SAFETY_MARGIN_DIVISOR);
         let deadline = now + self.drain_grace - margin;
@@ -173,9 +177,9 @@
         }
     }
 
-    /// Removes nodes that can be forgotten. The registry would grow without bound otherwise, as
-    /// nodes that replace others may have new names.
-    fn forget_obsolete(&mut self) {
+    /// Removes all obsolete nodes. Replacement nodes may have new names, so the registry would
+    /// otherwise grow without bound.
+    fn remove_obsolete(&mut self) {
         let ids_by_name = &mut self.ids_by_name;
         self.nodes.retain(|_, node| {
             let obsolete = node.is_obsolete();
--- a/crates/gateway/src/dispatcher/node_state.rs
+++ b/crates/gateway/src/dispatcher/node_state.rs
@@ -2,7 +2,7 @@
 
 use io_scheduler::{EndpointStatus, Micros, Shard, Units};
 
-/// The state of a node.
+/// State of a storage node as the dispatcher and the console see it.
 #[derive(Clone, Debug)]
 pub struct NodeState {
     /// Name in the endpoint list.
@@ -11,17 +11,17 @@
     pub shard: Shard,
     /// Status in the endpoint list.
     pub status: EndpointStatus,
-    /// Service that the node has given to this gateway.
+    /// Units that the node has served for this gateway.
     pub units: Units,
     /// Attempts in flight at the node.
     pub attempts_in_flight: usize,
-    /// From this time on no attempt may start to be written to the node; `None` while it is in
-    /// service.
+    /// From this time on, the gateway must not start to write an attempt to the node. `None` while
+    /// the node is in service.
     write_deadline: Option<Micros>,
 }
 
 impl NodeState {
-    /// A node that no endpoint list has named yet.
+    /// Creates the state of a node that no endpoint list has named yet.
     pub(super) fn unlisted(name: &str) -> NodeState {
         NodeState {
             name: name.to_owned(),
@@ -33,18 +33,18 @@
         }
     }
 
-    /// Whether the node can be forgotten: it is removed and no attempt is in flight at it.
+    /// Whether the node can be dropped: it is removed and no attempt is in flight at it.
     pub(super) fn is_obsolete(&self) -> bool {
         self.status == EndpointStatus::Removed && self.attempts_in_flight == 0
     }
 
-    /// Whether an attempt may start to be written to the node at the time `now`.
+    /// Whether the gateway may start to write an attempt to the node at the time `now`.
     pub(super) fn may_write(&self, now: Micros) -> bool {
         self.write_deadline.is_none_or(|deadline| now < deadline)
     }
 
     /// Sets the write deadline if the node has just gone out of service, and clears it if the node
-    /// is in service. A node that was out of service before has the same deadline as before.
+    /// is in service. A node that was already out of service keeps its earlier deadline.
     pub(super) fn update_write_deadline(&mut self, deadline: Micros) {
         match self.status {
             EndpointStatus::InService => self.write_deadline = None,
--- a/crates/gateway/src/dispatcher/responses.rs
+++ b/crates/gateway/src/dispatcher/responses.rs
@@ -1,4 +1,4 @@
-//! The final response of each request, and the end of requests that need nothing more.
+//! Sends final responses and removes finished requests.
 
 use super::command::Command;
 use super::state::Dispatcher;
@@ -8,7 +8,8 @@
 use io_scheduler::{Event, Micros, RequestId};
 
 impl Dispatcher {
-    /// Ends a request that the scheduler has failed.
+    /// Completes a request that the scheduler has failed. The client gets a timeout or a failure,
+    /// see [`UnfinishedRequest::has_timed_out`].
     pub(super) fn fail(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
         let timed_out = self
             .requests
@@ -22,7 +23,8 @@
         self.finish(id, response, timers);
     }
 
-    /// Ends a request that the scheduler has left without a final response past its deadline.
+    /// Responds with a timeout to a request that the scheduler has not completed by its deadline.
+    /// Does nothing if no response is awaited.
     pub(super) fn fail_overdue(&mut self, id: RequestId) {
         let Some(unfinished) = self.requests.get(id) else {
             return;
@@ -31,19 +33,24 @@
             return;
         }
         let client_request_id = &unfinished.storage_request().client_request_id;
-        log::warn!("request {client_request_id} had no response at its deadline");
+        log::warn!(
+            "request {client_request_id}: not completed by the scheduler before its deadline, \
+             responding with a timeout"
+        );
         self.respond(id, Response::TimedOut);
-        // For the scheduler, a request whose client needs no response any more has ended.
+        // This event tells the scheduler that no response is needed any more, which ends the
+        // request.
         self.events.push(Event::ClientDisconnected(id));
     }
 
-    /// Sends the final response and removes the request if the result of no attempt is awaited.
+    /// Sends the final response, and removes the request unless the result of an attempt is
+    /// awaited.
     pub(super) fn finish(&mut self, id: RequestId, response: Response, timers: &mut TimerQueue) {
         self.respond(id, response);
         self.remove_if_finished(id, timers);
     }
 
-    /// Sends the final response, unless one was sent already or the client has disconnected.
+    /// Sends the final response, unless it was already sent or the client has disconnected.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
         let Some(unfinished) = self.requests.get_mut(id) else {
             return;
@@ -60,14 +67,15 @@
         });
     }
 
-    /// Whether the client still waits for the final response.
+    /// Whether the client still waits for the final response. False for a request that was removed.
     pub(super) fn awaits_response(&self, id: RequestId) -> bool {
         self.requests
             .get(id)
             .is_some_and(UnfinishedRequest::awaits_response)
     }
 
-    /// Removes a request that needs neither a final response nor the result of an attempt.
+    /// Removes a request that awaits neither a final response nor the result of an attempt, and
+    /// cancels its timer.
     pub(super) fn remove_if_finished(&mut self, id: RequestId, timers: &mut TimerQueue) {
         if let Some(removed) = self.requests.remove_finished(id) {
             let timer = DispatcherTimer::RequestOverdue(id);
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -1,4 +1,4 @@
-//! Calls of the scheduler: pending events go in, and its actions are applied.
+//! Calls the scheduler with the pending events and applies its actions.
 
 use super::abort_cause::AbortCause;
 use super::command::Command;
@@ -8,7 +8,7 @@
 use io_scheduler::{Action, Event, Micros};
 
 impl Dispatcher {
-    /// Handles an expired timer.
+    /// Handles an expired timer of the dispatcher.
     pub fn handle_timer(&mut self, timer: DispatcherTimer, now: Micros, timers: &mut TimerQueue) {
         match timer {
             DispatcherTimer::AttemptTimeout(attempt) => {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Whether there are events for the scheduler or commands for the event loop.
+    /// Whether events for the scheduler or commands for the event loop are pending.
     #[must_use]
     pub fn has_work(&self) -> bool {
         !self.events.is_empty() || !self.commands.is_empty()
@@ -47,8 +47,8 @@
         let events = std::mem::take(&mut self.events);
         let mut actions = std::mem::take(&mut self.actions);
         self.scheduler.handle(now, &events, &mut actions);
-        // The request of a client that has disconnected stays among the unfinished ones until the
-        // scheduler has handled the event.
+        // The request of a disconnected client must stay in the table until the scheduler has
+        // handled the event.
         for event in events {
             if let Event::ClientDisconnected(id) = event {
                 self.remove_if_finished(id, timers);
@@ -60,7 +60,7 @@
         self.actions = actions;
     }
 
-    /// Applies an action of the scheduler.
+    /// Applies one action that the scheduler returned.
     fn apply_action(&mut self, action: &Action, now: Micros, timers: &mut TimerQueue) {
         match *action {
             Action::Dispatch {
--- a/crates/gateway/src/dispatcher/state.rs
+++ b/crates/gateway/src/dispatcher/state.rs
@@ -1,4 +1,4 @@
-//! The state of the dispatcher, its construction, and the figures that the console shows.
+//! The state of the dispatcher, its constructor, and the counters that the console prints.
 
 use super::command::Command;
 use super::node_registry::NodeRegistry;
@@ -9,32 +9,32 @@
 use io_scheduler::{Action, Event, Micros, Scheduler, StateSizes, VolumeId};
 use std::collections::BTreeMap;
 
-/// Joins clients, nodes and the scheduler; see the [module](super).
+/// Connects clients, nodes and the scheduler; see the [module](super).
 pub struct Dispatcher {
-    /// Makes the decisions.
+    /// Decides which requests are dispatched to which nodes, and which are rejected or failed.
     pub(super) scheduler: Scheduler,
-    /// The requests that await a final response or the result of an attempt.
+    /// Requests that await a final response or the result of an attempt.
     pub(super) requests: UnfinishedRequests,
     /// The nodes of the endpoint list.
     pub(super) nodes: NodeRegistry,
-    /// Requests and service by volume.
+    /// Counters of requests and served units, by volume.
     pub(super) volume_counters: VolumeCounterTable,
-    /// Events to pass to the next call of the scheduler.
+    /// Events for the next call of the scheduler.
     pub(super) events: Vec<Event>,
-    /// Buffer for the scheduler's actions, stored to reuse its memory; empty between calls.
+    /// Buffer for the scheduler's actions, kept to reuse its allocation; empty between calls.
     pub(super) actions: Vec<Action>,
     /// Commands that the event loop has not taken yet.
     pub(super) commands: Vec<Command>,
-    /// The time for which the timer of the scheduler is set, if it is set.
+    /// Expiry time of the scheduler's timer; `None` while the timer is not set.
     pub(super) scheduler_timer: Option<Micros>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without nodes and requests. `seed` seeds the scheduler's random choices.
+    /// Creates a dispatcher without nodes or requests. `seed` seeds the scheduler's random choices.
     ///
     /// # Errors
     ///
-    /// Fails if the settings contain a value that the scheduler does not know.
+    /// Returns an error if the settings contain a value that the scheduler does not know.
     pub fn new(
         settings: &DeploymentSettings,
         budget: MemoryBudget,
@@ -60,7 +60,7 @@
         self.volume_counters.by_volume()
     }
 
-    /// Number of entries in the scheduler's state.
+    /// Numbers of entries in the tables of the scheduler, which must stay bounded.
     #[must_use]
     pub fn state_sizes(&self) -> StateSizes {
         self.scheduler.state_sizes()
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -1,6 +1,8 @@
-//! The submission of requests. It decides two things: a client request id of an unfinished request
-//! is an error of the client, and a request that the memory budget has no capacity for is rejected
-//! with Retry-After.
+//! Accepts, rejects or answers new requests.
+//!
+//! A request with the client request id of an unfinished request is an error of the client and is
+//! answered as invalid. A request that would exceed the memory budget is rejected with Retry-After.
+//! All others are passed to the scheduler.
 
 use super::command::Command;
 use super::state::Dispatcher;
@@ -10,19 +12,19 @@
 use crate::timer_queue::{DispatcherTimer, TimerQueue};
 use io_scheduler::{Event, Micros, Request, RequestId};
 
-/// Time reserved for the final response to reach the client before the client's timeout, in
-/// microseconds. It is longer than `OVERDUE_GRACE`, so that the dispatcher's own response to an
-/// overdue request, too, is sent before that timeout.
+/// Time reserved for delivering the final response before the client times out, in microseconds. It
+/// is longer than `OVERDUE_GRACE`, so that the dispatcher also sends its own response to an overdue
+/// request before the client times out.
 const RESPONSE_DELIVERY_MARGIN: Micros = 6_000;
-/// The time reserved is at most the client's timeout divided by this, so that a short timeout
-/// leaves most of its time to the attempts. An overdue request with a timeout below
-/// `OVERDUE_GRACE` times this gets its response too late.
+/// The delivery margin is at most the client's timeout divided by this, so that a short timeout
+/// leaves most of its time to the attempts. If the timeout is below `OVERDUE_GRACE` times this, the
+/// dispatcher's response to an overdue request is sent after the client has timed out.
 const DELIVERY_MARGIN_DIVISOR: Micros = 4;
 
 impl Dispatcher {
-    /// Takes a request from a client and accepts or rejects it, or answers it as invalid. In each
-    /// case its final response is a [`Command::Respond`] of this turn or a later one, unless the
-    /// client disconnects before.
+    /// Accepts a request, rejects it, or responds that it is invalid. In each case, the final
+    /// response is a [`Command::Respond`] in this turn or a later one, unless the client
+    /// disconnects first.
     pub fn submit(
         &mut self,
         request: StorageRequest,
@@ -35,7 +37,7 @@
             .requests
             .contains_client_request_id(&request.client_request_id)
         {
-            // It is not counted for its volume, see `VolumeCounters::received`.
+            // Not counted for the volume, see `VolumeCounters::received`.
             let response = Response::Invalid(InvalidRequest::DuplicateClientRequestId);
             self.commands.push(Command::Respond {
                 reply_slot,
@@ -47,12 +49,12 @@
         if self.requests.has_capacity(request.body.len()) {
             self.accept(id, request, reply_slot, now, timers);
         } else {
-            self.reject_for_lack_of_memory(&request, reply_slot);
+            self.reject_over_memory_budget(&request, reply_slot);
         }
         id
     }
 
-    /// Adds a request to the unfinished ones and reports it to the scheduler.
+    /// Adds a request to the unfinished ones, sets its timer and reports it to the scheduler.
     fn accept(
         &mut self,
         id: RequestId,
@@ -70,8 +72,8 @@
         self.requests.insert(id, unfinished);
     }
 
-    /// Rejects a request that the memory budget does not allow. The scheduler does not see it.
-    fn reject_for_lack_of_memory(&mut self, request: &StorageRequest, reply_slot: ReplySlot) {
+    /// Rejects a request that would exceed the memory budget. The scheduler does not see it.
+    fn reject_over_memory_budget(&mut self, request: &StorageRequest, reply_slot: ReplySlot) {
         let response = Response::Rejected {
             retry_after: OVERLOADED_RETRY_AFTER,
         };
@@ -84,14 +86,14 @@
     }
 }
 
-/// The latest time to send the final response to a client that waits for `client_timeout` from
-/// `now` on.
+/// The latest time to send the final response to a client that waits for `client_timeout` after
+/// `now`.
 fn response_deadline(now: Micros, client_timeout: Micros) -> Micros {
     let margin = RESPONSE_DELIVERY_MARGIN.min(client_timeout / DELIVERY_MARGIN_DIVISOR);
     now + (client_timeout - margin).max(0)
 }
 
-/// A client's request in the scheduler's form.
+/// Converts a client's request to the scheduler's form.
 fn scheduler_request(id: RequestId, request: &StorageRequest, deadline: Micros) -> Request {
     Request {
         id,
--- a/crates/gateway/src/dispatcher/unfinished_request.rs
+++ b/crates/gateway/src/dispatcher/unfinished_request.rs
@@ -1,17 +1,17 @@
-//! One unfinished request, with its attempts at nodes.
+//! An unfinished request and its attempts.
 //!
-//! A request is open until it has its final response or its client has disconnected. It is
-//! unfinished for longer if an attempt ends after that: the result of the attempt is still reported
-//! to the scheduler.
+//! A request is open until its final response is sent or its client disconnects. It remains
+//! unfinished after that while an attempt is still running, because the result of the attempt must
+//! be reported to the scheduler.
 
 use crate::storage_request::{ReplySlot, StorageRequest};
 use io_scheduler::{Micros, NodeId};
 use std::sync::Arc;
 
-/// How long after its deadline the dispatcher itself fails a request that the scheduler has not
-/// ended, in microseconds. The scheduler's timers expire at the deadline, so this is how late the
-/// event loop may run before the dispatcher takes over; see `RESPONSE_DELIVERY_MARGIN` in `submit`
-/// for its upper bound.
+/// How long after the deadline of a request the dispatcher itself fails it, if the scheduler has
+/// not completed it, in microseconds. The scheduler's timers expire at the deadline, so the event
+/// loop may run this late before the dispatcher takes over. See `RESPONSE_DELIVERY_MARGIN` in
+/// `submit` for the upper bound.
 const OVERDUE_GRACE: Micros = 3_000;
 
 /// An attempt whose result is awaited.
@@ -26,9 +26,8 @@
     /// When it times out.
     pub(super) times_out_at: Micros,
     /// Whether the node may have executed the request: more of it was written than the node can
-    /// receive without executing it; see
-    /// [`crate::node_protocol::NodeProtocol::encode_request`]. A request of which less was written
-    /// certainly was not executed.
+    /// receive without executing it; see [`crate::node_protocol::NodeProtocol::encode_request`]. If
+    /// less was written, the node certainly has not executed the request.
     pub(super) may_have_executed: bool,
 }
 
@@ -37,20 +36,21 @@
 pub(super) struct UnfinishedRequest {
     /// The request as the client sent it.
     storage_request: Arc<StorageRequest>,
-    /// Where the final response goes; `None` once it was sent or the client has disconnected.
+    /// Destination of the final response; `None` once the response was sent or the client has
+    /// disconnected.
     reply_slot: Option<ReplySlot>,
-    /// The latest time to send the final response, so that it reaches the client in time.
+    /// The latest time to send the final response for it to reach the client in time.
     response_deadline: Micros,
     /// The attempts whose results are awaited, in the order in which they started.
     attempts: Vec<AwaitedAttempt>,
-    /// Number of attempts started so far, and so the number of the next attempt.
+    /// Number of attempts started so far, which is also the number of the next attempt.
     attempts_started: u32,
-    /// Whether the attempt that ended last has timed out.
+    /// Whether the attempt that ended most recently timed out.
     last_attempt_timed_out: bool,
 }
 
 impl UnfinishedRequest {
-    /// A request that needs its final response by `response_deadline`.
+    /// Creates a request without attempts that needs its final response by `response_deadline`.
     pub(super) fn new(
         request: StorageRequest,
         reply_slot: ReplySlot,
@@ -71,7 +71,7 @@
         &self.storage_request
     }
 
-    /// When the dispatcher fails the request itself if it has no final response by then.
+    /// When the dispatcher itself fails the request if it still has no final response.
     pub(super) fn overdue_at(&self) -> Micros {
         self.response_deadline + OVERDUE_GRACE
     }
@@ -81,8 +81,8 @@
         self.reply_slot.is_some()
     }
 
-    /// Takes the reply slot for the final response. Returns it once only, so that there is only
-    /// one response.
+    /// Takes the reply slot, to send the final response to it. Later calls return `None`, so that
+    /// there is only one response.
     pub(super) fn take_reply_slot(&mut self) -> Option<ReplySlot> {
         self.reply_slot.take()
     }
@@ -106,7 +106,8 @@
         number
     }
 
-    /// Removes an attempt that has ended.
+    /// Removes an attempt that has ended, and records whether it timed out. Returns `None` if its
+    /// result is not awaited.
     pub(super) fn remove_attempt(
         &mut self,
         number: u32,
@@ -120,28 +121,29 @@
         Some(self.attempts.remove(position))
     }
 
-    /// An attempt whose result is awaited.
+    /// The attempt with this number, if its result is awaited.
     pub(super) fn attempt(&self, number: u32) -> Option<&AwaitedAttempt> {
         self.attempts
             .iter()
             .find(|attempt| attempt.number == number)
     }
 
-    /// An attempt whose result is awaited.
+    /// The attempt with this number, if its result is awaited.
     pub(super) fn attempt_mut(&mut self, number: u32) -> Option<&mut AwaitedAttempt> {
         self.attempts
             .iter_mut()
             .find(|attempt| attempt.number == number)
     }
 
-    /// Numbers of the attempts that cannot have been executed.
+    /// Numbers of the attempts that their nodes cannot have executed.
     pub(super) fn unexecuted_attempts(&self) -> Vec<u32> {
         let attempts = self.attempts.iter();
         let unexecuted = attempts.filter(|attempt| !attempt.may_have_executed);
         unexecuted.map(|attempt| attempt.number).collect()
     }
 
-    /// Whether neither the client nor an attempt needs the request any more.
+    /// Whether the request can be removed: no final response and no result of an attempt is
+    /// awaited.
     pub(super) fn is_finished(&self) -> bool {
         !self.awaits_response() && self.attempts.is_empty()
     }
--- a/crates/gateway/src/dispatcher/unfinished_requests.rs
+++ b/crates/gateway/src/dispatcher/unfinished_requests.rs
@@ -1,4 +1,4 @@
-//! The unfinished requests, which are counted against the memory budget.
+//! The table of unfinished requests, whose size the memory budget limits.
 
 use super::unfinished_request::{AwaitedAttempt, UnfinishedRequest};
 use crate::memory_budget::MemoryBudget;
@@ -6,7 +6,7 @@
 use io_scheduler::RequestId;
 use std::collections::{HashMap, HashSet};
 
-/// The unfinished requests, within the bounds of the memory budget.
+/// The unfinished requests, within the limits of the memory budget.
 #[derive(Debug)]
 pub(super) struct UnfinishedRequests {
     /// The requests by id.
@@ -17,12 +17,12 @@
     next_id: u64,
     /// Total size of the bodies of `requests`, in bytes.
     buffered_body_bytes: usize,
-    /// Bounds the number of `requests` and the size of their bodies.
+    /// Limits the number of `requests` and the total size of their bodies.
     budget: MemoryBudget,
 }
 
 impl UnfinishedRequests {
-    /// No requests, within the bounds of `budget`.
+    /// Creates an empty table with the limits of `budget`.
     pub(super) fn new(budget: MemoryBudget) -> UnfinishedRequests {
         UnfinishedRequests {
             requests: HashMap::new(),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A request id that was never used before.
+    /// Returns a request id that was never used before.
     pub(super) fn allocate_id(&mut self) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -45,13 +45,13 @@
         self.client_request_ids.contains(client_request_id)
     }
 
-    /// Whether the memory budget allows one more request with a body of this many bytes.
+    /// Whether the memory budget allows another request with a body of this many bytes.
     pub(super) fn has_capacity(&self, body_bytes: usize) -> bool {
         self.requests.len() < self.budget.max_requests
             && self.buffered_body_bytes + body_bytes <= self.budget.request_body_bytes
     }
 
-    /// Adds a request whose client request id is not that of an unfinished one.
+    /// Adds a request. Its client request id must not be that of another unfinished request.
     pub(super) fn insert(&mut self, id: RequestId, unfinished: UnfinishedRequest) {
         let request = unfinished.storage_request();
         self.buffered_body_bytes += request.body.len();
@@ -60,27 +60,28 @@
         self.requests.insert(id, unfinished);
     }
 
-    /// An unfinished request.
+    /// The unfinished request with this id.
     pub(super) fn get(&self, id: RequestId) -> Option<&UnfinishedRequest> {
         self.requests.get(&id)
     }
 
-    /// An unfinished request.
+    /// The unfinished request with this id.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut UnfinishedRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// An attempt whose result is awaited.
+    /// The attempt with this id, if its result is awaited.
     pub(super) fn attempt(&self, id: AttemptId) -> Option<&AwaitedAttempt> {
         self.requests.get(&id.request)?.attempt(id.number)
     }
 
-    /// An attempt whose result is awaited.
+    /// The attempt with this id, if its result is awaited.
     pub(super) fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut AwaitedAttempt> {
         self.requests.get_mut(&id.request)?.attempt_mut(id.number)
     }
 
-    /// Removes a request that awaits neither a final response nor the result of an attempt.
+    /// Removes a request if it awaits neither a final response nor the result of an attempt, and
+    /// returns it.
     pub(super) fn remove_finished(&mut self, id: RequestId) -> Option<UnfinishedRequest> {
         if !self.requests.get(&id)?.is_finished() {
             return None;
--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -1,32 +1,32 @@
-//! Counters of the requests and the service of each volume, for the console.
+//! Counters of requests and served units for each volume, which the console prints.
 
 use crate::storage_request::Response;
 use io_scheduler::{Units, VolumeId};
 use std::collections::BTreeMap;
 
-/// With counters of this many volumes, the first request of a further volume evicts some of them.
-/// The table can be larger by the volumes that were evicted while they had unfinished requests, as
-/// those get counters again.
+/// If this many volumes have counters, the first request of another volume evicts some of them. The
+/// table can exceed this limit: a volume that was evicted while it had unfinished requests gets new
+/// counters at the next attempt or response of one of them.
 const MAX_VOLUME_COUNTERS: usize = 2_000;
 
-/// Requests and service of one volume since its counters were created.
+/// Counters of one volume since they were created. An evicted volume starts again from 0.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VolumeCounters {
-    /// Requests received, without those whose client request id was that of an unfinished one.
+    /// Requests received, except those with the client request id of an unfinished request.
     pub received: u64,
     /// Requests served.
     pub served: u64,
     /// Requests rejected.
     pub rejected: u64,
-    /// Requests failed, timeouts included.
+    /// Requests failed, including timeouts.
     pub failed: u64,
-    /// Service of the requests served.
+    /// Total units of the requests served.
     pub units: Units,
     /// Attempts started at nodes.
     pub attempts: u64,
 }
 
-/// The counters of the volumes with the most requests.
+/// The counters of the volumes that sent the most requests.
 #[derive(Debug, Default)]
 pub(super) struct VolumeCounterTable {
     /// The counters, by volume.
@@ -65,15 +65,15 @@
         }
     }
 
-    /// The counters of a volume. They start from 0 again if they were evicted since its request was
-    /// received.
+    /// Returns the counters of a volume. They restart from 0 if they were evicted after its request
+    /// was received.
     fn counters(&mut self, volume: VolumeId) -> &mut VolumeCounters {
         self.by_volume.entry(volume).or_default()
     }
 
-    /// Removes the counters of the volumes with at most the median number of requests: about half
-    /// of the volumes, or all of them if their numbers are equal. This bounds the table, as clients
-    /// may name any number of volumes.
+    /// Removes the counters of all volumes with at most the median number of requests: about half
+    /// of the volumes, or all of them if their numbers are equal. This bounds the table, because
+    /// clients may name any number of volumes.
     fn evict_up_to_median(&mut self) {
         let mut received: Vec<u64> = self
             .by_volume
--- a/crates/gateway/src/event_loop/turn.rs
+++ b/crates/gateway/src/event_loop/turn.rs
@@ -36,7 +36,7 @@
         if self.context.dispatcher.has_work() {
             return Some(0);
         }
-        let next_timer = self.context.timers.next();
+        let next_timer = self.context.timers.next_expiry();
         let shutdown_end = self.context.shutdown.completes_at();
         let next = [next_timer, shutdown_end].into_iter().flatten().min()?;
         Some(self.context.time_until(next))
--- a/crates/gateway/src/hex_id.rs
+++ b/crates/gateway/src/hex_id.rs
@@ -1,18 +1,18 @@
-//! The text form of 64-bit ids in the protocols, in paths and at the console: 16 hexadecimal
+//! The text form of 64-bit ids, which the protocols, paths and the console use: 16 hexadecimal
 //! digits.
 
 use std::fmt;
 use std::num::ParseIntError;
 use std::str::FromStr;
 
-/// Length of an id's text form in bytes; each digit takes one.
+/// Length of the text form in bytes, one for each digit.
 const HEX_ID_LENGTH: usize = 16;
 
-/// An id whose text form is 16 hexadecimal digits.
+/// An id with a text form of 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HexId(pub u64);
 
-/// A text is not an id.
+/// Why a text is not a valid id.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseHexIdError {
     /// The text has more or fewer than 16 bytes.
@@ -33,8 +33,8 @@
 impl FromStr for HexId {
     type Err = ParseHexIdError;
 
-    /// Parses an id. Upper-case digits are accepted, and, as by [`u64::from_str_radix`], a plus
-    /// sign in place of the first digit.
+    /// Parses an id. Accepts upper-case digits and, like [`u64::from_str_radix`], a plus sign in
+    /// place of the first digit.
     fn from_str(text: &str) -> Result<HexId, ParseHexIdError> {
         if text.len() != HEX_ID_LENGTH {
             return Err(ParseHexIdError::WrongLength);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! A storage gateway that shares storage nodes fairly among volumes.
 //!
-//! [`event_loop::Gateway`] runs the program. `docs/architecture.md` describes its parts, the
-//! owners of its state and the path of a request.
+//! The binary runs [`event_loop::Gateway`]. `docs/architecture.md` describes the modules, which of
+//! them owns which state, and the path of a request.
 #![forbid(unsafe_code)]
 #![warn(clippy::missing_docs_in_private_items)]
 
--- a/crates/gateway/src/logger.rs
+++ b/crates/gateway/src/logger.rs
@@ -1,5 +1,5 @@
-//! The logger: each record becomes one line on standard error, which starts with the seconds since
-//! the start.
+//! Logger that writes each record as one line on standard error. A line starts with the seconds
+//! since the logger was installed.
 
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::Write;
@@ -21,7 +21,7 @@
             return;
         }
         let seconds = self.started_at.elapsed().as_secs_f64();
-        // If the log cannot be written, there is no other place to report the error.
+        // If standard error cannot be written, there is nowhere else to report the error.
         let _ = writeln!(
             std::io::stderr().lock(),
             "{seconds:10.4} {:5} {}",
@@ -33,10 +33,10 @@
     fn flush(&self) {}
 }
 
-/// Installs the logger. A further call keeps the installed logger and changes its level.
+/// Installs the logger with the given level. Later calls only change the level.
 pub fn install(level: LevelFilter) {
-    // An error means that a logger is already installed; it keeps counting the seconds from its
-    // own start.
+    // `set_boxed_logger` fails if a logger is already installed. That logger stays, and its lines
+    // still count the seconds since it was installed.
     let _ = log::set_boxed_logger(Box::new(Logger {
         started_at: Instant::now(),
     }));
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `storage-gateway`: parses the command line and starts the gateway.
+//! The `storage-gateway` binary: parses the command line and runs the gateway.
 #![forbid(unsafe_code)]
 
 use std::path::{Path, PathBuf};
@@ -7,31 +7,31 @@
 use storage_gateway::event_loop::{Gateway, GatewayError};
 use storage_gateway::{inventory, logger};
 
-/// The text that `--help` prints.
+/// Printed by `--help`, and on standard error if the command line is invalid.
 const USAGE: &str = "\
-usage: storage-gateway                          serve as ROUTER_CONFIG says
-       storage-gateway --config FILE            serve as an operator's file says, with a console
-       storage-gateway --config FILE --check    say whether the file and its inventory can be used
+usage: storage-gateway                          serve with the file that ROUTER_CONFIG names
+       storage-gateway --config FILE            serve with an operator's file, with a console
+       storage-gateway --config FILE --check    check the file and its inventory, then exit
 ";
 
-/// Exit code for a command line that cannot be parsed.
+/// Exit code for an invalid command line.
 const EXIT_USAGE: u8 = 2;
 
 /// A parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum CliCommand {
-    /// Serve with the platform's configuration, from the environment.
+    /// Serve with the platform's configuration, which `ROUTER_CONFIG` names.
     ServePlatform,
-    /// Serve with an operator's file, with a console.
+    /// Serve with an operator's configuration file and open the console.
     ServeOperator(PathBuf),
-    /// Check an operator's file and its inventory.
+    /// Check an operator's configuration file and its inventory, then exit.
     Check(PathBuf),
     /// Print [`USAGE`].
     Help,
 }
 
 impl CliCommand {
-    /// Parses the arguments after the program's name; `None` if they are not valid.
+    /// Parses the arguments that follow the program's name. Returns `None` if they are invalid.
     fn parse(arguments: &[String]) -> Option<CliCommand> {
         let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
         match arguments.as_slice() {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Executes a command. The commands that serve return after the gateway has shut down.
+/// Runs a command. The commands that serve return once the gateway has shut down.
 fn run(command: CliCommand) -> Result<(), GatewayError> {
     match command {
         CliCommand::Help => {
@@ -74,14 +74,14 @@
     }
 }
 
-/// Serves with the platform's configuration.
+/// Serves with the platform's configuration, until the gateway has shut down.
 fn serve_platform() -> Result<(), GatewayError> {
     let config = config::from_env(|key| std::env::var(key).ok())?;
     create_gateway(config)?.run()?;
     Ok(())
 }
 
-/// Serves with an operator's file, with a console.
+/// Serves with an operator's configuration file and a console, until the gateway has shut down.
 fn serve_operator(file: &Path) -> Result<(), GatewayError> {
     let mut gateway = create_gateway(config::from_file(file)?)?;
     gateway.open_console()?;
@@ -89,7 +89,8 @@
     Ok(())
 }
 
-/// Checks an operator's file and its inventory.
+/// Checks an operator's configuration file and its inventory, and prints a summary if both are
+/// valid.
 fn check(file: &Path) -> Result<(), GatewayError> {
     let config = config::from_file(file)?;
     let nodes = match &config.inventory {
--- a/crates/gateway/src/memory_budget.rs
+++ b/crates/gateway/src/memory_budget.rs
@@ -1,34 +1,38 @@
-//! The division of the memory limit of the process among its buffers.
+//! Divides the memory limit of the process among its buffers.
 
 use io_scheduler::Micros;
 
-/// Retry-After of requests and commands that are rejected because the budget is exhausted, in
-/// microseconds.
+/// Retry-After, in microseconds, of requests and commands that are rejected because the memory
+/// budget is exhausted.
 pub const OVERLOADED_RETRY_AFTER: Micros = 250_000;
 
-/// Limits on what the process buffers at once, by purpose, in proportion to its memory limit.
+/// Limits on how much data the process buffers, one for each kind of buffer, in proportion to its
+/// memory limit.
 ///
-/// The five buffers may take a twelfth of the memory limit each, and the table of requests another
-/// twelfth. The other half is for connections, the endpoint list and the overhead of the
-/// allocator.
+/// Each of the five buffers may take one twelfth of the memory limit, and the table of requests
+/// another twelfth. The other half is left for connections, the endpoint list and the overhead of
+/// the allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryBudget {
-    /// Bytes of the bodies of unfinished requests. A request that would exceed it is rejected.
+    /// Total bytes of the bodies of unfinished requests. A request that would exceed it is
+    /// rejected.
     pub request_body_bytes: usize,
-    /// Bytes of encoded replies that are not written to clients yet. Beyond it each client gets
-    /// one reply at a time; beyond twice as much, clients that read too slowly are disconnected.
+    /// Total bytes of encoded replies that have not been written to clients yet. Above this limit,
+    /// each client gets one reply at a time; above twice this limit, clients that read too slowly
+    /// are disconnected.
     pub unsent_reply_bytes: usize,
-    /// Bytes of incomplete commands. A client whose incomplete command exceeds it is disconnected.
+    /// Total bytes of incomplete commands. Above this limit, a client that sends only a part of a
+    /// command is disconnected.
     pub partial_command_bytes: usize,
-    /// Bytes of uploads and objects that SFTP clients have open.
+    /// Total bytes of the uploads and objects that SFTP clients have open.
     pub sftp_file_bytes: usize,
-    /// Bytes of large responses that are being received from nodes. A response that exceeds it
-    /// ends its attempt with an error.
+    /// Total bytes of large responses that are being received from nodes. An attempt whose response
+    /// exceeds it fails.
     pub large_response_bytes: usize,
-    /// Bytes of the largest value accepted from a node. Nodes may send larger values than the 64
-    /// KiB that they are specified for.
+    /// Largest value that is accepted from a node, in bytes. Nodes may send larger values than the
+    /// 64 KiB that their specification allows.
     pub max_value_bytes: usize,
-    /// Number of unfinished requests. Further requests are rejected.
+    /// Maximum number of unfinished requests. Further requests are rejected.
     pub max_requests: usize,
 }
 
@@ -39,14 +43,14 @@
     const BUFFER_DIVISOR: usize = 12;
     /// The largest value accepted from a node is the memory limit divided by this.
     const VALUE_DIVISOR: usize = 32;
-    /// Estimate of the bytes that a request takes besides its body, with its entries in all
+    /// Estimated memory of a request without its body, in bytes. Includes its entries in all
     /// tables.
     const REQUEST_OVERHEAD_BYTES: usize = 2 << 10;
-    /// Upper bound of the largest value, in bytes: a longer announced length is taken to be
-    /// corrupt.
+    /// Upper bound of `max_value_bytes`. If a node announces a longer value, the length is taken to
+    /// be corrupt.
     const MAX_ACCEPTED_VALUE_BYTES: usize = 1 << 20;
 
-    /// The budget of a process that may use `memory_mb` MiB.
+    /// Computes the budget of a process that may use `memory_mb` MiB.
     #[must_use]
     pub fn from_memory_mb(memory_mb: usize) -> MemoryBudget {
         let memory_bytes = memory_mb * Self::BYTES_PER_MIB;
--- a/crates/gateway/src/resp_bulk_string.rs
+++ b/crates/gateway/src/resp_bulk_string.rs
@@ -1,16 +1,16 @@
-//! Bulk strings of RESP2: a length line such as `$5`, the content, and a line end.
+//! Encoding and decoding of RESP2 bulk strings: a length line such as `$5`, the content, and CRLF.
 //!
-//! The client protocol and the node protocol share this codec. Each reads the length line itself,
-//! as they bound it differently.
+//! The client protocol and the node protocol share this module. Each parses the length line itself,
+//! because their limits on the length differ.
 
 use std::io::Write;
 
-/// The end of each line and of each bulk string's content.
+/// CRLF, which ends each line and the content of each bulk string.
 const TERMINATOR: &[u8] = b"\r\n";
 
-/// The content of a bulk string is not followed by a line end.
+/// The content of a bulk string is not followed by CRLF.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no line end after a bulk string")]
+#[error("missing CRLF after a bulk string")]
 pub struct MissingTerminator;
 
 /// Appends `value` as a bulk string to `out`.
@@ -22,12 +22,12 @@
 }
 
 /// Reads the content of a bulk string of `length` bytes that starts at `position`, and moves
-/// `position` past its line end. Returns `None`, with `position` unchanged, until the line end has
-/// been received.
+/// `position` past the CRLF that ends it. Returns `None` and leaves `position` unchanged if the
+/// CRLF has not been received yet.
 ///
 /// # Errors
 ///
-/// [`MissingTerminator`] if something else than a line end follows the content.
+/// [`MissingTerminator`] if the content is followed by anything other than CRLF.
 pub fn read_bulk_content<'a>(
     input: &'a [u8],
     position: &mut usize,
--- a/crates/gateway/src/resp_wire_names.rs
+++ b/crates/gateway/src/resp_wire_names.rs
@@ -1,7 +1,7 @@
-//! The names that the RESP2 protocol has on the wire, mapped to the terms of the code.
+//! Maps the names of the RESP2 wire format to the terms of the code.
 //!
-//! This is the only place that states them: the client protocol decodes them, the node protocol
-//! encodes the same ones, and nothing behind the protocols knows them.
+//! These names are defined only here: the client protocol decodes them and the node protocol
+//! encodes them. The other modules use the terms of the code.
 
 /// Names of commands.
 pub(crate) mod command {
@@ -11,8 +11,8 @@
     pub(crate) const WRITE: &[u8] = b"IO.OUT";
 }
 
-/// Names in a request's list of parameters. `r`, which marks a client's retry, is not used: like
-/// unknown names it is accepted, and forwarded with the list.
+/// Names in the parameter list of a request. `r`, which marks a client's retry, has no constant:
+/// like any unknown name, it is accepted and forwarded with the list.
 pub(crate) mod parameter {
     /// The class of the request.
     pub(crate) const CLASS: &str = "c";
@@ -34,11 +34,11 @@
 
 /// Names in the usage report of a node's reply.
 pub(crate) mod usage_report {
-    /// Part of the volume's provisioned rate that was used, in percent.
+    /// Share of the volume's provisioned rate that was used, in percent.
     pub(crate) const UTILIZATION: &str = "used";
     /// Units that the volume got from the node through other gateways.
     pub(crate) const REMOTE_UNITS: &str = "cost";
 }
 
-/// The name of the error with which an overloaded side rejects a request.
+/// Name of the error reply by which an overloaded gateway or node rejects a request.
 pub(crate) const BUSY_ERROR: &str = "BUSY";
--- a/crates/gateway/src/timer_queue.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -1,4 +1,4 @@
-//! The timers of the gateway, sorted by time. The event loop handles the expired ones in every
+//! The gateway's timers, ordered by expiry time. The event loop handles the expired ones in every
 //! turn.
 
 use crate::connection_token::ConnectionToken;
@@ -8,17 +8,16 @@
 
 /// What to do when a timer expires.
 ///
-/// Timers that are set for the same time expire in the order of the variants.
+/// Timers that expire at the same time are handled in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// A timer of the dispatcher.
     Dispatcher(DispatcherTimer),
-    /// Close a connection that has not been established in time or has made no progress for too
-    /// long.
+    /// Close a connection that was not established in time or has made no progress for too long.
     Connection(ConnectionToken),
-    /// Close the watch on the discovery service, on which nothing has arrived for too long.
+    /// Close the discovery watch, on which nothing has arrived for too long.
     DiscoveryWatch,
-    /// Take the next step of the graceful shutdown.
+    /// Close idle client connections during a graceful shutdown, first when its grace period ends.
     Shutdown,
     /// Accept connections again after the process ran out of file descriptors.
     ResumeAccepting,
@@ -26,14 +25,15 @@
 
 /// What the dispatcher does when a timer expires.
 ///
-/// Timers that are set for the same time expire in the order of the variants.
+/// Timers that expire at the same time are handled in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DispatcherTimer {
     /// Abort an attempt that has timed out.
     AttemptTimeout(AttemptId),
-    /// Call the scheduler, which has set this timer by [`io_scheduler::Action::SetTimer`].
+    /// Call the scheduler, which requested this timer by [`io_scheduler::Action::SetTimer`].
     Scheduler,
-    /// Fail a request that has no final response some time after its deadline.
+    /// Fail a request that still has no final response a short time (`OVERDUE_GRACE`) after its
+    /// deadline.
     RequestOverdue(RequestId),
 }
 
@@ -43,50 +43,50 @@
     }
 }
 
-/// The pending timers in the order of their times, in microseconds.
+/// The pending timers, ordered by expiry time. Times are in microseconds.
 #[derive(Debug, Default)]
 pub struct TimerQueue {
-    /// The timers, each with the time for which it is set.
+    /// The expiry time of each timer, and the timer.
     pending: BTreeSet<(Micros, Timer)>,
 }
 
 impl TimerQueue {
-    /// Sets a timer for the time `at`.
+    /// Sets a timer that expires at the time `at`.
     pub fn set(&mut self, at: Micros, timer: Timer) {
         self.pending.insert((at, timer));
     }
 
-    /// Cancels a timer that was set for the time `at`. Has no effect if it is not pending.
+    /// Cancels a timer that was set to expire at the time `at`. Does nothing if it is not pending.
     pub fn cancel(&mut self, at: Micros, timer: Timer) {
         self.pending.remove(&(at, timer));
     }
 
-    /// Moves a timer to `new_time`, or cancels it if that is `None`.
+    /// Moves a timer to `new_time`, or cancels it if `new_time` is `None`.
     ///
-    /// `set_for` is where the caller stores the time for which the timer is set, `None` if it is
-    /// not set. The call replaces it by `new_time`.
+    /// `expires_at` is where the caller stores the expiry time of the timer, `None` while the timer
+    /// is not set. The call replaces it with `new_time`.
     pub fn reschedule(
         &mut self,
-        set_for: &mut Option<Micros>,
+        expires_at: &mut Option<Micros>,
         new_time: Option<Micros>,
         timer: Timer,
     ) {
-        if let Some(at) = set_for.take() {
+        if let Some(at) = expires_at.take() {
             self.cancel(at, timer);
         }
         if let Some(at) = new_time {
             self.set(at, timer);
         }
-        *set_for = new_time;
+        *expires_at = new_time;
     }
 
-    /// The time of the first pending timer.
+    /// The time at which the next pending timer expires; `None` if no timer is pending.
     #[must_use]
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_expiry(&self) -> Option<Micros> {
         self.pending.first().map(|(at, _)| *at)
     }
 
-    /// Removes and returns the first timer if it has expired at the time `now`.
+    /// Removes and returns the earliest timer if it has expired by the time `now`.
     pub fn pop_expired(&mut self, now: Micros) -> Option<Timer> {
         let (at, _) = self.pending.first()?;
         if *at > now {
--- a/crates/gateway/tests/in_process/timer_queue.rs
+++ b/crates/gateway/tests/in_process/timer_queue.rs
@@ -20,8 +20,8 @@
     timers.set(4, Timer::DiscoveryWatch);
     timers.set(3, Timer::Connection(ConnectionToken::from(7)));
     timers.cancel(3, Timer::Connection(ConnectionToken::from(7)));
-    assert_eq!(timers.next(), Some(4));
+    assert_eq!(timers.next_expiry(), Some(4));
     let expired: Vec<Timer> = std::iter::from_fn(|| timers.pop_expired(5)).collect();
     assert_eq!(expired, [Timer::DiscoveryWatch, attempt, scheduler]);
-    assert_eq!(timers.next(), None);
+    assert_eq!(timers.next_expiry(), None);
 }
