--- a/crates/gateway/src/context/clock.rs
+++ b/crates/gateway/src/context/clock.rs
@@ -8,30 +8,30 @@
 /// Microseconds per second.
 pub(super) const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// A clock that starts at the system's time and continues by a monotonic clock: later changes of
-/// the system's time have no effect.
+/// A monotonic clock that starts at the system time. Later changes of the system time do not affect
+/// it.
 #[derive(Debug)]
 pub(crate) struct Clock {
-    /// The system's time at the start, in microseconds since the Unix epoch.
-    started_at: Micros,
-    /// The monotonic time at the start.
-    start: Instant,
+    /// The system time when the clock was created, in microseconds since the Unix epoch.
+    unix_time_at_start: Micros,
+    /// The monotonic time when the clock was created.
+    instant_at_start: Instant,
 }
 
 impl Clock {
-    /// Starts at the system's current time.
+    /// Creates a clock that starts at the current system time.
     pub(crate) fn new() -> Clock {
         let since_epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or(Duration::ZERO);
         Clock {
-            started_at: since_epoch.as_micros() as Micros,
-            start: Instant::now(),
+            unix_time_at_start: since_epoch.as_micros() as Micros,
+            instant_at_start: Instant::now(),
         }
     }
 
-    /// Microseconds since the Unix epoch.
+    /// The current time in microseconds since the Unix epoch.
     pub(crate) fn now(&self) -> Micros {
-        self.started_at + self.start.elapsed().as_micros() as Micros
+        self.unix_time_at_start + self.instant_at_start.elapsed().as_micros() as Micros
     }
 }
--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -1,8 +1,9 @@
-//! What everything in the event loop shares: configuration, time, readiness, timers, dispatcher.
+//! State that all parts of the event loop share: the configuration, the clock, the poller, the
+//! timers and the dispatcher.
 //!
-//! The `Context` is passed to the owners of connections. It knows a connection by its token and
-//! its kind only; the connections themselves belong to their owners, in [`crate::connections`]. So
-//! this module imports neither them nor the event loop.
+//! `Context` is passed to the components that own connections. It knows a connection only by its
+//! token and its kind; the connections themselves are owned by [`crate::connections`]. This module
+//! therefore imports neither them nor the event loop.
 
 mod clock;
 mod poller;
@@ -24,7 +25,7 @@
 use slab::Slab;
 use std::io;
 
-/// What a registered descriptor belongs to, and so which owner handles its events.
+/// What a registered descriptor is used for. This determines which component handles its events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionKind {
     /// A socket that accepts client connections.
@@ -33,41 +34,42 @@
     Client,
     /// A connection to a storage node.
     Node,
-    /// The connection to discovery.
+    /// The connection to the discovery service.
     Discovery,
-    /// A pipe that becomes readable when a signal arrives.
+    /// A pipe through which signals arrive.
     Signal,
     /// The pipe from the operator's console.
     Console,
 }
 
-/// The state that all parts of the event loop share; passed to the owners of the other state.
+/// State that all parts of the event loop share. It is passed to the components that own the rest
+/// of the state.
 pub(crate) struct Context {
-    /// The configuration; some of it can be reloaded.
+    /// The configuration; parts of it can be reloaded.
     pub(crate) config: Config,
-    /// Reads the time.
+    /// The clock that [`Context::now`] is read from.
     clock: Clock,
-    /// The time of this turn, in microseconds since the Unix epoch. Read once a turn, so that
-    /// everything in a turn happens at the same time.
+    /// Time of the current turn, in microseconds since the Unix epoch. It is read once per turn, so
+    /// that everything in a turn happens at the same time.
     pub(crate) now: Micros,
-    /// Reports which connections are ready.
+    /// Reports which descriptors are ready.
     pub(crate) poller: Poller,
     /// The kind of each open connection, by token.
     connections: Slab<ConnectionKind>,
-    /// The unfinished requests, the nodes and the scheduler.
+    /// Owns the unfinished requests, the nodes and the scheduler.
     pub(crate) dispatcher: Dispatcher,
-    /// All timers.
+    /// All pending timers.
     pub(crate) timers: TimerQueue,
     /// Progress of a graceful shutdown.
     pub(crate) shutdown: Shutdown,
 }
 
 impl Context {
-    /// Creates the poller. No connection is open and no timer is set at first.
+    /// Creates a context with a new poller, without connections or timers.
     ///
     /// # Errors
     ///
-    /// If the system refuses the poller.
+    /// Returns an error if the poller cannot be created.
     pub(crate) fn new(config: Config, clock: Clock, dispatcher: Dispatcher) -> io::Result<Context> {
         Ok(Context {
             config,
@@ -86,7 +88,7 @@
         self.now = self.clock.now();
     }
 
-    /// Microseconds from the current time, not [`Context::now`], to `at`; 0 if that has passed.
+    /// Microseconds from the actual time, not [`Context::now`], until `at`; 0 if `at` has passed.
     pub(crate) fn time_until(&self, at: Micros) -> Micros {
         (at - self.clock.now()).max(0)
     }
@@ -96,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// If the system refuses the registration; no token is in use then.
+    /// Returns an error if the poller cannot register the descriptor. No token stays reserved then.
     pub(crate) fn register(
         &mut self,
         descriptor: impl AsFd,
@@ -112,13 +114,13 @@
         Ok(token)
     }
 
-    /// Frees the token of a connection that is closed. Events for it that were reported before are
-    /// ignored from here on.
+    /// Frees the token of a closed connection. Events that were already reported for it are ignored
+    /// from then on.
     pub(crate) fn free(&mut self, token: ConnectionToken) {
         self.connections.free(token);
     }
 
-    /// The kind of a connection; `None` if it is closed.
+    /// The kind of a connection; `None` if it was closed.
     pub(crate) fn connection_kind(&self, token: ConnectionToken) -> Option<ConnectionKind> {
         self.connections.get(token).copied()
     }
@@ -134,7 +136,7 @@
             .map(|(token, _)| token)
     }
 
-    /// Submits a request to the dispatcher. Its final response goes to `reply_slot`.
+    /// Submits a request to the dispatcher. Its final response is sent to `reply_slot`.
     pub(crate) fn submit(&mut self, request: StorageRequest, reply_slot: ReplySlot) -> RequestId {
         self.dispatcher
             .submit(request, reply_slot, self.now, &mut self.timers)
@@ -147,13 +149,13 @@
             .client_disconnected(id, self.now, &mut self.timers);
     }
 
-    /// Notifies the dispatcher that the response to an attempt is complete.
+    /// Reports the result of an attempt to the dispatcher.
     pub(crate) fn complete_attempt(&mut self, attempt: AttemptId, result: AttemptResult) {
         self.dispatcher
             .complete_attempt(attempt, result, self.now, &mut self.timers);
     }
 
-    /// Notifies the dispatcher that an attempt failed without a response.
+    /// Aborts an attempt that has no result, and reports the cause to the dispatcher.
     pub(crate) fn abort_attempt(&mut self, attempt: AttemptId, cause: AbortCause) {
         self.dispatcher
             .abort_attempt(attempt, cause, self.now, &mut self.timers);
--- a/crates/gateway/src/context/poller.rs
+++ b/crates/gateway/src/context/poller.rs
@@ -1,4 +1,4 @@
-//! Waits until file descriptors are ready, by epoll (level-triggered).
+//! Waits for file descriptors to become ready, with level-triggered epoll.
 
 use super::clock::MICROS_PER_SECOND;
 use crate::connection_token::ConnectionToken;
@@ -12,8 +12,8 @@
 /// Nanoseconds per microsecond.
 const NANOS_PER_MICRO: Micros = 1_000;
 
-/// An epoll instance. It reports each descriptor with the token that was given at its
-/// registration.
+/// An epoll instance. It reports each descriptor with the token that was passed when it was
+/// registered.
 #[derive(Debug)]
 pub(crate) struct Poller {
     /// The epoll instance.
@@ -27,7 +27,7 @@
         Ok(Poller { epoll })
     }
 
-    /// Registers a descriptor: `events` of it are reported until it is closed.
+    /// Registers a descriptor. The given `events` are reported until the descriptor is closed.
     pub(super) fn register(
         &self,
         descriptor: impl AsFd,
@@ -42,7 +42,7 @@
         )?)
     }
 
-    /// Changes which events of a registered descriptor are reported.
+    /// Changes the events that are reported for a registered descriptor.
     pub(crate) fn modify(
         &self,
         descriptor: impl AsFd,
@@ -57,11 +57,11 @@
         )?)
     }
 
-    /// Waits until a descriptor is ready or `timeout` microseconds have passed; without a timeout,
-    /// for any time.
+    /// Waits until a descriptor is ready or `timeout` microseconds have passed. Without a timeout,
+    /// it waits indefinitely.
     ///
-    /// `events` is replaced by the events that are ready, at most as many as its capacity. It is
-    /// empty after a timeout, and if a signal has interrupted the wait.
+    /// `events` is overwritten with the ready events, at most as many as its capacity. It is empty
+    /// after a timeout or if a signal interrupted the wait.
     pub(crate) fn wait(&self, events: &mut Vec<Event>, timeout: Option<Micros>) -> io::Result<()> {
         let timeout = timeout.map(timespec);
         events.clear();
@@ -73,12 +73,12 @@
     }
 }
 
-/// The data that epoll stores with a descriptor: its token.
+/// The data that epoll stores with a descriptor and returns with its events: the token.
 fn event_data(token: ConnectionToken) -> EventData {
     EventData::new_u64(token.into())
 }
 
-/// A duration in microseconds as the system call takes it.
+/// Converts a duration in microseconds to the form that epoll takes.
 fn timespec(micros: Micros) -> Timespec {
     Timespec {
         tv_sec: micros / MICROS_PER_SECOND,
--- a/crates/gateway/src/context/slab.rs
+++ b/crates/gateway/src/context/slab.rs
@@ -1,22 +1,22 @@
-//! A table of values by connection token. A token is never used twice: an event for a connection
-//! that was closed earlier in the same turn finds nothing, even if its slot has been taken by
-//! another one.
+//! A table of values indexed by connection token. A token is never reused: if a connection was
+//! closed earlier in the same turn, an event for it finds no value, even if another connection has
+//! taken its slot.
 
 use crate::connection_token::ConnectionToken;
 
-/// Values by token. The slots of freed tokens are used again in a new generation.
+/// Values indexed by token. The slot of a freed token is reused with a new generation.
 #[derive(Debug)]
 pub struct Slab<T> {
-    /// The slots, by the index of a token.
+    /// The slots; the index in a token is a position in this list.
     slots: Vec<Slot<T>>,
-    /// Indices of slots without a reserved token; the last one freed is used next.
+    /// Indices of the free slots; the one freed last is reused first.
     free: Vec<u32>,
 }
 
-/// One place of the table.
+/// One slot of the table.
 #[derive(Debug)]
 struct Slot<T> {
-    /// How often a token of this slot has been freed.
+    /// How many tokens of this slot have been freed.
     generation: u32,
     /// The value; `None` until it is stored, and while no token of this slot is reserved.
     value: Option<T>,
@@ -32,7 +32,7 @@
 }
 
 impl<T> Slab<T> {
-    /// Reserves a token; [`Slab::put`] stores its value.
+    /// Reserves a token without a value; [`Slab::put`] stores the value.
     pub fn reserve(&mut self) -> ConnectionToken {
         let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push(Slot {
@@ -44,7 +44,7 @@
         ConnectionToken::new(self.slots[index as usize].generation, index)
     }
 
-    /// The place of a token's value; `None` if the token is freed.
+    /// Where the value of a token is stored; `None` if the token was freed.
     fn value_mut(&mut self, token: ConnectionToken) -> Option<&mut Option<T>> {
         let slot = self.slots.get_mut(token.index())?;
         if slot.generation != token.generation() {
@@ -53,7 +53,7 @@
         Some(&mut slot.value)
     }
 
-    /// The value of a token; `None` if the token is freed or its value not stored yet.
+    /// The value of a token; `None` if the token was freed or has no value yet.
     #[must_use]
     pub fn get(&self, token: ConnectionToken) -> Option<&T> {
         let slot = self.slots.get(token.index())?;
@@ -63,15 +63,15 @@
         slot.value.as_ref()
     }
 
-    /// Stores the value of a reserved token. If the token is freed, the value is dropped.
+    /// Stores the value of a reserved token. The value is dropped if the token was freed.
     pub fn put(&mut self, token: ConnectionToken, value: T) {
         if let Some(slot) = self.value_mut(token) {
             *slot = Some(value);
         }
     }
 
-    /// Frees a token for good and returns its value, if it was stored. Has no effect on a token
-    /// that is freed already.
+    /// Frees a token and returns its value, if it has one. Has no effect if the token was already
+    /// freed.
     pub fn free(&mut self, token: ConnectionToken) -> Option<T> {
         let value = self.value_mut(token)?.take();
         let index = token.index();
@@ -80,7 +80,7 @@
         value
     }
 
-    /// The tokens and values that are present, in the order of their slots.
+    /// The tokens that have a value, with their values, ordered by slot.
     pub fn iter(&self) -> impl Iterator<Item = (ConnectionToken, &T)> {
         let slots = self.slots.iter().enumerate();
         slots.filter_map(|(index, slot)| {
--- a/crates/gateway/src/event_loop/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -1,4 +1,4 @@
-//! The operator's console: running its commands and printing their output.
+//! Runs the commands that the operator enters at the console, and prints their output.
 
 use super::console_input::ConsoleInput;
 use super::endpoint_table::OperatorOverride;
@@ -8,17 +8,17 @@
 use std::io::{self, Write};
 
 impl Gateway {
-    /// Opens the console on standard input. The end of standard input leaves the gateway running.
+    /// Opens the console on standard input. The gateway continues to run when standard input ends.
     ///
     /// # Errors
     ///
-    /// If the pipe or the thread that it takes can't be created.
+    /// Returns an error if the pipe or the thread that reads standard input cannot be created.
     pub fn open_console(&mut self) -> io::Result<()> {
         self.console = Some(ConsoleInput::open(&mut self.context)?);
         Ok(())
     }
 
-    /// Runs the commands that were entered, and prints their output.
+    /// Runs the commands that have arrived from the console, and prints their output.
     pub(super) fn handle_console_ready(&mut self) {
         let Some(input) = &mut self.console else {
             return;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Closes the console after the end of its input.
+    /// Closes the console when its input has ended.
     fn close_console(&mut self) {
         if let Some(input) = self.console.take() {
             self.context.free(input.token());
@@ -48,8 +48,8 @@
             ConsoleCommand::Nothing => String::new(),
             ConsoleCommand::Help => console::HELP.to_owned(),
             ConsoleCommand::Nodes => console::format_nodes(self.context.dispatcher.nodes()),
-            ConsoleCommand::Volumes => self.volumes(),
-            ConsoleCommand::Status => self.status(),
+            ConsoleCommand::Volumes => self.format_volumes(),
+            ConsoleCommand::Status => self.format_status(),
             ConsoleCommand::Drain(name) => {
                 self.override_from_console(&name, OperatorOverride::Drain)
             }
@@ -59,13 +59,13 @@
             ConsoleCommand::Reload => self.reload_from_console(),
             ConsoleCommand::Quit => {
                 self.request_shutdown();
-                "ending once idle\n".to_owned()
+                "shutting down once idle\n".to_owned()
             }
         }
     }
 
-    /// The counters of the volumes.
-    fn volumes(&self) -> String {
+    /// Formats the counters of the volumes as a table.
+    fn format_volumes(&self) -> String {
         let named_volumes = match &self.context.config.sftp {
             Some(sftp) => sftp.volumes.as_slice(),
             None => &[],
@@ -73,8 +73,8 @@
         console::format_volumes(self.context.dispatcher.volume_counters(), named_volumes)
     }
 
-    /// A summary of the gateway in one line.
-    fn status(&self) -> String {
+    /// Formats a summary of the gateway in one line.
+    fn format_status(&self) -> String {
         let name = &self.context.config.name;
         let nodes = self.context.dispatcher.nodes();
         let in_service = nodes
@@ -83,44 +83,44 @@
         let clients = self.client_connections.count();
         let node_connections = self.node_connections.count();
         let requests = self.context.dispatcher.open_requests();
-        let ending = if self.context.shutdown.is_requested() {
-            ", ending"
+        let shutdown_suffix = if self.context.shutdown.is_requested() {
+            ", shutting down"
         } else {
             ""
         };
         format!(
             "{name}: {in_service} nodes serving, {clients} client connections, \
-             {node_connections} node connections, {requests} requests open{ending}\n"
+             {node_connections} node connections, {requests} open requests{shutdown_suffix}\n"
         )
     }
 
-    /// Drains a node or ends its draining by the operator; returns the output.
+    /// Sets or clears the drain override of a node, and returns the output.
     fn override_from_console(&mut self, name: &str, operator_override: OperatorOverride) -> String {
         if let Err(error) = self.override_node(name, operator_override) {
             return format!("{error}\n");
         }
         match operator_override {
-            OperatorOverride::Drain => format!("{name} drains\n"),
-            OperatorOverride::None => format!("{name} serves as listed\n"),
+            OperatorOverride::Drain => format!("{name} is draining\n"),
+            OperatorOverride::None => format!("{name} is no longer drained from the console\n"),
         }
     }
 
-    /// Reads the inventory again; returns the output.
+    /// Reloads the inventory and returns the output.
     fn reload_from_console(&mut self) -> String {
         if self.context.config.inventory.is_none() {
-            return "there is no inventory to read\n".to_owned();
+            return "no inventory is configured\n".to_owned();
         }
         match self.reload_inventory() {
-            Ok(count) => format!("{count} nodes listed\n"),
-            Err(error) => format!("kept as it was: {error}\n"),
+            Ok(count) => format!("inventory reloaded: {count} nodes\n"),
+            Err(error) => format!("inventory not reloaded: {error}\n"),
         }
     }
 }
 
-/// Prints the output of a command.
+/// Prints the output of a command on standard output.
 fn print_output(output: &str) {
     let mut stdout = io::stdout().lock();
-    // An error means that nobody reads the output any more, which must not end the gateway.
+    // An error means that nobody reads the output any more, which must not stop the gateway.
     let _ = stdout
         .write_all(output.as_bytes())
         .and_then(|()| stdout.flush());
--- a/crates/gateway/src/event_loop/console_input.rs
+++ b/crates/gateway/src/event_loop/console_input.rs
@@ -1,7 +1,7 @@
-//! The lines that the operator types at the console.
+//! Reads the lines that the operator enters at the console.
 //!
-//! A thread reads standard input and passes it on through a pipe, so that the event loop never
-//! blocks on it.
+//! A thread of its own copies standard input to a pipe, so that the event loop never blocks on
+//! standard input.
 
 use crate::connection_token::ConnectionToken;
 use crate::connections::nonblocking::{read_chunk, Chunk};
@@ -10,22 +10,22 @@
 use std::io;
 use std::os::unix::net::UnixStream;
 
-/// Longest line in bytes; a longer one is dropped.
+/// Maximum length of an incomplete line, in bytes. A longer one is discarded.
 const MAX_LINE_BYTES: usize = 4096;
-/// Most bytes that one call of `read` returns.
+/// Maximum number of bytes that one `read` call returns.
 const READ_CHUNK_BYTES: usize = 1024;
 
-/// Lines typed at the console.
+/// Input of the console, split into lines.
 pub(super) struct ConsoleInput {
-    /// Token of the standard input.
+    /// Token by which the poller reports the pipe.
     token: ConnectionToken,
-    /// The end of the pipe from the thread that reads standard input.
+    /// The read end of the pipe from the thread that reads standard input.
     stream: UnixStream,
-    /// The bytes of a line whose end has not arrived yet.
+    /// The received bytes of a line that is still incomplete.
     buffer: Vec<u8>,
 }
 
-/// The console's input has ended or can't be read.
+/// The input of the console has ended or cannot be read.
 pub(super) struct InputClosed;
 
 impl ConsoleInput {
@@ -44,19 +44,19 @@
         })
     }
 
-    /// The token by which the poller reports the input.
+    /// The token by which the poller reports the pipe.
     pub(super) fn token(&self) -> ConnectionToken {
         self.token
     }
 
-    /// Reads what has arrived and returns the complete lines. Lines that arrive together with the
-    /// end of the input are dropped.
+    /// Reads the available input and returns the complete lines. If the input has ended, the lines
+    /// that arrived with its end are discarded.
     pub(super) fn read_lines(&mut self) -> Result<Vec<String>, InputClosed> {
         self.read_available()?;
         Ok(self.take_lines())
     }
 
-    /// Reads what has arrived into the buffer.
+    /// Appends the available input to the buffer.
     fn read_available(&mut self) -> Result<(), InputClosed> {
         let mut bytes = [0; READ_CHUNK_BYTES];
         loop {
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Takes the complete lines out of the buffer. An incomplete line is dropped if it is too
-    /// long.
+    /// Removes the complete lines from the buffer and returns them. The rest is discarded if it is
+    /// too long.
     fn take_lines(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
         while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
@@ -83,8 +83,9 @@
     }
 }
 
-/// Copies standard input to the pipe until it ends; runs on a thread of its own.
+/// Copies standard input to the pipe until it ends. Runs on its own thread.
 fn copy_standard_input(mut writer: UnixStream) {
-    // An error means that standard input failed or the event loop has ended: the thread ends too.
+    // An error means that standard input failed or that the event loop has ended. The thread ends
+    // in both cases.
     let _ = io::copy(&mut io::stdin().lock(), &mut writer);
 }
--- a/crates/gateway/src/event_loop/endpoint_table.rs
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -1,30 +1,30 @@
-//! The endpoint list as last received from discovery or the inventory, with the operator's
+//! The endpoint list as last received from discovery or read from the inventory, and the operator's
 //! overrides.
 
 use crate::endpoint::EndpointRecord;
 use io_scheduler::{EndpointListEvent, EndpointStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// No listed node has this name.
+/// The operator named a node that is not in the endpoint list.
 #[derive(Debug, thiserror::Error)]
-#[error("no node is named '{0}'")]
+#[error("no node named '{0}' in the endpoint list")]
 pub(super) struct UnknownNode(String);
 
-/// What the operator has set for a node at the console.
+/// The override of a node's status that the operator has set at the console.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OperatorOverride {
-    /// The node has the status that the endpoint list states.
+    /// No override: the node has the status that the endpoint list states.
     None,
-    /// The node is draining if the endpoint list states that it is in service.
+    /// The node is treated as draining while the endpoint list states that it is in service.
     Drain,
 }
 
-/// The nodes as last listed, and those that the operator drains.
+/// The listed nodes, and which of them the operator drains.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
-    /// The records as listed, without overrides, by the name of the node.
+    /// The records as listed, without overrides, by node name.
     records: BTreeMap<String, EndpointRecord>,
-    /// Names of the nodes with [`OperatorOverride::Drain`]; they stay over changes of the list.
+    /// Names of the nodes with [`OperatorOverride::Drain`]. They are kept when the list changes.
     drained_by_operator: BTreeSet<String>,
 }
 
@@ -34,8 +34,8 @@
         self.records.len()
     }
 
-    /// Stores records as listed, and returns them with the operator's overrides. Any event but a
-    /// delta replaces the complete list.
+    /// Stores records as listed, and returns them with the operator's overrides applied. Every
+    /// event except a delta replaces the complete list.
     #[must_use]
     pub(super) fn update(
         &mut self,
@@ -56,7 +56,8 @@
             .collect()
     }
 
-    /// Sets the operator's override of a listed node. Returns the node's record as listed.
+    /// Sets or clears the operator's override of a listed node. Returns the node's record as
+    /// listed, without the override.
     pub(super) fn set_override(
         &mut self,
         name: &str,
@@ -72,7 +73,7 @@
         Ok(record.clone())
     }
 
-    /// A listed record with the operator's override of its node.
+    /// Applies the operator's override of a node to its listed record.
     fn with_override(&self, mut record: EndpointRecord) -> EndpointRecord {
         let is_in_service = record.status == EndpointStatus::InService;
         if is_in_service && self.drained_by_operator.contains(&record.name) {
--- a/crates/gateway/src/event_loop/endpoint_updates.rs
+++ b/crates/gateway/src/event_loop/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Applying changes of the endpoint list: addresses go to the connection pools, records to the
+//! Applies updates of the endpoint list: addresses go to the connection pools, records to the
 //! dispatcher.
 
 use super::endpoint_table::{OperatorOverride, UnknownNode};
@@ -9,7 +9,8 @@
 use io_scheduler::EndpointListEvent;
 
 impl Gateway {
-    /// Applies a list or a delta from discovery. `kind` is the event to report for it.
+    /// Applies a snapshot or a delta of the endpoint list. `kind` is the event that is reported to
+    /// the scheduler for it.
     pub(super) fn apply_endpoint_update(
         &mut self,
         update: &EndpointListUpdate,
@@ -27,8 +28,9 @@
         self.apply_records(kind, records);
     }
 
-    /// Reads the inventory again and applies it as the complete list; returns how many nodes it
-    /// lists. An invalid one changes nothing.
+    /// Reloads the inventory, applies it as the complete list, and returns the number of nodes in
+    /// it. An invalid inventory changes nothing. Without a configured inventory, returns the number
+    /// of listed nodes.
     pub(super) fn reload_inventory(&mut self) -> Result<usize, InventoryError> {
         let Some(path) = &self.context.config.inventory else {
             return Ok(self.endpoints.count());
@@ -48,7 +50,7 @@
         Ok(count)
     }
 
-    /// Sets the operator's override of a listed node and applies the node's record with it.
+    /// Sets or clears the operator's override of a listed node, and applies the resulting record.
     pub(super) fn override_node(
         &mut self,
         name: &str,
@@ -59,14 +61,15 @@
         Ok(())
     }
 
-    /// Sets the address of the node with this name.
+    /// Sets the address of the node with this name, which is added if it is unknown.
     fn set_node_address(&mut self, name: &str, address: NodeAddress) {
         let node = self.context.dispatcher.node_id_or_insert(name);
         self.node_connections
             .set_address(node, address, &mut self.context);
     }
 
-    /// Stores records as listed and passes them to the dispatcher with the operator's overrides.
+    /// Stores records as listed, passes them to the dispatcher with the operator's overrides, and
+    /// removes the connection pools of nodes that the dispatcher has dropped.
     fn apply_records(&mut self, kind: EndpointListEvent, listed: Vec<EndpointRecord>) {
         let records = self.endpoints.update(kind, listed);
         self.context
--- a/crates/gateway/src/event_loop/error.rs
+++ b/crates/gateway/src/event_loop/error.rs
@@ -1,31 +1,31 @@
-//! Errors that end the gateway.
+//! Errors that stop the gateway.
 
 use crate::config::ConfigError;
 use crate::inventory::InventoryError;
 use std::io;
 use std::net::SocketAddr;
 
-/// An error at the start of the gateway or in the event loop itself.
+/// An error during startup or in the event loop.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
-    /// The configuration can't be used.
+    /// The configuration is invalid or cannot be read.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The settings name something unknown.
-    #[error("settings: {0}")]
+    /// A setting has an unknown value.
+    #[error("invalid settings: {0}")]
     Settings(#[from] deployment_settings::UnknownValue),
-    /// The inventory can't be used.
+    /// The inventory is invalid or cannot be read.
     #[error(transparent)]
     Inventory(#[from] InventoryError),
-    /// An address to listen on can't be bound.
+    /// An address to listen on cannot be bound.
     #[error("cannot listen on {address}: {error}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the system call.
         error: io::Error,
     },
-    /// A system call failed without which the gateway can't run.
-    #[error("{0}")]
+    /// A system call failed that the gateway cannot run without.
+    #[error("system call failed: {0}")]
     System(#[from] io::Error),
 }
--- a/crates/gateway/src/event_loop/events.rs
+++ b/crates/gateway/src/event_loop/events.rs
@@ -1,4 +1,5 @@
-//! Passing what happens in a turn to its owner: readiness, timers and the dispatcher's commands.
+//! Passes ready connections, expired timers and commands of the dispatcher to the components that
+//! handle them.
 
 use super::gateway::Gateway;
 use super::signals::SignalKind;
@@ -12,7 +13,8 @@
 use rustix::event::epoll::EventFlags;
 
 impl Gateway {
-    /// Handles a connection that the poller reported; it may have been closed earlier in the turn.
+    /// Handles a connection that the poller reported as ready. The event is ignored if the
+    /// connection was closed earlier in the turn.
     pub(super) fn handle_ready(&mut self, token: ConnectionToken, flags: EventFlags) {
         let context = &mut self.context;
         match context.connection_kind(token) {
@@ -28,7 +30,7 @@
         }
     }
 
-    /// Accepts the connections that wait at a listener.
+    /// Accepts the connections that are pending at a listener.
     fn handle_listener_ready(&mut self, token: ConnectionToken) {
         let context = &mut self.context;
         let Some(listener) = self.listeners.get(token) else {
@@ -40,19 +42,19 @@
         }
     }
 
-    /// Applies the updates that have arrived from discovery.
+    /// Applies the endpoint list updates that have arrived from discovery.
     fn handle_watch_ready(&mut self) {
         let WatchOutcome { updates, failure } = self.watch.handle_ready(&mut self.context);
         for update in &updates {
             self.apply_endpoint_update(update, update.kind());
         }
-        // The end of the watch is reported after the updates that arrived before it.
+        // Close the watch only after applying the updates that arrived before its failure.
         if let Some(failure) = failure {
             self.watch.fail(&failure, &mut self.context);
         }
     }
 
-    /// Starts what a signal asks for.
+    /// Starts the action that a signal requests.
     fn handle_signal(&mut self, token: ConnectionToken) {
         match self.signals.read_signals(token) {
             Some(SignalKind::Shutdown) => self.request_shutdown(),
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Passes an expired timer to its owner.
+    /// Handles an expired timer.
     pub(super) fn handle_timer(&mut self, timer: Timer) {
         let context = &mut self.context;
         match timer {
@@ -77,13 +79,14 @@
         }
     }
 
-    /// Passes the timer of a connection to the connection's owner.
+    /// Handles the timeout of a client or node connection.
     fn handle_connection_timer(&mut self, token: ConnectionToken) {
         let context = &mut self.context;
         match context.connection_kind(token) {
             Some(ConnectionKind::Client) => self.client_connections.handle_timeout(token, context),
             Some(ConnectionKind::Node) => self.node_connections.handle_timeout(token, context),
-            // The others set no timer of this variant.
+            // Connections of the other kinds set no `Timer::Connection`; a closed one needs no
+            // timeout.
             Some(
                 ConnectionKind::Listener
                 | ConnectionKind::Discovery
@@ -94,7 +97,7 @@
         }
     }
 
-    /// Carries out a command of the dispatcher.
+    /// Runs a command of the dispatcher.
     pub(super) fn run_command(&mut self, command: Command) {
         let context = &mut self.context;
         match command {
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -1,4 +1,4 @@
-//! The running gateway: the owners of its state, and how they are created.
+//! The running gateway: the state that it owns, and its startup.
 
 use super::console_input::ConsoleInput;
 use super::endpoint_table::EndpointTable;
@@ -15,34 +15,35 @@
 use io_scheduler::EndpointListEvent;
 use std::net::{SocketAddr, TcpListener};
 
-/// The running gateway: the owners of its state, joined by the event loop.
+/// The running gateway. It owns all state, and its methods are the steps of the event loop.
 pub struct Gateway {
-    /// The state that the others share.
+    /// The configuration, the timers and the other state that the event loop and the connections
+    /// share.
     pub(super) context: Context,
-    /// The sockets that accept client connections.
+    /// The sockets on which clients connect.
     pub(super) listeners: Listeners,
     /// The client connections.
     pub(super) client_connections: ClientConnections,
     /// The connections to storage nodes.
     pub(super) node_connections: NodeConnections,
-    /// The endpoint list.
+    /// The endpoint list as last received, with the operator's overrides.
     pub(super) endpoints: EndpointTable,
-    /// The watch on discovery.
+    /// The watch on the endpoint list of the discovery service.
     pub(super) watch: DiscoveryWatch,
-    /// The pipes that report signals.
+    /// The pipes through which signals arrive.
     pub(super) signals: SignalPipes,
     /// The operator's console, if it is open.
     pub(super) console: Option<ConsoleInput>,
 }
 
 impl Gateway {
-    /// Starts the gateway: applies the cached endpoint list or the inventory, and listens for
-    /// clients.
+    /// Starts the gateway: applies the cached endpoint list, reads the inventory if there is one,
+    /// and listens for clients.
     ///
     /// # Errors
     ///
-    /// If the settings or the inventory can't be used, or the system refuses an address or a
-    /// resource.
+    /// Returns an error if the settings or the inventory are invalid, if an address cannot be
+    /// bound, or if a system call fails.
     pub fn new(mut config: Config) -> Result<Gateway, GatewayError> {
         let cached = std::mem::take(&mut config.cached_endpoints);
         let limits = ConnectionLimits::for_descriptors(config.max_descriptors);
@@ -66,7 +67,7 @@
         Ok(gateway)
     }
 
-    /// Opens the listeners, reads the inventory and registers the signals.
+    /// Opens the listeners, reads the inventory and installs the signal handlers.
     fn open(&mut self) -> Result<(), GatewayError> {
         if let Some(address) = self.context.config.listen {
             self.listen(address, ListenerProtocol::Resp)?;
@@ -82,7 +83,7 @@
         Ok(())
     }
 
-    /// Listens on an address.
+    /// Listens on `address` for clients that use `protocol`.
     fn listen(
         &mut self,
         address: SocketAddr,
--- a/crates/gateway/src/event_loop/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -1,13 +1,12 @@
-//! The event loop: one thread that never blocks.
+//! The event loop: a single thread that never blocks.
 //!
-//! Each turn handles the connections that are ready, then the timers that have expired. Then it
-//! calls the scheduler once with all events that these have caused, carries out the commands that
-//! follow from the scheduler's actions, and closes excess client connections.
+//! Each turn handles the connections that are ready, then the timers that have expired. It then
+//! calls the scheduler once with all events that resulted, runs the commands that follow from the
+//! scheduler's actions, and closes excess client connections.
 //!
-//! [`Gateway`] joins the owners of the state: client connections, node connections, listeners, the
-//! endpoint table and the discovery watch. The state that they share is in
-//! [`Context`](crate::context), which is passed to each of them. Nothing below imports this
-//! module.
+//! [`Gateway`] owns the client connections, the node connections, the listeners, the endpoint table
+//! and the discovery watch. They share the state in [`Context`](crate::context), which is passed to
+//! each of them. None of the modules that this one uses imports it.
 
 mod console;
 mod console_input;
--- a/crates/gateway/src/event_loop/reload.rs
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -1,4 +1,4 @@
-//! Reloading the configuration while the gateway runs.
+//! Reloads the configuration while the gateway runs.
 
 use super::gateway::Gateway;
 use crate::config::Config;
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 
 impl Gateway {
-    /// Reads the configuration again and applies the parts that can change while the gateway runs.
-    /// An invalid configuration changes nothing. Requests in flight are not affected.
+    /// Reloads the configuration and applies the parts that can change while the gateway runs. An
+    /// invalid configuration changes nothing. Requests in flight are not affected.
     pub(super) fn reload_config(&mut self) {
         match self.context.config.reload(|key| std::env::var(key).ok()) {
             Ok(config) => {
@@ -19,11 +19,11 @@
         }
     }
 
-    /// Applies the log level, the inventory and the address of discovery of a new configuration.
+    /// Applies the log level, the inventory and the discovery address of a reloaded configuration.
     fn apply_config(&mut self, new: Config) {
         let current = &mut self.context.config;
         if new.settings != current.settings || new.listen != current.listen {
-            log::warn!("changes of settings and listen take effect after a restart");
+            log::warn!("changes to 'settings' and 'listen' take effect only after a restart");
         }
         logger::install(new.log);
         current.inventory = new.inventory;
@@ -36,10 +36,10 @@
     }
 
     /// Changes the address of the discovery service. The watch at the previous address is closed,
-    /// and the scheduler then requests another one.
+    /// and the scheduler then requests a new one.
     ///
-    /// No watch is opened if there is no new address, or if the scheduler does not poll at all,
-    /// which [`io_scheduler::Settings::discovery_clients`] decides when the gateway starts.
+    /// No watch is opened if `address` is `None`, or if the scheduler never polls discovery, which
+    /// [`io_scheduler::Settings::discovery_clients`] determines when the gateway starts.
     fn set_discovery_address(&mut self, address: Option<SocketAddr>) {
         self.context.config.discovery = address;
         self.watch.reset_list_index();
--- a/crates/gateway/src/event_loop/shutdown.rs
+++ b/crates/gateway/src/event_loop/shutdown.rs
@@ -13,8 +13,8 @@
             .request(self.context.now, &mut self.context.timers);
     }
 
-    /// Closes idle client connections, and sets the timer to do so again until the shutdown is
-    /// complete.
+    /// Closes idle client connections, and sets the shutdown timer to do so again until the
+    /// shutdown is complete.
     pub(super) fn drain_clients(&mut self) {
         let min_idle_time = self.context.shutdown.start_draining();
         self.client_connections
@@ -24,18 +24,18 @@
             .set(self.context.now + EXIT_IDLE_TIME, Timer::Shutdown);
     }
 
-    /// Updates the idle state of the shutdown after a turn. Returns whether the gateway can end:
+    /// Updates the idle state of the shutdown after a turn. Returns whether the gateway can exit:
     /// it is draining, has been idle for long enough, and the poller reported no event in this
     /// turn.
     pub(super) fn update_shutdown(&mut self, events: &[Event]) -> bool {
         if !(self.context.shutdown.is_draining() && self.is_idle()) {
-            self.context.shutdown.note_busy();
+            self.context.shutdown.record_busy();
             return false;
         }
-        self.context.shutdown.note_idle(self.context.now) && events.is_empty()
+        self.context.shutdown.record_idle(self.context.now) && events.is_empty()
     }
 
-    /// Whether there is no client connection and no open request.
+    /// Whether no client connection and no request is open.
     fn is_idle(&self) -> bool {
         self.client_connections.count() == 0 && self.context.dispatcher.open_requests() == 0
     }
--- a/crates/gateway/src/event_loop/signals.rs
+++ b/crates/gateway/src/event_loop/signals.rs
@@ -1,4 +1,4 @@
-//! Signals, which reach the event loop through pipes.
+//! Signal handling. Signal handlers write to pipes, which the event loop reads.
 
 use crate::connection_token::ConnectionToken;
 use crate::context::{ConnectionKind, Context};
@@ -8,43 +8,43 @@
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 
-/// How many signals, one byte each, one read takes from a pipe.
+/// Maximum number of signals taken by one `read` of a pipe; each signal is one byte.
 const SIGNALS_PER_READ: usize = 64;
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SignalKind {
-    /// A graceful shutdown: SIGTERM, SIGINT.
+    /// Shut down gracefully (SIGTERM, SIGINT).
     Shutdown,
-    /// A reload of the configuration: SIGHUP.
+    /// Reload the configuration (SIGHUP).
     Reload,
 }
 
-/// The end of a pipe that becomes readable when a signal arrives.
+/// The read end of a pipe to which signal handlers write.
 struct SignalPipe {
-    /// Token of the pipe.
+    /// Token by which the poller reports the pipe.
     token: ConnectionToken,
-    /// The end that is read.
+    /// The read end.
     stream: UnixStream,
-    /// The meaning of the signals that this pipe reports.
+    /// The action that the signals of this pipe request.
     kind: SignalKind,
 }
 
-/// The pipes of all signals that the gateway handles.
+/// The pipes for all signals that the gateway handles.
 #[derive(Default)]
 pub(super) struct SignalPipes {
-    /// A pipe for each signal.
+    /// One pipe for each [`SignalKind`].
     pipes: Vec<SignalPipe>,
 }
 
 impl SignalPipes {
-    /// Registers the signals that the gateway handles.
+    /// Installs the handlers of all signals that the gateway handles.
     pub(super) fn register(&mut self, context: &mut Context) -> io::Result<()> {
         self.register_kind(SignalKind::Shutdown, &[SIGTERM, SIGINT], context)?;
         self.register_kind(SignalKind::Reload, &[SIGHUP], context)
     }
 
-    /// Creates the pipe for signals of one kind, and registers it with the poller.
+    /// Creates the pipe for the signals of one kind, and registers it with the poller.
     fn register_kind(
         &mut self,
         kind: SignalKind,
@@ -65,10 +65,11 @@
         Ok(())
     }
 
-    /// Empties the pipe with this token, and returns what its signals ask for.
+    /// Empties the pipe with this token, and returns the action that its signals request. Several
+    /// pending signals request the action once.
     pub(super) fn read_signals(&mut self, token: ConnectionToken) -> Option<SignalKind> {
         let pipe = self.pipes.iter_mut().find(|pipe| pipe.token == token)?;
-        // Each byte stands for one signal.
+        // Each byte is one signal; their number does not matter.
         while pipe
             .stream
             .read(&mut [0; SIGNALS_PER_READ])
--- a/crates/gateway/src/event_loop/turn.rs
+++ b/crates/gateway/src/event_loop/turn.rs
@@ -1,4 +1,4 @@
-//! The order of work in a turn of the event loop.
+//! The main loop, and the order of work in each turn.
 
 use super::error::GatewayError;
 use super::gateway::Gateway;
@@ -7,15 +7,15 @@
 use io_scheduler::Micros;
 use rustix::event::epoll::Event;
 
-/// How many events of the poller are handled in one turn.
+/// Maximum number of poller events that are handled in one turn.
 const MAX_EVENTS_PER_TURN: usize = 256;
 
 impl Gateway {
-    /// Serves until a graceful shutdown is complete.
+    /// Runs the event loop until a graceful shutdown is complete.
     ///
     /// # Errors
     ///
-    /// If the system can't say which connections are ready.
+    /// Returns an error if the poller fails.
     pub fn run(&mut self) -> Result<(), GatewayError> {
         let mut events: Vec<Event> = Vec::with_capacity(MAX_EVENTS_PER_TURN);
         let mut commands = Vec::new();
@@ -30,8 +30,9 @@
         }
     }
 
-    /// How long the poller may wait for events, in microseconds; `None` for no limit if no timer
-    /// is set. It does not wait while the dispatcher has events or commands left from this turn.
+    /// How long the poller may wait for events, in microseconds; `None` for no limit, if no timer
+    /// is set. The poller does not wait if the dispatcher still has events or commands from this
+    /// turn.
     fn poll_timeout(&self) -> Option<Micros> {
         if self.context.dispatcher.has_work() {
             return Some(0);
@@ -42,9 +43,9 @@
         Some(self.context.time_until(next))
     }
 
-    /// Runs one turn: handles the connections that are ready and the timers that have expired,
-    /// calls the scheduler with all events that came of it, carries out the commands, and closes
-    /// excess connections. `commands` is a buffer, empty between turns.
+    /// Runs one turn: handles ready connections and expired timers, calls the scheduler with the
+    /// resulting events, runs the commands of the dispatcher, and closes excess client connections.
+    /// `commands` is a reused buffer, empty between turns.
     fn run_turn(&mut self, events: &[Event], commands: &mut Vec<Command>) {
         for event in events {
             let flags = event.flags;
