--- a/crates/gateway/src/discovery/error.rs
+++ b/crates/gateway/src/discovery/error.rs
@@ -1,53 +1,53 @@
-//! Errors of a watch on the endpoint list.
+//! Errors in the response to a watch on the endpoint list.
 
-/// Why discovery's response to a watch cannot be used.
+/// An error in discovery's response to a watch.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// The status is not 200. Contains the status line in lower case.
-    #[error("discovery responded '{0}'")]
+    /// The status code is not 200. Contains the status line in lower case.
+    #[error("unexpected response status '{0}'")]
     Status(String),
     /// The response is not well-formed HTTP/1.1.
-    #[error("discovery sent invalid HTTP/1.1: {0}")]
+    #[error("invalid HTTP/1.1 response: {0}")]
     Framing(#[from] FramingError),
-    /// An object exceeds the limit on its length.
-    #[error("discovery sent an object that is too long: more than {max_bytes} bytes")]
+    /// An object is longer than the limit.
+    #[error("JSON object longer than {max_bytes} bytes")]
     ObjectTooLong {
-        /// Largest length allowed, in bytes.
+        /// Maximum length, in bytes.
         max_bytes: usize,
     },
-    /// An object exceeds the limit on its nesting depth.
-    #[error("discovery sent an object that is nested more than {max_depth} levels deep")]
+    /// An object is nested more deeply than the limit.
+    #[error("JSON object nested more than {max_depth} levels deep")]
     ObjectTooDeep {
-        /// Deepest nesting allowed.
+        /// Maximum nesting depth.
         max_depth: usize,
     },
     /// The body contains something other than JSON objects.
-    #[error("discovery's list: not a JSON object")]
+    #[error("response body is not a stream of JSON objects")]
     NotAnObject,
-    /// An object is not an update of the endpoint list.
-    #[error("discovery's list: {0}")]
+    /// An object cannot be decoded as an update of the endpoint list.
+    #[error("invalid endpoint list update: {0}")]
     Undecodable(#[source] simd_json::Error),
 }
 
-/// What is wrong with the framing of a response.
+/// An error in the HTTP/1.1 framing of a response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FramingError {
-    /// The head or a chunk size line does not end within its limit.
-    #[error("no line end within {max_bytes} bytes")]
+    /// The response head or a chunk size line exceeds its limit.
+    #[error("response head or chunk size line longer than {max_bytes} bytes")]
     LineTooLong {
-        /// Longest head or line allowed, in bytes.
+        /// Maximum length of the head or line, in bytes.
         max_bytes: usize,
     },
-    /// The line does not start with the size of a chunk as a hexadecimal number.
-    #[error("'{0}' is not the size of a chunk")]
+    /// A chunk size line does not start with a hexadecimal number.
+    #[error("invalid chunk size '{0}'")]
     InvalidChunkSize(String),
-    /// The data of a chunk is longer than its size states.
-    #[error("no line end after the data of a chunk")]
+    /// The data of a chunk is not followed by CRLF, so it is longer than its stated size.
+    #[error("missing CRLF after the data of a chunk")]
     MissingChunkEnd,
     /// The value of Content-Length is not a number.
-    #[error("'{0}' is not a Content-Length")]
+    #[error("invalid Content-Length '{0}'")]
     InvalidContentLength(String),
-    /// The body is encoded in another way than by chunks.
-    #[error("the Transfer-Encoding '{0}' is not known")]
+    /// The body has a transfer coding other than chunked.
+    #[error("unsupported Transfer-Encoding '{0}'")]
     UnknownTransferCoding(String),
 }
--- a/crates/gateway/src/discovery/framing.rs
+++ b/crates/gateway/src/discovery/framing.rs
@@ -1,9 +1,8 @@
-//! How the HTTP/1.1 response to a watch is divided into a head and a body, and the body into
-//! chunks.
+//! HTTP/1.1 framing of the response to a watch: the head, the body and its chunks.
 
 use super::error::{FramingError, WatchError};
 
-/// Longest part of the response that an error quotes, in bytes.
+/// Maximum length of the part of the response that an error quotes, in bytes.
 const MAX_QUOTED_BYTES: usize = 80;
 
 /// The part of the response that the parser expects next.
@@ -14,16 +13,16 @@
     Head,
     /// A chunk size line.
     ChunkSize,
-    /// The data of a chunk, of which `remaining` bytes have not been received.
+    /// The data of a chunk, of which `remaining` bytes have not been parsed.
     ChunkData {
-        /// Bytes of the chunk that are to come.
+        /// Bytes of the chunk that have not been parsed.
         remaining: usize,
     },
-    /// The line end after the data of a chunk.
+    /// The CRLF after the data of a chunk.
     ChunkEnd,
-    /// A body with a Content-Length, of which `remaining` bytes have not been received.
+    /// A body with a Content-Length, of which `remaining` bytes have not been parsed.
     FixedLength {
-        /// Bytes of the body that are to come.
+        /// Bytes of the body that have not been parsed.
         remaining: usize,
     },
     /// A body that ends when the connection is closed.
@@ -33,7 +32,7 @@
 }
 
 impl ParserState {
-    /// The state after `consumed` bytes of body data.
+    /// The state after `consumed` more bytes of body data have been parsed.
     pub(super) fn after_data(self, consumed: usize) -> ParserState {
         match self {
             ParserState::ChunkData { remaining } if remaining == consumed => ParserState::ChunkEnd,
@@ -51,7 +50,7 @@
     }
 }
 
-/// Parses the size of a chunk; extensions after a semicolon are ignored.
+/// Parses a chunk size line and returns the size. Extensions after a semicolon are ignored.
 pub(super) fn chunk_size(line: &[u8]) -> Result<usize, FramingError> {
     let invalid_size = || FramingError::InvalidChunkSize(quoted(line));
     let text = std::str::from_utf8(line).map_err(|_| invalid_size())?;
@@ -60,7 +59,7 @@
     Ok(size as usize)
 }
 
-/// The state after a response head, given in lower case.
+/// The state after the response head, which is given in lower case.
 pub(super) fn state_after_head(head: &str) -> Result<ParserState, WatchError> {
     let mut lines = head.lines();
     let status_line = lines.next().unwrap_or_default();
@@ -74,14 +73,14 @@
     Ok(body_framing(lines)?)
 }
 
-/// Whether this is an interim response (1xx), which the final one follows. 101 is excluded: it
-/// would switch to another protocol, which the request does not ask for.
+/// Whether a status code is that of an interim response (1xx), which is followed by the final
+/// response. 101 is not: it switches to another protocol, which the request does not ask for.
 fn is_informational(status: &str) -> bool {
     status.len() == 3 && status.starts_with('1') && status != "101"
 }
 
-/// How the body is framed according to the headers, given in lower case. Transfer-Encoding
-/// overrides Content-Length, as RFC 9112 requires.
+/// Determines the framing of the body from the headers, which are given in lower case.
+/// Transfer-Encoding overrides Content-Length, as RFC 9112 requires.
 fn body_framing<'a>(headers: impl Iterator<Item = &'a str>) -> Result<ParserState, FramingError> {
     let mut state = ParserState::UntilClose;
     for (name, value) in headers.filter_map(|line| line.split_once(':')) {
@@ -101,7 +100,7 @@
     Ok(state)
 }
 
-/// The state before a body of the stated Content-Length.
+/// The state at the start of a body with the stated Content-Length.
 fn fixed_length(length: &str) -> Result<ParserState, FramingError> {
     match length.parse() {
         Ok(0) => Ok(ParserState::Complete),
@@ -112,7 +111,8 @@
     }
 }
 
-/// The start of a part of the response, with control characters escaped, for an error's text.
+/// The start of a part of the response with control characters escaped, to be quoted in an error
+/// message.
 fn quoted(text: &[u8]) -> String {
     let start = &text[..text.len().min(MAX_QUOTED_BYTES)];
     start.escape_ascii().to_string()
--- a/crates/gateway/src/discovery/json_stream.rs
+++ b/crates/gateway/src/discovery/json_stream.rs
@@ -1,35 +1,34 @@
-//! Splitting of a byte stream into JSON objects.
+//! Splits a byte stream into JSON objects.
 
 use super::error::WatchError;
 use crate::endpoint::EndpointListUpdate;
 
-/// Longest object that is buffered, in bytes.
+/// Maximum length of an object, in bytes.
 const MAX_OBJECT_BYTES: usize = 1 << 20;
-/// Deepest accepted nesting of objects and arrays; an update of the endpoint list has three
-/// levels.
+/// Maximum nesting depth of objects and arrays. An update of the endpoint list has three levels.
 const MAX_DEPTH: usize = 16;
 
-/// Splits a stream into its JSON objects. As objects may contain line breaks and may be separated
-/// by any white space or none, the end of an object is found by counting braces and brackets.
+/// Splits a stream into JSON objects. Objects may contain line breaks, and may be separated by
+/// white space or not at all, so the end of an object is found by counting braces and brackets.
 #[derive(Debug, Default)]
 pub(super) struct JsonStream {
-    /// The bytes of the current object received so far.
+    /// The part of the current object that has been received.
     buffer: Vec<u8>,
-    /// Number of objects and arrays that are open.
+    /// Nesting depth at the end of `buffer`; 0 between objects.
     depth: usize,
-    /// Whether the next byte is inside a string.
+    /// Whether the next byte is part of a string.
     in_string: bool,
     /// Whether the next byte follows a backslash in a string.
     escaped: bool,
 }
 
 impl JsonStream {
-    /// Whether a part of an object has been received.
+    /// Whether an object has been received in part.
     pub(super) fn is_mid_object(&self) -> bool {
         self.depth > 0
     }
 
-    /// Processes received bytes; every object that they complete is decoded and appended to
+    /// Processes received bytes. Decodes every object that they complete and appends it to
     /// `updates`.
     pub(super) fn feed(
         &mut self,
@@ -75,7 +74,7 @@
         Ok(())
     }
 
-    /// Decodes the buffered object, which is complete, and empties the buffer.
+    /// Decodes the complete object in the buffer, and empties the buffer.
     fn decode_object(&mut self) -> Result<EndpointListUpdate, WatchError> {
         let mut object = std::mem::take(&mut self.buffer);
         simd_json::serde::from_slice(&mut object).map_err(WatchError::Undecodable)
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,5 +1,6 @@
-//! Discovery: the watch on the endpoint list. Its response is HTTP/1.1 with a body that is an
-//! unbounded stream of JSON objects, each an update of the list.
+//! The protocol of the discovery service: a watch on the endpoint list. The response to a watch is
+//! HTTP/1.1, and its body is an unbounded stream of JSON objects, each of which is an update of the
+//! list.
 
 mod error;
 mod framing;
--- a/crates/gateway/src/discovery/watch_parser.rs
+++ b/crates/gateway/src/discovery/watch_parser.rs
@@ -5,46 +5,46 @@
 use super::json_stream::JsonStream;
 use crate::endpoint::EndpointListUpdate;
 
-/// Longest response head (status line and headers), in bytes.
+/// Maximum length of the response head (status line and headers), in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Longest chunk size line, in bytes.
+/// Maximum length of a chunk size line, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 16 << 10;
 /// End of a line.
 const LINE_END: &[u8] = b"\r\n";
-/// End of a head: the last header's line end and an empty line.
+/// End of a response head: the CRLF of the last header, and an empty line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// The result of one step of the parser.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    /// Input was consumed or the state changed; the next step may be possible.
+    /// Input was consumed or the state changed, so another step may be possible.
     Advanced,
     /// The next step needs more input.
     NeedsInput,
 }
 
-/// Parses the response to a watch.
+/// Parses the response to a watch, which may arrive in pieces of any size.
 #[derive(Debug, Default)]
 pub struct WatchParser {
-    /// Received bytes that earlier calls have not consumed.
+    /// Received bytes that have not been parsed before the current call.
     input: Vec<u8>,
-    /// How many bytes of `input` the current call has consumed.
+    /// Number of bytes of `input` that the current call has parsed.
     position: usize,
     /// The part of the response that is expected next.
     state: ParserState,
-    /// The body, which is split into JSON objects.
+    /// Splits the body into JSON objects and decodes them.
     objects: JsonStream,
 }
 
 impl WatchParser {
-    /// Processes received bytes, in pieces of any size. Every update that they complete is
-    /// appended to `updates`, also if an error follows it.
+    /// Processes received bytes. Every update that they complete is appended to `updates`, even if
+    /// an error follows it.
     ///
     /// # Errors
     ///
-    /// Fails if the response is not well formed, if its status is not 200, or if its body contains
-    /// something other than updates of the endpoint list. The parser must not be used after an
-    /// error.
+    /// Returns an error if the response is malformed, if its status is not 200, or if its body
+    /// contains anything other than updates of the endpoint list. The parser must not be used after
+    /// an error.
     pub fn feed(
         &mut self,
         bytes: &[u8],
@@ -63,13 +63,13 @@
         self.state == ParserState::Complete
     }
 
-    /// Whether a part of an update has been received.
+    /// Whether an update has been received in part.
     #[must_use]
     pub fn is_mid_object(&self) -> bool {
         self.objects.is_mid_object()
     }
 
-    /// Parses until more input is needed.
+    /// Parses as much of the input as possible.
     fn parse(&mut self, updates: &mut Vec<EndpointListUpdate>) -> Result<(), WatchError> {
         loop {
             let progress = match self.state {
@@ -113,7 +113,8 @@
         Ok(Progress::Advanced)
     }
 
-    /// Parses body data, of which `remaining` bytes have not been parsed.
+    /// Parses body data of a chunk or of a body with a Content-Length. `remaining` bytes of it have
+    /// not been parsed.
     fn parse_counted_data(
         &mut self,
         remaining: usize,
@@ -127,7 +128,7 @@
         Ok(Progress::Advanced)
     }
 
-    /// Parses the line end after the data of a chunk.
+    /// Parses the CRLF after the data of a chunk.
     fn parse_chunk_end(&mut self) -> Result<Progress, WatchError> {
         if self.unread().len() < LINE_END.len() {
             return Ok(Progress::NeedsInput);
@@ -140,7 +141,7 @@
         Ok(Progress::Advanced)
     }
 
-    /// Parses data of a body that ends when the connection is closed.
+    /// Parses data of a body that ends when the connection is closed; it always needs more input.
     fn parse_until_close(
         &mut self,
         updates: &mut Vec<EndpointListUpdate>,
@@ -149,7 +150,7 @@
         Ok(Progress::NeedsInput)
     }
 
-    /// Passes up to `limit` bytes of input to the body and returns their number.
+    /// Passes up to `limit` bytes of input to the JSON stream, and returns how many it passed.
     fn feed_body(
         &mut self,
         limit: usize,
@@ -164,13 +165,13 @@
         Ok(length)
     }
 
-    /// The input that is not consumed yet.
+    /// The input that has not been parsed yet.
     fn unread(&self) -> &[u8] {
         &self.input[self.position..]
     }
 
-    /// Number of bytes of input before `terminator`; `None` if it has not been received. Fails if
-    /// it has not been received within more than `max_bytes` of input.
+    /// Returns the number of bytes before `terminator`, or `None` if it has not been received yet.
+    /// Returns an error if more than `max_bytes` have been received without it.
     fn find(&self, terminator: &[u8], max_bytes: usize) -> Result<Option<usize>, FramingError> {
         let unread = self.unread();
         let found = unread
--- a/crates/gateway/src/endpoint/mod.rs
+++ b/crates/gateway/src/endpoint/mod.rs
@@ -1,5 +1,5 @@
 //! The endpoint list: its entries and its updates, in the form that discovery, the inventory, the
-//! configuration and the dispatcher share. The module is below all four and imports none of them.
+//! configuration and the dispatcher share. This module imports none of these four.
 
 mod protocol;
 mod record;
--- a/crates/gateway/src/endpoint/protocol.rs
+++ b/crates/gateway/src/endpoint/protocol.rs
@@ -1,11 +1,11 @@
-//! The protocols of storage nodes.
+//! Protocols that storage nodes use.
 
-/// Protocol of a storage node.
+/// The protocol that a storage node uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Protocol {
-    /// RESP2, the Redis serialization protocol in version 2.
+    /// RESP2, version 2 of the Redis serialization protocol.
     #[default]
     Resp2,
-    /// SFTP in version 3, without the SSH transport.
+    /// SFTP version 3, without the SSH transport.
     Sftp,
 }
--- a/crates/gateway/src/endpoint/record.rs
+++ b/crates/gateway/src/endpoint/record.rs
@@ -2,11 +2,11 @@
 
 use io_scheduler::{EndpointStatus, Micros, Shard};
 
-/// A storage node as an endpoint list states it, without its address: connections are not the
-/// dispatcher's concern.
+/// A storage node in the endpoint list, without its address, because the dispatcher does not manage
+/// connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Name of the node; it stays the same when the node restarts.
+    /// Name of the node, which does not change when the node restarts.
     pub name: String,
     /// Name of the node's zone.
     pub zone: String,
--- a/crates/gateway/src/endpoint/update.rs
+++ b/crates/gateway/src/endpoint/update.rs
@@ -4,9 +4,9 @@
 use io_scheduler::EndpointListEvent;
 use std::net::SocketAddr;
 
-/// One update of the endpoint list: the complete list, or the entries that changed.
+/// An update of the endpoint list: either the complete list, or only the entries that changed.
 ///
-/// It is decoded by way of the wire's own types, which are in `wire`.
+/// It is deserialized through the types in `wire`, which have the names of the wire format.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointListUpdate {
     /// Version of the list after this update.
@@ -22,12 +22,12 @@
 pub struct EndpointEntry {
     /// The node as the update describes it.
     pub record: EndpointRecord,
-    /// Its IP address with a port. Other text does not make the update invalid, only this entry;
-    /// see [`EndpointListUpdate::listed_endpoints`].
+    /// IP address and port of the node. An address that cannot be parsed invalidates only this
+    /// entry, not the update; see [`EndpointListUpdate::listed_endpoints`].
     pub address: String,
 }
 
-/// A node of an update, with its parsed address.
+/// A node in an update, with its address parsed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
     /// The node as the endpoint list describes it.
@@ -37,8 +37,8 @@
 }
 
 impl EndpointListUpdate {
-    /// The scheduler's event for the update, by whether it replaces the list or changes entries of
-    /// it.
+    /// The event that is reported to the scheduler: a snapshot if the update replaces the list, a
+    /// delta if it changes some entries.
     #[must_use]
     pub fn kind(&self) -> EndpointListEvent {
         if self.is_complete {
@@ -48,8 +48,8 @@
         }
     }
 
-    /// The entries with their parsed addresses. An entry whose address cannot be parsed is logged
-    /// and left out.
+    /// The entries with their addresses parsed. An entry whose address cannot be parsed is skipped
+    /// with a warning.
     pub fn listed_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> + '_ {
         self.endpoints
             .iter()
@@ -58,12 +58,11 @@
 }
 
 impl EndpointEntry {
-    /// The entry with its parsed address; logs a warning and returns `None` if the address cannot
-    /// be parsed.
+    /// Parses the address of the entry. If that fails, logs a warning and returns `None`.
     fn to_listed_endpoint(&self) -> Option<ListedEndpoint> {
         let Ok(address) = self.address.parse() else {
             log::warn!(
-                "discovery: node {} has no usable address '{}'",
+                "endpoint list: skipping node {}: invalid address '{}'",
                 self.record.name,
                 self.address
             );
--- a/crates/gateway/src/endpoint/wire.rs
+++ b/crates/gateway/src/endpoint/wire.rs
@@ -1,7 +1,7 @@
-//! Updates of the endpoint list as discovery and the configuration spell them.
+//! Wire format of endpoint list updates, which discovery sends and the configuration contains.
 //!
-//! The names of the wire stand in this module only: its types are what serde decodes, and they are
-//! converted to the types of `update` and `record` as soon as they are decoded.
+//! The names of the wire format are used only in this module. Its types are decoded by serde and
+//! immediately converted to the types of `update` and `record`.
 
 use super::record::EndpointRecord;
 use super::update::{EndpointEntry, EndpointListUpdate};
@@ -28,7 +28,7 @@
 struct WireEntry {
     /// Name of the node.
     name: String,
-    /// Its IP address with a port.
+    /// IP address and port of the node.
     address: String,
     /// Zone of the node.
     #[serde(default)]
@@ -38,7 +38,7 @@
     shard: u64,
     /// Whether the node takes requests.
     status: WireStatus,
-    /// When its process last started, in milliseconds; 0 if this is not known.
+    /// When its process last started, in milliseconds since the Unix epoch; 0 if unknown.
     #[serde(default, rename = "since_ms")]
     started_at_ms: f64,
 }
@@ -49,13 +49,13 @@
 enum WireStatus {
     /// The node takes requests.
     InService,
-    /// The node is draining: it completes its requests and takes no new ones.
+    /// The node is draining: it completes its current requests and accepts no new ones.
     #[serde(rename = "terminating")]
     Draining,
     /// The node is removed.
     #[serde(rename = "terminated")]
     Removed,
-    /// A status of a later version.
+    /// A status that this version does not know.
     #[serde(other)]
     Unknown,
 }
@@ -99,7 +99,7 @@
     fn from(status: WireStatus) -> EndpointStatus {
         match status {
             WireStatus::InService => EndpointStatus::InService,
-            // A node of unknown status gets no new requests, which is safe whatever the status
+            // A node with an unknown status gets no new requests, which is safe whatever the status
             // means.
             WireStatus::Draining | WireStatus::Unknown => EndpointStatus::Draining,
             WireStatus::Removed => EndpointStatus::Removed,
@@ -107,7 +107,7 @@
     }
 }
 
-/// When a node's process last started; `None` if the wire states 0 or no valid time.
+/// Converts the start time of a node's process to microseconds; `None` if it is 0 or invalid.
 fn started_at(started_at_ms: f64) -> Option<Micros> {
     if started_at_ms > 0.0 {
         Some(micros(started_at_ms))
--- a/crates/gateway/src/storage_request/attempt.rs
+++ b/crates/gateway/src/storage_request/attempt.rs
@@ -1,9 +1,9 @@
-//! The attempts of a request at nodes: their ids and their results.
+//! Ids and results of the attempts of a request.
 
 use super::response::ResponseBody;
 use io_scheduler::{Outcome, RequestId, Units};
 
-/// One attempt of a request at a node.
+/// Identifies an attempt of a request at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The request.
@@ -17,18 +17,18 @@
 pub struct AttemptResult {
     /// The outcome that is reported to the scheduler.
     pub outcome: Outcome,
-    /// The node's result, if the node has served the request.
+    /// The result that the node returned, if it served the request.
     pub body: Option<ResponseBody>,
-    /// Service that the volume got from the node through other gateways since the node's last
-    /// response to this gateway; zero if not reported.
+    /// Units that the volume got from the node through other gateways since the node last responded
+    /// to this gateway; zero if the node does not report them.
     pub remote_units: Units,
-    /// Part of the volume's provisioned rate that was served in the last report period, over all
-    /// gateways and nodes; `None` if not reported.
+    /// Share of the volume's provisioned rate that was served in the last report period, across all
+    /// gateways and nodes; `None` if the node does not report it.
     pub utilization: Option<f64>,
 }
 
 impl AttemptResult {
-    /// A result with no body and no usage report.
+    /// Creates a result with no body and no usage report.
     #[must_use]
     pub fn without_body(outcome: Outcome) -> AttemptResult {
         AttemptResult {
--- a/crates/gateway/src/storage_request/mod.rs
+++ b/crates/gateway/src/storage_request/mod.rs
@@ -1,7 +1,7 @@
-//! Requests, their attempts and their responses, independent of any wire format.
+//! Requests, their attempts and their responses, independent of wire formats.
 //!
-//! These are the types that the client protocols, the node protocols and the dispatcher exchange.
-//! The module is below all three and imports none of them.
+//! The client protocols, the node protocols and the dispatcher exchange these types. This module
+//! imports none of the three.
 
 mod attempt;
 mod reply_slot;
--- a/crates/gateway/src/storage_request/reply_slot.rs
+++ b/crates/gateway/src/storage_request/reply_slot.rs
@@ -1,13 +1,13 @@
-//! Where the final response to a request goes.
+//! Identifies where the final response to a request is sent.
 
 use crate::connection_token::ConnectionToken;
 
-/// The destination of a response: a place among the replies of a client connection.
+/// The destination of a response: a position in the sequence of replies on a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplySlot {
     /// Token of the client's connection.
     pub connection: ConnectionToken,
-    /// Position among the replies of that connection.
+    /// Position of the reply on that connection.
     pub slot: SlotNumber,
 }
 
--- a/crates/gateway/src/storage_request/request.rs
+++ b/crates/gateway/src/storage_request/request.rs
@@ -1,8 +1,8 @@
-//! The request of a client, independent of the protocol that it came by.
+//! A client request, independent of the protocol by which it arrived.
 
 use io_scheduler::{ClassIndex, Micros, ObjectKey, PlanIndex, Shard, Units, VolumeId};
 
-/// Largest value that is forwarded to a node, in bytes.
+/// Maximum size of a value that is forwarded to a node, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 << 10;
 
 /// What a request asks a node to do.
@@ -12,7 +12,7 @@
     Read,
     /// Write an object.
     Write,
-    /// State the size of an object.
+    /// Return the size of an object.
     Stat,
     /// List the names of a volume's objects on one shard.
     List,
@@ -25,37 +25,37 @@
     pub operation: Operation,
     /// The object.
     pub object: ObjectKey,
-    /// Name of the object, if the client's protocol names objects.
+    /// Name of the object; `None` if the client's protocol does not name objects.
     pub object_name: Option<Box<str>>,
     /// The volume that the object belongs to.
     pub volume: VolumeId,
-    /// The client's id of the request, which is also sent to the nodes. Unique among the
+    /// The client's id of the request, which is also sent to the nodes. It must be unique among the
     /// unfinished requests.
     pub client_request_id: Box<str>,
     /// Class of the request.
     pub class: ClassIndex,
-    /// Plan of the volume.
+    /// Plan of the volume that the object belongs to.
     pub plan: PlanIndex,
-    /// The service that the request takes.
+    /// Cost of the request in units of service.
     pub units: Units,
-    /// Shard that stores the object; `None` for a new object, which any node may take.
+    /// Shard that stores the object; `None` for a new object, which any node can store.
     pub shard: Option<Shard>,
-    /// Number of gateways through which the requests of the volume arrive.
+    /// Number of gateways through which requests of the volume arrive.
     pub hosts: f64,
     /// How long the client waits for the response, in microseconds.
     pub client_timeout: Micros,
-    /// Content of the object for a write, else empty.
+    /// Content of the object for a write, otherwise empty.
     pub body: Vec<u8>,
-    /// The client's list of parameters.
+    /// The parameter list that the client sent.
     pub parameters: RequestParameters,
 }
 
-/// The client's list of parameters, split around the value of its timeout. A node gets both parts
-/// unchanged, with the remaining time as the value between them.
+/// The parameter list that the client sent, split around the value of its timeout. Both parts are
+/// forwarded to the node unchanged, with the remaining time as the value between them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestParameters {
-    /// The list up to the value of the timeout.
+    /// The part before the value of the timeout.
     pub before_timeout: Box<str>,
-    /// The list after the value of the timeout.
+    /// The part after the value of the timeout.
     pub after_timeout: Box<str>,
 }
--- a/crates/gateway/src/storage_request/response.rs
+++ b/crates/gateway/src/storage_request/response.rs
@@ -1,8 +1,8 @@
-//! The final response to a request, and the result of a request that a node has run.
+//! The final response to a request, and the result that a node returned.
 
 use io_scheduler::Micros;
 
-/// An object in the listing of a volume.
+/// An object in a listing of a volume.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObjectEntry {
     /// Name of the object; not necessarily UTF-8.
@@ -11,44 +11,45 @@
     pub size: u64,
 }
 
-/// The result of a request that a node has run.
+/// The result that a node returned for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponseBody {
     /// The object's content. RESP2 nodes also reply to writes and listings with a value.
     Value(Vec<u8>),
-    /// The object's size in bytes, or for a write, the bytes that an SFTP node has stored.
+    /// The size of the object in bytes or, for a write, the number of bytes that an SFTP node has
+    /// stored.
     Size(u64),
     /// The objects of a volume on one shard.
     Entries(Vec<ObjectEntry>),
-    /// The node has no such object. Only SFTP nodes respond so, to a read or a STAT.
+    /// The object does not exist on the node. Only SFTP nodes return this, for a read or a STAT.
     NotFound,
 }
 
-/// Why a request was not accepted. The error text is sent to the client.
+/// Why a request is invalid. The error text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// A request with the same client request id is unfinished. A node could not distinguish the
-    /// two and would run only one of them.
+    /// An unfinished request has the same client request id. A node could not distinguish the two
+    /// requests and would execute only one of them.
     #[error("the id is that of an open request")]
     DuplicateClientRequestId,
 }
 
-/// The one final response to a request.
+/// The final response to a request. Each request gets exactly one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// A node has run the request.
+    /// A node has executed the request.
     Served(ResponseBody),
-    /// The request was rejected. The client may retry it without harm: either it has not run, or
-    /// it is idempotent.
+    /// The request was rejected. The client may safely retry it: either it was not executed, or it
+    /// is idempotent.
     Rejected {
-        /// Retry-After: how many microseconds the client should wait before a retry; 0 if there is
-        /// no advice.
+        /// Retry-After: how long the client should wait before it retries, in microseconds; 0 if no
+        /// wait is advised.
         retry_after: Micros,
     },
-    /// The request was not accepted because of an error of the client.
+    /// The request is invalid because of an error of the client.
     Invalid(InvalidRequest),
-    /// The request failed and may have run.
+    /// The request failed. It may have been executed.
     Failed,
-    /// The request failed because there was no result in time; it may have run.
+    /// The request failed because no result arrived in time. It may have been executed.
     TimedOut,
 }
