--- a/crates/gateway/src/context/slab.rs
+++ b/crates/gateway/src/context/slab.rs
@@ -44,7 +44,7 @@
         ConnectionToken::new(self.slots[index as usize].generation, index)
     }
 
-    /// Where the value of a token is stored; `None` if the token was freed.
+    /// The storage for the value of a token; `None` if the token was freed.
     fn value_mut(&mut self, token: ConnectionToken) -> Option<&mut Option<T>> {
         let slot = self.slots.get_mut(token.index())?;
         if slot.generation != token.generation() {
--- a/crates/gateway/src/dispatcher/abort_cause.rs
+++ b/crates/gateway/src/dispatcher/abort_cause.rs
@@ -7,8 +7,8 @@
 pub enum AbortCause {
     /// No connection to the node could be opened, or it was not established in time.
     NoConnection,
-    /// The drain guard: the node has been draining for too long for the request to be written to
-    /// it. See [`Dispatcher::may_write`](super::Dispatcher::may_write).
+    /// The drain guard: the write deadline of a node that is out of service passed before the
+    /// request was written to it. See [`Dispatcher::may_write`](super::Dispatcher::may_write).
     DrainGuard,
     /// The connection was closed or reset before the response was complete.
     ConnectionLost,
--- a/crates/gateway/src/dispatcher/unfinished_request.rs
+++ b/crates/gateway/src/dispatcher/unfinished_request.rs
@@ -10,8 +10,8 @@
 
 /// How long after the deadline of a request the dispatcher itself fails it, if the scheduler has
 /// not completed it, in microseconds. The scheduler's timers expire at the deadline, so the event
-/// loop may run this late before the dispatcher takes over. See `RESPONSE_DELIVERY_MARGIN` in
-/// `submit` for the upper bound.
+/// loop may run this late before the dispatcher takes over. It must be shorter than
+/// `RESPONSE_DELIVERY_MARGIN` in `submit`, so that the response still reaches the client in time.
 const OVERDUE_GRACE: Micros = 3_000;
 
 /// An attempt whose result is awaited.
