--- a/crates/gateway/src/sftp_packet/builder.rs
+++ b/crates/gateway/src/sftp_packet/builder.rs
@@ -1,4 +1,4 @@
-//! Encoding of packets, field by field.
+//! Encoding of packets.
 
 use super::attributes::{
     FileAttributes, DIRECTORY_MODE, HAS_PERMISSIONS, HAS_SIZE, REGULAR_FILE_MODE,
@@ -8,40 +8,40 @@
 use super::request_id::RequestId;
 use super::status_code::StatusCode;
 
-/// A packet under construction: fields are appended in order, [`Packet::finish`] sets the length.
+/// A packet being encoded. Fields are appended in order; [`Packet::finish`] sets the length field.
 #[must_use]
 #[derive(Clone, Debug)]
 pub struct Packet {
-    /// The encoded packet; its length field is zero until [`Packet::finish`].
+    /// The encoded packet. Its length field is zero until [`Packet::finish`].
     bytes: Vec<u8>,
 }
 
 impl Packet {
-    /// Starts a packet of a type that has no request id: `INIT` or `VERSION`.
+    /// Starts a packet of a type without a request id: `INIT` or `VERSION`.
     pub fn new(packet_type: PacketType) -> Packet {
         let mut bytes = vec![0; LENGTH_FIELD_BYTES];
         bytes.push(packet_type.0);
         Packet { bytes }
     }
 
-    /// Starts a packet with a request id, which all other types have.
+    /// Starts a packet with a request id, which all types except `INIT` and `VERSION` have.
     pub fn with_id(packet_type: PacketType, id: RequestId) -> Packet {
         Packet::new(packet_type).u32(id.0)
     }
 
-    /// Appends a 32-bit number.
+    /// Appends a 32-bit integer.
     pub fn u32(mut self, number: u32) -> Packet {
         self.bytes.extend_from_slice(&number.to_be_bytes());
         self
     }
 
-    /// Appends a 64-bit number.
+    /// Appends a 64-bit integer.
     pub fn u64(mut self, number: u64) -> Packet {
         self.bytes.extend_from_slice(&number.to_be_bytes());
         self
     }
 
-    /// Appends a byte string with its 32-bit length in front.
+    /// Appends a byte string, preceded by its length as a 32-bit integer.
     pub fn string(self, text: impl AsRef<[u8]>) -> Packet {
         let text = text.as_ref();
         let mut packet = self.u32(text.len() as u32);
@@ -69,7 +69,7 @@
     }
 }
 
-/// Encodes a `STATUS` reply to the request `id`, with `message` in the language `en`.
+/// Encodes a `STATUS` reply to the request `id`. The language tag of `message` is `en`.
 #[must_use]
 pub fn encode_status(id: RequestId, code: StatusCode, message: &str) -> Vec<u8> {
     Packet::with_id(PacketType::STATUS, id)
--- a/crates/gateway/src/sftp_packet/mod.rs
+++ b/crates/gateway/src/sftp_packet/mod.rs
@@ -1,10 +1,10 @@
-//! Packets of the SSH File Transfer Protocol, version 3 (draft-ietf-secsh-filexfer-02), over a
-//! plain stream without the SSH transport.
+//! Codec for packets of the SSH File Transfer Protocol, version 3 (draft-ietf-secsh-filexfer-02),
+//! on a plain stream without the SSH transport.
 //!
-//! The client protocol (this program as the server) and the node protocol (as the client) share
-//! this codec. A packet is a 32-bit length, a type byte ([`PacketType`]) and the fields of that
-//! type; all numbers are big-endian. [`decode_packet`] and [`Fields`] decode, [`Packet`] and
-//! [`encode_status`] encode.
+//! The client protocol, in which the gateway is the SFTP server, and the node protocol, in which it
+//! is the SFTP client, share this codec. A packet consists of a 32-bit length, a type byte
+//! ([`PacketType`]) and the fields of that type. All integers are big-endian. [`decode_packet`] and
+//! [`Fields`] decode packets; [`Packet`] and [`encode_status`] encode them.
 
 mod attributes;
 mod builder;
@@ -22,5 +22,5 @@
 pub use request_id::RequestId;
 pub use status_code::StatusCode;
 
-/// The protocol version that both sides announce.
+/// The protocol version that the gateway announces, both as server and as client.
 pub const VERSION: u32 = 3;
--- a/crates/gateway/src/sftp_packet/open_flags.rs
+++ b/crates/gateway/src/sftp_packet/open_flags.rs
@@ -1,8 +1,8 @@
-//! The flags with which a file is opened.
+//! The flags of a request to open a file.
 
 use std::ops::BitOr;
 
-/// Flag bits of `SSH_FXP_OPEN`.
+/// The flags of `SSH_FXP_OPEN`; combine them with `|`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenFlags(pub u32);
 
--- a/crates/gateway/src/sftp_packet/reader.rs
+++ b/crates/gateway/src/sftp_packet/reader.rs
@@ -1,30 +1,30 @@
-//! Decoding of packets from an input buffer, and of the fields of a packet.
+//! Decoding of packets and of their fields.
 
 use super::attributes::{HAS_EXTENSIONS, HAS_OWNER, HAS_PERMISSIONS, HAS_SIZE, HAS_TIMES};
 use super::packet_type::PacketType;
 use super::request_id::RequestId;
 use crate::storage_request::MAX_VALUE_BYTES;
 
-/// Bytes of the length field before each packet.
+/// Length in bytes of the length field at the start of each packet.
 pub(super) const LENGTH_FIELD_BYTES: usize = 4;
-/// Longest accepted packet in bytes, without its length field: one object and the fields around
-/// it.
+/// Maximum length of an accepted packet in bytes, without its length field: the largest object and
+/// the fields around it.
 pub const MAX_PACKET_LENGTH: usize = MAX_VALUE_BYTES + (4 << 10);
 
-/// Bytes of the user and group ids in file attributes.
+/// Length in bytes of the user and group ids in file attributes.
 const OWNER_BYTES: usize = 8;
-/// Bytes of the permissions in file attributes.
+/// Length in bytes of the permissions in file attributes.
 const PERMISSIONS_BYTES: usize = 4;
-/// Bytes of the access and modification times in file attributes.
+/// Length in bytes of the access and modification times in file attributes.
 const TIMES_BYTES: usize = 8;
 
-/// The input is not a valid packet: it is empty, longer than [`MAX_PACKET_LENGTH`], or has a field
-/// that reaches beyond its end.
+/// The input is not a valid packet: the packet is empty or longer than [`MAX_PACKET_LENGTH`], or
+/// one of its fields extends beyond its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed packet")]
 pub struct MalformedPacket;
 
-/// A packet that was decoded up to its fields.
+/// A complete packet with its type decoded. Its fields are decoded by [`Fields`].
 #[derive(Clone, Copy, Debug)]
 pub struct DecodedPacket<'a> {
     /// Type of the packet.
@@ -33,8 +33,8 @@
     pub fields: Fields<'a>,
 }
 
-/// Decodes the packet of `input` that starts at `position`, and moves `position` past it. Returns
-/// `None`, with `position` unchanged, until the packet is complete.
+/// Decodes the packet that starts at `position` of `input`, and moves `position` past it. Returns
+/// `None` and leaves `position` unchanged if the packet is incomplete.
 ///
 /// # Errors
 ///
@@ -65,29 +65,29 @@
     }))
 }
 
-/// The fields of one packet, decoded in order from the front.
+/// The fields of one packet, decoded in order.
 #[derive(Clone, Copy, Debug)]
 pub struct Fields<'a> {
-    /// The fields that are not decoded yet.
+    /// The bytes of the fields that have not been decoded yet.
     rest: &'a [u8],
 }
 
 impl<'a> Fields<'a> {
-    /// Takes the next `length` bytes.
+    /// Reads the next `length` bytes.
     fn bytes(&mut self, length: usize) -> Result<&'a [u8], MalformedPacket> {
         let (bytes, rest) = self.rest.split_at_checked(length).ok_or(MalformedPacket)?;
         self.rest = rest;
         Ok(bytes)
     }
 
-    /// Takes the next `N` bytes as an array.
+    /// Reads the next `N` bytes as an array.
     fn array<const N: usize>(&mut self) -> Result<[u8; N], MalformedPacket> {
         let (array, rest) = self.rest.split_first_chunk().ok_or(MalformedPacket)?;
         self.rest = rest;
         Ok(*array)
     }
 
-    /// Takes a 32-bit number.
+    /// Reads a 32-bit integer.
     ///
     /// # Errors
     ///
@@ -96,7 +96,7 @@
         self.array().map(u32::from_be_bytes)
     }
 
-    /// Takes a 64-bit number.
+    /// Reads a 64-bit integer.
     ///
     /// # Errors
     ///
@@ -105,7 +105,7 @@
         self.array().map(u64::from_be_bytes)
     }
 
-    /// Takes a request id.
+    /// Reads a request id.
     ///
     /// # Errors
     ///
@@ -114,7 +114,7 @@
         self.u32().map(RequestId)
     }
 
-    /// Takes a byte string with its 32-bit length in front.
+    /// Reads a byte string, preceded by its length as a 32-bit integer.
     ///
     /// # Errors
     ///
@@ -124,7 +124,7 @@
         self.bytes(length)
     }
 
-    /// Takes file attributes and returns the file's size in bytes, if they contain it.
+    /// Reads file attributes. Returns the file size in bytes, if the attributes include it.
     ///
     /// # Errors
     ///
@@ -151,7 +151,7 @@
         Ok(size)
     }
 
-    /// Skips a counted list of extension pairs (type and data).
+    /// Skips the extended attributes: a count, followed by that many pairs of strings.
     fn skip_extensions(&mut self) -> Result<(), MalformedPacket> {
         for _ in 0..self.u32()? {
             self.string()?;
--- a/crates/gateway/src/sftp_packet/request_id.rs
+++ b/crates/gateway/src/sftp_packet/request_id.rs
@@ -1,11 +1,11 @@
-//! The number by which a reply names the command that it answers.
+//! Request ids, by which replies are matched to commands.
 
-/// A request id, chosen by the side that sends the command; the reply repeats it.
+/// The id of a command. The sender of the command chooses it, and the reply repeats it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestId(pub u32);
 
 impl RequestId {
-    /// The id after this one. The largest id is followed by zero.
+    /// Returns the next id. The largest id is followed by zero.
     #[must_use]
     pub fn next(self) -> RequestId {
         RequestId(self.0.wrapping_add(1))
--- a/crates/gateway/src/sftp_packet/status_code.rs
+++ b/crates/gateway/src/sftp_packet/status_code.rs
@@ -1,6 +1,6 @@
-//! The status codes of replies.
+//! The status codes of `STATUS` replies.
 
-/// Status codes of `SSH_FXP_STATUS`.
+/// The status codes of `SSH_FXP_STATUS` that the gateway sends or recognizes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u32)]
 pub enum StatusCode {
@@ -21,7 +21,7 @@
 }
 
 impl StatusCode {
-    /// All codes that have a name here.
+    /// All variants, for [`StatusCode::from_number`].
     const ALL: [StatusCode; 7] = [
         StatusCode::Ok,
         StatusCode::Eof,
@@ -32,7 +32,7 @@
         StatusCode::Unsupported,
     ];
 
-    /// The status code with this number, if it has a name here.
+    /// Returns the status code with this number; `None` if this enum does not contain it.
     #[must_use]
     pub fn from_number(number: u32) -> Option<StatusCode> {
         Self::ALL.into_iter().find(|code| *code as u32 == number)
