--- a/crates/gateway/src/connections/client/accept.rs
+++ b/crates/gateway/src/connections/client/accept.rs
@@ -13,28 +13,29 @@
 use std::net::TcpStream;
 use std::ops::ControlFlow;
 
-/// How many connections are accepted from a listener in one turn, so that a burst of new
-/// connections does not delay the requests that have arrived on others.
+/// Maximum number of connections accepted from a listener in one turn of the event loop. The limit
+/// keeps a burst of new connections from delaying requests that have arrived on other connections.
 const MAX_ACCEPTED_PER_TURN: usize = 64;
 
-/// Why accepting has stopped for this turn.
+/// Why [`ClientConnections::accept`] has returned.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AcceptOutcome {
-    /// No further connection waits, or enough of them were accepted.
+    /// The accept queue is empty, or the limits for this turn have been reached.
     Done,
-    /// A connection waits that cannot be accepted, and no idle one can be closed for it. Accepting
-    /// must pause, or the event loop would spin.
+    /// A connection in the accept queue cannot be accepted, and there is no idle connection to
+    /// close for it. The caller must pause accepting: the poller would report the listener again at
+    /// once, and the event loop would spin.
     Blocked,
 }
 
 impl ClientConnections {
-    /// Accepts the connections that wait at a listener, which the poller has reported as ready.
-    /// Idle connections are closed for them if the limit is reached.
+    /// Accepts connections from a listener that the poller has reported as ready. If the limit on
+    /// client connections is reached, idle connections are evicted.
     pub(crate) fn accept(&mut self, listener: &Listener, context: &mut Context) -> AcceptOutcome {
         for accepted in 0..MAX_ACCEPTED_PER_TURN {
-            // The poller's report proves only that the first one waits: no connection is closed
-            // for a further one that may not exist.
+            // The poller's event guarantees only one connection in the accept queue. Don't evict a
+            // connection for another that may not exist.
             if self.is_full() && accepted > 0 {
                 return AcceptOutcome::Done;
             }
@@ -54,12 +55,13 @@
         AcceptOutcome::Done
     }
 
-    /// Whether the limit on client connections is reached.
+    /// Returns whether the limit on client connections is reached.
     fn is_full(&self) -> bool {
         self.count >= self.limits.clients
     }
 
-    /// Handles an error of `accept`; returns whether to go on accepting in this turn.
+    /// Handles an error of `accept`. Returns `Continue` if the next connection can be accepted in
+    /// this turn.
     fn handle_accept_error(
         &mut self,
         error: &io::Error,
@@ -68,17 +70,17 @@
         match error.kind() {
             io::ErrorKind::WouldBlock => return ControlFlow::Break(AcceptOutcome::Done),
             io::ErrorKind::ConnectionAborted => return ControlFlow::Continue(()),
-            _ => log::warn!("accept: {error}"),
+            _ => log::warn!("cannot accept a client connection: {error}"),
         }
-        // The listener stays ready while a connection waits that cannot be accepted. Closing an
-        // idle connection frees a descriptor for it.
+        // The listener stays ready as long as a connection is in its accept queue. Evicting an idle
+        // connection frees a descriptor for it.
         if is_out_of_descriptors(error) && self.evict_one(context) {
             return ControlFlow::Continue(());
         }
         ControlFlow::Break(AcceptOutcome::Blocked)
     }
 
-    /// Adds an accepted connection; it is dropped if its socket can't be set up.
+    /// Adds an accepted connection. Drops it if its socket cannot be set up.
     fn add(&mut self, stream: TcpStream, protocol: ListenerProtocol, context: &mut Context) {
         let kind = ConnectionKind::Client;
         let Ok(socket) = Socket::register(stream, kind, Interest::Read, context) else {
@@ -90,7 +92,7 @@
         self.store(client, &mut context.timers);
     }
 
-    /// The protocol state of a new connection.
+    /// Creates the protocol state of a new connection.
     fn new_protocol(&self, protocol: ListenerProtocol) -> Box<dyn ClientProtocol> {
         match (protocol, &self.sftp) {
             (ListenerProtocol::Sftp, Some(shared)) => Box::new(SftpProtocol::new(shared.clone())),
--- a/crates/gateway/src/connections/client/client_connections.rs
+++ b/crates/gateway/src/connections/client/client_connections.rs
@@ -1,4 +1,4 @@
-//! The owner of all client connections.
+//! Storage of all client connections and of the state that they share.
 
 use super::connection::ClientConnection;
 use super::eviction_queue::EvictionQueue;
@@ -12,31 +12,34 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// All client connections, and the state of them together.
+/// All client connections, with their shared limits and totals.
 pub(crate) struct ClientConnections {
-    /// The connections, except one that is being handled.
+    /// The connections by token, except the one that is being handled at the moment.
     connections: HashMap<ConnectionToken, ClientConnection>,
-    /// The names of classes and plans, and the bounds, that all RESP2 requests share.
+    /// Class names, plan names and size bounds for parsing requests, shared by all RESP2
+    /// connections.
     pub(super) request_schema: Rc<RequestSchema>,
-    /// State shared by all SFTP connections, if SFTP is configured.
+    /// State shared by all SFTP connections; `None` if SFTP is not configured.
     pub(super) sftp: Option<Rc<SftpShared>>,
-    /// Limits on the numbers of connections.
+    /// Maximum numbers of connections.
     pub(super) limits: ConnectionLimits,
     /// Number of open connections.
     pub(super) count: usize,
-    /// Number of connections that have sent a request.
+    /// Number of open connections that have sent a request and are not in a lingering close.
     pub(super) requesters: usize,
-    /// Bytes of encoded replies that are not written yet.
+    /// Total bytes of encoded replies, over all connections, that have not been written to a socket
+    /// yet.
     pub(super) unsent_bytes: usize,
-    /// Capacity in bytes of all input buffers: between turns they hold mostly incomplete commands.
+    /// Total capacity in bytes of the input buffers of all connections. Between turns the buffers
+    /// contain mostly incomplete commands.
     pub(super) partial_command_bytes: usize,
-    /// The connections that may be closed to free descriptors.
+    /// The connections that may be closed to free descriptors, in the order of eviction.
     pub(super) eviction_queue: EvictionQueue,
 }
 
 impl ClientConnections {
-    /// Without connections at first. `now` is a seed that makes the SFTP handles differ from those
-    /// of an earlier run of the gateway.
+    /// Creates an empty set of connections. `now` is the seed for SFTP handles, so that they differ
+    /// from those of an earlier run of the gateway.
     pub(crate) fn new(config: &Config, limits: ConnectionLimits, now: Micros) -> ClientConnections {
         let file_bytes = config.budget.sftp_file_bytes;
         let sftp = config
@@ -61,12 +64,12 @@
         self.count
     }
 
-    /// The connection with this token; `None` if it is closed or being handled.
+    /// Returns the connection with this token; `None` if it is closed or being handled.
     pub(super) fn get(&self, token: ConnectionToken) -> Option<&ClientConnection> {
         self.connections.get(&token)
     }
 
-    /// Takes a connection out, also of the eviction queue, to handle it.
+    /// Removes a connection from the map and the eviction queue, so that the caller can handle it.
     pub(super) fn take(&mut self, token: ConnectionToken) -> Option<ClientConnection> {
         let mut client = self.connections.remove(&token)?;
         if let Some(candidate) = client.eviction_candidate.take() {
@@ -75,7 +78,7 @@
         Some(client)
     }
 
-    /// Stores a connection after it was handled, updates its timer, and adds it to the eviction
+    /// Stores a connection after it was handled. Updates its timer, and adds it to the eviction
     /// queue if it may be evicted.
     pub(super) fn store(&mut self, mut client: ClientConnection, timers: &mut TimerQueue) {
         let close_at = client.close_at();
--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -1,7 +1,7 @@
-//! Closing client connections: idle ones, after a last reply, or at once.
+//! Closing client connections: idle ones, those whose last reply has been written, and failed ones.
 
 use super::client_connections::ClientConnections;
-use super::connection::{ClientConnection, LateActivity};
+use super::connection::{ClientConnection, PreCloseRead};
 use super::eviction_queue::EvictionPriority;
 use crate::connection_token::ConnectionToken;
 use crate::connections::socket::Interest;
@@ -9,7 +9,7 @@
 use io_scheduler::Micros;
 
 impl ClientConnections {
-    /// Closes the connections that have been idle for at least `min_idle_time` microseconds.
+    /// Closes all connections that have been idle for at least `min_idle_time` microseconds.
     pub(crate) fn close_idle_for(&mut self, min_idle_time: Micros, context: &mut Context) {
         let idle: Vec<ConnectionToken> = context
             .tokens_of(ConnectionKind::Client)
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Whether a connection has been idle for at least `min_idle_time` microseconds.
+    /// Returns whether a connection has been idle for at least `min_idle_time` microseconds.
     fn is_idle_for(&self, token: ConnectionToken, min_idle_time: Micros, now: Micros) -> bool {
         let Some(client) = self.get(token) else {
             return false;
@@ -28,34 +28,34 @@
         client.is_idle() && now - client.last_active_at >= min_idle_time
     }
 
-    /// Closes an idle connection; see [`Self::close_unless_active`].
+    /// Closes an idle connection by its token; see [`Self::close_unless_active`].
     pub(super) fn close_idle(&mut self, token: ConnectionToken, context: &mut Context) {
         if let Some(client) = self.take(token) {
             self.close_unless_active(client, context);
         }
     }
 
-    /// Starts the lingering close of an idle connection, unless input has arrived that was not
-    /// read yet.
+    /// Starts the lingering close of an idle connection. If input has arrived in the meantime, the
+    /// connection stays open and the input is handled instead.
     pub(super) fn close_unless_active(
         &mut self,
         mut client: ClientConnection,
         context: &mut Context,
     ) {
-        match client.read_late_input() {
-            LateActivity::None => self.linger(client, context),
-            LateActivity::Input => self.advance(client, context),
-            LateActivity::Ended => self.drop_connection(client, context),
+        match client.read_before_close() {
+            PreCloseRead::NoInput => self.linger(client, context),
+            PreCloseRead::Input => self.advance(client, context),
+            PreCloseRead::Ended => self.drop_connection(client, context),
         }
     }
 
-    /// Starts or continues the lingering close of a connection on which every reply is written.
+    /// Starts or continues the lingering close of a connection whose replies have all been written.
     ///
-    /// If the gateway closed the socket while the client still sends, TCP would reset the
-    /// connection, and the client might lose the last reply. So the gateway closes its sending
-    /// side first, and reads and drops what the client still sends until the client has closed its
-    /// side too. The dropped bytes may contain requests: they have not run, and the client sends
-    /// them again on another connection.
+    /// If the gateway closed the socket while the client is still sending, TCP would reset the
+    /// connection and the client might lose the last reply. The gateway therefore shuts down its
+    /// sending side first. It then reads and discards input until the client closes its side too.
+    /// The discarded bytes may contain requests. They were not executed, and the client sends them
+    /// again on another connection.
     pub(super) fn linger(&mut self, mut client: ClientConnection, context: &mut Context) {
         if !client.is_lingering() {
             if client.socket.shutdown_write().is_err() {
@@ -72,9 +72,9 @@
         self.store(client, &mut context.timers);
     }
 
-    /// Closes a connection at once. The requests of its commands without a reply are reported as
-    /// those of a client that has disconnected, which does not cancel every attempt; see
-    /// [`crate::dispatcher::Dispatcher::client_disconnected`].
+    /// Closes a connection without a lingering close. For each request of a command without a
+    /// reply, the dispatcher is notified that the client has disconnected. That does not cancel
+    /// every attempt; see [`crate::dispatcher::Dispatcher::client_disconnected`].
     pub(super) fn drop_connection(&mut self, mut client: ClientConnection, context: &mut Context) {
         context.free(client.token());
         client.timer.cancel(&mut context.timers);
@@ -89,10 +89,10 @@
         }
     }
 
-    /// Removes a connection from the count of those that have sent a request.
+    /// Removes a connection from the number of those that have sent a request.
     fn uncount_requester(&mut self, client: &mut ClientConnection) {
-        if client.eviction_priority == EvictionPriority::Requests {
-            client.eviction_priority = EvictionPriority::Commands;
+        if client.eviction_priority == EvictionPriority::SentRequest {
+            client.eviction_priority = EvictionPriority::SentCommand;
             self.requesters -= 1;
         }
     }
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -1,4 +1,4 @@
-//! Parsing and submitting the commands of a client, and writing its replies.
+//! Parsing the commands of a client, submitting their requests and writing the replies.
 
 use super::client_connections::ClientConnections;
 use super::connection::{ClientConnection, MAX_INPUT_BYTES, MAX_UNSENT_BYTES};
@@ -9,19 +9,20 @@
 use io_scheduler::Micros;
 use std::io;
 
-/// Clients that read too slowly are disconnected once the unsent replies of all clients exceed
-/// their budget by this factor.
+/// A client with many unsent replies is disconnected once the unsent replies of all clients exceed
+/// this multiple of their budget.
 const MAX_BACKLOG_FACTOR: usize = 2;
 
 impl ClientConnections {
-    /// Takes the next steps on a connection: runs the commands that have arrived, writes the
-    /// replies that are ready, and then stores the connection, starts its lingering close or drops
-    /// it.
+    /// Does all pending work on a connection: runs the commands that have arrived and writes the
+    /// replies that are ready. Then stores the connection, starts or continues its lingering close,
+    /// or drops it.
     pub(super) fn advance(&mut self, mut client: ClientConnection, context: &mut Context) {
         let parsed_bytes = self.run_commands(&mut client, context);
         self.consume_input(&mut client, parsed_bytes, context);
         let input_is_full = client.socket.input.len() >= MAX_INPUT_BYTES;
-        let is_drained = context.shutdown.is_draining() && !client.has_begun_command_or_upload();
+        let is_drained =
+            context.shutdown.is_draining() && !client.has_partial_command_or_open_upload();
         let may_close = client.is_closing() || is_drained;
         let flushed = self.flush(&mut client, context.now);
         if flushed.is_err() || self.has_excessive_backlog(&client, context) {
@@ -38,14 +39,14 @@
         self.store(client, &mut context.timers);
     }
 
-    /// Parses and runs commands until a limit on pending replies is reached; returns the length of
-    /// their input in bytes.
+    /// Parses and runs commands until no complete one is left or a limit on pending replies is
+    /// reached. Returns the number of input bytes that were parsed.
     fn run_commands(&mut self, client: &mut ClientConnection, context: &mut Context) -> usize {
         let mut position = 0;
         let over_budget = self.unsent_bytes >= context.config.budget.unsent_reply_bytes;
         while client.may_parse_command() {
-            // While the unsent replies of all clients exceed their budget, each client gets one
-            // reply at a time.
+            // While the unsent replies of all clients exceed their budget, each client may have
+            // only one pending reply.
             if over_budget && !client.replies.is_empty() {
                 break;
             }
@@ -59,21 +60,21 @@
                 CommandStep::Reply(reply) => client.replies.push_encoded(reply),
                 CommandStep::Submit(requests) => self.submit(client, requests, context),
             }
-            client.note_command(context.now);
+            client.record_command(context.now);
         }
         position
     }
 
-    /// Submits the requests of the next command to the dispatcher; its reply is pending until they
-    /// have their responses.
+    /// Submits the requests of the next command to the dispatcher. The reply to the command stays
+    /// pending until the responses to them arrive.
     fn submit(
         &mut self,
         client: &mut ClientConnection,
         requests: Vec<StorageRequest>,
         context: &mut Context,
     ) {
-        if client.eviction_priority < EvictionPriority::Requests {
-            client.eviction_priority = EvictionPriority::Requests;
+        if client.eviction_priority < EvictionPriority::SentRequest {
+            client.eviction_priority = EvictionPriority::SentRequest;
             self.requesters += 1;
         }
         let reply_slot = ReplySlot {
@@ -87,9 +88,9 @@
         client.replies.push_awaiting(ids);
     }
 
-    /// Drops the input that was parsed, or all of it on a connection that is closing, and updates
-    /// the count of buffered bytes. If the partial commands of all clients exceed their budget, a
-    /// partial command of this client is rejected and its connection closes.
+    /// Discards the parsed input, or all input of a closing connection, and updates the total of
+    /// buffered bytes. If the partial commands of all clients exceed their budget and this client
+    /// has one, it is rejected and the connection is closed.
     fn consume_input(
         &mut self,
         client: &mut ClientConnection,
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Writes pending replies as far as the socket accepts them, and updates the count of unsent
+    /// Writes as much of the pending replies as the socket accepts, and updates the total of unsent
     /// bytes.
     fn flush(&mut self, client: &mut ClientConnection, now: Micros) -> io::Result<()> {
         let unsent_before = client.socket.unsent_bytes();
@@ -123,10 +124,12 @@
         result
     }
 
-    /// Whether a client is to be disconnected because it reads its replies too slowly: it has a
-    /// lot of unsent output, and the unsent replies of all clients exceed twice their budget. The
-    /// limits on parsing commands do not bound the replies to commands already in flight; this
-    /// does, before the process runs out of memory.
+    /// Returns whether to disconnect a client because it reads its replies too slowly. This is so
+    /// if it has more than [`MAX_UNSENT_BYTES`] of unsent output and the unsent replies of all
+    /// clients exceed [`MAX_BACKLOG_FACTOR`] times their budget.
+    ///
+    /// The limits that stop parsing do not bound the replies to commands already in flight. This
+    /// check does, before the process runs out of memory.
     fn has_excessive_backlog(&self, client: &ClientConnection, context: &Context) -> bool {
         let max_unsent_bytes = MAX_BACKLOG_FACTOR * context.config.budget.unsent_reply_bytes;
         self.unsent_bytes > max_unsent_bytes && client.socket.unsent_bytes() > MAX_UNSENT_BYTES
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection.
+//! The state of one client connection.
 
 use super::eviction_queue::{EvictionCandidate, EvictionPriority};
 use super::reply_queue::ReplyQueue;
@@ -10,84 +10,83 @@
 use crate::connections::socket::{Interest, Socket, StreamStatus};
 use io_scheduler::{Micros, RequestId};
 
-/// Bytes of input buffered for a connection: enough for the largest command with the length
+/// Maximum input in bytes that is buffered for a connection: the largest command with the length
 /// prefixes of its words.
 pub(super) const MAX_INPUT_BYTES: usize = MAX_COMMAND_BYTES + (2 << 10);
-/// How many commands of one connection may wait for a reply; further ones are not parsed until
-/// then.
+/// Maximum number of commands of one connection that wait for a reply. No further command is parsed
+/// until a reply is sent.
 const MAX_PIPELINED_COMMANDS: usize = 32;
-/// How many unsent bytes of replies one connection may have; beyond them no further command is
+/// Maximum unsent reply bytes of one connection. Once they are reached, no further command is
 /// parsed.
 pub(super) const MAX_UNSENT_BYTES: usize = 64 << 10;
-/// Time limit in microseconds for the first complete command of a connection, and for completing
-/// any command whose first bytes have arrived. Without it, clients that stay silent would keep
-/// descriptors that other clients need.
+/// Time limit, in microseconds, for the first complete command of a connection, and for completing
+/// any command whose first bytes have arrived. Without it, silent clients would occupy descriptors
+/// that other clients need.
 const COMMAND_TIMEOUT: Micros = 2_300_000;
-/// A client that has read none of its pending output for this long, in microseconds, is
-/// disconnected.
+/// A client is disconnected if it reads none of its pending output for this long, in microseconds.
 const WRITE_TIMEOUT: Micros = 10_000_000;
-/// How long, in microseconds, a lingering close waits for the client to close its side.
+/// Maximum time, in microseconds, that a lingering close waits for the client to close its side.
 const LINGERING_CLOSE_TIMEOUT: Micros = 300_000;
-/// How many bytes a lingering close reads and drops before it closes the connection.
+/// Maximum number of bytes that a lingering close reads and discards before it closes the socket.
 const MAX_LINGERING_BYTES: usize = 256 << 10;
 
-/// A client's connection.
+/// A connection accepted from a client.
 pub(super) struct ClientConnection {
-    /// The TCP stream with its buffers.
+    /// The TCP stream with its input and output buffers.
     pub(super) socket: Socket,
-    /// Parses the commands and encodes the replies.
+    /// Parses commands and encodes replies.
     pub(super) protocol: Box<dyn ClientProtocol>,
-    /// Replies that are not in the output buffer yet.
+    /// Replies that have not been moved to the output buffer yet.
     pub(super) replies: ReplyQueue,
-    /// Whether it takes commands or is closing.
+    /// Whether the connection runs commands or is closing.
     pub(super) lifecycle: Lifecycle,
-    /// What the client has sent so far, which decides how soon the connection is evicted.
+    /// What the client has sent so far. Determines how early the connection is evicted.
     pub(super) eviction_priority: EvictionPriority,
-    /// When the connection last made progress: the client connected, sent a complete command or
-    /// read some of its output, a response to one of its requests came, or the lingering close
-    /// started.
+    /// When the connection last made progress. Progress is: the connection was accepted, the client
+    /// sent a complete command or read some of its output, a response to one of its requests
+    /// arrived, or the lingering close started.
     pub(super) last_active_at: Micros,
-    /// Since when an incomplete command has been the only thing pending on the connection; `None`
-    /// without one, and while replies are pending.
+    /// Since when the connection has had an incomplete command and no pending reply; `None` if
+    /// either condition does not hold.
     pub(super) partial_command_since: Option<Micros>,
-    /// Expires when the connection is to be closed; see [`ClientConnection::close_at`].
+    /// Expires when the connection is due to be closed; see [`ClientConnection::close_at`].
     pub(super) timer: ConnectionTimer,
-    /// Its entry in the eviction queue, if it is in the queue.
+    /// The connection's entry in the eviction queue; `None` if it is not queued.
     pub(super) eviction_candidate: Option<EvictionCandidate>,
-    /// Its part of [`super::ClientConnections::unsent_bytes`].
+    /// The connection's contribution to [`super::ClientConnections::unsent_bytes`].
     pub(super) counted_unsent_bytes: CountedBytes,
-    /// Its part of [`super::ClientConnections::partial_command_bytes`].
+    /// The connection's contribution to [`super::ClientConnections::partial_command_bytes`].
     pub(super) counted_partial_command_bytes: CountedBytes,
 }
 
-/// What has happened on a connection that is about to be closed.
+/// The result of [`ClientConnection::read_before_close`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LateActivity {
-    /// Nothing has arrived.
-    None,
-    /// Input has arrived that was not read yet.
+pub(super) enum PreCloseRead {
+    /// No input has arrived.
+    NoInput,
+    /// New input is in the input buffer.
     Input,
     /// The client has closed its side, or the connection has failed.
     Ended,
 }
 
-/// The stages of a connection, in their order.
+/// The stages of a connection, in the order in which it passes through them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lifecycle {
     /// Commands are parsed and run.
     Open,
-    /// No further command is run; the lingering close starts once all replies are written.
+    /// No further command is run. The lingering close starts once all replies are written.
     CloseAfterReplies,
-    /// Lingering close: all replies are written and the sending side is closed. What the client
-    /// still sends is read and dropped until it closes its side.
+    /// Lingering close: all replies are written and the sending side is shut down. Input from the
+    /// client is read and discarded until the client closes its side.
     Lingering {
-        /// How many more bytes are read before the connection is dropped.
-        remaining: usize,
+        /// How many more bytes may be discarded before the connection is dropped.
+        remaining_bytes: usize,
     },
 }
 
 impl ClientConnection {
-    /// A connection accepted at the time `now`.
+    /// Creates the state of a connection that was accepted at the time `now`.
     pub(super) fn new(
         socket: Socket,
         protocol: Box<dyn ClientProtocol>,
@@ -99,7 +98,7 @@
             protocol,
             replies: ReplyQueue::default(),
             lifecycle: Lifecycle::Open,
-            eviction_priority: EvictionPriority::Silent,
+            eviction_priority: EvictionPriority::NoCommand,
             last_active_at: now,
             partial_command_since: None,
             eviction_candidate: None,
@@ -108,54 +107,55 @@
         }
     }
 
-    /// The connection's token.
+    /// Returns the connection's token.
     pub(super) fn token(&self) -> ConnectionToken {
         self.socket.token()
     }
 
-    /// Whether no further command is run.
+    /// Returns whether the connection is closing, so that no further command is run.
     pub(super) fn is_closing(&self) -> bool {
         self.lifecycle != Lifecycle::Open
     }
 
-    /// Whether the lingering close has started.
+    /// Returns whether the lingering close has started.
     pub(super) fn is_lingering(&self) -> bool {
         matches!(self.lifecycle, Lifecycle::Lingering { .. })
     }
 
-    /// Bytes of encoded replies that are not written yet, those that wait for earlier ones
-    /// included.
+    /// Returns the number of encoded reply bytes not written yet, including replies that wait for
+    /// earlier ones.
     pub(super) fn unsent_bytes(&self) -> usize {
         self.socket.unsent_bytes() + self.replies.encoded_bytes()
     }
 
-    /// Whether every command that was run has its reply, and all replies are written.
+    /// Returns whether every command that was run has been replied to and all replies are written.
     pub(super) fn is_fully_replied(&self) -> bool {
         self.replies.is_empty() && self.socket.unsent_bytes() == 0
     }
 
-    /// Whether a command has arrived in part, or an upload is open.
-    pub(super) fn has_begun_command_or_upload(&self) -> bool {
+    /// Returns whether the input buffer contains a command, complete or in part, or an upload is
+    /// open.
+    pub(super) fn has_partial_command_or_open_upload(&self) -> bool {
         !self.socket.input.is_empty() || self.protocol.has_open_upload()
     }
 
-    /// Whether the connection may be closed as idle: no reply is pending, no command has begun and
-    /// no upload is open. Handles that an SFTP client has open for reading or listing do not
-    /// prevent it: they are lost with the connection.
+    /// Returns whether the connection may be closed as idle: no reply is pending, no command has
+    /// arrived in part and no upload is open. Handles that an SFTP client has open for reading or
+    /// listing do not keep the connection open; they are lost with it.
     pub(super) fn is_idle(&self) -> bool {
-        self.is_fully_replied() && !self.has_begun_command_or_upload()
+        self.is_fully_replied() && !self.has_partial_command_or_open_upload()
     }
 
-    /// Whether the limits of this connection allow the next command to be parsed. Limits on all
-    /// connections together are checked elsewhere.
+    /// Returns whether the limits of this connection allow another command to be parsed. The limits
+    /// over all connections are checked by the caller.
     pub(super) fn may_parse_command(&self) -> bool {
         !self.is_closing()
             && self.replies.len() < MAX_PIPELINED_COMMANDS
             && self.socket.unsent_bytes() < MAX_UNSENT_BYTES
     }
 
-    /// Parses the next command, which starts at `position` of the input, and moves `position` past
-    /// it. `has_endpoint` is whether any node is in service.
+    /// Parses the command that starts at `position` of the input, and moves `position` past it.
+    /// `has_endpoint` says whether any node is in service.
     pub(super) fn parse_command(
         &mut self,
         position: &mut usize,
@@ -166,8 +166,8 @@
             .parse_command(&self.socket.input, position, slot, has_endpoint)
     }
 
-    /// Drops the input that was parsed, or all of it if the connection is closing, and records
-    /// since when a partial command is the only thing pending.
+    /// Discards the parsed input, or all input if the connection is closing. Updates
+    /// [`Self::partial_command_since`].
     pub(super) fn consume_parsed(&mut self, parsed_bytes: usize, now: Micros) {
         let consumed = if self.is_closing() {
             self.socket.input.len()
@@ -185,25 +185,27 @@
 
     /// Records that a complete command was run at the time `now`, and queues its reply if it is
     /// ready.
-    pub(super) fn note_command(&mut self, now: Micros) {
-        self.eviction_priority = self.eviction_priority.max(EvictionPriority::Commands);
+    pub(super) fn record_command(&mut self, now: Micros) {
+        self.eviction_priority = self.eviction_priority.max(EvictionPriority::SentCommand);
         self.last_active_at = now;
         self.queue_ready_replies();
     }
 
-    /// Reads what has arrived since the connection was handled last, before it is closed.
-    pub(super) fn read_late_input(&mut self) -> LateActivity {
+    /// Reads input once more before an idle connection is closed, in case the client has sent a
+    /// command in the meantime.
+    pub(super) fn read_before_close(&mut self) -> PreCloseRead {
         let length_before = self.socket.input.len();
         match self.socket.read_available(MAX_INPUT_BYTES) {
             Ok(StreamStatus::Open) if self.socket.input.len() > length_before => {
-                LateActivity::Input
+                PreCloseRead::Input
             }
-            Ok(StreamStatus::Open) => LateActivity::None,
-            Ok(StreamStatus::Ended) | Err(_) => LateActivity::Ended,
+            Ok(StreamStatus::Open) => PreCloseRead::NoInput,
+            Ok(StreamStatus::Ended) | Err(_) => PreCloseRead::Ended,
         }
     }
 
-    /// The events that the poller is to report while commands are run.
+    /// Returns the events to wait for before a lingering close. Reading is paused while the input
+    /// buffer is full and once the connection is closing.
     pub(super) fn interest(&self, input_is_full: bool) -> Interest {
         if input_is_full || self.is_closing() {
             Interest::Paused
@@ -212,8 +214,8 @@
         }
     }
 
-    /// When the connection is to be closed if nothing happens on it before; `None` while the
-    /// client waits for a reply.
+    /// Returns when to close the connection if nothing happens on it before; `None` while the
+    /// client waits for a response.
     pub(super) fn close_at(&self) -> Option<Micros> {
         if self.is_lingering() {
             return Some(self.last_active_at + LINGERING_CLOSE_TIMEOUT);
@@ -231,17 +233,17 @@
         }
     }
 
-    /// How long the connection may be idle, in microseconds.
+    /// Returns how long the connection may be idle, in microseconds.
     fn idle_timeout(&self) -> Micros {
-        if self.eviction_priority > EvictionPriority::Silent {
+        if self.eviction_priority > EvictionPriority::NoCommand {
             self.protocol.idle_timeout()
         } else {
             COMMAND_TIMEOUT
         }
     }
 
-    /// The entry for the eviction queue; `None` if a reply is pending or an upload is open. As with
-    /// [`Self::is_idle`], other open handles do not prevent it.
+    /// Returns the entry for the eviction queue; `None` if a reply is pending or an upload is open.
+    /// As in [`Self::is_idle`], other open handles are ignored.
     pub(super) fn as_eviction_candidate(&self) -> Option<EvictionCandidate> {
         if !self.is_fully_replied() || self.protocol.has_open_upload() {
             return None;
@@ -249,7 +251,7 @@
         let priority = if self.socket.input.is_empty() {
             self.eviction_priority
         } else {
-            EvictionPriority::MidCommand
+            EvictionPriority::PartialCommand
         };
         Some(EvictionCandidate {
             priority,
@@ -266,16 +268,16 @@
         self.queue_ready_replies();
     }
 
-    /// Records that the lingering close has started at the time `now`.
+    /// Records that the lingering close started at the time `now`.
     pub(super) fn start_lingering(&mut self, now: Micros) {
         self.lifecycle = Lifecycle::Lingering {
-            remaining: MAX_LINGERING_BYTES,
+            remaining_bytes: MAX_LINGERING_BYTES,
         };
         self.last_active_at = now;
     }
 
     /// Stores encoded replies and queues those that are next in order. Returns the requests of
-    /// their commands, some of which may still be without a response.
+    /// their commands; some of these may not have a response yet.
     pub(super) fn complete_replies(&mut self, encoded: Vec<EncodedReply>) -> Vec<RequestId> {
         let mut requests = Vec::new();
         for reply in encoded {
--- a/crates/gateway/src/connections/client/events.rs
+++ b/crates/gateway/src/connections/client/events.rs
@@ -1,4 +1,5 @@
-//! What happens to a client connection: it is ready, its timer expires, a response arrives.
+//! Event handlers of client connections: the socket is ready, the timer has expired, or a response
+//! has arrived.
 
 use super::client_connections::ClientConnections;
 use super::connection::{ClientConnection, Lifecycle, MAX_INPUT_BYTES};
@@ -10,7 +11,7 @@
 use std::io;
 
 impl ClientConnections {
-    /// Handles a connection that the poller reported.
+    /// Handles a connection that the poller has reported with `flags`.
     pub(crate) fn handle_ready(
         &mut self,
         token: ConnectionToken,
@@ -22,18 +23,19 @@
         };
         match read_input(&mut client, flags) {
             Ok(StreamStatus::Open) => self.advance(client, context),
-            // The client has disconnected: commands that it sent before are not run.
+            // The client has disconnected, so commands that are still in the input buffer are not
+            // run.
             Ok(StreamStatus::Ended) | Err(_) => self.drop_connection(client, context),
         }
     }
 
-    /// Handles the timer of a connection: it has been idle for too long, its command was not
-    /// completed in time, or its client does not read the replies.
+    /// Handles the expiry of a connection's timer: the connection was idle for too long, a command
+    /// was not completed in time, or the client does not read its replies.
     pub(crate) fn handle_timeout(&mut self, token: ConnectionToken, context: &mut Context) {
         let Some(mut client) = self.take(token) else {
             return;
         };
-        client.timer.note_expired();
+        client.timer.mark_expired();
         if client.is_closing() || !client.is_fully_replied() {
             return self.drop_connection(client, context);
         }
@@ -45,8 +47,8 @@
         self.advance(client, context);
     }
 
-    /// Passes the response to a request on to the command that it belongs to, and sends the
-    /// command's reply once it is complete.
+    /// Passes a response to the command that its request belongs to, and sends the reply to the
+    /// command once it is complete.
     pub(crate) fn respond(
         &mut self,
         reply_slot: ReplySlot,
@@ -60,8 +62,9 @@
         client
             .protocol
             .encode_response(reply_slot.slot, response, &mut encoded);
-        // A reply may be complete before all requests of its command are: once one part of a
-        // listing has failed, the others are reported as no longer needed.
+        // A reply may be complete before all requests of its command are. Once one part of a
+        // listing has failed, the dispatcher is notified that the responses to the other parts are
+        // no longer needed.
         for id in client.complete_replies(encoded) {
             context.client_disconnected(id);
         }
@@ -70,14 +73,14 @@
     }
 }
 
-/// Reads what has arrived on a connection that the poller reported with these events.
+/// Reads the available input of a connection that the poller has reported with `flags`.
 fn read_input(client: &mut ClientConnection, flags: EventFlags) -> io::Result<StreamStatus> {
-    if let Lifecycle::Lingering { remaining } = &mut client.lifecycle {
-        return client.socket.discard_available(remaining);
+    if let Lifecycle::Lingering { remaining_bytes } = &mut client.lifecycle {
+        return client.socket.discard_available(remaining_bytes);
     }
     if flags.intersects(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR) {
-        // The end of the stream may be behind more input than one call reads. The disconnection is
-        // reported now rather than once all of that input has been read.
+        // There may be more buffered input before the end of the stream than one call reads. Report
+        // the disconnection now instead of after all of that input has been read.
         return Ok(StreamStatus::Ended);
     }
     if flags.contains(EventFlags::IN) {
--- a/crates/gateway/src/connections/client/mod.rs
+++ b/crates/gateway/src/connections/client/mod.rs
@@ -1,8 +1,9 @@
-//! Client connections: accepting, commands and replies, limits, eviction and closing.
+//! Client connections: accepting, parsing commands, writing replies, evicting and closing.
 //!
-//! [`ClientConnections`] owns them. A method that takes a connection by value expects that the
-//! caller has taken it out by [`ClientConnections::take`]; it stores the connection again or drops
-//! it before it returns.
+//! [`ClientConnections`] owns all of them. A method that takes a
+//! [`ClientConnection`](connection::ClientConnection) by value expects the caller to have removed
+//! it with [`ClientConnections::take`]. Before it returns, the method either stores the connection
+//! again or drops it.
 
 mod accept;
 mod client_connections;
--- a/crates/gateway/src/connections/client/reply_queue.rs
+++ b/crates/gateway/src/connections/client/reply_queue.rs
@@ -1,15 +1,15 @@
-//! The replies of one client connection, in the order of its commands.
+//! The pending replies of one client connection, in the order of its commands.
 
 use crate::client_protocol::EncodedReply;
 use crate::storage_request::SlotNumber;
 use io_scheduler::RequestId;
 use std::collections::VecDeque;
 
-/// The replies that are not in the output buffer yet. Replies must leave in the order of their
-/// commands, so those that are ready wait for earlier ones.
+/// The replies that have not been moved to the output buffer yet. Replies must be sent in the order
+/// of their commands, so a reply that is ready waits for the earlier ones.
 #[derive(Debug, Default)]
 pub(super) struct ReplyQueue {
-    /// The replies in the order of their commands.
+    /// The replies, in the order of their commands.
     pending: VecDeque<PendingReply>,
     /// The slot of the next command's reply.
     next_slot: SlotNumber,
@@ -20,26 +20,26 @@
 struct PendingReply {
     /// Position among the replies of the connection.
     slot: SlotNumber,
-    /// The reply, or what it waits for.
+    /// The encoded reply, or the requests whose responses are awaited.
     content: ReplyContent,
 }
 
-/// What a reply waits for.
+/// The state of a pending reply.
 #[derive(Debug)]
 enum ReplyContent {
-    /// The reply is encoded and waits for earlier ones.
+    /// The reply is encoded and waits for earlier replies to be sent.
     Encoded(Vec<u8>),
-    /// The responses to these requests of the command are awaited.
+    /// The reply cannot be encoded before the responses to these requests of the command arrive.
     AwaitingResponses(Vec<RequestId>),
 }
 
 impl ReplyQueue {
-    /// Whether every command that was run has its reply in the output buffer.
+    /// Returns whether the replies to all commands have been moved to the output buffer.
     pub(super) fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Number of commands whose reply is not in the output buffer yet.
+    /// Returns the number of commands whose reply has not been moved to the output buffer yet.
     pub(super) fn len(&self) -> usize {
         self.pending.len()
     }
@@ -49,17 +49,17 @@
         self.next_slot
     }
 
-    /// Adds the reply to the next command.
+    /// Adds the encoded reply to the next command.
     pub(super) fn push_encoded(&mut self, bytes: Vec<u8>) {
         self.push(ReplyContent::Encoded(bytes));
     }
 
-    /// Adds a place for the reply to the next command, which has submitted these requests.
+    /// Adds a pending reply to the next command, which has submitted these requests.
     pub(super) fn push_awaiting(&mut self, requests: Vec<RequestId>) {
         self.push(ReplyContent::AwaitingResponses(requests));
     }
 
-    /// Adds a place for the reply to the next command.
+    /// Adds the reply to the next command, encoded or pending.
     fn push(&mut self, content: ReplyContent) {
         self.pending.push_back(PendingReply {
             slot: self.next_slot,
@@ -68,8 +68,8 @@
         self.next_slot = self.next_slot.next();
     }
 
-    /// Stores the encoded reply to a command. Returns the requests of the command, some of which
-    /// may still be without a response.
+    /// Stores the encoded reply to a command. Returns the requests of the command; some of them may
+    /// not have a response yet.
     pub(super) fn complete(&mut self, reply: EncodedReply) -> Vec<RequestId> {
         let mut pending = self.pending.iter_mut();
         let Some(pending) = pending.find(|pending| pending.slot == reply.slot) else {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Moves encoded replies to `output`, up to the first that is not encoded yet.
+    /// Moves encoded replies to `output`, up to the first reply that is not encoded yet.
     pub(super) fn append_ready(&mut self, output: &mut Vec<u8>) {
         while let Some(PendingReply {
             content: ReplyContent::Encoded(bytes),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Bytes of encoded replies that wait for earlier ones.
+    /// Returns the total bytes of encoded replies that wait for earlier ones.
     pub(super) fn encoded_bytes(&self) -> usize {
         let lengths = self.pending.iter().map(|reply| match &reply.content {
             ReplyContent::Encoded(bytes) => bytes.len(),
@@ -103,8 +103,8 @@
         lengths.sum()
     }
 
-    /// The requests of all commands that wait for responses, in the order of the commands. Some of
-    /// them may have their response already, if their command waits for others.
+    /// Returns the requests of all commands that wait for responses, in the order of the commands.
+    /// Some of the requests may already have a response, if their command waits for others.
     pub(super) fn into_open_requests(self) -> impl Iterator<Item = RequestId> {
         self.pending
             .into_iter()
--- a/crates/gateway/src/connections/connection_timer.rs
+++ b/crates/gateway/src/connections/connection_timer.rs
@@ -4,18 +4,18 @@
 use crate::timer_queue::{Timer, TimerQueue};
 use io_scheduler::Micros;
 
-/// The [`Timer::Connection`] of one connection. What it stands for depends on the state of the
-/// connection: a connect timeout, an idle timeout or the like.
+/// The [`Timer::Connection`] of one connection. Depending on the state of the connection it is a
+/// connect timeout, an idle timeout, or another of its timeouts.
 #[derive(Debug)]
 pub(crate) struct ConnectionTimer {
-    /// Token of the connection.
+    /// Token of the connection, which identifies the timer in the queue.
     token: ConnectionToken,
-    /// The time for which it is set, if it is set.
+    /// When the timer expires; `None` if it is not set.
     expires_at: Option<Micros>,
 }
 
 impl ConnectionTimer {
-    /// The timer of the connection with this token; it is not set.
+    /// Creates the timer of the connection with this token. It is not set.
     pub(crate) fn new(token: ConnectionToken) -> ConnectionTimer {
         ConnectionTimer {
             token,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Sets the timer for another time, or cancels it if that is `None`.
+    /// Sets the timer to expire at `at`, or cancels it if `at` is `None`.
     pub(crate) fn set(&mut self, at: Option<Micros>, timers: &mut TimerQueue) {
         if at != self.expires_at {
             timers.reschedule(&mut self.expires_at, at, Timer::Connection(self.token));
@@ -35,8 +35,8 @@
         self.set(None, timers);
     }
 
-    /// Records that the timer has expired and is no longer in the queue.
-    pub(crate) fn note_expired(&mut self) {
+    /// Records that the timer has expired and was removed from the queue.
+    pub(crate) fn mark_expired(&mut self) {
         self.expires_at = None;
     }
 }
--- a/crates/gateway/src/connections/counted_bytes.rs
+++ b/crates/gateway/src/connections/counted_bytes.rs
@@ -1,22 +1,22 @@
-//! Totals of bytes over all connections.
+//! Byte totals over all connections.
 
-/// The part of one connection in a total of bytes over all connections.
+/// The number of bytes that one connection contributes to a total over all connections.
 ///
-/// Each connection remembers its part, so that the total can be updated when the part changes and
-/// reduced when the connection closes.
+/// The connection remembers its contribution, so that the total can be adjusted when the
+/// contribution changes and reduced when the connection is closed.
 #[derive(Debug, Default)]
 pub(crate) struct CountedBytes {
-    /// The bytes counted so far.
+    /// The contribution that the total currently includes.
     bytes: usize,
 }
 
 impl CountedBytes {
-    /// The part as counted last, in bytes.
+    /// Returns the current contribution in bytes.
     pub(crate) fn get(&self) -> usize {
         self.bytes
     }
 
-    /// Sets the part to `bytes`, and updates the total that it is counted in.
+    /// Sets the contribution to `bytes` and adjusts `total` by the difference.
     pub(crate) fn set(&mut self, bytes: usize, total: &mut usize) {
         *total = *total + bytes - self.bytes;
         self.bytes = bytes;
--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -1,8 +1,8 @@
 //! The watch on the endpoint list of the discovery service.
 //!
-//! A watch is one HTTP request whose response never ends: discovery sends the changes of the list
-//! as they happen. The scheduler decides when to open a watch; this module owns its connection and
-//! detects its end.
+//! A watch is a single HTTP request whose response stays open: the discovery service sends each
+//! change of the list as it happens. The scheduler decides when to open a watch. This module owns
+//! the connection, receives the updates and detects when the watch has ended or failed.
 
 use crate::connections::socket::{start_connecting, Interest, Socket, StreamStatus};
 use crate::context::{ConnectionKind, Context, MICROS_PER_MILLI};
@@ -13,67 +13,68 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A watch is closed if it has delivered nothing this long, in microseconds, after it was opened.
-/// Discovery itself ends a request that it cannot serve after 2 s. This is shorter than the time
-/// after which the scheduler repeats a poll without a response (`POLL_TIMEOUT` in its
-/// `endpoints::polling`, 3 s), so a silent watch is closed by then.
+/// Time limit, in microseconds, for the first data after a watch is opened. The discovery service
+/// ends a request that it cannot serve after 2 s. The scheduler repeats a poll without a response
+/// after 3 s (`POLL_TIMEOUT` in its `endpoints::polling`). This limit is shorter, so a watch
+/// without data is closed by then.
 const FIRST_RESPONSE_TIMEOUT: Micros = 2_500_000;
-/// A watch is closed if nothing arrives on it for this long, in microseconds. Discovery sends an
-/// empty line as a heartbeat every 2 s, so a longer silence means that the connection is broken.
-/// Every update must take effect within 6 s even then, which leaves time for one failed attempt to
-/// open another watch.
-const SILENCE_TIMEOUT: Micros = 2_800_000;
-/// How many bytes of a watch are read in one turn.
+/// Maximum time, in microseconds, between two arrivals of data on a watch. The discovery service
+/// sends an empty line as a heartbeat every 2 s, so a longer interval means that the connection is
+/// broken. Even then every update must take effect within 6 s. This limit leaves time for one
+/// failed attempt to open another watch.
+const HEARTBEAT_TIMEOUT: Micros = 2_800_000;
+/// Maximum number of bytes that are read from a watch in one turn of the event loop.
 const MAX_BYTES_PER_TURN: usize = 256 << 10;
 
 /// Why a watch has ended.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WatchFailure {
-    /// Neither an update nor a heartbeat has arrived in time.
-    #[error("no data received in time")]
+    /// Neither an update nor a heartbeat arrived in time.
+    #[error("timed out waiting for data")]
     TimedOut,
-    /// Discovery has closed the connection or completed its response.
-    #[error("the watch was closed")]
+    /// The discovery service closed the connection or completed its response.
+    #[error("closed by the discovery service")]
     Ended,
-    /// Discovery sent an invalid response.
+    /// The discovery service sent an invalid response.
     #[error(transparent)]
     InvalidResponse(#[from] WatchError),
-    /// The connection failed.
+    /// The connection could not be established, or it failed later.
     #[error(transparent)]
     Connection(#[from] io::Error),
 }
 
-/// The connection of a watch.
+/// The connection that carries a watch.
 struct WatchConnection {
-    /// The TCP stream with its buffers.
+    /// The TCP stream with its input and output buffers.
     socket: Socket,
-    /// The address of discovery that it was opened to.
+    /// The address of the discovery service, to which the connection was opened.
     address: SocketAddr,
     /// Decodes the response.
     parser: WatchParser,
-    /// Whether the request was put into the output buffer.
-    is_requested: bool,
+    /// Whether the request has been appended to the output buffer.
+    is_request_queued: bool,
 }
 
-/// What a connection to discovery has brought since it was handled last.
+/// What was received from the discovery service in one turn.
 #[must_use]
 pub(crate) struct WatchOutcome {
-    /// The updates that are complete, in their order. They apply even if the watch has failed.
+    /// The complete updates, in the order of their arrival. They apply even if the watch has
+    /// failed.
     pub(crate) updates: Vec<EndpointListUpdate>,
-    /// Why the watch must be closed, if it must; to be passed to [`DiscoveryWatch::fail`] after
-    /// the updates have been applied.
+    /// Why the watch must be closed, or `None` if it stays open. The caller passes the failure to
+    /// [`DiscoveryWatch::fail`] after it has applied the updates.
     pub(crate) failure: Option<WatchFailure>,
 }
 
-/// The result of one read of a watch, besides its updates.
-struct WatchInput {
-    /// The error in the input after the updates, if it is invalid.
+/// The result of one read from a watch, apart from the updates.
+struct WatchReadResult {
+    /// An error if the input after the last complete update is invalid.
     parsed: Result<(), WatchError>,
-    /// Whether discovery has closed the connection or completed its response.
+    /// Whether the discovery service closed the connection or completed its response.
     is_ended: bool,
-    /// Whether the input restarts [`SILENCE_TIMEOUT`]. Parts of an object that was incomplete
-    /// before do not: the object must become complete in time.
-    restarts_silence_timeout: bool,
+    /// Whether the input restarts [`HEARTBEAT_TIMEOUT`]. Further parts of an incomplete JSON object
+    /// do not restart it: the object must be complete within that time.
+    restarts_heartbeat_timeout: bool,
 }
 
 impl WatchConnection {
@@ -85,18 +86,18 @@
             socket: Socket::register(stream, kind, Interest::Connect, context)?,
             address,
             parser: WatchParser::default(),
-            is_requested: false,
+            is_request_queued: false,
         })
     }
 
-    /// Sends the request for the changes after version `list_index`, once the connection is
-    /// established; returns false until then.
+    /// Sends the request for the changes after version `list_index` once the connection is
+    /// established. Returns false until then.
     fn send_request(&mut self, list_index: u64) -> io::Result<bool> {
-        if !self.is_requested {
+        if !self.is_request_queued {
             if !self.socket.is_connected()? {
                 return Ok(false);
             }
-            self.is_requested = true;
+            self.is_request_queued = true;
             let request = watch_request(&self.address, list_index);
             self.socket.output().extend_from_slice(request.as_bytes());
         }
@@ -104,56 +105,56 @@
         Ok(true)
     }
 
-    /// Reads and decodes what has arrived; appends the updates that are complete to `updates`.
-    fn receive(&mut self, updates: &mut Vec<EndpointListUpdate>) -> io::Result<WatchInput> {
+    /// Reads and decodes the available input. Appends each complete update to `updates`.
+    fn receive(&mut self, updates: &mut Vec<EndpointListUpdate>) -> io::Result<WatchReadResult> {
         let status = self.socket.read_available(MAX_BYTES_PER_TURN)?;
         let bytes = std::mem::take(&mut self.socket.input);
         let was_mid_object = self.parser.is_mid_object();
         let parsed = self.parser.feed(&bytes, updates);
         let completes_object = !updates.is_empty();
-        Ok(WatchInput {
+        Ok(WatchReadResult {
             parsed,
             is_ended: status == StreamStatus::Ended || self.parser.is_complete(),
-            restarts_silence_timeout: !bytes.is_empty() && (!was_mid_object || completes_object),
+            restarts_heartbeat_timeout: !bytes.is_empty() && (!was_mid_object || completes_object),
         })
     }
 }
 
-/// The state of the watch on discovery, which continues over its successive connections.
+/// The state of the watch on the discovery service, kept across its successive connections.
 pub(crate) struct DiscoveryWatch {
-    /// Its connection, if it is open.
+    /// The current connection; `None` if no watch is open.
     connection: Option<WatchConnection>,
-    /// When [`Timer::DiscoveryWatch`] expires, if it is set.
-    timer_set_for: Option<Micros>,
-    /// When its connection was opened.
+    /// When [`Timer::DiscoveryWatch`] expires; `None` if it is not set.
+    timer_expires_at: Option<Micros>,
+    /// When the current or last connection was opened.
     opened_at: Micros,
-    /// Whether the current connection has delivered an update.
-    has_delivered: bool,
-    /// The version of the endpoint list that was received last; 0 if none is known.
+    /// Whether an update has arrived on the current connection.
+    has_received_update: bool,
+    /// The last received version of the endpoint list; 0 if none is known.
     list_index: u64,
 }
 
 impl DiscoveryWatch {
-    /// A watch without a connection; the first request asks for the changes after version
+    /// Creates a watch without a connection. The first request asks for the changes after version
     /// `list_index`.
     pub(crate) fn new(list_index: u64) -> DiscoveryWatch {
         DiscoveryWatch {
             connection: None,
-            timer_set_for: None,
+            timer_expires_at: None,
             opened_at: 0,
-            has_delivered: false,
+            has_received_update: false,
             list_index,
         }
     }
 
-    /// Makes the next request ask for the complete list: another discovery service numbers its
-    /// versions on its own.
+    /// Makes the next request ask for the complete list. Called when the configured discovery
+    /// service changes, because each service numbers its versions independently.
     pub(crate) fn reset_list_index(&mut self) {
         self.list_index = 0;
     }
 
-    /// Opens a watch, if an address of discovery is configured. A watch that is open or being
-    /// established stays as it is, with its own timeout.
+    /// Opens a watch if the address of a discovery service is configured. A watch that is already
+    /// open or being established is left unchanged and keeps its timeout.
     pub(crate) fn open(&mut self, context: &mut Context) {
         let Some(address) = context.config.discovery else {
             return;
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Handles the connection, which the poller reported. The caller applies the outcome.
+    /// Handles the connection after the poller has reported it. The caller applies the outcome.
     pub(crate) fn handle_ready(&mut self, context: &mut Context) -> WatchOutcome {
         let mut updates = Vec::new();
         let result = self.advance(&mut updates, context);
@@ -184,8 +185,8 @@
         }
     }
 
-    /// Takes the next steps on the connection: sends the request, and appends the updates that
-    /// have arrived to `updates`, also where an error follows them.
+    /// Sends the request if that has not been done, and receives updates. Appends complete updates
+    /// to `updates`, even if an error follows them.
     fn advance(
         &mut self,
         updates: &mut Vec<EndpointListUpdate>,
@@ -199,14 +200,14 @@
         }
         let input = connection.receive(updates)?;
         for update in updates {
-            self.note_update(update, context.now);
+            self.record_update(update, context.now);
         }
         input.parsed?;
         if input.is_ended {
             return Err(WatchFailure::Ended);
         }
-        if input.restarts_silence_timeout {
-            self.set_timer(Some(context.now + SILENCE_TIMEOUT), &mut context.timers);
+        if input.restarts_heartbeat_timeout {
+            self.set_timer(Some(context.now + HEARTBEAT_TIMEOUT), &mut context.timers);
         }
         if let Some(connection) = &mut self.connection {
             let socket = &mut connection.socket;
@@ -215,10 +216,10 @@
         Ok(())
     }
 
-    /// Records the version of an update, and logs the first update of a connection.
-    fn note_update(&mut self, update: &EndpointListUpdate, now: Micros) {
-        if !self.has_delivered {
-            self.has_delivered = true;
+    /// Records the version of an update. Logs the first update of each connection.
+    fn record_update(&mut self, update: &EndpointListUpdate, now: Micros) {
+        if !self.has_received_update {
+            self.has_received_update = true;
             let count = update.endpoints.len();
             let elapsed_ms = self.elapsed_ms(now);
             log::info!(
@@ -228,19 +229,19 @@
         self.list_index = update.index;
     }
 
-    /// Handles the watch's timer.
+    /// Handles the expiry of the watch's timer: no data has arrived in time.
     pub(crate) fn handle_timeout(&mut self, context: &mut Context) {
-        self.timer_set_for = None;
+        self.timer_expires_at = None;
         self.fail(&WatchFailure::TimedOut, context);
     }
 
     /// Closes a watch that has failed or ended. The scheduler decides when to open another one.
     pub(crate) fn fail(&mut self, failure: &WatchFailure, context: &mut Context) {
         log::info!(
-            "discovery: {failure}, {} ms after opening the watch",
+            "discovery: watch failed after {} ms: {failure}",
             self.elapsed_ms(context.now)
         );
-        let event = if self.has_delivered {
+        let event = if self.has_received_update {
             EndpointListEvent::WatchLost
         } else {
             EndpointListEvent::PollFailed
@@ -248,22 +249,22 @@
         self.close(event, context);
     }
 
-    /// Closes the connection, if it is open, and reports `event` to the dispatcher.
+    /// Closes the connection, if there is one, and reports `event` to the dispatcher.
     pub(crate) fn close(&mut self, event: EndpointListEvent, context: &mut Context) {
         if let Some(connection) = self.connection.take() {
             context.free(connection.socket.token());
         }
-        self.has_delivered = false;
+        self.has_received_update = false;
         self.set_timer(None, &mut context.timers);
         context.dispatcher.update_endpoints(event, &[], context.now);
     }
 
-    /// Sets the watch's timer for another time, or cancels it if that is `None`.
+    /// Sets the watch's timer to expire at `at`, or cancels it if `at` is `None`.
     fn set_timer(&mut self, at: Option<Micros>, timers: &mut TimerQueue) {
-        timers.reschedule(&mut self.timer_set_for, at, Timer::DiscoveryWatch);
+        timers.reschedule(&mut self.timer_expires_at, at, Timer::DiscoveryWatch);
     }
 
-    /// Milliseconds since the connection was opened.
+    /// Returns the milliseconds since the current or last connection was opened.
     fn elapsed_ms(&self, now: Micros) -> Micros {
         (now - self.opened_at) / MICROS_PER_MILLI
     }
--- a/crates/gateway/src/connections/listener.rs
+++ b/crates/gateway/src/connections/listener.rs
@@ -1,4 +1,4 @@
-//! Sockets that accept client connections.
+//! Listening sockets for client connections.
 
 use crate::connection_token::ConnectionToken;
 use crate::context::{ConnectionKind, Context};
@@ -8,15 +8,15 @@
 use std::io;
 use std::net::{TcpListener, TcpStream};
 
-/// Length of the system's queue of connections that wait to be accepted. It is long, as hundreds
-/// of clients may connect at once: the system drops what exceeds the queue, and a client repeats
-/// that only after a second.
+/// Length of the kernel's queue of connections that wait to be accepted. Hundreds of clients may
+/// connect at once. The kernel drops connection attempts that exceed the queue, and a client
+/// retries a dropped attempt only after a second.
 const ACCEPT_BACKLOG: i32 = 1024;
-/// How long, in microseconds, accepting pauses when a connection cannot be accepted and no idle
-/// one can be closed for it.
+/// How long, in microseconds, accepting pauses after a connection could not be accepted and there
+/// was no idle connection to close for it.
 const ACCEPT_PAUSE: Micros = 20_000;
 
-/// Which protocol the clients of a listener speak.
+/// The protocol that the clients of a listener use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListenerProtocol {
     /// RESP2.
@@ -26,7 +26,7 @@
 }
 
 impl ListenerProtocol {
-    /// The name for the log.
+    /// Returns the name of the protocol for log messages.
     fn name(self) -> &'static str {
         match self {
             ListenerProtocol::Resp => "RESP2",
@@ -35,47 +35,48 @@
     }
 }
 
-/// A socket that accepts client connections.
+/// A listening socket for clients of one protocol.
 pub(crate) struct Listener {
-    /// Its token.
+    /// The token by which the poller reports the socket.
     token: ConnectionToken,
     /// The listening socket, in non-blocking mode.
     socket: TcpListener,
-    /// The protocol of its clients.
+    /// The protocol of the clients that connect here.
     protocol: ListenerProtocol,
 }
 
 impl Listener {
-    /// The protocol of the clients.
+    /// Returns the protocol of the clients that connect here.
     pub(crate) fn protocol(&self) -> ListenerProtocol {
         self.protocol
     }
 
-    /// Accepts a connection that waits. The error is of the kind [`io::ErrorKind::WouldBlock`] if
-    /// there is none.
+    /// Accepts the next connection. Returns an error of the kind [`io::ErrorKind::WouldBlock`] if
+    /// no connection is waiting.
     pub(crate) fn accept(&self) -> io::Result<TcpStream> {
         let (stream, _) = self.socket.accept()?;
         Ok(stream)
     }
 }
 
-/// All listeners.
+/// All listeners of the gateway.
 #[derive(Default)]
 pub(crate) struct Listeners {
-    /// In the order in which they were added.
+    /// The listeners in the order in which they were added.
     listeners: Vec<Listener>,
 }
 
 impl Listeners {
-    /// Registers a bound socket with the poller.
+    /// Starts listening on a bound socket with a longer accept queue, and registers it with the
+    /// poller.
     pub(crate) fn add(
         &mut self,
         socket: TcpListener,
         protocol: ListenerProtocol,
         context: &mut Context,
     ) -> io::Result<()> {
-        // The standard library listens with a shorter queue; listening again only changes its
-        // length.
+        // The standard library listens with a shorter queue. A second call of `listen` only changes
+        // the length of the queue.
         rustix::net::listen(&socket, ACCEPT_BACKLOG)?;
         socket.set_nonblocking(true)?;
         let address = socket.local_addr()?;
@@ -89,15 +90,15 @@
         Ok(())
     }
 
-    /// The listener with this token.
+    /// Returns the listener with this token.
     pub(crate) fn get(&self, token: ConnectionToken) -> Option<&Listener> {
         self.listeners
             .iter()
             .find(|listener| listener.token == token)
     }
 
-    /// Stops accepting for [`ACCEPT_PAUSE`] on all listeners but the one that is being handled,
-    /// which keeps its events.
+    /// Stops accepting for [`ACCEPT_PAUSE`] on all listeners except `handled`, the one that is
+    /// being handled. The poller continues to report that one.
     pub(crate) fn pause_others(&self, handled: ConnectionToken, context: &mut Context) {
         for listener in &self.listeners {
             if listener.token != handled {
@@ -109,7 +110,7 @@
             .set(context.now + ACCEPT_PAUSE, Timer::ResumeAccepting);
     }
 
-    /// Accepts connections again on all listeners.
+    /// Resumes accepting on all listeners.
     pub(crate) fn resume(&self, context: &Context) {
         for listener in &self.listeners {
             set_events(listener, EventFlags::IN, context);
@@ -117,12 +118,12 @@
     }
 }
 
-/// Changes which events the poller reports for a listener.
+/// Sets the events that the poller reports for a listener.
 fn set_events(listener: &Listener, events: EventFlags, context: &Context) {
     let result = context
         .poller
         .modify(&listener.socket, listener.token, events);
     if let Err(error) = result {
-        log::error!("accept: {error}");
+        log::error!("cannot change the poller events of a listener: {error}");
     }
 }
--- a/crates/gateway/src/connections/mod.rs
+++ b/crates/gateway/src/connections/mod.rs
@@ -1,9 +1,10 @@
-//! Connections and their owners: of clients, to storage nodes, to discovery, and the listeners.
+//! Network connections: those of clients, those to storage nodes, the one to the discovery service,
+//! and the listeners.
 //!
-//! Each owner keeps its connections by
-//! [`ConnectionToken`](crate::connection_token::ConnectionToken) and the state of all of them
-//! together. Owners don't know each other or the event loop: they get the
-//! [`Context`](crate::context), and return what concerns others as a value.
+//! Each kind of connection has an owner, such as `ClientConnections`. The owner stores its
+//! connections by [`ConnectionToken`](crate::connection_token::ConnectionToken), together with the
+//! state that they share. Owners depend on neither each other nor the event loop: they receive the
+//! [`Context`](crate::context) as an argument, and return a value where the event loop has to act.
 
 pub(crate) mod client;
 mod connection_timer;
--- a/crates/gateway/src/connections/node/attempts.rs
+++ b/crates/gateway/src/connections/node/attempts.rs
@@ -1,6 +1,6 @@
 //! Starting and abandoning attempts, and writing their requests.
 
-use super::connection::{AttemptSpec, CarriedAttempt, NodeConnection};
+use super::connection::{AttemptSpec, InFlightAttempt, NodeConnection};
 use super::idle_timeout::IdleTimeoutEstimate;
 use super::node_connections::NodeConnections;
 use super::open::OpenError;
@@ -10,30 +10,32 @@
 use io_scheduler::{Micros, NodeId};
 
 impl NodeConnections {
-    /// Starts an attempt on an idle connection or on a new one.
+    /// Starts an attempt on an idle connection, or on a new one if no idle one is suitable.
     pub(crate) fn start_attempt(&mut self, attempt: AttemptSpec, context: &mut Context) {
-        // The client may have disconnected earlier in this turn.
+        // Skip the attempt if it was aborted earlier in this turn, for example because the client
+        // has disconnected.
         if !context.dispatcher.is_awaiting(attempt.id) {
             return;
         }
         let operation = attempt.request.operation;
-        let mut connection = match self.connection_for(attempt.node, operation, context) {
+        let mut connection = match self.acquire_connection(attempt.node, operation, context) {
             Ok(connection) => connection,
             Err(error) => {
-                log::debug!("node {}: {error}", attempt.node.0);
-                // The scheduler counts this as a fault of the node, also where the gateway itself
-                // is short of connections.
+                log::debug!("node {}: cannot open a connection: {error}", attempt.node.0);
+                // The scheduler counts this as a fault of the node, even if the gateway itself has
+                // reached a limit on connections.
                 return context.abort_attempt(attempt.id, AbortCause::NoConnection);
             }
         };
         self.attempt_connections
             .insert(attempt.id, connection.token());
-        connection.carried = Some(CarriedAttempt::new(attempt, context.now));
+        connection.in_flight = Some(InFlightAttempt::new(attempt, context.now));
         self.advance(connection, context);
     }
 
-    /// A connection for a new request: an idle one if the pool has a suitable one, else a new one.
-    fn connection_for(
+    /// Returns a connection for a new request: a suitable idle one from the pool, or else a new
+    /// one.
+    fn acquire_connection(
         &mut self,
         node: NodeId,
         operation: Operation,
@@ -45,11 +47,12 @@
         }
     }
 
-    /// Takes an idle connection out of a node's pool, the last used one first.
+    /// Takes a suitable idle connection out of a node's pool, trying the most recently used one
+    /// first.
     ///
-    /// Connections that have been idle for too long for any request, or that are not reusable, are
-    /// closed on the way. A connection that is still being established needs no such check, as it
-    /// never was idle at the node.
+    /// Connections that are not reusable, or have been idle for too long for any request, are
+    /// closed in the process. A connection that is still being established needs no check, because
+    /// it has never been idle at the node.
     fn take_idle(
         &mut self,
         node: NodeId,
@@ -66,8 +69,8 @@
             let idle_for = connection.idle_for(context.now);
             let is_allowed = is_idle_time_allowed(idle_for, operation, estimate);
             if !is_allowed && estimate.allows_idempotent(idle_for) {
-                // It stays in the pool for idempotent requests. All others have been idle for
-                // longer still.
+                // The connection stays in the pool for idempotent requests. All others in the pool
+                // have been idle for even longer.
                 self.put_back_idle(connection);
                 return None;
             }
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Puts a connection back that was just taken out of its pool, as the one to use next.
+    /// Puts back a connection that was just taken out of its pool, so that it is used next.
     fn put_back_idle(&mut self, connection: NodeConnection) {
         if let Some(pool) = self.pools.get_mut(&connection.node) {
             pool.idle.push(connection.token());
@@ -88,12 +91,12 @@
         self.store(connection);
     }
 
-    /// Abandons an attempt: frees its connection, after the dispatcher has aborted it. Nothing is
-    /// reported. The connection is closed, which cancels the request at the node; if the request
-    /// has not been encoded yet, the connection is returned to its pool instead.
+    /// Frees the connection of an attempt that the dispatcher has already aborted. Reports nothing
+    /// to the dispatcher. The connection is closed, which cancels the request at the node. If the
+    /// request has not been encoded yet, the connection is returned to its pool instead.
     ///
-    /// An attempt that was aborted here, as by [`Self::fail_connection`], has no connection any
-    /// more.
+    /// Does nothing if the attempt was aborted by this module, as in [`Self::fail_connection`]:
+    /// such an attempt no longer has a connection.
     pub(crate) fn abandon_attempt(&mut self, attempt: AttemptId, context: &mut Context) {
         let Some(token) = self.attempt_connections.remove(&attempt) else {
             return;
@@ -101,23 +104,22 @@
         let Some(mut connection) = self.take(token) else {
             return;
         };
-        let carried = connection.carried.take();
-        if carried.is_some_and(|carried| !carried.is_encoded()) {
+        let in_flight = connection.in_flight.take();
+        if in_flight.is_some_and(|in_flight| !in_flight.is_encoded()) {
             self.advance(connection, context);
         } else {
             self.drop_connection(connection, context);
         }
     }
 
-    /// Takes the next steps on a connection: encodes the request that it carries if the connection
-    /// is ready, writes pending output, and returns the connection to its pool if it carries no
-    /// request.
+    /// Does all pending work on a connection: encodes its request if the connection is ready,
+    /// writes pending output, and returns the connection to its pool if it has no attempt.
     pub(super) fn advance(&mut self, mut connection: NodeConnection, context: &mut Context) {
         if connection.is_ready() {
             self.write_request(&mut connection, context);
         }
         let flushed = connection.flush();
-        if let Some(attempt) = connection.take_possible_execution() {
+        if let Some(attempt) = connection.mark_may_have_executed() {
             context.dispatcher.note_may_have_executed(attempt);
         }
         let interest = connection.interest();
@@ -126,35 +128,35 @@
         if result.is_err() {
             return self.fail_connection(connection, AbortCause::ConnectionLost, context);
         }
-        if connection.carried.is_some() {
+        if connection.in_flight.is_some() {
             return self.store(connection);
         }
         self.return_to_pool(connection, context);
     }
 
-    /// Encodes the request that a connection carries, once. If the node has been draining for too
-    /// long to start writing to it, the attempt is aborted instead and the connection is left
-    /// without a request.
+    /// Encodes the request of a connection's attempt, unless that was done before. If the node has
+    /// been draining for too long to be sent a new request, the attempt is aborted instead and the
+    /// connection is left without an attempt.
     fn write_request(&mut self, connection: &mut NodeConnection, context: &mut Context) {
-        let Some(carried) = &connection.carried else {
+        let Some(in_flight) = &connection.in_flight else {
             return;
         };
-        if carried.is_encoded() {
+        if in_flight.is_encoded() {
             return;
         }
         if context.dispatcher.may_write(connection.node, context.now) {
             return connection.encode_request(context.now, &mut context.timers);
         }
-        let attempt = carried.attempt.id;
-        connection.carried = None;
+        let attempt = in_flight.attempt.id;
+        connection.in_flight = None;
         self.attempt_connections.remove(&attempt);
-        // The scheduler counts this as a fault of the node, like a connection that was refused.
+        // The scheduler counts this as a fault of the node, like a refused connection.
         context.abort_attempt(attempt, AbortCause::DrainGuard);
     }
 }
 
-/// Whether a request can use a connection that was idle for `idle_for` microseconds. All writes
-/// count as non-idempotent here, whatever the idempotency of their class.
+/// Returns whether a request of this operation may use a connection that was idle for `idle_for`
+/// microseconds. All writes count as non-idempotent here, whatever the idempotency of their class.
 fn is_idle_time_allowed(
     idle_for: Micros,
     operation: Operation,
--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -1,4 +1,4 @@
-//! Connections that no longer carry a request: returned to their pool, or closed.
+//! Returning connections without an attempt to their pool, and closing connections.
 
 use super::connection::NodeConnection;
 use super::node_connections::NodeConnections;
@@ -9,9 +9,9 @@
 use io_scheduler::{Micros, NodeId};
 
 impl NodeConnections {
-    /// Puts a connection that carries no request into its pool. It is closed instead if its node
-    /// has another address by now or is no longer listed: another process may listen at the
-    /// previous address.
+    /// Returns a connection without an attempt to its pool. Closes it instead if its node has
+    /// changed its address or is no longer listed, because another process may be listening at the
+    /// old address.
     pub(super) fn return_to_pool(&mut self, mut connection: NodeConnection, context: &mut Context) {
         let Some(pool) = self.current_pool(&connection, context) else {
             return self.drop_connection(connection, context);
@@ -27,7 +27,7 @@
         self.store(connection);
     }
 
-    /// The pool of a connection, if its node is listed and still has the address of the
+    /// Returns the pool of a connection, if the node is listed and its address is still that of the
     /// connection.
     fn current_pool(
         &mut self,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Closes a connection that carries no attempt, and removes it from its pool.
+    /// Closes a connection that has no attempt, and removes it from its pool.
     pub(super) fn drop_connection(
         &mut self,
         mut connection: NodeConnection,
@@ -69,28 +69,28 @@
         self.remove_pool_if_unused(connection.node, context);
     }
 
-    /// Fails a connection: closes it, and aborts the attempt that it carries, if any. A connection
-    /// that carries none is closed by [`Self::drop_connection`] in the same way.
+    /// Closes a connection that has failed, and aborts its attempt if it has one. Without an
+    /// attempt this has the same effect as [`Self::drop_connection`].
     pub(super) fn fail_connection(
         &mut self,
         mut connection: NodeConnection,
         cause: AbortCause,
         context: &mut Context,
     ) {
-        let carried = connection.carried.take();
+        let in_flight = connection.in_flight.take();
         let node = connection.node;
         let idle_before_request = connection.idle_before_request;
         self.drop_connection(connection, context);
-        let Some(carried) = carried else { return };
-        if cause == AbortCause::ConnectionLost && carried.may_have_executed {
-            let reset_after = context.now - carried.started_at;
+        let Some(in_flight) = in_flight else { return };
+        if cause == AbortCause::ConnectionLost && in_flight.may_have_executed {
+            let reset_after = context.now - in_flight.started_at;
             self.record_reset(node, idle_before_request, reset_after);
         }
-        self.attempt_connections.remove(&carried.attempt.id);
-        context.abort_attempt(carried.attempt.id, cause);
+        self.attempt_connections.remove(&in_flight.attempt.id);
+        context.abort_attempt(in_flight.attempt.id, cause);
     }
 
-    /// Lets the node's idle timeout estimate learn from a reset; see
+    /// Updates the idle timeout estimate of a node after a reset; see
     /// [`super::idle_timeout::IdleTimeoutEstimate::record_reset`].
     fn record_reset(&mut self, node: NodeId, idle: Micros, reset_after: Micros) {
         if let Some(pool) = self.pools.get_mut(&node) {
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a storage node.
+//! The state of one connection to a storage node.
 
 use super::pool::NodeAddress;
 use crate::connection_token::ConnectionToken;
@@ -14,65 +14,67 @@
 use std::io;
 use std::sync::Arc;
 
-/// Bytes of input buffered for a connection, besides the announced length of a large response.
+/// Maximum input in bytes that is buffered for a connection, in addition to the announced length of
+/// a large response.
 pub(super) const MAX_BUFFERED_INPUT_BYTES: usize = 80 << 10;
 
-/// A connection to a node. It carries one request at a time, so that a request can be abandoned by
-/// closing its connection without effect on any other.
+/// A connection to a node. It has at most one request in flight, so that a request can be cancelled
+/// by closing its connection without affecting other requests.
 pub(super) struct NodeConnection {
-    /// The TCP stream with its buffers.
+    /// The TCP stream with its input and output buffers.
     pub(super) socket: Socket,
-    /// The node at the other end.
+    /// The node that the connection leads to.
     pub(super) node: NodeId,
-    /// The address it was opened to. The pool's address differs if the node has moved since.
+    /// The address to which the connection was opened. Differs from the pool's address if the node
+    /// has changed its address since then.
     pub(super) address: NodeAddress,
-    /// Encodes the requests and decodes the responses.
+    /// Encodes requests and decodes responses.
     pub(super) protocol: Box<dyn NodeProtocol>,
-    /// Whether the TCP connection is established; the protocol's handshake may still be under way.
+    /// Whether the TCP connection is established. The protocol's handshake may still be in
+    /// progress.
     pub(super) is_connected: bool,
-    /// The attempt that it carries, if any.
-    pub(super) carried: Option<CarriedAttempt>,
-    /// The connect timeout or the idle timeout; cancelled once a request is encoded.
+    /// The attempt in progress on the connection; `None` if there is none.
+    pub(super) in_flight: Option<InFlightAttempt>,
+    /// The connect timeout or idle timeout. Cancelled once a request is encoded.
     pub(super) timer: ConnectionTimer,
-    /// Its part of [`super::NodeConnections::large_response_bytes`].
+    /// The connection's contribution to [`super::NodeConnections::large_response_bytes`].
     pub(super) counted_large_response_bytes: CountedBytes,
-    /// When it was last put into its pool; `None` before the first time.
+    /// When the connection was last put into its pool; `None` if it never was.
     pub(super) idle_since: Option<Micros>,
-    /// How long it was idle before the request that it carries, in microseconds.
+    /// How long the connection was idle before its current request, in microseconds.
     pub(super) idle_before_request: Micros,
 }
 
-/// What an attempt is to do.
+/// The parameters of an attempt.
 pub(crate) struct AttemptSpec {
-    /// By this the dispatcher recognizes the result.
+    /// Identifies the attempt in reports to the dispatcher.
     pub(crate) id: AttemptId,
-    /// The node to forward the request to.
+    /// The node to send the request to.
     pub(crate) node: NodeId,
     /// When the attempt times out.
     pub(crate) times_out_at: Micros,
-    /// The request to encode.
+    /// The request to send.
     pub(crate) request: Arc<StorageRequest>,
 }
 
-/// The attempt that a connection carries.
-pub(super) struct CarriedAttempt {
-    /// What the attempt is to do.
+/// An attempt in progress on a connection.
+pub(super) struct InFlightAttempt {
+    /// The parameters of the attempt.
     pub(super) attempt: AttemptSpec,
-    /// Position in the connection's output stream, in bytes, beyond which the node may have
-    /// executed the request; compared with [`Socket::bytes_sent`]. `None` before the request is
-    /// encoded.
+    /// Offset in the connection's output stream, in bytes. Once [`Socket::bytes_sent`] exceeds it,
+    /// the node may have executed the request. `None` until the request is encoded.
     execution_offset: Option<u64>,
-    /// Whether the node may have executed the request, and the dispatcher was notified; see
-    /// [`crate::dispatcher::Dispatcher::note_may_have_executed`].
+    /// Whether the node may have executed the request, of which the dispatcher has been notified;
+    /// see [`crate::dispatcher::Dispatcher::note_may_have_executed`].
     pub(super) may_have_executed: bool,
     /// When the connection was assigned to the attempt.
     pub(super) started_at: Micros,
 }
 
-impl CarriedAttempt {
-    /// An attempt that is assigned to a connection at the time `now`.
-    pub(super) fn new(attempt: AttemptSpec, now: Micros) -> CarriedAttempt {
-        CarriedAttempt {
+impl InFlightAttempt {
+    /// Creates the state of an attempt to which a connection is assigned at the time `now`.
+    pub(super) fn new(attempt: AttemptSpec, now: Micros) -> InFlightAttempt {
+        InFlightAttempt {
             attempt,
             execution_offset: None,
             may_have_executed: false,
@@ -80,15 +82,15 @@
         }
     }
 
-    /// Whether the request is in the output buffer or was sent from there, at least in part.
+    /// Returns whether the request has been encoded. It may have been sent in part or completely.
     pub(super) fn is_encoded(&self) -> bool {
         self.execution_offset.is_some()
     }
 }
 
 impl NodeConnection {
-    /// A connection that is being established. Values of more than `max_value_bytes` in its
-    /// responses are protocol errors.
+    /// Creates the state of a connection that is being established. A value of more than
+    /// `max_value_bytes` in a response is a protocol error.
     pub(super) fn new(
         socket: Socket,
         node: NodeId,
@@ -106,30 +108,30 @@
             address,
             protocol,
             is_connected: false,
-            carried: None,
+            in_flight: None,
             counted_large_response_bytes: CountedBytes::default(),
             idle_since: None,
             idle_before_request: 0,
         }
     }
 
-    /// The connection's token.
+    /// Returns the connection's token.
     pub(super) fn token(&self) -> ConnectionToken {
         self.socket.token()
     }
 
-    /// For how many microseconds it has been idle at the time `now`; 0 if it never was.
+    /// Returns the microseconds since the connection was last put into its pool; 0 if it never was.
     pub(super) fn idle_for(&self, now: Micros) -> Micros {
         self.idle_since.map_or(0, |since| now - since)
     }
 
-    /// Whether requests may be written: the TCP connection and the protocol's handshake are
-    /// complete.
+    /// Returns whether requests may be written, that is, whether the TCP connection is established
+    /// and the protocol's handshake is complete.
     pub(super) fn is_ready(&self) -> bool {
         self.is_connected && self.protocol.ready()
     }
 
-    /// The events that the poller is to report.
+    /// Returns the events to wait for.
     pub(super) fn interest(&self) -> Interest {
         if self.is_connected {
             Interest::Read
@@ -138,8 +140,9 @@
         }
     }
 
-    /// Checks whether the TCP connection is established, and starts the protocol's handshake when
-    /// it is for the first time. Returns false while it is still being established.
+    /// Checks whether the TCP connection is established, and if it is, starts the protocol's
+    /// handshake on the first such call. Returns false while the connection is still being
+    /// established.
     pub(super) fn finish_connecting(&mut self) -> io::Result<bool> {
         if !self.is_connected {
             if !self.socket.is_connected()? {
@@ -151,9 +154,9 @@
         Ok(true)
     }
 
-    /// Whether an idle connection can carry another request. Reads what has arrived: the node must
-    /// neither have closed the connection nor sent data without a request, which would be taken
-    /// for the next response.
+    /// Returns whether the connection can be used for another request. Reads the available input to
+    /// find out: the node must not have closed the connection, nor sent data without a request,
+    /// which would be mistaken for the next response.
     pub(super) fn is_reusable(&mut self) -> bool {
         let Ok(StreamStatus::Open) = self.socket.read_available(MAX_BUFFERED_INPUT_BYTES) else {
             return false;
@@ -166,14 +169,15 @@
             )
     }
 
-    /// Reads what has arrived; a large response may exceed the usual size of the input buffer.
+    /// Reads the available input. A large response may exceed [`MAX_BUFFERED_INPUT_BYTES`].
     pub(super) fn read_available(&mut self) -> io::Result<StreamStatus> {
         let max_buffered = MAX_BUFFERED_INPUT_BYTES + self.counted_large_response_bytes.get();
         self.socket.read_available(max_buffered)
     }
 
     /// Decodes the buffered input. Returns the result of the attempt once its response is complete.
-    /// Further commands of the same request go to the output buffer.
+    /// If the request consists of several commands, the next ones are appended to the output
+    /// buffer.
     pub(super) fn decode_input(&mut self) -> Result<Option<AttemptResult>, ProtocolError> {
         if self.socket.input.is_empty() {
             return Ok(None);
@@ -185,23 +189,23 @@
     }
 
     /// Encodes the request of the attempt into the output buffer. Cancels the connection's timer
-    /// (connect timeout or idle timeout), as the timeout of the attempt applies from here on.
+    /// (connect or idle timeout), because from now on the timeout of the attempt applies.
     pub(super) fn encode_request(&mut self, now: Micros, timers: &mut TimerQueue) {
-        let Some(carried) = &mut self.carried else {
+        let Some(in_flight) = &mut self.in_flight else {
             return;
         };
-        let attempt = &carried.attempt;
+        let attempt = &in_flight.attempt;
         let wait_ms = (attempt.times_out_at - now) / MICROS_PER_MILLI;
         let start_offset = self.socket.bytes_sent + self.socket.unsent_bytes() as u64;
         let output = self.socket.output();
         let bytes_before_execution =
             self.protocol
                 .encode_request(&attempt.request, wait_ms, output);
-        carried.execution_offset = Some(start_offset + bytes_before_execution as u64);
+        in_flight.execution_offset = Some(start_offset + bytes_before_execution as u64);
         self.timer.cancel(timers);
     }
 
-    /// Writes pending output, once the TCP connection is established.
+    /// Writes pending output, if the TCP connection is established.
     pub(super) fn flush(&mut self) -> io::Result<()> {
         if !self.is_connected {
             return Ok(());
@@ -209,15 +213,15 @@
         self.socket.flush()
     }
 
-    /// Returns the attempt in flight, once, when so much of its request has been sent that the node
-    /// may have executed it.
-    pub(super) fn take_possible_execution(&mut self) -> Option<AttemptId> {
-        let carried = self.carried.as_mut()?;
-        let execution_offset = carried.execution_offset?;
-        if carried.may_have_executed || self.socket.bytes_sent <= execution_offset {
+    /// Checks whether enough of the request has been sent that the node may have executed it.
+    /// Returns the attempt the first time that this is so, and `None` otherwise.
+    pub(super) fn mark_may_have_executed(&mut self) -> Option<AttemptId> {
+        let in_flight = self.in_flight.as_mut()?;
+        let execution_offset = in_flight.execution_offset?;
+        if in_flight.may_have_executed || self.socket.bytes_sent <= execution_offset {
             return None;
         }
-        carried.may_have_executed = true;
-        Some(carried.attempt.id)
+        in_flight.may_have_executed = true;
+        Some(in_flight.attempt.id)
     }
 }
--- a/crates/gateway/src/connections/node/events.rs
+++ b/crates/gateway/src/connections/node/events.rs
@@ -1,4 +1,5 @@
-//! What happens to a connection to a node: it is ready, its timer expires, a response is complete.
+//! Event handlers of connections to nodes: the socket is ready, the timer has expired, or a
+//! response is complete.
 
 use super::connection::{NodeConnection, MAX_BUFFERED_INPUT_BYTES};
 use super::node_connections::NodeConnections;
@@ -9,25 +10,26 @@
 use crate::node_protocol::ProtocolError;
 use crate::storage_request::AttemptResult;
 
-/// Bytes of an invalid response that the log shows.
+/// Maximum number of bytes of an invalid response that are logged.
 const MAX_LOGGED_BYTES: usize = 80;
-/// The first bytes of each response, half an input buffer, are not counted against the budget of
-/// large responses.
+/// Number of bytes at the start of each response, half of an input buffer, that are not counted
+/// against the budget for large responses.
 const UNCOUNTED_RESPONSE_BYTES: usize = MAX_BUFFERED_INPUT_BYTES / 2;
 
 impl NodeConnections {
-    /// Handles the timer of a connection: it was not established in time or has reached its idle
-    /// timeout.
+    /// Handles the expiry of a connection's timer: the connection was not established in time, or
+    /// it was idle for too long.
     pub(crate) fn handle_timeout(&mut self, token: ConnectionToken, context: &mut Context) {
         let Some(mut connection) = self.take(token) else {
             return;
         };
-        connection.timer.note_expired();
-        // An idle connection carries no attempt, so the cause is that of the connect timeout.
+        connection.timer.mark_expired();
+        // The cause applies to the connect timeout only. After an idle timeout there is no attempt
+        // to abort.
         self.fail_connection(connection, AbortCause::NoConnection, context);
     }
 
-    /// Handles a connection that the poller reported.
+    /// Handles a connection that the poller has reported.
     pub(crate) fn handle_ready(&mut self, token: ConnectionToken, context: &mut Context) {
         let Some(mut connection) = self.take(token) else {
             return;
@@ -39,15 +41,15 @@
         }
     }
 
-    /// Reads and decodes what has arrived on a connection, and takes the steps that follow from
-    /// it.
+    /// Reads and decodes the available input of a connection. Completes the attempt if its response
+    /// is complete, and fails the connection after an error or the end of the stream.
     fn receive(&mut self, mut connection: NodeConnection, context: &mut Context) {
         let Ok(status) = connection.read_available() else {
             return self.fail_connection(connection, AbortCause::ConnectionLost, context);
         };
         match self.decode(&mut connection, context) {
-            // The node is reachable, so an invalid response counts as an error response, not as a
-            // lost connection.
+            // The node is reachable, so an invalid response counts as an error response and not as
+            // a lost connection.
             Err(error) => {
                 log_invalid_response(&connection, error);
                 return self.fail_connection(connection, AbortCause::InvalidResponse, context);
@@ -67,9 +69,9 @@
         self.advance(connection, context);
     }
 
-    /// Decodes the buffered input. Returns the result of the attempt once its response is
-    /// complete, and an error for an invalid response or when all large responses together exceed
-    /// their memory budget.
+    /// Decodes the buffered input. Returns the result of the attempt once its response is complete.
+    /// Returns an error if the response is invalid, or if all large responses together exceed their
+    /// memory budget.
     fn decode(
         &mut self,
         connection: &mut NodeConnection,
@@ -83,23 +85,25 @@
             .set(large_bytes, &mut self.large_response_bytes);
         if self.large_response_bytes > context.config.budget.large_response_bytes {
             let node = connection.node.0;
-            log::warn!("node {node}: no memory for a response of {buffered} bytes");
+            log::warn!(
+                "node {node}: rejecting a response of {buffered} bytes: memory budget exhausted"
+            );
             return Err(ProtocolError::ReplyTooLong);
         }
         result
     }
 
-    /// Reports the result of the attempt in flight, whose response is complete, to the dispatcher.
+    /// Reports the result of the attempt, whose response is complete, to the dispatcher.
     fn complete_attempt(
         &mut self,
         connection: &mut NodeConnection,
         result: AttemptResult,
         context: &mut Context,
     ) {
-        let Some(carried) = connection.carried.take() else {
+        let Some(in_flight) = connection.in_flight.take() else {
             return;
         };
-        let attempt = carried.attempt.id;
+        let attempt = in_flight.attempt.id;
         self.attempt_connections.remove(&attempt);
         context.dispatcher.note_may_have_executed(attempt);
         context.complete_attempt(attempt, result);
@@ -110,12 +114,12 @@
     }
 }
 
-/// Logs why the input could not be decoded, and its first bytes.
+/// Logs why the input could not be decoded, with the first bytes of the input.
 fn log_invalid_response(connection: &NodeConnection, error: ProtocolError) {
     let input = &connection.socket.input;
     let head = &input[..input.len().min(MAX_LOGGED_BYTES)];
     log::debug!(
-        "node {}: invalid response: {error}: {}",
+        "node {}: invalid response: {error}; first bytes: {}",
         connection.node.0,
         head.escape_ascii()
     );
--- a/crates/gateway/src/connections/node/mod.rs
+++ b/crates/gateway/src/connections/node/mod.rs
@@ -1,8 +1,8 @@
-//! Connections to storage nodes, pooled by node.
+//! Connections to storage nodes, in one pool per node.
 //!
-//! `NodeConnections` owns them. A method that takes a connection by value expects that the
-//! caller has taken it out by `NodeConnections::take`; it stores the connection again or drops
-//! it before it returns.
+//! `NodeConnections` owns all of them. A method that takes a `NodeConnection` by value expects the
+//! caller to have removed it with `NodeConnections::take`. Before it returns, the method either
+//! stores the connection again or drops it.
 
 mod attempts;
 mod closing;
--- a/crates/gateway/src/connections/node/node_connections.rs
+++ b/crates/gateway/src/connections/node/node_connections.rs
@@ -1,4 +1,4 @@
-//! The owner of all connections to nodes.
+//! Storage of all connections to nodes and of the state that they share.
 
 use super::connection::NodeConnection;
 use super::pool::{ConnectionPool, NodeAddress};
@@ -8,25 +8,26 @@
 use io_scheduler::NodeId;
 use std::collections::HashMap;
 
-/// All connections to nodes, and the state of them together.
+/// All connections to nodes, with their pools, shared limits and totals.
 pub(crate) struct NodeConnections {
-    /// The connections, except one that is being handled.
+    /// The connections by token, except the one that is being handled at the moment.
     connections: HashMap<ConnectionToken, NodeConnection>,
     /// The pools of the listed nodes, and of removed nodes that still have open connections.
     pub(super) pools: HashMap<NodeId, ConnectionPool>,
-    /// The token of the connection that carries an attempt.
+    /// For each attempt in flight, the token of its connection.
     pub(super) attempt_connections: HashMap<AttemptId, ConnectionToken>,
     /// Number of open connections.
     pub(super) count: usize,
-    /// How many connections may be open at once.
+    /// Maximum number of open connections.
     pub(super) max_count: usize,
-    /// Bytes of large responses that are being received; see
+    /// Total bytes of large responses that are being received; see
     /// [`crate::memory_budget::MemoryBudget::large_response_bytes`].
     pub(super) large_response_bytes: usize,
 }
 
 impl NodeConnections {
-    /// Without nodes at first; at most `max_count` connections are open at once.
+    /// Creates an empty set of connections and pools. At most `max_count` connections are open at
+    /// once.
     pub(crate) fn new(max_count: usize) -> NodeConnections {
         NodeConnections {
             connections: HashMap::new(),
@@ -43,7 +44,7 @@
         self.count
     }
 
-    /// Takes a connection out to handle it.
+    /// Removes a connection from the map, so that the caller can handle it.
     pub(super) fn take(&mut self, token: ConnectionToken) -> Option<NodeConnection> {
         self.connections.remove(&token)
     }
@@ -53,8 +54,8 @@
         self.connections.insert(connection.token(), connection);
     }
 
-    /// Sets the address of a node. Idle connections to a previous address are closed; others are
-    /// closed as soon as their request has ended.
+    /// Sets the address of a node. Idle connections to a previous address are closed at once.
+    /// Connections with a request in flight are closed as soon as the request has ended.
     pub(crate) fn set_address(
         &mut self,
         node: NodeId,
@@ -74,7 +75,8 @@
         }
     }
 
-    /// Closes the idle connections to nodes that are no longer listed, and removes their pools.
+    /// Closes the idle connections to nodes that are no longer listed, and removes the pools that
+    /// are then empty.
     pub(crate) fn remove_unlisted(&mut self, context: &mut Context) {
         let nodes = self.pools.keys().copied();
         let unlisted: Vec<NodeId> = nodes
@@ -92,7 +94,8 @@
         }
     }
 
-    /// Removes the pool of a node that is no longer listed once it has no connection left.
+    /// Removes the pool of a node if the node is no longer listed and the pool has no connection
+    /// left.
     pub(super) fn remove_pool_if_unused(&mut self, node: NodeId, context: &Context) {
         let is_empty = self.pools.get(&node).is_some_and(|pool| pool.count == 0);
         if is_empty && !context.dispatcher.knows_node(node) {
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -11,23 +11,24 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// How many connections to one node may be open at once. The scheduler's concurrency limit is
-/// usually far lower.
+/// Maximum number of open connections to one node. The scheduler's concurrency limit is usually far
+/// lower.
 const MAX_CONNECTIONS_PER_NODE: usize = 24;
-/// Lower bound of the connect timeout, in milliseconds.
+/// Minimum connect timeout, in milliseconds.
 const MIN_CONNECT_TIMEOUT_MS: f64 = 1.0;
 
-/// Why a new connection to a node can't be opened.
+/// Why a new connection to a node cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum OpenError {
-    /// The node has no connection pool: it is not listed, or no longer.
-    #[error("not listed")]
+    /// The node has no connection pool, because it is not listed or no longer listed.
+    #[error("the node is not listed")]
     NotListed,
-    /// The node's pool has no address.
-    #[error("no address")]
+    /// The node's pool has no address yet.
+    #[error("the address of the node is unknown")]
     NoAddress,
-    /// The limit for the node or for all nodes together is reached, and no connection is idle.
-    #[error("too many connections")]
+    /// The limit for this node or for all nodes together is reached, and there was no idle
+    /// connection to close.
+    #[error("the connection limit is reached")]
     TooManyConnections,
     /// A system call failed.
     #[error(transparent)]
@@ -35,15 +36,15 @@
 }
 
 impl NodeConnections {
-    /// Starts to open a connection to a node. The caller assigns an attempt to it before it is
-    /// established.
+    /// Starts to open a connection to a node. The caller assigns an attempt to the connection
+    /// before it is established.
     pub(super) fn open(
         &mut self,
         node: NodeId,
         context: &mut Context,
     ) -> Result<NodeConnection, OpenError> {
-        self.close_idle_for_new(node, context);
-        let address = self.address_for_new(node)?;
+        self.close_idle_if_at_limit(node, context);
+        let address = self.address_within_limits(node)?;
         let stream = self.connect(address.address, context)?;
         let kind = ConnectionKind::Node;
         let socket = Socket::register(stream, kind, Interest::Connect, context)?;
@@ -58,8 +59,9 @@
         Ok(connection)
     }
 
-    /// The address of a node, if the limits allow a further connection to it.
-    fn address_for_new(&self, node: NodeId) -> Result<NodeAddress, OpenError> {
+    /// Returns the address of a node, or an error if the limits do not allow another connection to
+    /// it.
+    fn address_within_limits(&self, node: NodeId) -> Result<NodeAddress, OpenError> {
         let pool = self.pools.get(&node).ok_or(OpenError::NotListed)?;
         let address = pool.address.ok_or(OpenError::NoAddress)?;
         if self.count >= self.max_count || pool.count >= MAX_CONNECTIONS_PER_NODE {
@@ -68,13 +70,13 @@
         Ok(address)
     }
 
-    /// Closes an idle connection where a new one would exceed a limit.
-    fn close_idle_for_new(&mut self, node: NodeId, context: &mut Context) {
+    /// Closes an idle connection if a new one would exceed a limit.
+    fn close_idle_if_at_limit(&mut self, node: NodeId, context: &mut Context) {
         if self.count >= self.max_count {
             self.close_longest_idle(context);
         }
-        // A pool may still have idle connections here: ones that only an idempotent request may
-        // use.
+        // The pool may still contain idle connections that were not suitable for the request,
+        // because only idempotent requests may use them.
         let Some(pool) = self.pools.get_mut(&node) else {
             return;
         };
@@ -86,9 +88,9 @@
         }
     }
 
-    /// Starts to connect. Descriptors may run out below the limit on connections, as other parts
-    /// of the system use them too: then the longest idle connection is closed and the call
-    /// repeated once.
+    /// Starts to connect. Descriptors may run out even below the limit on connections, because
+    /// other parts of the system use them too. In that case the longest idle connection is closed
+    /// and the call is repeated once.
     fn connect(&mut self, address: SocketAddr, context: &mut Context) -> io::Result<TcpStream> {
         match start_connecting(address) {
             Err(error) if is_out_of_descriptors(&error) => {
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Closes the longest idle connection of the node with the most idle connections.
+    /// Closes the connection that has been idle for longest, of the node with the most idle
+    /// connections.
     fn close_longest_idle(&mut self, context: &mut Context) {
         let pool = self
             .pools
@@ -112,7 +115,7 @@
     }
 }
 
-/// How long a connection may take to be established, in microseconds.
+/// Returns the connect timeout in microseconds.
 fn connect_timeout(context: &Context) -> Micros {
     let permissions = &context.config.settings.permissions;
     micros(permissions.connect_timeout_ms.max(MIN_CONNECT_TIMEOUT_MS))
--- a/crates/gateway/src/connections/nonblocking.rs
+++ b/crates/gateway/src/connections/nonblocking.rs
@@ -6,13 +6,13 @@
 pub(crate) enum Chunk {
     /// This many bytes were read.
     Bytes(usize),
-    /// All input that has arrived has been read.
+    /// No input is available at the moment; the read would block.
     NoneAvailable,
-    /// The peer has closed its side, and all input has been read.
+    /// The peer has closed its sending side, and all of its input has been read.
     Ended,
 }
 
-/// Reads once, or again if a signal has interrupted the call.
+/// Reads once. Repeats the call if it was interrupted by a signal.
 pub(crate) fn read_chunk(stream: &mut impl Read, buffer: &mut [u8]) -> io::Result<Chunk> {
     loop {
         match stream.read(buffer) {
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -9,25 +9,25 @@
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-/// Most bytes that one call of `read` returns.
+/// Maximum number of bytes that one `read` call returns.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// Bytes of capacity that an empty buffer keeps; small, as there are many idle connections.
+/// Capacity in bytes that an empty buffer keeps. It is small because many connections are idle.
 const RETAINED_CAPACITY_BYTES: usize = 1 << 10;
 
-/// The events that a socket waits for. Two more are always included: that the peer has closed its
-/// side (`RDHUP`), and that the socket is writable while there is unsent output.
+/// The events to wait for on a socket. Two events are always added: the peer has closed its sending
+/// side (`RDHUP`), and, as long as there is unsent output, the socket is writable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Interest {
-    /// The connection is established (the socket becomes writable), or input arrives.
+    /// Wait for the connection to be established, when the socket becomes writable, or for input.
     Connect,
-    /// Input arrives.
+    /// Wait for input.
     Read,
-    /// No further event: input is not read for now.
+    /// Wait for no further event: reading input is paused.
     Paused,
 }
 
 impl Interest {
-    /// The events to register with the poller.
+    /// Returns the events to register with the poller.
     fn events(self, has_unsent_output: bool) -> EventFlags {
         let mut events = EventFlags::RDHUP;
         events.set(EventFlags::IN, self != Interest::Paused);
@@ -39,36 +39,36 @@
     }
 }
 
-/// State of the receiving side of the stream after a read.
+/// State of the receiving side of a stream after a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StreamStatus {
     /// More input may arrive.
     Open,
-    /// The peer has closed its side, and all input has been read.
+    /// The peer has closed its sending side, and all of its input has been read.
     Ended,
 }
 
-/// A non-blocking TCP stream with its buffers, registered with the poller.
+/// A non-blocking TCP stream with its input and output buffers, registered with the poller.
 #[derive(Debug)]
 pub(crate) struct Socket {
     /// The TCP stream.
     stream: TcpStream,
     /// The token by which the poller reports it.
     token: ConnectionToken,
-    /// Bytes that were read and not consumed yet.
+    /// Received bytes that have not been consumed yet.
     pub(crate) input: Vec<u8>,
-    /// Bytes to write; emptied once all of them are written.
+    /// Bytes to write. Cleared once all of them have been written.
     output: Vec<u8>,
-    /// How many bytes at the front of `output` are written already.
+    /// Number of bytes at the front of `output` that have been written.
     flushed: usize,
-    /// Bytes written to the socket since it was opened.
+    /// Total number of bytes written since the socket was opened.
     pub(crate) bytes_sent: u64,
-    /// The events registered with the poller.
+    /// The events that are registered with the poller.
     registered_events: EventFlags,
 }
 
-/// Starts to connect. The socket becomes writable once the connection is established or has
-/// failed; see [`Socket::is_connected`].
+/// Starts a non-blocking connect. The socket becomes writable once the connection is established or
+/// has failed; see [`Socket::is_connected`].
 pub(crate) fn start_connecting(address: SocketAddr) -> io::Result<TcpStream> {
     let family = if address.is_ipv4() {
         AddressFamily::INET
@@ -84,8 +84,8 @@
 }
 
 impl Socket {
-    /// Registers an accepted or connecting stream with the poller. It becomes non-blocking and
-    /// sends without delay (`TCP_NODELAY`).
+    /// Registers an accepted or connecting stream with the poller, after making it non-blocking and
+    /// setting `TCP_NODELAY`.
     pub(crate) fn register(
         stream: TcpStream,
         kind: ConnectionKind,
@@ -107,12 +107,12 @@
         })
     }
 
-    /// The token by which the poller reports the socket.
+    /// Returns the token by which the poller reports the socket.
     pub(crate) fn token(&self) -> ConnectionToken {
         self.token
     }
 
-    /// Whether the connection is established. Returns the error if connecting has failed.
+    /// Returns whether the connection is established. Returns the error if connecting has failed.
     pub(crate) fn is_connected(&self) -> io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Sets the events that the poller reports. Calls the system only if they have changed.
+    /// Sets the events that the poller reports. Makes a system call only if they have changed.
     pub(crate) fn set_interest(&mut self, interest: Interest, poller: &Poller) -> io::Result<()> {
         let events = interest.events(self.unsent_bytes() > 0);
         if events != self.registered_events {
@@ -134,11 +134,11 @@
         Ok(())
     }
 
-    /// Reads what has arrived, until `input` holds `max_buffered` bytes.
+    /// Reads all available input, but stops when `input` contains `max_buffered` bytes.
     ///
-    /// An error such as a reset is returned only if this call has read nothing before it.
-    /// Otherwise the result is [`StreamStatus::Ended`], and the caller handles the bytes that
-    /// arrived before the error.
+    /// An error such as a connection reset is returned only if this call has read nothing before
+    /// it. Otherwise the result is [`StreamStatus::Ended`], so that the caller handles the bytes
+    /// that arrived before the error.
     pub(crate) fn read_available(&mut self, max_buffered: usize) -> io::Result<StreamStatus> {
         let mut buffer = [0; READ_CHUNK_BYTES];
         let length_before = self.input.len();
@@ -160,31 +160,34 @@
         Ok(StreamStatus::Open)
     }
 
-    /// Reads and drops what has arrived. `remaining` is lowered by the bytes dropped; the stream
-    /// counts as ended once they reach it.
-    pub(crate) fn discard_available(&mut self, remaining: &mut usize) -> io::Result<StreamStatus> {
+    /// Reads and discards all available input, and subtracts its length from `remaining_bytes`. The
+    /// result is [`StreamStatus::Ended`] as soon as the input uses up `remaining_bytes`.
+    pub(crate) fn discard_available(
+        &mut self,
+        remaining_bytes: &mut usize,
+    ) -> io::Result<StreamStatus> {
         let mut buffer = [0; READ_CHUNK_BYTES];
         loop {
             match read_chunk(&mut self.stream, &mut buffer)? {
-                Chunk::Bytes(count) if count >= *remaining => return Ok(StreamStatus::Ended),
-                Chunk::Bytes(count) => *remaining -= count,
+                Chunk::Bytes(count) if count >= *remaining_bytes => return Ok(StreamStatus::Ended),
+                Chunk::Bytes(count) => *remaining_bytes -= count,
                 Chunk::NoneAvailable => return Ok(StreamStatus::Open),
                 Chunk::Ended => return Ok(StreamStatus::Ended),
             }
         }
     }
 
-    /// Closes the sending side of the connection; the peer reads the end of the stream.
+    /// Shuts down the sending side of the connection. The peer then reads the end of the stream.
     pub(crate) fn shutdown_write(&self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
 
-    /// The output buffer. Append to it; [`Socket::flush`] writes it.
+    /// Returns the output buffer, for appending. [`Socket::flush`] writes it.
     pub(crate) fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
-    /// Bytes of the output that are not written yet.
+    /// Returns the number of output bytes that have not been written yet.
     pub(crate) fn unsent_bytes(&self) -> usize {
         self.output.len() - self.flushed
     }
@@ -205,24 +208,25 @@
         }
         self.output.clear();
         self.flushed = 0;
-        // An idle connection must not keep the memory of a large value.
+        // Don't let an idle connection keep the memory of a large value.
         self.output.shrink_to(RETAINED_CAPACITY_BYTES);
         Ok(())
     }
 
-    /// Drops the first `count` bytes of the input, and shrinks the input buffer once it is empty.
+    /// Discards the first `count` bytes of the input, and shrinks the input buffer if it is empty
+    /// then.
     pub(crate) fn consume(&mut self, count: usize) {
         self.input.drain(..count);
         self.shrink_empty_input();
     }
 
-    /// Drops all input.
+    /// Discards all input.
     pub(crate) fn consume_all(&mut self) {
         self.consume(self.input.len());
     }
 
-    /// Shrinks the input buffer if it is empty: an idle connection must not keep the memory of a
-    /// large value.
+    /// Shrinks the input buffer if it is empty, so that an idle connection does not keep the memory
+    /// of a large value.
     pub(crate) fn shrink_empty_input(&mut self) {
         if self.input.is_empty() {
             self.input.shrink_to(RETAINED_CAPACITY_BYTES);
