--- a/crates/gateway/src/client_protocol/mod.rs
+++ b/crates/gateway/src/client_protocol/mod.rs
@@ -1,7 +1,6 @@
-//! The protocols towards clients: parsing of commands into requests, and encoding of responses
-//! into replies.
+//! Client-facing protocols. They parse commands into requests and encode responses as replies.
 //!
-//! An implementation holds the protocol state of one connection and does no I/O: it reads from the
+//! An implementation holds the protocol state of one connection and does no I/O. It parses the
 //! connection's input buffer and returns the bytes to send.
 
 pub mod resp;
@@ -10,36 +9,37 @@
 use crate::storage_request::{Response, SlotNumber, StorageRequest};
 use io_scheduler::Micros;
 
-/// The result of parsing the next command of a client.
+/// Result of [`ClientProtocol::parse_command`].
 #[derive(Debug)]
 pub enum CommandStep {
-    /// The command is not complete yet; nothing was consumed.
+    /// The command is incomplete; no input was consumed.
     Incomplete,
-    /// The command is answered immediately with these bytes.
+    /// Send these bytes as the reply. The command submits no request.
     Reply(Vec<u8>),
-    /// The command is answered with one reply after these requests have been responded to.
+    /// Submit these requests. [`ClientProtocol::encode_response`] produces the command's single
+    /// reply from their responses.
     Submit(Vec<StorageRequest>),
-    /// The input is invalid: the connection is closed after these bytes have been sent.
+    /// The input is invalid. Send these bytes, then close the connection.
     Close(Vec<u8>),
 }
 
-/// The reply to one command of a connection.
+/// The encoded reply to one command.
 #[derive(Debug)]
 pub struct EncodedReply {
-    /// Number of the command on its connection; replies are sent in this order.
+    /// Sequence number of the command on its connection. Replies are sent in this order.
     pub slot: SlotNumber,
-    /// The bytes to send.
+    /// The bytes to send to the client.
     pub bytes: Vec<u8>,
 }
 
-/// A client's protocol on one connection.
+/// The protocol of one client connection.
 pub trait ClientProtocol {
-    /// Parses the next command of `input`, which starts at `position`, and moves `position` past
-    /// it unless it is incomplete or invalid.
+    /// Parses the command that starts at `position` in `input`. Advances `position` past the
+    /// command unless it is incomplete or invalid.
     ///
-    /// `slot` is the number of the command on its connection; responses to its requests are passed
-    /// to [`encode_response`](Self::encode_response) with the same number. `ready` is whether the
-    /// gateway can serve requests, for commands that query it.
+    /// `slot` is the sequence number of the command on its connection; responses to its requests
+    /// are passed to [`encode_response`](Self::encode_response) with the same number. `ready`
+    /// states whether the gateway can serve requests; commands such as `PING` report it.
     fn parse_command(
         &mut self,
         input: &[u8],
@@ -48,13 +48,12 @@
         ready: bool,
     ) -> CommandStep;
 
-    /// Handles the response to a request of the command at `slot`. Called at most once for each
-    /// submitted request, in any order. When the command can be answered, its slot and encoded
-    /// reply are appended to `out`.
+    /// Handles the response to one request of the command at `slot`. Called at most once for each
+    /// submitted request, in any order. Appends the encoded reply to `out` once the command can be
+    /// answered.
     ///
-    /// A command may be answered before all its requests are: once one part of a listing has
-    /// failed, the responses to the others are not awaited any more. One that still arrives is
-    /// ignored.
+    /// The reply may be produced before all requests have been responded to: a listing fails as
+    /// soon as one of its shards fails. Responses that arrive after the reply are ignored.
     fn encode_response(
         &mut self,
         slot: SlotNumber,
@@ -62,22 +61,24 @@
         out: &mut Vec<EncodedReply>,
     );
 
-    /// The bytes to send before closing a connection whose incomplete command exceeds the
-    /// available memory. The command was not executed.
+    /// Returns the bytes to send before closing a connection because its incomplete command exceeds
+    /// the available memory. The command has not been executed.
     fn overloaded_reply(&self) -> Vec<u8>;
 
-    /// The bytes to send before closing a connection whose command was not received completely in
-    /// time. The command was not executed.
+    /// Returns the bytes to send before closing a connection because its command was not received
+    /// completely in time. The command has not been executed.
     fn timeout_reply(&self) -> Vec<u8>;
 
-    /// Idle time after a command until the connection is closed, in microseconds.
+    /// Returns the time in microseconds that a connection may be idle after a command before it is
+    /// closed.
     fn idle_timeout(&self) -> Micros;
 
-    /// Whether an upload is open: the client has opened an object for writing and not closed it,
-    /// so that nothing of it is stored yet. Such a connection is not closed as idle.
+    /// Returns whether the client has opened an object for writing and has not closed it yet.
+    /// Nothing of the object has been stored at this point, so such a connection is not closed when
+    /// it is idle.
     ///
-    /// Other state between commands does not count. Handles open for reading or listing are lost
-    /// when the connection is closed as idle; the client can open them again.
+    /// Handles open for reading or listing do not count: they are lost when an idle connection is
+    /// closed, and the client can open them again.
     fn has_open_upload(&self) -> bool {
         false
     }
--- a/crates/gateway/src/client_protocol/resp/command_parser.rs
+++ b/crates/gateway/src/client_protocol/resp/command_parser.rs
@@ -1,24 +1,24 @@
-//! Parsing of RESP2 commands, which are arrays of bulk strings.
+//! Parser for RESP2 commands, which are arrays of bulk strings.
 
 use super::error::SyntaxError;
 use crate::resp_bulk_string::read_bulk_content;
 use crate::storage_request::MAX_VALUE_BYTES;
 
-/// Largest number of arguments in one command, including its name.
+/// Maximum number of arguments of a command, including its name.
 const MAX_ARGUMENTS: usize = 64;
-/// Longest length line, such as `*3` or `$5`, in bytes.
+/// Maximum size of a length line, such as `*3` or `$5`, in bytes.
 const MAX_LENGTH_LINE_BYTES: usize = 64;
-/// Largest total size of a command's arguments, in bytes. It also bounds the input buffer of a
+/// Maximum total size of a command's arguments, in bytes. It also bounds the input buffer of a
 /// connection.
 pub const MAX_COMMAND_BYTES: usize = MAX_VALUE_BYTES + (8 << 10);
-/// The first byte of an array's length line.
+/// First byte of an array's length line.
 const ARRAY_MARKER: u8 = b'*';
-/// The first byte of a bulk string's length line.
+/// First byte of a bulk string's length line.
 const BULK_STRING_MARKER: u8 = b'$';
 
-/// Parses the command of `input` that starts at `position` into its arguments, its name first.
-/// Moves `position` past it; returns `None`, with `position` unchanged, until the command is
-/// complete.
+/// Parses the command that starts at `position` in `input` and returns its arguments, the command
+/// name first. Advances `position` past the command. Returns `None` and leaves `position` unchanged
+/// if the command is incomplete.
 pub(super) fn parse_arguments<'a>(
     input: &'a [u8],
     position: &mut usize,
@@ -46,7 +46,8 @@
     Ok(Some(arguments))
 }
 
-/// Reads the length line of a command. Moves `position` as [`read_length`] does.
+/// Reads the length line of a command and returns the number of arguments. Advances `position` as
+/// [`read_length`] does.
 fn read_argument_count(input: &[u8], position: &mut usize) -> Result<Option<usize>, SyntaxError> {
     let Some(count) = read_length(input, position, ARRAY_MARKER)? else {
         return Ok(None);
@@ -57,7 +58,8 @@
     }
 }
 
-/// Reads the length line of a bulk string. Moves `position` as [`read_length`] does.
+/// Reads the length line of a bulk string and returns the length in bytes. Advances `position` as
+/// [`read_length`] does.
 fn read_bulk_length(input: &[u8], position: &mut usize) -> Result<Option<usize>, SyntaxError> {
     let Some(length) = read_length(input, position, BULK_STRING_MARKER)? else {
         return Ok(None);
@@ -68,8 +70,8 @@
     }
 }
 
-/// Reads a line that consists of `marker` and a length, and moves `position` past it. Returns
-/// `None`, with `position` unchanged, until the line is complete.
+/// Reads a line that consists of `marker` and a length, and advances `position` past it. Returns
+/// `None` and leaves `position` unchanged if the line is incomplete.
 fn read_length(input: &[u8], position: &mut usize, marker: u8) -> Result<Option<i64>, SyntaxError> {
     let rest = &input[*position..];
     let Some(first) = rest.first() else {
@@ -78,8 +80,8 @@
     if *first != marker {
         return Err(SyntaxError::UnexpectedType);
     }
-    let bounded = &rest[..rest.len().min(MAX_LENGTH_LINE_BYTES)];
-    let Some(line_feed) = bounded.iter().position(|byte| *byte == b'\n') else {
+    let search_range = &rest[..rest.len().min(MAX_LENGTH_LINE_BYTES)];
+    let Some(line_feed) = search_range.iter().position(|byte| *byte == b'\n') else {
         let is_line_too_long = rest.len() >= MAX_LENGTH_LINE_BYTES;
         return if is_line_too_long {
             Err(SyntaxError::LineTooLong)
@@ -92,7 +94,7 @@
     Ok(Some(length))
 }
 
-/// Parses the number of a length line, given without its marker and its LF.
+/// Parses the number in a length line, given without its marker and its LF.
 fn parse_length(text: &[u8]) -> Result<i64, SyntaxError> {
     let digits = text
         .strip_suffix(b"\r")
--- a/crates/gateway/src/client_protocol/resp/error.rs
+++ b/crates/gateway/src/client_protocol/resp/error.rs
@@ -1,36 +1,36 @@
-//! Why a command or its request is invalid.
+//! Errors for invalid RESP2 commands and requests.
 //!
-//! The texts are sent to the client and must not change: clients rely on them. So some use other
-//! terms than the code.
+//! The error messages are sent to clients, which rely on them, so they must not change. For this
+//! reason some of them use other terms than the code.
 
 use crate::resp_bulk_string::MissingTerminator;
 use crate::resp_wire_names::parameter;
 
-/// Why the input is not a command.
+/// The input is not a valid command. The connection is closed after the error reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum SyntaxError {
-    /// The array announces a negative number of arguments, or too many.
+    /// The declared number of arguments is negative or exceeds the limit.
     #[error("invalid multibulk length")]
     InvalidArrayLength,
-    /// A bulk string announces a negative length.
+    /// The declared length of a bulk string is negative.
     #[error("invalid bulk length")]
     InvalidBulkLength,
-    /// The arguments together exceed [`MAX_COMMAND_BYTES`](super::MAX_COMMAND_BYTES).
+    /// The total size of the arguments exceeds [`MAX_COMMAND_BYTES`](super::MAX_COMMAND_BYTES).
     #[error("command too large")]
     CommandTooLarge,
-    /// No line end follows the announced number of bytes of a bulk string.
+    /// The content of a bulk string is not followed by CR LF at its declared length.
     #[error("expected the end of a bulk string")]
     MissingBulkEnd,
-    /// The input is of another RESP type.
+    /// The input has another RESP type than the one expected.
     #[error("expected an array of bulk strings")]
     UnexpectedType,
-    /// A length line exceeds its bound.
+    /// A length line exceeds the maximum size.
     #[error("line too long")]
     LineTooLong,
-    /// A line ends in LF alone.
+    /// A line ends with LF instead of CR LF.
     #[error("expected CR LF")]
     MissingCarriageReturn,
-    /// An announced length is not a number.
+    /// A declared length is not a number.
     #[error("invalid number")]
     InvalidNumber,
 }
@@ -41,37 +41,38 @@
     }
 }
 
-/// Why a request is invalid.
+/// The command is well-formed, but its request is invalid. The connection stays open after the
+/// error reply.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
-    /// An argument other than the body is not text.
+    /// An argument other than the body is not valid UTF-8.
     #[error("not UTF-8")]
     NotUtf8,
-    /// The object is not 16 hex digits.
+    /// The object id is not 16 hex digits.
     #[error("the piece of data is not 16 hex digits")]
     InvalidObject,
-    /// The client request id is empty, too long or not made of visible ASCII characters only.
+    /// The client request id is empty, too long, or contains characters other than visible ASCII.
     #[error("the id is missing or no word")]
     InvalidRequestId,
     /// A parameter has no `=`.
     #[error("'{0}' has no value")]
     ParameterWithoutValue(String),
-    /// A parameter's value is not valid for its name.
+    /// The value of a parameter is invalid.
     #[error("'{value}' is no value for {name}")]
     InvalidParameterValue {
-        /// The parameter's name.
+        /// Name of the parameter.
         name: String,
-        /// The value as sent.
+        /// Value as sent by the client.
         value: String,
     },
-    /// Two parameters have the same name. As the parameters are forwarded, the node might use the
-    /// other one.
+    /// Two parameters have the same name. The parameter list is forwarded to the node, which might
+    /// use a different one of the two values than the gateway.
     #[error("{0} stands twice")]
     DuplicateParameter(String),
-    /// The class is missing or not in the settings.
+    /// The class is missing or is not defined in the settings.
     #[error("{} names no class of the settings", parameter::CLASS)]
     UnknownClass,
-    /// The plan is missing or not in the settings.
+    /// The plan is missing or is not defined in the settings.
     #[error("{} names no plan of the settings", parameter::PLAN)]
     UnknownPlan,
     /// The volume is missing.
@@ -83,7 +84,7 @@
     /// The client's timeout is missing.
     #[error("{} is missing", parameter::TIMEOUT)]
     MissingTimeout,
-    /// The class writes and the command reads, or the reverse.
+    /// The command reads and the class is for writes, or the reverse.
     #[error("requests of class {0} are not asked for this way")]
     WrongOperation(String),
 }
--- a/crates/gateway/src/client_protocol/resp/mod.rs
+++ b/crates/gateway/src/client_protocol/resp/mod.rs
@@ -1,10 +1,10 @@
-//! RESP2 towards clients: a command that reads, one that writes, and fixed answers to the few
-//! commands that client libraries send by themselves.
+//! RESP2 protocol for clients: a command that reads an object, one that writes an object, and fixed
+//! replies to the few commands that client libraries send on their own.
 //!
-//! [`RespProtocol`] runs a command in these steps: `command_parser` splits the input into
-//! arguments, `parameters` decodes the list of parameters, `request` validates all of them against
-//! the [`RequestSchema`] and builds the request, and `reply` encodes what is sent back. The names
-//! on the wire are in `crate::resp_wire_names`.
+//! [`RespProtocol`] processes a command in these steps: `command_parser` splits the input into
+//! arguments, `parameters` parses the parameter list, `request` validates the arguments against the
+//! [`RequestSchema`] and builds the request, and `reply` encodes the reply. The names on the wire
+//! are defined in `crate::resp_wire_names`.
 
 mod command_parser;
 mod error;
--- a/crates/gateway/src/client_protocol/resp/parameters.rs
+++ b/crates/gateway/src/client_protocol/resp/parameters.rs
@@ -1,4 +1,4 @@
-//! Parsing of the parameters of a request: a list of names and values such as
+//! Parser for the parameter list of a request, a comma-separated list of names and values such as
 //! `c=read,t=gold,d=480,volume=00000000000000a1,shard=0`.
 
 use super::error::RequestError;
@@ -9,69 +9,70 @@
 use deployment_settings::micros;
 use io_scheduler::{ClassIndex, Micros, PlanIndex, Shard, Units, VolumeId};
 
-/// Size of a request if it is not stated.
+/// Default size of a request.
 const DEFAULT_UNITS: Units = Units(1.0);
-/// Number of gateways for a volume if it is not stated.
+/// Default number of gateways that receive requests for a volume.
 const DEFAULT_HOSTS: f64 = 1.0;
 
-/// The decoded parameters. Those without a default are `None` if they are missing; parameters with
-/// unknown names are ignored.
+/// The parsed parameters of a request. Missing parameters without a default are `None`. Parameters
+/// with unknown names are ignored.
 pub(super) struct ParsedParameters<'a> {
-    /// The class; `None` also if the settings have no such class.
+    /// The class; `None` also if it is not defined in the settings.
     pub(super) class: Option<ClassIndex>,
-    /// The plan; `None` also if the settings have no such plan.
+    /// The plan; `None` also if it is not defined in the settings.
     pub(super) plan: Option<PlanIndex>,
     /// How long the client waits for the reply.
     pub(super) timeout: Option<ClientTimeout<'a>>,
     /// Id of the volume.
     pub(super) volume: Option<VolumeId>,
     /// The shard that stores the object.
-    pub(super) shard: Option<StatedShard>,
+    pub(super) shard: Option<ShardParameter>,
     /// Size of the request.
     pub(super) units: Units,
-    /// Number of gateways through which the requests of the volume arrive.
+    /// Number of gateways that receive requests for the volume.
     pub(super) hosts: f64,
 }
 
-/// The shard that a request states.
+/// The shard parameter of a request.
 #[derive(Clone, Copy)]
-pub(super) enum StatedShard {
+pub(super) enum ShardParameter {
     /// The object is new and has no shard yet, so any node may store it.
     Unassigned,
-    /// The shard of the object.
+    /// The shard that stores the object.
     Assigned(Shard),
 }
 
-impl StatedShard {
-    /// The shard, if the object has one.
-    pub(super) fn shard(self) -> Option<Shard> {
+impl ShardParameter {
+    /// Returns the shard, or `None` for a new object.
+    pub(super) fn assigned_shard(self) -> Option<Shard> {
         match self {
-            StatedShard::Unassigned => None,
-            StatedShard::Assigned(shard) => Some(shard),
+            ShardParameter::Unassigned => None,
+            ShardParameter::Assigned(shard) => Some(shard),
         }
     }
 }
 
-/// The client's timeout, and the text of the list before and after its value. The gateway forwards
-/// the list to the node unchanged, except that the time left replaces this value.
+/// The client's timeout, with the text of the parameter list before and after its value. The
+/// gateway forwards the list to the node, with this value replaced by the remaining time and the
+/// rest unchanged.
 pub(super) struct ClientTimeout<'a> {
     /// The timeout in milliseconds.
     milliseconds: f64,
-    /// The list up to the value.
+    /// The part of the parameter list before the value.
     pub(super) text_before: &'a str,
-    /// The list after the value.
+    /// The part of the parameter list after the value.
     pub(super) text_after: &'a str,
 }
 
 impl ClientTimeout<'_> {
-    /// The timeout in microseconds, at most `max_ms` milliseconds.
+    /// Returns the timeout in microseconds, limited to `max_ms` milliseconds.
     pub(super) fn capped_micros(&self, max_ms: f64) -> Micros {
         micros(self.milliseconds.min(max_ms))
     }
 }
 
 impl Default for ParsedParameters<'_> {
-    /// The parameters of an empty list.
+    /// Returns the parameters of an empty list.
     fn default() -> Self {
         ParsedParameters {
             class: None,
@@ -86,7 +87,7 @@
 }
 
 impl<'a> ParsedParameters<'a> {
-    /// Decodes a list of parameters whose names and bounds are those of `schema`.
+    /// Parses a parameter list. `schema` defines the class and plan names and the limits on values.
     pub(super) fn parse(
         list: &'a str,
         schema: &RequestSchema,
@@ -106,7 +107,7 @@
         Ok(parsed)
     }
 
-    /// Sets the field that a parameter states.
+    /// Stores the value of `parameter` in its field.
     fn set(
         &mut self,
         parameter: &Parameter<'a>,
@@ -126,27 +127,28 @@
             parameter::HOSTS => {
                 self.hosts = parameter.positive_number()?.clamp(1.0, schema.max_hosts);
             }
-            // The mark of a client's retry is one of these: no decision depends on it.
+            // Unknown names are ignored. So is `r`, which marks a client's retry: no decision
+            // depends on it.
             _ => {}
         }
         Ok(())
     }
 }
 
-/// One parameter of a list.
+/// One parameter of a parameter list.
 struct Parameter<'a> {
-    /// The list that contains it.
+    /// The whole parameter list.
     list: &'a str,
     /// The text before the first `=`.
     name: &'a str,
-    /// The text after it.
+    /// The text after the first `=`.
     value: &'a str,
-    /// Where the value starts in the list, in bytes.
+    /// Byte offset of the value in `list`.
     value_start: usize,
 }
 
 impl<'a> Parameter<'a> {
-    /// Splits the parameter `text`, which starts at byte `start` of its list.
+    /// Splits the parameter `text`, which starts at byte `start` of `list`, into name and value.
     fn parse(list: &'a str, start: usize, text: &'a str) -> Result<Parameter<'a>, RequestError> {
         let Some((name, value)) = text.split_once('=') else {
             return Err(RequestError::ParameterWithoutValue(text.to_owned()));
@@ -159,7 +161,7 @@
         })
     }
 
-    /// The error for a value that is not valid for this name.
+    /// Returns the error for an invalid value of this parameter.
     fn invalid_value(&self) -> RequestError {
         RequestError::InvalidParameterValue {
             name: self.name.to_owned(),
@@ -167,19 +169,20 @@
         }
     }
 
-    /// The value as a finite decimal number above zero, without a sign or an exponent.
+    /// Parses the value as a finite decimal number greater than zero, without a sign or an
+    /// exponent.
     fn positive_number(&self) -> Result<f64, RequestError> {
-        let is_plain = self
+        let is_plain_decimal = self
             .value
             .bytes()
             .all(|byte| byte.is_ascii_digit() || byte == b'.');
         match self.value.parse::<f64>() {
-            Ok(number) if is_plain && number.is_finite() && number > 0.0 => Ok(number),
+            Ok(number) if is_plain_decimal && number.is_finite() && number > 0.0 => Ok(number),
             _ => Err(self.invalid_value()),
         }
     }
 
-    /// The value as a timeout.
+    /// Parses the value as a timeout in milliseconds.
     fn timeout(&self) -> Result<ClientTimeout<'a>, RequestError> {
         let milliseconds = self.positive_number()?;
         let value_end = self.value_start + self.value.len();
@@ -190,18 +193,18 @@
         })
     }
 
-    /// The value as the id of a volume.
+    /// Parses the value as the id of a volume.
     fn volume(&self) -> Result<VolumeId, RequestError> {
         let HexId(id) = self.value.parse().map_err(|_| self.invalid_value())?;
         Ok(VolumeId(id))
     }
 
-    /// The value as a shard.
-    fn shard(&self) -> Result<StatedShard, RequestError> {
+    /// Parses the value as a shard number, or as the value for a new object.
+    fn shard(&self) -> Result<ShardParameter, RequestError> {
         if self.value == parameter::UNASSIGNED_SHARD {
-            return Ok(StatedShard::Unassigned);
+            return Ok(ShardParameter::Unassigned);
         }
         let number = self.value.parse().map_err(|_| self.invalid_value())?;
-        Ok(StatedShard::Assigned(Shard(number)))
+        Ok(ShardParameter::Assigned(Shard(number)))
     }
 }
--- a/crates/gateway/src/client_protocol/resp/protocol.rs
+++ b/crates/gateway/src/client_protocol/resp/protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol of one RESP2 client: which command does what.
+//! Protocol of one RESP2 client connection: selects the handler of each command.
 
 use super::command_parser::parse_arguments;
 use super::reply;
@@ -12,26 +12,27 @@
 use std::rc::Rc;
 
 /// Idle time after which a connection is closed, in microseconds. Clients reconnect when they need
-/// to.
+/// a connection.
 const IDLE_TIMEOUT: Micros = 2_500_000;
 
-/// The protocol of one client connection. It keeps no state between commands, as no command
+/// The protocol of one client connection. It keeps no state between commands, because no command
 /// depends on earlier ones.
 pub struct RespProtocol {
-    /// What requests are validated against.
+    /// Class names, plan names and limits against which requests are validated.
     schema: Rc<RequestSchema>,
 }
 
 impl RespProtocol {
-    /// Creates the protocol of a new connection; its requests are validated against `schema`.
+    /// Creates the protocol of a new connection whose requests are validated against `schema`.
     #[must_use]
     pub fn new(schema: Rc<RequestSchema>) -> RespProtocol {
         RespProtocol { schema }
     }
 
-    /// Runs a complete command: answers it or submits its request.
-    fn run_command(&self, words: &[&[u8]], ready: bool) -> CommandStep {
-        let Some((name, arguments)) = words.split_first() else {
+    /// Executes a complete command, given as its name and arguments: replies to it or submits its
+    /// request.
+    fn run_command(&self, name_and_arguments: &[&[u8]], ready: bool) -> CommandStep {
+        let Some((name, arguments)) = name_and_arguments.split_first() else {
             return CommandStep::Reply(Vec::new());
         };
         match name.to_ascii_uppercase().as_slice() {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Reads an object.
+    /// Handles the command that reads an object.
     fn read(&self, arguments: &[&[u8]]) -> CommandStep {
         let [object, client_request_id, parameters] = arguments else {
             return fixed_reply(reply::WRONG_ARGUMENT_COUNT);
@@ -58,7 +59,7 @@
         self.submit(Operation::Read, &arguments)
     }
 
-    /// Writes an object.
+    /// Handles the command that writes an object.
     fn write(&self, arguments: &[&[u8]]) -> CommandStep {
         let [object, client_request_id, parameters, body] = arguments else {
             return fixed_reply(reply::WRONG_ARGUMENT_COUNT);
@@ -72,7 +73,7 @@
         self.submit(Operation::Write, &arguments)
     }
 
-    /// Submits the request of a command, or answers with an error if it is invalid.
+    /// Builds the request of a command and submits it, or replies with an error if it is invalid.
     fn submit(&self, operation: Operation, arguments: &RequestArguments<'_>) -> CommandStep {
         match build_request(&self.schema, operation, arguments) {
             Ok(request) => CommandStep::Submit(vec![request]),
@@ -81,7 +82,7 @@
     }
 }
 
-/// Answers a command with fixed bytes.
+/// Replies to a command with fixed bytes.
 fn fixed_reply(bytes: &[u8]) -> CommandStep {
     CommandStep::Reply(bytes.to_vec())
 }
@@ -95,7 +96,7 @@
         ready: bool,
     ) -> CommandStep {
         match parse_arguments(input, position) {
-            Ok(Some(words)) => self.run_command(&words, ready),
+            Ok(Some(name_and_arguments)) => self.run_command(&name_and_arguments, ready),
             Ok(None) => CommandStep::Incomplete,
             Err(error) => CommandStep::Close(reply::encode_syntax_error(error)),
         }
--- a/crates/gateway/src/client_protocol/resp/request.rs
+++ b/crates/gateway/src/client_protocol/resp/request.rs
@@ -1,4 +1,4 @@
-//! Validation of the arguments of a command that reads or writes, and construction of its request.
+//! Validates the arguments of a read or write command and builds its request.
 
 use super::error::RequestError;
 use super::parameters::ParsedParameters;
@@ -7,33 +7,33 @@
 use crate::storage_request::{Operation, RequestParameters, StorageRequest};
 use io_scheduler::ObjectKey;
 
-/// Longest client request id in bytes.
+/// Maximum length of a client request id in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 64;
 
-/// The arguments of a command that reads or writes, as sent.
+/// The arguments of a read or write command, as sent by the client.
 pub(super) struct RequestArguments<'a> {
-    /// The object's id.
+    /// Id of the object.
     pub(super) object: &'a [u8],
-    /// The client request id.
+    /// Client request id.
     pub(super) client_request_id: &'a [u8],
-    /// The list of parameters.
+    /// Parameter list.
     pub(super) parameters: &'a [u8],
-    /// The content to write; empty for a read.
+    /// Content to write; empty for a read.
     pub(super) body: &'a [u8],
 }
 
-/// The arguments of a command, decoded as far as this needs no settings.
+/// The arguments of a command, decoded and checked as far as possible without the settings.
 struct DecodedArguments<'a> {
-    /// The object's id.
+    /// Id of the object.
     object: ObjectKey,
-    /// The client request id, which is valid.
+    /// Client request id, already validated.
     client_request_id: &'a str,
-    /// The list of parameters.
+    /// Parameter list, not parsed yet.
     parameters: &'a str,
 }
 
 impl<'a> RequestArguments<'a> {
-    /// Decodes the arguments other than the body.
+    /// Decodes and checks the arguments other than the body.
     fn decode(&self) -> Result<DecodedArguments<'a>, RequestError> {
         let object = decode_text(self.object)?;
         let client_request_id = decode_text(self.client_request_id)?;
@@ -73,7 +73,7 @@
         class: class_index,
         plan,
         units: parameters.units,
-        shard: shard.shard(),
+        shard: shard.assigned_shard(),
         hosts: parameters.hosts,
         client_timeout: timeout.capped_micros(class.max_timeout_ms),
         body: arguments.body.to_vec(),
@@ -84,17 +84,17 @@
     })
 }
 
-/// An argument as text.
+/// Decodes an argument as UTF-8.
 fn decode_text(argument: &[u8]) -> Result<&str, RequestError> {
     std::str::from_utf8(argument).map_err(|_| RequestError::NotUtf8)
 }
 
-/// Checks that a client request id consists of visible ASCII characters and has a length from 1 to
-/// the limit.
+/// Checks that a client request id consists of 1 to [`MAX_REQUEST_ID_LENGTH`] visible ASCII
+/// characters.
 fn check_request_id(id: &str) -> Result<(), RequestError> {
     let has_valid_length = (1..=MAX_REQUEST_ID_LENGTH).contains(&id.len());
-    let is_visible = id.bytes().all(|byte| byte.is_ascii_graphic());
-    if has_valid_length && is_visible {
+    let is_visible_ascii = id.bytes().all(|byte| byte.is_ascii_graphic());
+    if has_valid_length && is_visible_ascii {
         Ok(())
     } else {
         Err(RequestError::InvalidRequestId)
--- a/crates/gateway/src/client_protocol/resp/schema.rs
+++ b/crates/gateway/src/client_protocol/resp/schema.rs
@@ -1,5 +1,4 @@
-//! What a valid request may state according to the settings: names of classes and plans, and
-//! bounds on numbers.
+//! Class names, plan names and limits from the settings, against which requests are validated.
 
 use super::error::RequestError;
 use crate::storage_request::Operation;
@@ -7,38 +6,39 @@
 use io_scheduler::{ClassIndex, PlanIndex, Units};
 use std::rc::Rc;
 
-/// Longest timeout that a client may state if its class has no deadline, in milliseconds.
+/// Maximum client timeout of a request whose class has no deadline, in milliseconds.
 const DEFAULT_MAX_TIMEOUT_MS: f64 = 600_000.0;
-/// Largest size of a request if the settings state none.
+/// Maximum size of a request if the settings do not define one.
 const DEFAULT_MAX_UNITS: Units = Units(1e6);
 
-/// The names that RESP requests may refer to, and the bounds on their values. All connections
-/// share it.
+/// The class and plan names that RESP requests may use, and the limits on their values. Shared by
+/// all connections.
 pub struct RequestSchema {
     /// Classes, in the order of the settings.
     classes: Vec<RequestClass>,
     /// Names of the plans, in the order of the settings.
     plans: Vec<String>,
-    /// Largest size of one request; larger values are reduced to it.
+    /// Maximum size of one request; larger values are reduced to it.
     pub(super) max_units: Units,
-    /// Largest number of gateways for a volume; larger values are reduced to it.
+    /// Maximum number of gateways that receive requests for a volume; larger values are reduced to
+    /// it.
     pub(super) max_hosts: f64,
 }
 
-/// A class of requests.
+/// A request class.
 pub(super) struct RequestClass {
-    /// The name in the settings.
+    /// Name of the class in the settings.
     name: String,
-    /// The only operation that requests of the class may have; `None` if the settings do not state
+    /// The operation that all requests of the class must have; `None` if the settings do not define
     /// it.
     operation: Option<Operation>,
-    /// Longest timeout that a request of the class may have, in milliseconds: the class's
-    /// deadline.
+    /// Maximum timeout of a request of the class, in milliseconds: the class's deadline, or
+    /// [`DEFAULT_MAX_TIMEOUT_MS`] if it has none.
     pub(super) max_timeout_ms: f64,
 }
 
 impl RequestSchema {
-    /// Collects the names and bounds from the settings.
+    /// Creates the schema from the settings.
     #[must_use]
     pub fn new(settings: &DeploymentSettings) -> Rc<RequestSchema> {
         let mut classes = Vec::with_capacity(settings.classes.len());
@@ -55,26 +55,26 @@
         })
     }
 
-    /// The index of a class by its name.
+    /// Returns the index of the class with this name.
     pub(super) fn class_index(&self, name: &str) -> Option<ClassIndex> {
         let index = self.classes.iter().position(|class| class.name == name)?;
         Some(ClassIndex(index))
     }
 
-    /// The class at an index that [`Self::class_index`] returned.
+    /// Returns the class at an index that [`Self::class_index`] returned.
     pub(super) fn class(&self, index: ClassIndex) -> &RequestClass {
         &self.classes[index.0]
     }
 
-    /// The index of a plan by its name.
+    /// Returns the index of the plan with this name.
     pub(super) fn plan_index(&self, name: &str) -> Option<PlanIndex> {
         let index = self.plans.iter().position(|plan| plan == name)?;
         Some(PlanIndex(index))
     }
 }
 
-/// Largest size of one request. A request with an excessive size would be charged to its
-/// volume, which would get no further service for a long time.
+/// Returns the maximum size of one request. Without a maximum, a request with an excessive size
+/// would be charged to its volume, and the volume would not be served again for a long time.
 fn max_units(storage: &DomainSettings) -> Units {
     if storage.max_units > 0.0 {
         Units(storage.max_units)
@@ -84,7 +84,8 @@
 }
 
 impl RequestClass {
-    /// The class of the settings; `writes` states whether its requests write, if that is known.
+    /// Creates the class from its settings. `writes` states whether its requests write; it is
+    /// `None` if the settings do not define this.
     fn new(class: &ClassSettings, writes: Option<bool>) -> RequestClass {
         let operation = writes.map(|writes| {
             if writes {
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Checks that requests of the class may have this operation. Whether a request is retried
-    /// depends on its class, so a write under the class of a read could be executed twice.
+    /// Checks that requests of the class may have this operation. The class determines whether a
+    /// request is retried, so a write in a class for reads could be executed twice.
     pub(super) fn check_operation(&self, operation: Operation) -> Result<(), RequestError> {
         match self.operation {
             Some(expected) if expected != operation => {
--- a/crates/gateway/src/client_protocol/sftp/buffer_budget.rs
+++ b/crates/gateway/src/client_protocol/sftp/buffer_budget.rs
@@ -1,18 +1,18 @@
-//! The memory for objects that clients buffer while they read or upload them.
+//! Memory budget for the object data that the gateway buffers while clients read or upload objects.
 
 use super::error::SftpError;
 use std::cell::Cell;
 
-/// A bound on the bytes that the handles of all clients buffer together.
+/// Limits the total number of bytes that the handles of all clients buffer.
 pub(super) struct BufferBudget {
-    /// Bytes reserved: uploads, and objects open for reading.
+    /// Bytes reserved for uploads and for objects open for reading.
     reserved_bytes: Cell<usize>,
-    /// Upper bound on the reserved bytes.
+    /// Maximum of `reserved_bytes`.
     max_bytes: usize,
 }
 
 impl BufferBudget {
-    /// A budget of which nothing is reserved.
+    /// Creates a budget with nothing reserved.
     pub(super) fn new(max_bytes: usize) -> BufferBudget {
         BufferBudget {
             reserved_bytes: Cell::new(0),
@@ -20,19 +20,20 @@
         }
     }
 
-    /// Reserves memory for bytes that a handle is about to buffer.
-    pub(super) fn reserve(&self, additional: usize) -> Result<(), SftpError> {
-        let reserved = self.reserved_bytes.get() + additional;
-        if additional > 0 && reserved > self.max_bytes {
+    /// Reserves `additional_bytes` bytes that a handle is about to buffer. Fails with
+    /// [`SftpError::BuffersFull`] if this would exceed the budget.
+    pub(super) fn reserve(&self, additional_bytes: usize) -> Result<(), SftpError> {
+        let reserved = self.reserved_bytes.get() + additional_bytes;
+        if additional_bytes > 0 && reserved > self.max_bytes {
             return Err(SftpError::BuffersFull);
         }
         self.reserved_bytes.set(reserved);
         Ok(())
     }
 
-    /// Releases memory that [`Self::reserve`] reserved.
-    pub(super) fn release(&self, released: usize) {
-        let reserved = self.reserved_bytes.get() - released;
+    /// Releases bytes that [`Self::reserve`] reserved.
+    pub(super) fn release(&self, released_bytes: usize) {
+        let reserved = self.reserved_bytes.get() - released_bytes;
         self.reserved_bytes.set(reserved);
     }
 }
--- a/crates/gateway/src/client_protocol/sftp/commands.rs
+++ b/crates/gateway/src/client_protocol/sftp/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of a client: each is answered immediately or submits requests to storage nodes.
+//! Command handlers. Each of them either replies immediately or submits requests to storage nodes.
 
 use super::directory::{encode_next_entries, Directory, DirectoryEntry};
 use super::error::SftpError;
@@ -12,23 +12,23 @@
 use crate::sftp_packet::{Fields, FileAttributes, OpenFlags, PacketType, RequestId};
 use crate::storage_request::StorageRequest;
 
-/// The result of running a command.
+/// The result of executing a command.
 pub(super) enum CommandOutcome {
-    /// The command is answered with this encoded packet.
+    /// Send this encoded packet as the reply.
     Reply(Vec<u8>),
-    /// The command is answered once storage nodes have responded.
+    /// Submit requests; the reply is sent when the storage nodes have responded.
     Submit {
         /// The requests to submit.
         requests: Vec<StorageRequest>,
-        /// What their responses complete.
+        /// The operation that the responses complete.
         operation: PendingOperation,
     },
 }
 
-/// The outcome of a command, or an error that is answered with a STATUS.
+/// The outcome of a command, or the error that is sent to the client in a STATUS reply.
 type CommandResult = Result<CommandOutcome, SftpError>;
 
-/// Answers a command with this encoded packet.
+/// Replies to a command with this encoded packet.
 fn reply(packet: Vec<u8>) -> CommandResult {
     Ok(CommandOutcome::Reply(packet))
 }
@@ -42,7 +42,7 @@
 }
 
 impl Session {
-    /// Runs the command with this type and request id; `fields` follow the request id.
+    /// Executes a command of this type. `fields` contains the fields after the request id.
     pub(super) fn run_command(
         &mut self,
         packet_type: PacketType,
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Takes a path and resolves it.
+    /// Reads the next field as a path and resolves it.
     fn resolve_path(&self, fields: &mut Fields<'_>) -> Result<PathTarget, SftpError> {
         resolve(fields.string()?, &self.shared.volumes)
     }
 
-    /// OPEN: of an object, either for reading or for writing.
+    /// OPEN: opens an object, either for reading or for writing.
     fn open(&mut self, request_id: RequestId, mut fields: Fields<'_>) -> CommandResult {
         let path = fields.string()?;
         let flags = OpenFlags(fields.u32()?);
@@ -78,8 +78,8 @@
         if flags == OpenFlags::READ {
             return self.open_for_reading(target);
         }
-        // A write replaces the whole object: flags that keep a part of the old one are not
-        // supported.
+        // A write replaces the whole object, so flags that would keep part of the old content are
+        // not supported.
         let replace = OpenFlags::WRITE | OpenFlags::CREATE;
         if flags == replace || flags == replace | OpenFlags::TRUNCATE {
             return self.open_for_writing(request_id, target);
@@ -87,14 +87,15 @@
         Err(SftpError::UnsupportedOpenFlags)
     }
 
-    /// Fetches the object before the client gets a handle.
+    /// Submits a read of the whole object. The client gets its handle when the object has been
+    /// received.
     fn open_for_reading(&self, target: ObjectTarget) -> CommandResult {
         let known_size = self.shared.object_sizes.get(&target);
         let request = self.shared.requests.read(&target, known_size);
         submit(request, PendingOperation::Open(target))
     }
 
-    /// Gives the client a handle immediately.
+    /// Creates an upload and replies with its handle immediately.
     fn open_for_writing(&mut self, request_id: RequestId, target: ObjectTarget) -> CommandResult {
         let number = self.handles.insert(Handle::Upload {
             target,
@@ -103,8 +104,8 @@
         reply(encode_handle(request_id, number))
     }
 
-    /// OPENDIR: the entries of the root directory are the configured volumes; the objects of a
-    /// volume are listed by the first READDIR.
+    /// OPENDIR: opens the root directory or a volume. The entries of the root directory are the
+    /// configured volumes; the objects of a volume are listed by the first READDIR.
     fn open_directory(&mut self, request_id: RequestId, mut fields: Fields<'_>) -> CommandResult {
         let directory = match self.resolve_path(&mut fields)? {
             PathTarget::Object(_) => return Err(SftpError::NotDirectory),
@@ -118,7 +119,7 @@
         reply(encode_handle(request_id, number))
     }
 
-    /// READ: a range of an object that OPEN fetched.
+    /// READ: returns a range of an object that OPEN fetched.
     fn read(&self, request_id: RequestId, mut fields: Fields<'_>) -> CommandResult {
         let number = HandleNumber::decode(&mut fields)?;
         let offset = fields.u64()?;
@@ -133,7 +134,7 @@
         reply(encode_data(request_id, range))
     }
 
-    /// WRITE: the bytes are buffered until CLOSE.
+    /// WRITE: buffers the bytes until CLOSE.
     fn write(&mut self, request_id: RequestId, mut fields: Fields<'_>) -> CommandResult {
         let number = HandleNumber::decode(&mut fields)?;
         let offset = fields.u64()?;
@@ -147,8 +148,8 @@
         reply(encode_ok(request_id))
     }
 
-    /// CLOSE: a buffered upload is submitted as one write, and the reply states whether the object
-    /// was stored.
+    /// CLOSE: closes a handle. A buffered upload is submitted as one write, and the reply reports
+    /// whether the object was stored.
     fn close(&mut self, request_id: RequestId, mut fields: Fields<'_>) -> CommandResult {
         let number = HandleNumber::decode(&mut fields)?;
         let Handle::Upload { target, data } = self.handles.remove(number)? else {
@@ -156,11 +157,11 @@
         };
         let size = data.len() as u64;
         let request = self.shared.requests.write(&target, data);
-        submit(request, PendingOperation::Store { target, size })
+        submit(request, PendingOperation::CloseUpload { target, size })
     }
 
-    /// STAT and LSTAT: directories have fixed attributes, an object's size comes from its storage
-    /// node.
+    /// STAT and LSTAT: return fixed attributes for a directory; for an object, request its size
+    /// from its storage node.
     fn stat(&self, request_id: RequestId, mut fields: Fields<'_>) -> CommandResult {
         let PathTarget::Object(target) = self.resolve_path(&mut fields)? else {
             return reply(encode_attributes(request_id, FileAttributes::Directory));
@@ -169,20 +170,21 @@
         submit(request, PendingOperation::Stat(target))
     }
 
-    /// FSTAT: the size of the buffered object.
+    /// FSTAT: returns fixed attributes for a directory, and the number of buffered bytes as the
+    /// size of an object.
     fn stat_handle(&self, request_id: RequestId, mut fields: Fields<'_>) -> CommandResult {
         let number = HandleNumber::decode(&mut fields)?;
         let attributes = match self.handles.get(number)? {
             Handle::Directory(_) => FileAttributes::Directory,
-            file => FileAttributes::RegularFile {
-                size: file.buffered_bytes() as u64,
+            object => FileAttributes::RegularFile {
+                size: object.buffered_bytes() as u64,
             },
         };
         reply(encode_attributes(request_id, attributes))
     }
 
-    /// READDIR: the first one for a volume submits a listing of every shard; later ones return the
-    /// next entries.
+    /// READDIR: the first command on a volume's handle submits a listing request to every shard;
+    /// later commands return the next entries.
     fn read_directory(&mut self, request_id: RequestId, mut fields: Fields<'_>) -> CommandResult {
         let number = HandleNumber::decode(&mut fields)?;
         let directory = self.handles.directory_mut(number)?;
@@ -201,7 +203,7 @@
     }
 }
 
-/// REALPATH: the canonical form of a path, whether it exists or not.
+/// REALPATH: returns the canonical form of a path, whether or not the path exists.
 fn real_path(request_id: RequestId, mut fields: Fields<'_>) -> CommandResult {
     let path = canonicalize(fields.string()?)?;
     reply(encode_path(request_id, &path))
--- a/crates/gateway/src/client_protocol/sftp/directory.rs
+++ b/crates/gateway/src/client_protocol/sftp/directory.rs
@@ -7,17 +7,17 @@
 use crate::storage_request::ObjectEntry;
 use std::collections::VecDeque;
 
-/// Bytes of entries after which no further entry is added to a NAME packet.
+/// Once the entries of a NAME packet have this size in bytes, no further entry is added.
 const MAX_NAME_PACKET_BYTES: usize = 32 << 10;
-/// Estimated bytes of an entry in a NAME packet, without its name, which the entry contains twice.
+/// Estimated size in bytes of an entry in a NAME packet, without the two copies of its name.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
 
-/// An entry of a directory. Entries are ordered by name.
+/// A directory entry. Entries are ordered by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DirectoryEntry {
-    /// The name within the directory.
+    /// Name within the directory.
     pub(super) name: Vec<u8>,
-    /// Whether it is an object, and of which size.
+    /// File type, and the size of an object.
     pub(super) attributes: FileAttributes,
 }
 
@@ -39,19 +39,19 @@
     }
 }
 
-/// An open directory, by the state of its listing.
+/// An open directory and the state of its listing.
 pub(super) enum Directory {
-    /// A volume that no READDIR has listed yet.
+    /// A volume that has not been listed yet, or whose listing failed.
     Unlisted(VolumeTarget),
-    /// A volume whose listing the storage nodes have not all answered.
+    /// A volume whose listing is in progress: some shards have not responded yet.
     Listing(VolumeTarget),
-    /// A listed directory: the entries that have not been sent to the client yet.
+    /// A listed directory, with the entries that have not been sent to the client yet.
     Listed(VecDeque<DirectoryEntry>),
 }
 
 impl Directory {
-    /// Resets the state after a listing that failed, so that the next READDIR on the handle lists
-    /// again.
+    /// Resets the state after a failed listing, so that the next READDIR on the handle starts a new
+    /// one.
     pub(super) fn reset_listing(&mut self) {
         if let Directory::Listing(target) = *self {
             *self = Directory::Unlisted(target);
@@ -59,8 +59,8 @@
     }
 }
 
-/// Removes as many entries from the front as fit into one packet and encodes them as the NAME
-/// reply to the command `request_id`. Fails with [`SftpError::EndOfDirectory`] if there are none.
+/// Removes as many entries from the front as fit into one packet and encodes them as the NAME reply
+/// to the command `request_id`. Fails with [`SftpError::EndOfDirectory`] if there are none.
 pub(super) fn encode_next_entries(
     request_id: RequestId,
     entries: &mut VecDeque<DirectoryEntry>,
@@ -79,7 +79,8 @@
     Ok(packet.finish())
 }
 
-/// Number of entries from the front that fit into one packet; at least one, however long its name.
+/// Returns how many entries from the front fit into one packet: at least one, however long its
+/// name.
 fn count_entries_for_packet(entries: &VecDeque<DirectoryEntry>) -> usize {
     let mut packet_bytes = 0;
     for (index, entry) in entries.iter().enumerate() {
@@ -91,7 +92,8 @@
     entries.len()
 }
 
-/// The entry as a line of `ls -l`, which clients may print as it is. Owner and time are not known.
+/// Formats the entry like a line of `ls -l`, which clients may print unchanged. The owner and the
+/// modification time are not known, so they have fixed values.
 fn long_name(entry: &DirectoryEntry) -> String {
     let (mode, size) = match entry.attributes {
         FileAttributes::RegularFile { size } => ("-rw-r--r--", size),
--- a/crates/gateway/src/client_protocol/sftp/handle.rs
+++ b/crates/gateway/src/client_protocol/sftp/handle.rs
@@ -1,4 +1,4 @@
-//! The open handles of one client, and the memory that they reserve.
+//! Open handles of one client, and the memory that they reserve.
 
 use super::buffer_budget::BufferBudget;
 use super::directory::Directory;
@@ -8,16 +8,16 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Most handles that one client may have open.
+/// Maximum number of open handles per client.
 const MAX_HANDLES: usize = 64;
 
 /// An open file or directory.
 pub(super) enum Handle {
-    /// An object open for reading, with all its bytes.
-    Reading(Vec<u8>),
+    /// An object open for reading, with its whole content.
+    Download(Vec<u8>),
     /// An object open for writing.
     Upload {
-        /// The object.
+        /// The object to write.
         target: ObjectTarget,
         /// The bytes received so far.
         data: Vec<u8>,
@@ -27,17 +27,17 @@
 }
 
 impl Handle {
-    /// Bytes of object data that the handle buffers.
+    /// Returns the number of object bytes that the handle buffers.
     pub(super) fn buffered_bytes(&self) -> usize {
         match self {
-            Handle::Reading(data) | Handle::Upload { data, .. } => data.len(),
+            Handle::Download(data) | Handle::Upload { data, .. } => data.len(),
             Handle::Directory(_) => 0,
         }
     }
 }
 
-/// The open handles of one client, by number. Their buffered bytes are reserved in the budget that
-/// all clients share, and released when a handle is removed or the table is dropped.
+/// The open handles of one client, by number. The bytes that they buffer are reserved in the budget
+/// shared by all clients. They are released when a handle is removed or the table is dropped.
 pub(super) struct HandleTable {
     /// The memory budget that all clients share.
     budget: Rc<BufferBudget>,
@@ -48,7 +48,7 @@
 }
 
 impl HandleTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub(super) fn new(budget: Rc<BufferBudget>) -> HandleTable {
         HandleTable {
             budget,
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Adds a handle and returns its number. Fails if the client has too many, or if the shared
-    /// budget has no capacity for the bytes of the handle.
+    /// Adds a handle and returns its number. Fails if the client has too many handles, or if
+    /// buffering the handle's bytes would exceed the shared budget.
     pub(super) fn insert(&mut self, handle: Handle) -> Result<HandleNumber, SftpError> {
         if self.handles.len() >= MAX_HANDLES {
             return Err(SftpError::TooManyHandles);
@@ -80,20 +80,20 @@
         Ok(handle)
     }
 
-    /// An open handle of any kind.
+    /// Returns an open handle of any kind.
     pub(super) fn get(&self, number: HandleNumber) -> Result<&Handle, SftpError> {
         self.handles.get(&number).ok_or(SftpError::NoSuchHandle)
     }
 
-    /// The bytes of an object open for reading.
+    /// Returns the content of an object open for reading.
     pub(super) fn read_data(&self, number: HandleNumber) -> Result<&[u8], SftpError> {
         match self.handles.get(&number) {
-            Some(Handle::Reading(data)) => Ok(data),
+            Some(Handle::Download(data)) => Ok(data),
             _ => Err(SftpError::NoSuchHandle),
         }
     }
 
-    /// An open directory.
+    /// Returns an open directory.
     pub(super) fn directory_mut(
         &mut self,
         number: HandleNumber,
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Writes bytes of an upload at `offset`; the caller has checked that they end within the
-    /// largest upload. A gap before them is filled with zeros.
+    /// Writes `bytes` to an upload at `offset`. The caller has checked that they end within the
+    /// maximum upload size. A gap before them is filled with zeros.
     pub(super) fn write_upload(
         &mut self,
         number: HandleNumber,
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// Whether an upload is open.
+    /// Returns whether any handle is open for writing.
     pub(super) fn has_upload(&self) -> bool {
         self.handles
             .values()
--- a/crates/gateway/src/client_protocol/sftp/handle_number.rs
+++ b/crates/gateway/src/client_protocol/sftp/handle_number.rs
@@ -1,4 +1,4 @@
-//! How the server names an open file or directory.
+//! Numbers of open handles, and their encoding on the wire.
 
 use super::error::SftpError;
 use crate::sftp_packet::Fields;
@@ -12,12 +12,12 @@
     /// The number of a client's first handle.
     pub(super) const FIRST: HandleNumber = HandleNumber(0);
 
-    /// The number after this one. The largest number is followed by zero.
+    /// Returns the number after this one. The largest number is followed by zero.
     pub(super) fn next(self) -> HandleNumber {
         HandleNumber(self.0.wrapping_add(1))
     }
 
-    /// Takes the next field of a command as a handle.
+    /// Reads the next field of a command as a handle.
     pub(super) fn decode(fields: &mut Fields<'_>) -> Result<HandleNumber, SftpError> {
         let bytes = fields
             .string()?
@@ -26,7 +26,7 @@
         Ok(HandleNumber(u32::from_be_bytes(bytes)))
     }
 
-    /// The content of the handle's string on the wire.
+    /// Returns the bytes of the handle's string on the wire.
     pub(super) fn to_bytes(self) -> [u8; 4] {
         self.0.to_be_bytes()
     }
--- a/crates/gateway/src/client_protocol/sftp/mod.rs
+++ b/crates/gateway/src/client_protocol/sftp/mod.rs
@@ -1,14 +1,14 @@
-//! SFTP commands from clients, over a plain connection without the SSH transport.
+//! SFTP protocol for clients, over a plain connection without the SSH transport.
 //!
-//! Paths are `/VOLUME/OBJECT`. OPEN fetches the whole object, and each READ returns a part of it.
-//! An upload is buffered and CLOSE submits it as one write, so a client that disconnects earlier
-//! causes no request. The first READDIR of a volume lists every shard, and is answered when all of
-//! them have responded.
+//! Paths have the form `/VOLUME/OBJECT`. OPEN for reading fetches the whole object, and each READ
+//! returns part of it. Uploads are buffered, and CLOSE submits them as one write. If a client
+//! disconnects before CLOSE, no request is submitted. The first READDIR of a volume lists every
+//! shard; the reply is sent when all shards have responded.
 //!
 //! [`SftpProtocol`] decodes packets and keeps the commands whose requests are in flight
-//! (`pending`). The commands run on the client's `session`: `commands` starts them, `responses`
-//! completes those that needed requests. [`SftpShared`] is what all clients have in common: the
-//! rules by which `requests` are built, the cached `object_sizes` and the `buffer_budget`.
+//! (`pending`). Commands operate on the client's `session`: `commands` starts them, and `responses`
+//! completes those that submitted requests. [`SftpShared`] is the state that all clients share: the
+//! builder of `requests`, the cached `object_sizes` and the `buffer_budget`.
 
 mod buffer_budget;
 mod commands;
--- a/crates/gateway/src/client_protocol/sftp/object_sizes.rs
+++ b/crates/gateway/src/client_protocol/sftp/object_sizes.rs
@@ -1,19 +1,19 @@
-//! The sizes of objects as last observed.
+//! Cache of the last observed sizes of objects.
 
 use super::path::ObjectTarget;
 use io_scheduler::{ObjectKey, VolumeId};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// Largest number of objects whose size is cached.
+/// Maximum number of cached sizes.
 const MAX_CACHED_SIZES: usize = 10_000;
 
-/// Identifies an object by its volume's id and its own.
+/// Cache key: the ids of a volume and of one of its objects.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CachedObject {
-    /// The volume of the object.
+    /// Id of the volume.
     volume: VolumeId,
-    /// The key of the object.
+    /// Id of the object.
     object: ObjectKey,
 }
 
@@ -26,10 +26,10 @@
     }
 }
 
-/// The cached sizes of objects, from which the cost of reading them is estimated.
+/// Cache of object sizes, from which the units of a read are estimated.
 #[derive(Default)]
 pub(super) struct ObjectSizes {
-    /// Sizes in bytes.
+    /// Object sizes in bytes.
     sizes: RefCell<BTreeMap<CachedObject, u64>>,
 }
 
@@ -44,7 +44,7 @@
         sizes.insert(target.into(), size);
     }
 
-    /// The size of an object in bytes, if it is cached.
+    /// Returns the size of an object in bytes, if it is cached.
     pub(super) fn get(&self, target: &ObjectTarget) -> Option<u64> {
         self.sizes.borrow().get(&target.into()).copied()
     }
--- a/crates/gateway/src/client_protocol/sftp/path.rs
+++ b/crates/gateway/src/client_protocol/sftp/path.rs
@@ -1,24 +1,24 @@
-//! Resolution of paths: `/` is the directory of the volumes, `/VOLUME` the directory of a volume,
-//! and `/VOLUME/OBJECT` an object.
+//! Path resolution. `/` is the directory of all volumes, `/VOLUME` the directory of one volume, and
+//! `/VOLUME/OBJECT` an object.
 
 use super::error::SftpError;
 use crate::config::SftpVolume;
 use crate::hex_id::HexId;
 use io_scheduler::{ObjectKey, PlanIndex, Shard, VolumeId};
 
-/// Longest name of an object in bytes.
+/// Maximum length of an object name in bytes.
 const MAX_NAME_LENGTH: usize = 255;
 /// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xCBF2_9CE4_8422_2325;
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01B3;
 
-/// The volume that a path names.
+/// The volume that a path refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct VolumeTarget {
-    /// The id of the volume.
+    /// Id of the volume.
     pub(super) id: VolumeId,
-    /// The volume's plan.
+    /// Plan of the volume.
     pub(super) plan: PlanIndex,
 }
 
@@ -31,19 +31,19 @@
     }
 }
 
-/// The object that a path names.
+/// The object that a path refers to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ObjectTarget {
-    /// The volume of the object.
+    /// Volume that contains the object.
     pub(super) volume: VolumeTarget,
-    /// The id of the object.
+    /// Id of the object.
     pub(super) object: ObjectKey,
-    /// The name of the object.
+    /// Name of the object.
     pub(super) name: Box<str>,
 }
 
 impl ObjectTarget {
-    /// The object of a volume with this name.
+    /// Creates the target for the object `name` of a volume.
     fn new(volume: VolumeTarget, name: &str) -> ObjectTarget {
         ObjectTarget {
             volume,
@@ -52,30 +52,31 @@
         }
     }
 
-    /// The shard of the object. SFTP clients cannot state it, so it is derived from the volume and
-    /// the object.
+    /// Returns the shard of the object. SFTP clients cannot specify it, so it is derived from the
+    /// ids of the volume and the object.
     pub(super) fn shard(&self, shard_count: u64) -> Shard {
         let hash = hash(&self.volume.id.0.to_be_bytes(), self.object.0);
         Shard(hash % shard_count)
     }
 }
 
-/// What a path names.
+/// What a path refers to.
 pub(super) enum PathTarget {
     /// The directory of all volumes.
     Root,
     /// The directory of one volume.
     Volume(VolumeTarget),
-    /// An object, whether it exists or not.
+    /// An object, which may or may not exist.
     Object(ObjectTarget),
 }
 
-/// Resolves a path as a client sent it. Fails with [`SftpError::NoSuchFile`] if it is not valid
-/// text, too long or too deep, or if its volume is not one of `volumes`.
+/// Resolves a path sent by a client. Fails with [`SftpError::NoSuchFile`] if the path is not UTF-8
+/// or has control characters, if the object name is too long, if the path has more than two
+/// components, or if its volume is not one of `volumes`.
 pub(super) fn resolve(path: &[u8], volumes: &[SftpVolume]) -> Result<PathTarget, SftpError> {
     let path = canonicalize(path)?;
-    let mut parts = path.split('/').filter(|part| !part.is_empty());
-    let Some(volume_name) = parts.next() else {
+    let mut components = path.split('/').filter(|component| !component.is_empty());
+    let Some(volume_name) = components.next() else {
         return Ok(PathTarget::Root);
     };
     let volume = volumes
@@ -83,42 +84,42 @@
         .find(|volume| volume.name == volume_name)
         .map(VolumeTarget::from)
         .ok_or(SftpError::NoSuchFile)?;
-    let Some(object_name) = parts.next() else {
+    let Some(object_name) = components.next() else {
         return Ok(PathTarget::Volume(volume));
     };
-    if parts.next().is_some() || object_name.len() > MAX_NAME_LENGTH {
+    if components.next().is_some() || object_name.len() > MAX_NAME_LENGTH {
         return Err(SftpError::NoSuchFile);
     }
     Ok(PathTarget::Object(ObjectTarget::new(volume, object_name)))
 }
 
-/// The absolute path without `.`, `..` and repeated slashes. Fails with [`SftpError::NoSuchFile`]
-/// if the path is not UTF-8 or has control characters.
+/// Returns the absolute path without `.`, `..` and repeated slashes. Fails with
+/// [`SftpError::NoSuchFile`] if the path is not UTF-8 or has control characters.
 pub(super) fn canonicalize(path: &[u8]) -> Result<String, SftpError> {
     let path = std::str::from_utf8(path).map_err(|_| SftpError::NoSuchFile)?;
     if path.contains(char::is_control) {
         return Err(SftpError::NoSuchFile);
     }
-    let mut parts: Vec<&str> = Vec::new();
-    for part in path.split('/') {
-        match part {
+    let mut components: Vec<&str> = Vec::new();
+    for component in path.split('/') {
+        match component {
             "" | "." => {}
             ".." => {
-                parts.pop();
+                components.pop();
             }
-            name => parts.push(name),
+            name => components.push(name),
         }
     }
-    Ok(format!("/{}", parts.join("/")))
+    Ok(format!("/{}", components.join("/")))
 }
 
-/// The id of the object with this name. A name of 16 lower-case hex digits is the text form of the
-/// id; for any other name, the id is a hash of it.
+/// Returns the id of the object `name`. A name of 16 lower-case hex digits is the text form of the
+/// id; for any other name, the id is a hash of the name.
 fn object_id(name: &str) -> ObjectKey {
-    let has_hex_digits_only = name
+    let is_lower_case_hex = name
         .bytes()
         .all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
-    if has_hex_digits_only {
+    if is_lower_case_hex {
         if let Ok(HexId(id)) = name.parse() {
             return ObjectKey(id);
         }
@@ -126,8 +127,8 @@
     ObjectKey(hash(name.as_bytes(), 0))
 }
 
-/// 64-bit FNV-1a, with `seed` mixed into the offset basis. The high half of the result is folded
-/// into the low half.
+/// Computes the 64-bit FNV-1a hash, with `seed` mixed into the offset basis. The upper half of the
+/// result is combined with the lower half by XOR.
 fn hash(bytes: &[u8], seed: u64) -> u64 {
     let mut hash = seed ^ FNV_OFFSET_BASIS;
     for byte in bytes {
--- a/crates/gateway/src/client_protocol/sftp/pending.rs
+++ b/crates/gateway/src/client_protocol/sftp/pending.rs
@@ -6,21 +6,21 @@
 
 /// A command whose requests are in flight.
 pub(super) struct PendingCommand {
-    /// The request id that the client gave the command; the reply repeats it.
+    /// The request id that the client assigned to the command. The reply repeats it.
     pub(super) request_id: RequestId,
-    /// What the responses complete.
+    /// The operation that the responses complete.
     pub(super) operation: PendingOperation,
 }
 
-/// The operation that the responses to a command's requests complete.
+/// The operation that is complete once a command's requests have been responded to.
 pub(super) enum PendingOperation {
-    /// OPEN of an object to read.
+    /// OPEN of an object for reading.
     Open(ObjectTarget),
     /// STAT or LSTAT of an object.
     Stat(ObjectTarget),
     /// CLOSE of an upload.
-    Store {
-        /// The object.
+    CloseUpload {
+        /// The uploaded object.
         target: ObjectTarget,
         /// Size of the object in bytes.
         size: u64,
--- a/crates/gateway/src/client_protocol/sftp/protocol.rs
+++ b/crates/gateway/src/client_protocol/sftp/protocol.rs
@@ -1,4 +1,5 @@
-//! The protocol of one SFTP client: the handshake, and the commands whose requests are in flight.
+//! Protocol of one SFTP client connection: the handshake, and the commands whose requests are in
+//! flight.
 
 use super::commands::CommandOutcome;
 use super::pending::PendingCommand;
@@ -14,15 +15,15 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Idle time after which a session is closed, in microseconds. It is longer than that of RESP
-/// clients, because SFTP commands may be typed by a person.
+/// Idle time after which a connection is closed, in microseconds. It is longer than for RESP
+/// clients, because a person may be typing the SFTP commands.
 const IDLE_TIMEOUT: Micros = 300_000_000;
 
 /// The protocol state of one client connection.
 pub struct SftpProtocol {
-    /// Whether INIT was answered with VERSION.
+    /// Whether the handshake is complete, that is, INIT was answered with VERSION.
     initialized: bool,
-    /// What the commands work on.
+    /// State of the client between commands.
     session: Session,
     /// Commands whose requests are in flight, by slot.
     pending: BTreeMap<SlotNumber, PendingCommand>,
@@ -39,8 +40,8 @@
         }
     }
 
-    /// Answers the first packet, which must be INIT with a version; any other closes the
-    /// connection.
+    /// Handles the first packet. Replies with VERSION if it is INIT with a version; any other
+    /// packet closes the connection.
     fn initialize(&mut self, packet: DecodedPacket<'_>) -> CommandStep {
         let DecodedPacket {
             packet_type,
@@ -53,7 +54,7 @@
         CommandStep::Reply(Packet::new(PacketType::VERSION).u32(VERSION).finish())
     }
 
-    /// Runs the command at `slot`; `fields` follow its request id.
+    /// Executes the command at `slot`. `fields` contains the fields after the request id.
     fn run_command(
         &mut self,
         slot: SlotNumber,
--- a/crates/gateway/src/client_protocol/sftp/replies.rs
+++ b/crates/gateway/src/client_protocol/sftp/replies.rs
@@ -1,11 +1,11 @@
-//! Encoding of the replies to commands that have succeeded, except directory entries.
+//! Encoding of replies to successful commands, except for directory entries.
 
 use super::handle_number::HandleNumber;
 use crate::sftp_packet::{
     encode_status, FileAttributes, Packet, PacketType, RequestId, StatusCode,
 };
 
-/// Encodes a STATUS reply to a command that was executed.
+/// Encodes a STATUS reply that reports success.
 pub(super) fn encode_ok(request_id: RequestId) -> Vec<u8> {
     encode_status(request_id, StatusCode::Ok, "")
 }
@@ -31,7 +31,7 @@
         .finish()
 }
 
-/// Encodes a NAME reply with one path, as the canonical form of a path.
+/// Encodes a NAME reply with one path: the reply to REALPATH.
 pub(super) fn encode_path(request_id: RequestId, path: &str) -> Vec<u8> {
     Packet::with_id(PacketType::NAME, request_id)
         .u32(1)
--- a/crates/gateway/src/client_protocol/sftp/requests.rs
+++ b/crates/gateway/src/client_protocol/sftp/requests.rs
@@ -1,6 +1,5 @@
-//! Construction of the requests that commands submit. A RESP2 client states the class, the units
-//! and the shard of its requests; for an SFTP client, they follow from the settings of the
-//! listener.
+//! Builds the requests that commands submit. A RESP2 client specifies the class, the units and the
+//! shard of its requests. For an SFTP client, they are derived from the settings of the listener.
 
 use super::path::{ObjectTarget, VolumeTarget};
 use crate::config::SftpSettings;
@@ -11,26 +10,27 @@
 use io_scheduler::{ClassIndex, Micros, ObjectKey, Shard, Units};
 use std::cell::Cell;
 
-/// The id of the object in which a RESP2 node stores the index of a volume's objects.
+/// Id of the object in which a RESP2 node stores the index of a volume's objects.
 const INDEX_OBJECT: ObjectKey = ObjectKey(0);
-/// Size of a request that transfers no object: a listing or a question for the size.
+/// Size of a request that transfers no object data: a listing, or a request for the size of an
+/// object.
 const METADATA_UNITS: Units = Units(1.0);
-/// Smallest size of a request in units.
+/// Minimum size of a request in units.
 const MIN_UNITS: f64 = 1.0;
 
-/// Builds requests from the settings, each with a client request id of its own.
+/// Builds requests according to the settings, each with a unique client request id.
 pub(super) struct RequestBuilder {
-    /// Classes of the operations.
+    /// The class of each operation.
     classes: OperationClasses,
     /// Names of the plans, in the order of the settings.
     plans: Vec<String>,
     /// Number of shards of each volume.
     shard_count: u64,
-    /// Number of gateways through which the requests of a volume arrive.
+    /// Number of gateways that receive requests for a volume.
     hosts: f64,
-    /// Conversion of sizes to units.
-    units: UnitScale,
-    /// The next client request id, shared by all clients so that the ids are unique at the storage
+    /// Converts object sizes to units.
+    unit_converter: UnitConverter,
+    /// The next client request id. All clients share it, so that the ids are unique at the storage
     /// nodes.
     next_request_id: Cell<u64>,
 }
@@ -41,7 +41,7 @@
     read: RequestClass,
     /// Class of reads of objects known to be large.
     large_read: RequestClass,
-    /// Smallest size in bytes of an object that counts as large.
+    /// Minimum size in bytes of an object that counts as large.
     large_bytes: u64,
     /// Class of writes.
     write: RequestClass,
@@ -49,41 +49,41 @@
     list: RequestClass,
 }
 
-/// A class of requests.
+/// A request class.
 struct RequestClass {
-    /// The class in the settings.
+    /// Index of the class in the settings.
     index: ClassIndex,
     /// Name of the class.
     name: String,
-    /// Time in microseconds after which a request of the class times out.
+    /// Time in microseconds after which a request of the class times out: the class's deadline.
     timeout: Micros,
 }
 
-/// How many units requests of a size have.
-struct UnitScale {
-    /// Bytes that count as one unit.
+/// Converts object sizes to units.
+struct UnitConverter {
+    /// Number of bytes per unit.
     unit_bytes: u64,
-    /// Mean size of a request, in units.
+    /// Mean size of a request in units, assumed for objects of unknown size.
     mean: f64,
-    /// Largest size of a request, in units.
+    /// Maximum size of a request in units.
     max: f64,
 }
 
-/// The place that a request is about.
+/// Where the object of a request is stored.
 struct Location {
     /// The volume and its plan.
     volume: VolumeTarget,
-    /// The shard that stores the object.
+    /// Shard that stores the object.
     shard: Shard,
-    /// The key of the object.
+    /// Id of the object.
     object: ObjectKey,
-    /// The name of the object; `None` for a listing.
+    /// Name of the object; `None` for a listing.
     object_name: Option<Box<str>>,
 }
 
 impl RequestBuilder {
-    /// Takes what requests state from the settings; the request ids count up from
-    /// `first_request_id`.
+    /// Creates a builder for the SFTP listener that `config` configures. Client request ids count
+    /// up from `first_request_id`.
     pub(super) fn new(
         config: &SftpSettings,
         settings: &DeploymentSettings,
@@ -96,7 +96,7 @@
             plans: plans.collect(),
             shard_count: storage.shard_count.max(1),
             hosts: f64::from(settings.gateway_count.max(1)),
-            units: UnitScale {
+            unit_converter: UnitConverter {
                 unit_bytes: config.unit_bytes,
                 mean: storage.mean_units.max(MIN_UNITS),
                 max: storage.max_units.max(MIN_UNITS),
@@ -105,30 +105,32 @@
         }
     }
 
-    /// A request that reads an object, whose size in bytes is `size` if it is known.
+    /// Builds a request that reads an object. `size` is the object's size in bytes, if known.
     pub(super) fn read(&self, target: &ObjectTarget, size: Option<u64>) -> StorageRequest {
         let class = self.classes.for_read(size);
-        let units = self.units.of_transfer(size);
+        let units = self.unit_converter.units_for_transfer(size);
         let location = self.object_location(target);
         self.request(Operation::Read, class, units, location, Vec::new())
     }
 
-    /// A request that writes an object.
+    /// Builds a request that writes an object.
     pub(super) fn write(&self, target: &ObjectTarget, data: Vec<u8>) -> StorageRequest {
         let class = &self.classes.write;
-        let units = self.units.of_transfer(Some(data.len() as u64));
+        let units = self
+            .unit_converter
+            .units_for_transfer(Some(data.len() as u64));
         let location = self.object_location(target);
         self.request(Operation::Write, class, units, location, data)
     }
 
-    /// A request for the size of an object.
+    /// Builds a request for the size of an object.
     pub(super) fn stat(&self, target: &ObjectTarget) -> StorageRequest {
         let class = &self.classes.read;
         let location = self.object_location(target);
         self.request(Operation::Stat, class, METADATA_UNITS, location, Vec::new())
     }
 
-    /// The requests that list a volume, one for each shard.
+    /// Builds the requests that list a volume, one for each shard.
     pub(super) fn list(&self, volume: VolumeTarget) -> Vec<StorageRequest> {
         let shards = 0..self.shard_count;
         shards
@@ -136,7 +138,7 @@
             .collect()
     }
 
-    /// A request that lists the objects of a volume on one shard.
+    /// Builds a request that lists the objects of a volume on one shard.
     fn list_shard(&self, volume: VolumeTarget, shard: Shard) -> StorageRequest {
         let class = &self.classes.list;
         let location = Location {
@@ -148,7 +150,7 @@
         self.request(Operation::List, class, METADATA_UNITS, location, Vec::new())
     }
 
-    /// Where an object is stored.
+    /// Returns the location of an object.
     fn object_location(&self, target: &ObjectTarget) -> Location {
         Location {
             volume: target.volume,
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Builds a request with the next request id.
+    /// Builds a request with the next client request id.
     fn request(
         &self,
         operation: Operation,
@@ -184,7 +186,7 @@
         }
     }
 
-    /// The list of parameters that a RESP2 node gets.
+    /// Builds the parameter list that is sent to a RESP2 node.
     fn parameters(
         &self,
         class: &RequestClass,
@@ -205,7 +207,7 @@
         }
     }
 
-    /// A client request id that was not used before.
+    /// Returns a client request id that has not been used before.
     fn next_client_request_id(&self) -> Box<str> {
         let id = self.next_request_id.get();
         self.next_request_id.set(id.wrapping_add(1));
@@ -214,7 +216,7 @@
 }
 
 impl OperationClasses {
-    /// The classes that the listener's settings name by their index.
+    /// Looks up the classes that the settings of the listener refer to by index.
     fn new(config: &SftpSettings, settings: &DeploymentSettings) -> OperationClasses {
         OperationClasses {
             read: RequestClass::new(config.read_class, settings),
@@ -225,7 +227,7 @@
         }
     }
 
-    /// The class for reading an object, whose size in bytes is `size` if it is known.
+    /// Returns the class for reading an object. `size` is the object's size in bytes, if known.
     fn for_read(&self, size: Option<u64>) -> &RequestClass {
         let is_large = size.is_some_and(|size| size >= self.large_bytes);
         if is_large {
@@ -237,7 +239,7 @@
 }
 
 impl RequestClass {
-    /// The class with this index in the settings.
+    /// Looks up a class of the settings by index.
     fn new(index: ClassIndex, settings: &DeploymentSettings) -> RequestClass {
         let class = &settings.classes[index.0];
         RequestClass {
@@ -248,10 +250,10 @@
     }
 }
 
-impl UnitScale {
-    /// The units of a request that transfers an object of `size` bytes; the mean if the size is
-    /// not known.
-    fn of_transfer(&self, size: Option<u64>) -> Units {
+impl UnitConverter {
+    /// Returns the units of a request that transfers an object of `size` bytes, or the mean if the
+    /// size is not known.
+    fn units_for_transfer(&self, size: Option<u64>) -> Units {
         let units = match size {
             Some(size) => size.div_ceil(self.unit_bytes) as f64,
             None => self.mean.round(),
--- a/crates/gateway/src/client_protocol/sftp/responses.rs
+++ b/crates/gateway/src/client_protocol/sftp/responses.rs
@@ -14,14 +14,14 @@
 
 /// The state of a command after a response to one of its requests.
 pub(super) enum CommandProgress {
-    /// The command is answered with this encoded packet.
+    /// The command is complete; send this encoded packet as the reply.
     Completed(Vec<u8>),
-    /// The command needs the responses to further requests.
+    /// The command is waiting for the responses to its other requests.
     Pending(PendingCommand),
 }
 
 impl Session {
-    /// Handles a response to a request of a command.
+    /// Handles the response to one of a command's requests.
     pub(super) fn handle_response(
         &mut self,
         command: PendingCommand,
@@ -30,13 +30,13 @@
         match served_body(response) {
             Ok(body) => self.handle_body(command, body),
             Err(error) => {
-                self.undo_state_changes(&command.operation);
+                self.revert_state_changes(&command.operation);
                 CommandProgress::Completed(error.to_status(command.request_id))
             }
         }
     }
 
-    /// Handles the result of a request that a node has run.
+    /// Handles the body of a served request.
     fn handle_body(&mut self, command: PendingCommand, body: ResponseBody) -> CommandProgress {
         let PendingCommand {
             request_id,
@@ -45,8 +45,8 @@
         let reply = match operation {
             PendingOperation::Open(target) => self.finish_open(request_id, &target, body),
             PendingOperation::Stat(target) => self.finish_stat(request_id, &target, &body),
-            PendingOperation::Store { target, size } => {
-                self.finish_store(request_id, &target, size, &body)
+            PendingOperation::CloseUpload { target, size } => {
+                self.finish_upload(request_id, &target, size, &body)
             }
             PendingOperation::List(mut listing) => {
                 listing.add_shard(body);
@@ -63,8 +63,8 @@
         CommandProgress::Completed(reply.unwrap_or_else(|error| error.to_status(request_id)))
     }
 
-    /// Undoes the state changes of an operation whose request failed.
-    fn undo_state_changes(&mut self, operation: &PendingOperation) {
+    /// Reverts the state changes of an operation after one of its requests failed.
+    fn revert_state_changes(&mut self, operation: &PendingOperation) {
         if let PendingOperation::List(listing) = operation {
             if let Ok(directory) = self.handles.directory_mut(listing.handle()) {
                 directory.reset_listing();
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Completes OPEN: the fetched object is buffered under a new handle.
+    /// Completes OPEN for reading: buffers the fetched object under a new handle and replies with
+    /// the handle.
     fn finish_open(
         &mut self,
         request_id: RequestId,
@@ -82,16 +83,16 @@
         let value = match body {
             ResponseBody::Value(value) => value,
             ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
-            // No node protocol responds to a read with these.
+            // No node protocol returns these for a read.
             ResponseBody::Size(_) | ResponseBody::Entries(_) => return Err(SftpError::Failed),
         };
         let size = value.len() as u64;
         self.shared.object_sizes.record(target, size);
-        let number = self.handles.insert(Handle::Reading(value))?;
+        let number = self.handles.insert(Handle::Download(value))?;
         Ok(encode_handle(request_id, number))
     }
 
-    /// Completes STAT. A RESP2 node has no such command: it is read from and responds with the
+    /// Completes STAT. RESP2 has no such command, so a RESP2 node is sent a read and returns the
     /// object itself.
     fn finish_stat(
         &self,
@@ -102,7 +103,7 @@
         let size = match body {
             ResponseBody::Value(value) => value.len() as u64,
             ResponseBody::Size(size) => *size,
-            // No node protocol responds to a STAT or a read with entries.
+            // No node protocol returns entries for a STAT or a read.
             ResponseBody::Entries(_) => 0,
             ResponseBody::NotFound => return Err(SftpError::NoSuchFile),
         };
@@ -112,15 +113,15 @@
     }
 
     /// Completes the CLOSE of an upload of `size` bytes.
-    fn finish_store(
+    fn finish_upload(
         &self,
         request_id: RequestId,
         target: &ObjectTarget,
         size: u64,
         body: &ResponseBody,
     ) -> Result<Vec<u8>, SftpError> {
-        // No node protocol responds to a write with this: a file server's "no such file" fails the
-        // write.
+        // No node protocol returns this for a write: if a file server replies "no such file", the
+        // write fails.
         if *body == ResponseBody::NotFound {
             return Err(SftpError::NoSuchFile);
         }
@@ -143,7 +144,7 @@
     }
 }
 
-/// The body of a served request, or the error with which the client is answered.
+/// Returns the body of a served request, or the error to send to the client.
 fn served_body(response: Response) -> Result<ResponseBody, SftpError> {
     match response {
         Response::Served(body) => Ok(body),
--- a/crates/gateway/src/client_protocol/sftp/session.rs
+++ b/crates/gateway/src/client_protocol/sftp/session.rs
@@ -1,11 +1,11 @@
-//! The state of one client between its commands.
+//! State of one client that persists between its commands.
 
 use super::handle::HandleTable;
 use super::shared::SftpShared;
 use std::rc::Rc;
 
-/// What commands of one client work on. `commands` starts them, `responses` completes those that
-/// submitted requests.
+/// The state that the commands of one client operate on. The methods in `commands` start a command,
+/// and those in `responses` complete a command that submitted requests.
 pub(super) struct Session {
     /// State shared by all clients of the listener.
     pub(super) shared: Rc<SftpShared>,
@@ -14,7 +14,7 @@
 }
 
 impl Session {
-    /// A session without open handles.
+    /// Creates a session without open handles.
     pub(super) fn new(shared: Rc<SftpShared>) -> Session {
         let handles = HandleTable::new(Rc::clone(&shared.buffer_budget));
         Session { shared, handles }
--- a/crates/gateway/src/client_protocol/sftp/shared.rs
+++ b/crates/gateway/src/client_protocol/sftp/shared.rs
@@ -1,4 +1,4 @@
-//! What all clients of the SFTP listener share.
+//! State shared by all clients of the SFTP listener.
 
 use super::buffer_budget::BufferBudget;
 use super::object_sizes::ObjectSizes;
@@ -11,19 +11,19 @@
 pub struct SftpShared {
     /// Volumes that clients may access.
     pub(super) volumes: Vec<SftpVolume>,
-    /// Largest upload that is buffered, in bytes.
+    /// Maximum size of an upload in bytes.
     pub(super) max_upload_bytes: usize,
     /// Builds the requests of all clients.
     pub(super) requests: RequestBuilder,
-    /// Sizes of objects as last observed.
+    /// Last observed sizes of objects.
     pub(super) object_sizes: ObjectSizes,
-    /// The memory for buffered objects.
+    /// Memory budget for buffered objects.
     pub(super) buffer_budget: Rc<BufferBudget>,
 }
 
 impl SftpShared {
-    /// Creates the shared state of a listener. All handles together may buffer
-    /// `max_buffered_bytes`; the request ids count up from `first_request_id`.
+    /// Creates the shared state of a listener. The handles of all clients together may buffer up to
+    /// `max_buffered_bytes`. Client request ids count up from `first_request_id`.
     #[must_use]
     pub fn new(
         config: SftpSettings,
