--- a/crates/gateway/src/node_protocol/error.rs
+++ b/crates/gateway/src/node_protocol/error.rs
@@ -1,22 +1,22 @@
-//! What can be wrong with the bytes that a node sends.
+//! Errors in the bytes that a node sends.
 
 use crate::resp_bulk_string::MissingTerminator;
 use crate::sftp_packet::MalformedPacket;
 
-/// The node sent bytes that its protocol does not allow at this point. The connection cannot be
-/// used further.
+/// The node sent bytes that violate the protocol at this point. The connection cannot be used any
+/// more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
     /// Bytes arrived while no request was in flight.
     #[error("a reply to no request")]
     UnsolicitedReply,
-    /// The reply exceeds the largest accepted size.
+    /// The reply exceeds the maximum size.
     #[error("the reply is too long")]
     ReplyTooLong,
-    /// A RESP2 value has another type than is expected at its place.
+    /// A RESP2 value has another type than expected.
     #[error("a value of an unexpected type")]
     UnexpectedType,
-    /// A RESP2 line exceeds its bound.
+    /// A RESP2 line exceeds the maximum length.
     #[error("a line is too long")]
     LineTooLong,
     /// The length of a RESP2 value is not a number, or is out of bounds.
@@ -25,16 +25,16 @@
     /// RESP2 arrays are nested too deeply.
     #[error("arrays are nested too deeply")]
     NestedTooDeeply,
-    /// The content of a RESP2 bulk string is longer than announced.
+    /// The content of a RESP2 bulk string is not followed by CR LF at its declared length.
     #[error(transparent)]
     MissingTerminator(#[from] MissingTerminator),
     /// An SFTP packet cannot be decoded.
     #[error(transparent)]
     MalformedPacket(#[from] MalformedPacket),
-    /// An SFTP packet is no reply to the last command.
+    /// An SFTP packet has a type that is not a valid reply to the last command.
     #[error("a packet of an unexpected type")]
     UnexpectedPacket,
-    /// The SFTP server announces a version that is too old.
+    /// The protocol version of the SFTP server is too old.
     #[error("an unsupported protocol version")]
     UnsupportedVersion,
 }
--- a/crates/gateway/src/node_protocol/resp/mod.rs
+++ b/crates/gateway/src/node_protocol/resp/mod.rs
@@ -1,8 +1,8 @@
-//! RESP2 towards storage nodes: one command that reads and one that writes.
+//! RESP2 protocol for storage nodes: a command that reads an object and one that writes an object.
 //!
 //! [`RespProtocol`] encodes requests. Replies are decoded in layers: `reader` reads RESP2 values,
-//! `reply` turns them into the result of a request, and `usage_report` decodes the report that a
-//! reply contains. The names on the wire are in `crate::resp_wire_names`.
+//! `reply` converts them to the result of a request, and `usage_report` parses the usage report of
+//! a reply. The names on the wire are defined in `crate::resp_wire_names`.
 
 mod protocol;
 mod reader;
--- a/crates/gateway/src/node_protocol/resp/protocol.rs
+++ b/crates/gateway/src/node_protocol/resp/protocol.rs
@@ -1,23 +1,23 @@
-//! The protocol state of one connection, and the encoding of requests.
+//! Protocol state of one connection, and encoding of requests.
 
-use super::reply::{announced_value_length, parse_reply, MAX_REPORT_BYTES};
+use super::reply::{declared_value_length, parse_reply, MAX_REPORT_BYTES};
 use crate::hex_id::HexId;
 use crate::node_protocol::{NodeProtocol, ProtocolError};
 use crate::resp_bulk_string::append_bulk_string;
 use crate::resp_wire_names::command;
 use crate::storage_request::{AttemptResult, Operation, RequestParameters, StorageRequest};
 
-/// Smallest time limit that a node is given, in milliseconds.
+/// Minimum time limit that is sent to a node, in milliseconds.
 const MIN_TIME_LIMIT_MS: i64 = 1;
 
 /// The protocol state of one connection to a RESP2 node.
 pub struct RespProtocol {
     /// Whether a request is in flight.
     awaiting_reply: bool,
-    /// Longest accepted value in bytes.
+    /// Maximum length of a value in bytes.
     max_value_length: usize,
-    /// Announced length in bytes of the value that is being received; 0 if it is not known.
-    announced_length: usize,
+    /// Declared length in bytes of the value that is being received; 0 if it is not known.
+    declared_length: usize,
 }
 
 impl RespProtocol {
@@ -28,17 +28,18 @@
         RespProtocol {
             awaiting_reply: false,
             max_value_length,
-            announced_length: 0,
+            declared_length: 0,
         }
     }
 
-    /// Whether `buffered` bytes of an incomplete reply are more than a complete reply can have.
-    fn exceeds_longest_reply(&self, buffered: usize) -> bool {
+    /// Returns whether `buffered` bytes of an incomplete reply exceed the maximum length of a
+    /// reply.
+    fn exceeds_max_reply_length(&self, buffered: usize) -> bool {
         buffered > self.max_value_length + 2 * MAX_REPORT_BYTES
     }
 }
 
-/// The client's list of parameters, with the node's time limit as the timeout.
+/// Encodes the client's parameter list, with the node's time limit as the timeout.
 fn encode_parameters(parameters: &RequestParameters, time_limit_ms: i64) -> String {
     let RequestParameters {
         before_timeout,
@@ -48,11 +49,11 @@
     format!("{before_timeout}{timeout_ms}{after_timeout}")
 }
 
-/// Appends a command to `out`: an array of bulk strings.
-fn append_command(words: &[&[u8]], out: &mut Vec<u8>) {
-    out.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
-    for word in words {
-        append_bulk_string(word, out);
+/// Appends a command to `out` as an array of bulk strings.
+fn append_command(arguments: &[&[u8]], out: &mut Vec<u8>) {
+    out.extend_from_slice(format!("*{}\r\n", arguments.len()).as_bytes());
+    for argument in arguments {
+        append_bulk_string(argument, out);
     }
 }
 
@@ -89,7 +90,7 @@
     }
 
     fn buffered_bytes(&self) -> usize {
-        self.announced_length
+        self.declared_length
     }
 
     fn decode(
@@ -101,14 +102,14 @@
             return Err(ProtocolError::UnsolicitedReply);
         }
         let Some(reply) = parse_reply(input, self.max_value_length)? else {
-            if self.exceeds_longest_reply(input.len()) {
+            if self.exceeds_max_reply_length(input.len()) {
                 return Err(ProtocolError::ReplyTooLong);
             }
-            self.announced_length = announced_value_length(input);
+            self.declared_length = declared_value_length(input);
             return Ok(None);
         };
         self.awaiting_reply = false;
-        self.announced_length = 0;
+        self.declared_length = 0;
         input.drain(..reply.length);
         Ok(Some(reply.result))
     }
--- a/crates/gateway/src/node_protocol/resp/reader.rs
+++ b/crates/gateway/src/node_protocol/resp/reader.rs
@@ -1,27 +1,27 @@
-//! Reading of RESP2 values. Their syntax is checked as their bytes arrive, so that an invalid
-//! reply is detected immediately and not only when the request times out.
+//! Reader for RESP2 values. The syntax is checked as bytes arrive, so that an invalid reply is
+//! detected immediately instead of when the request times out.
 
 use crate::node_protocol::ProtocolError;
 use crate::resp_bulk_string::{read_bulk_content, MissingTerminator};
 
-/// Longest length line, such as `*3` or `$5`, in bytes.
+/// Maximum length of a length line, such as `*3` or `$5`, in bytes.
 pub(super) const MAX_LENGTH_LINE_BYTES: usize = 24;
-/// Longest line of another type, such as an error, in bytes.
+/// Maximum length of a line of another type, such as an error, in bytes.
 const MAX_LINE_BYTES: usize = 4 << 10;
-/// Deepest accepted nesting of arrays, which bounds the recursion.
+/// Maximum nesting depth of arrays, which bounds the recursion.
 const MAX_ARRAY_DEPTH: u8 = 3;
-/// Largest number of elements of one array.
+/// Maximum number of elements of an array.
 const MAX_ARRAY_ELEMENTS: i64 = 8;
-/// The announced length of the null bulk string and of the null array.
+/// Declared length of the null bulk string and of the null array.
 const NULL_LENGTH: i64 = -1;
-/// The end of each line.
+/// Terminates each line.
 const LINE_END: &[u8] = b"\r\n";
 
-/// Why a value cannot be read.
+/// The reason why a value cannot be read.
 pub(super) enum ReadError {
     /// The input ends before the value does.
     Incomplete,
-    /// The value is invalid, whatever follows.
+    /// The value is invalid, and further input cannot change that.
     Invalid(ProtocolError),
 }
 
@@ -37,7 +37,8 @@
     }
 }
 
-/// A decoded RESP value, as far as replies need it.
+/// A decoded RESP value. Only the content of bulk strings is kept, because replies need nothing
+/// else.
 pub(super) enum RespValue<'a> {
     /// A bulk string, or the null bulk string.
     BulkString(Option<&'a [u8]>),
@@ -45,27 +46,27 @@
     Other,
 }
 
-/// Reads values off a reply.
+/// Reads the lines and values of a reply.
 pub(super) struct ReplyReader<'a> {
-    /// The bytes received and not consumed.
+    /// Received bytes that have not been consumed.
     input: &'a [u8],
-    /// How many of them are read.
+    /// Number of bytes of `input` that have been read.
     position: usize,
 }
 
 impl<'a> ReplyReader<'a> {
-    /// Starts at the front of `input`.
+    /// Creates a reader at the start of `input`.
     pub(super) fn new(input: &'a [u8]) -> ReplyReader<'a> {
         ReplyReader { input, position: 0 }
     }
 
-    /// How many bytes were read.
+    /// Returns the number of bytes that have been read.
     pub(super) fn position(&self) -> usize {
         self.position
     }
 
-    /// Reads a line and returns it without its line end. An incomplete line that cannot become
-    /// valid is an error already, as waiting for its rest would use up the time of the request.
+    /// Reads a line and returns it without CR LF. Returns an error for an incomplete line that
+    /// cannot become valid, because waiting for the rest would use up the time of the request.
     pub(super) fn read_line(&mut self) -> Result<&'a [u8], ReadError> {
         let rest = &self.input[self.position..];
         let max_length = match rest.first() {
@@ -74,8 +75,8 @@
             Some(b'-' | b'+' | b':') => MAX_LINE_BYTES,
             Some(_) => return Err(ProtocolError::UnexpectedType.into()),
         };
-        let mut line_ends = rest.windows(LINE_END.len()).take(max_length);
-        let Some(length) = line_ends.position(|pair| pair == LINE_END) else {
+        let mut byte_pairs = rest.windows(LINE_END.len()).take(max_length);
+        let Some(length) = byte_pairs.position(|pair| pair == LINE_END) else {
             return Err(if rest.len() > max_length {
                 ProtocolError::LineTooLong.into()
             } else {
@@ -86,12 +87,12 @@
         Ok(&rest[..length])
     }
 
-    /// Reads one value, whose bulk strings may have up to `max_length` bytes.
+    /// Reads one value. Its bulk strings may have up to `max_length` bytes.
     pub(super) fn read_value(&mut self, max_length: usize) -> Result<RespValue<'a>, ReadError> {
         self.read_nested_value(max_length, 0)
     }
 
-    /// Reads one value inside of `depth` arrays.
+    /// Reads one value that is nested in `depth` arrays.
     fn read_nested_value(
         &mut self,
         max_length: usize,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Reads the content of a bulk string of an announced length.
+    /// Reads the content of a bulk string of the declared `length`.
     fn read_bulk_string(
         &mut self,
         length: i64,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Reads the elements of an array of an announced length.
+    /// Reads the elements of an array of the declared `length`.
     fn read_array(
         &mut self,
         length: i64,
@@ -147,7 +148,7 @@
     }
 }
 
-/// Parses the number of a length line, given without its leading `$` or `*`.
+/// Parses the number in a length line, given without its leading `$` or `*`.
 fn parse_length(text: &[u8]) -> Result<i64, ProtocolError> {
     let text = std::str::from_utf8(text).map_err(|_| ProtocolError::InvalidLength)?;
     text.parse().map_err(|_| ProtocolError::InvalidLength)
--- a/crates/gateway/src/node_protocol/resp/reply.rs
+++ b/crates/gateway/src/node_protocol/resp/reply.rs
@@ -1,7 +1,7 @@
-//! Decoding of a node's reply.
+//! Decoding of node replies.
 //!
 //! A reply is an error line, or an array of three elements: the value, the usage report and the
-//! load report. A usage or load report with unexpected content does not make the reply invalid.
+//! load report. Unexpected content in a report does not make the reply invalid.
 
 use super::reader::{ReadError, ReplyReader, RespValue, MAX_LENGTH_LINE_BYTES};
 use super::usage_report::UsageReport;
@@ -10,23 +10,23 @@
 use crate::storage_request::{AttemptResult, ResponseBody};
 use io_scheduler::Outcome;
 
-/// Largest size of each report, in bytes.
+/// Maximum size of each report in bytes.
 pub(super) const MAX_REPORT_BYTES: usize = 4 << 10;
-/// The length line of a reply with a value.
+/// First line of a reply that contains a value.
 const SERVED_LINE: &[u8] = b"*3";
-/// The bytes of a reply with a value up to the value's length.
+/// First bytes of a reply that contains a value, up to the declared length of the value.
 const SERVED_PREFIX: &[u8] = b"*3\r\n$";
 
 /// A complete reply.
 pub(super) struct Reply {
-    /// The result of the request.
+    /// Result of the request.
     pub(super) result: AttemptResult,
-    /// The reply's length in bytes.
+    /// Length of the reply in bytes.
     pub(super) length: usize,
 }
 
 /// Decodes the reply at the front of `input`, whose value may have up to `max_value_length` bytes.
-/// Returns `None` until it is complete.
+/// Returns `None` if the reply is incomplete.
 pub(super) fn parse_reply(
     input: &[u8],
     max_value_length: usize,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Reads a reply and returns the result that it states.
+/// Reads a reply and returns the result of the request.
 fn read_result(
     reader: &mut ReplyReader<'_>,
     max_value_length: usize,
@@ -54,8 +54,8 @@
     }
 }
 
-/// Reads the three elements of a reply with a value: the value, the usage report and the load
-/// report.
+/// Reads the three elements of a reply that contains a value: the value, the usage report and the
+/// load report.
 fn read_served_result(
     reader: &mut ReplyReader<'_>,
     max_value_length: usize,
@@ -73,8 +73,8 @@
     Ok(usage_report.into_result(Outcome::Served, Some(body)))
 }
 
-/// The result of an error line, given without its leading `-`. One error means that the node is
-/// overloaded; any other may contain a usage report.
+/// Returns the result for an error line, given without its leading `-`. The error [`BUSY_ERROR`]
+/// means that the node is overloaded; any other may contain a usage report.
 fn error_result(text: &[u8]) -> AttemptResult {
     let error_name = text.split(|byte| *byte == b' ').next();
     if error_name == Some(BUSY_ERROR.as_bytes()) {
@@ -83,8 +83,9 @@
     UsageReport::parse(text).into_result(Outcome::Error, None)
 }
 
-/// The announced length of a value that is not complete yet, in bytes; zero if it is not known.
-pub(super) fn announced_value_length(input: &[u8]) -> usize {
+/// Returns the declared length in bytes of a value that is not complete yet, or zero if it is not
+/// known.
+pub(super) fn declared_value_length(input: &[u8]) -> usize {
     let text = input.strip_prefix(SERVED_PREFIX).unwrap_or_default();
     let end = text
         .iter()
--- a/crates/gateway/src/node_protocol/sftp/command_writer.rs
+++ b/crates/gateway/src/node_protocol/sftp/command_writer.rs
@@ -1,27 +1,27 @@
-//! Encoding of commands, and the ids by which their replies are recognized.
+//! Encodes commands and allocates the request ids that match replies to commands.
 
 use crate::sftp_packet::{OpenFlags, Packet, PacketType, RequestId};
 
-/// Attribute flags of a file that is opened: the server's defaults apply.
+/// Attribute flags in OPEN: no attributes are sent, so the server's defaults apply.
 const NO_ATTRIBUTES: u32 = 0;
 
-/// The handle that a server gave an open file or directory; its bytes mean something to the server
-/// only.
+/// The handle of an open file or directory, as assigned by the server. Its bytes are opaque to the
+/// gateway.
 pub(super) type ServerHandle = Vec<u8>;
 
-/// The ids of the commands that were sent on one connection.
+/// Request ids of the commands on one connection.
 pub(super) struct CommandIds {
-    /// The id that was allocated last. While a request is in flight, it is the id of its last
-    /// command: a reply with another id belongs to an earlier request and is ignored. After
-    /// [`CommandWriter::close_ignoring_reply`] no command has it.
+    /// The last allocated id. While a request is in flight, this is the id of its last command; a
+    /// reply with another id belongs to an earlier request and is ignored. After
+    /// [`CommandWriter::close_ignoring_reply`], no command has this id.
     last: RequestId,
-    /// The id of the last CLOSE that was sent after its request was complete; its reply is
+    /// The id of the last CLOSE that was sent after its request was complete. The reply to it is
     /// ignored.
     ignored: Option<RequestId>,
 }
 
 impl CommandIds {
-    /// The ids of a connection on which no command was sent.
+    /// Creates the state of a connection on which no command has been sent.
     pub(super) fn new() -> CommandIds {
         CommandIds {
             last: RequestId(0),
@@ -29,13 +29,13 @@
         }
     }
 
-    /// Whether a reply is the one to the last command.
+    /// Returns whether a reply with this id is the reply to the last command.
     pub(super) fn is_last(&self, id: RequestId) -> bool {
         id == self.last
     }
 
-    /// Whether a reply is to be ignored, although no request is in flight. True once for each such
-    /// reply.
+    /// Returns whether a reply must be ignored because it is the reply to a CLOSE that was sent
+    /// after its request was complete. Returns true once for each such reply.
     pub(super) fn take_ignored(&mut self, id: RequestId) -> bool {
         let is_ignored = self.ignored == Some(id);
         if is_ignored {
@@ -44,28 +44,28 @@
         is_ignored
     }
 
-    /// The id for the next command.
+    /// Allocates the id of the next command.
     fn allocate(&mut self) -> RequestId {
         self.last = self.last.next();
         self.last
     }
 }
 
-/// Writes commands to the output buffer of a connection, each with an id of its own.
+/// Writes commands to the output buffer of a connection, each with a new request id.
 pub(super) struct CommandWriter<'a> {
-    /// The ids of the connection.
+    /// Request ids of the connection.
     ids: &'a mut CommandIds,
-    /// The output buffer of the connection.
+    /// Output buffer of the connection.
     out: &'a mut Vec<u8>,
 }
 
 impl<'a> CommandWriter<'a> {
-    /// Writes to `out`, with the next ids of `ids`.
+    /// Creates a writer that appends to `out` and allocates its ids from `ids`.
     pub(super) fn new(ids: &'a mut CommandIds, out: &'a mut Vec<u8>) -> CommandWriter<'a> {
         CommandWriter { ids, out }
     }
 
-    /// Starts a command with the next id.
+    /// Creates a command packet with the next request id.
     fn start(&mut self, packet_type: PacketType) -> Packet {
         Packet::with_id(packet_type, self.ids.allocate())
     }
@@ -99,7 +99,7 @@
         self.append(command.string(handle).u64(offset).u32(length));
     }
 
-    /// Sends WRITE for bytes at `offset`.
+    /// Sends WRITE for `bytes` at `offset`.
     pub(super) fn write(&mut self, handle: &[u8], offset: u64, bytes: &[u8]) {
         let command = self.start(PacketType::WRITE);
         self.append(command.string(handle).u64(offset).string(bytes));
@@ -117,12 +117,12 @@
         self.append(command.string(handle));
     }
 
-    /// Sends CLOSE for the handle of a request that is already complete. Its reply is recognized
-    /// by the id and ignored.
+    /// Sends CLOSE for the handle of a request that is already complete. The reply is recognized by
+    /// its id and ignored.
     pub(super) fn close_ignoring_reply(&mut self, handle: &[u8]) {
         self.close(handle);
         self.ids.ignored = Some(self.ids.last);
-        // Skips an id, so that the CLOSE does not have the last one.
+        // Allocates an id that no command uses, so that `last` is not the id of the CLOSE.
         self.ids.allocate();
     }
 }
--- a/crates/gateway/src/node_protocol/sftp/protocol.rs
+++ b/crates/gateway/src/node_protocol/sftp/protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol state of one connection: finds the replies in the input, and starts requests.
+//! Protocol state of one connection: starts requests and decodes replies.
 
 use super::command_writer::{CommandIds, CommandWriter};
 use super::reply::RequestProgress;
@@ -9,19 +9,19 @@
 
 /// The protocol state of one connection to a file server.
 pub struct SftpProtocol {
-    /// The reply that the connection waits for.
+    /// The stage of the connection, which determines the reply that it waits for.
     stage: Stage,
-    /// The ids of the commands sent so far.
+    /// Request ids of the commands sent so far.
     command_ids: CommandIds,
-    /// Longest accepted object in bytes.
+    /// Maximum size of an object in bytes.
     max_value_length: usize,
 }
 
 /// The result of decoding the next packet.
 enum DecodeStep {
-    /// The input holds no further complete packet.
+    /// The input contains no further complete packet.
     InputConsumed,
-    /// A packet was consumed; a request in flight is not complete yet.
+    /// A packet was consumed, but no request is complete yet.
     PacketConsumed,
     /// The request in flight is complete.
     RequestCompleted(AttemptResult),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Decodes the next packet of `input`, moves `position` past it, and handles it.
+    /// Decodes and handles the next packet of `input`, and advances `position` past it.
     fn decode_next(
         &mut self,
         input: &[u8],
@@ -75,8 +75,8 @@
         Ok(())
     }
 
-    /// Handles a packet if it is the reply to the last command. Returns the result of the request
-    /// in flight if it is complete.
+    /// Handles a packet that is the reply to the last command. A reply to an earlier command is
+    /// ignored. Returns the result of the request in flight once it is complete.
     fn handle_reply(
         &mut self,
         packet: DecodedPacket<'_>,
@@ -127,7 +127,8 @@
         let mut commands = CommandWriter::new(&mut self.command_ids, out);
         self.stage = Stage::start(request, &mut commands);
         if request.operation == Operation::Write {
-            // Any byte of OPEN counts, see the module's documentation.
+            // The file may be created or truncated as soon as the first byte of OPEN is sent; see
+            // the module documentation.
             return 0;
         }
         out.len() - start - 1
@@ -151,8 +152,8 @@
                 DecodeStep::PacketConsumed => {}
                 DecodeStep::InputConsumed => break None,
                 DecodeStep::RequestCompleted(result) => {
-                    // Skips one complete packet that arrived together with the last reply,
-                    // whatever it is. One that arrives later, but before the next request, is an
+                    // Skips one complete packet that arrived together with the last reply, whatever
+                    // its type. A packet that arrives later, but before the next request, is an
                     // error unless it is the ignored reply to a CLOSE.
                     decode_packet(input, &mut position)?;
                     break Some(result);
--- a/crates/gateway/src/node_protocol/sftp/reply.rs
+++ b/crates/gateway/src/node_protocol/sftp/reply.rs
@@ -1,4 +1,5 @@
-//! What follows the reply to the last command: the next command, or the result of the request.
+//! Handles the reply to the last command of a request: sends the next command or returns the
+//! result.
 
 use super::command_writer::{CommandWriter, ServerHandle};
 use super::stage::Stage;
@@ -7,19 +8,19 @@
 use crate::storage_request::{AttemptResult, ObjectEntry, Operation, ResponseBody};
 use io_scheduler::Outcome;
 
-/// Largest number of entries in the listing of one shard.
+/// Maximum number of entries in the listing of one shard.
 const MAX_LISTED_ENTRIES: usize = 20_000;
 
 /// The state of a request after a reply.
 pub(super) enum RequestProgress {
-    /// The next command was sent; its reply is awaited.
+    /// The next command was sent; this stage waits for its reply.
     Continues(Stage),
     /// The request is complete.
     Completed(AttemptResult),
 }
 
 impl RequestProgress {
-    /// The server has served the request.
+    /// Returns the completion of a served request.
     fn served(body: ResponseBody) -> RequestProgress {
         RequestProgress::Completed(AttemptResult {
             body: Some(body),
@@ -27,15 +28,15 @@
         })
     }
 
-    /// The request has failed.
+    /// Returns the completion of a failed request.
     fn failed() -> RequestProgress {
         RequestProgress::Completed(AttemptResult::without_body(Outcome::Error))
     }
 }
 
 impl Stage {
-    /// Handles the reply to the command with which the stage began. Objects may have up to
-    /// `max_value_length` bytes.
+    /// Handles the reply to the command of this stage. Objects may have up to `max_value_length`
+    /// bytes.
     pub(super) fn handle_reply(
         self,
         packet_type: PacketType,
@@ -50,7 +51,7 @@
             }
             (Stage::Opening { operation, body }, PacketType::HANDLE) => {
                 let handle = fields.string()?.to_vec();
-                let stage = Stage::use_handle(handle, operation, &body, commands);
+                let stage = Stage::continue_with_handle(handle, operation, &body, commands);
                 Ok(RequestProgress::Continues(stage))
             }
             (Stage::Reading { handle, value }, PacketType::DATA) => {
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Handles a STATUS reply: the regular end of a stage, or an error that fails the request.
-    /// `code` is `None` if it has no name here.
+    /// Handles a STATUS reply, which either completes the stage or fails the request. `code` is
+    /// `None` if [`StatusCode`] does not define it.
     fn handle_status(
         self,
         code: Option<StatusCode>,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Fails the request at this stage, and closes its handle.
+    /// Fails the request and closes its handle, if it has one.
     fn fail(self, commands: &mut CommandWriter<'_>) -> RequestProgress {
         if let Some(handle) = self.into_handle() {
             commands.close_ignoring_reply(&handle);
@@ -109,8 +110,9 @@
     }
 }
 
-/// The result if the path of a request does not exist. A volume without a directory has no objects
-/// yet; a write creates its file, so it has failed.
+/// Returns the completion of a request whose path does not exist. A volume without a directory has
+/// no objects yet, so its listing is empty. A write creates its file, so this status means that the
+/// write has failed.
 fn no_such_file(operation: Operation) -> RequestProgress {
     match operation {
         Operation::List => RequestProgress::served(ResponseBody::Entries(Vec::new())),
@@ -120,8 +122,8 @@
 }
 
 /// Appends the bytes of a DATA reply and requests more. The request fails if the object is too
-/// long, or if the reply is empty, because a server that keeps sending empty replies would never
-/// complete it.
+/// long. It also fails if the reply is empty, because otherwise a server that keeps sending empty
+/// replies would never complete the request.
 fn append_data(
     handle: ServerHandle,
     mut value: Vec<u8>,
@@ -136,7 +138,8 @@
     RequestProgress::Continues(Stage::read_next_chunk(handle, value, commands))
 }
 
-/// Appends the entries of a NAME reply and requests more. The request fails if there are too many.
+/// Appends the entries of a NAME reply and requests more. The request fails if there are too many
+/// entries.
 fn append_entries(
     handle: ServerHandle,
     mut entries: Vec<ObjectEntry>,
--- a/crates/gateway/src/node_protocol/sftp/stage.rs
+++ b/crates/gateway/src/node_protocol/sftp/stage.rs
@@ -1,4 +1,4 @@
-//! The stages of a request to a file server. Each begins with a command.
+//! Stages of a request to a file server. A stage begins with a command and ends with its reply.
 
 use super::command_writer::{CommandWriter, ServerHandle};
 use crate::hex_id::HexId;
@@ -6,63 +6,65 @@
 use crate::storage_request::{ObjectEntry, Operation, StorageRequest};
 use std::collections::VecDeque;
 
-/// Largest number of bytes that one READ or WRITE transfers.
+/// Maximum number of bytes that one READ or WRITE transfers.
 const CHUNK_BYTES: usize = 32 << 10;
 
-/// The reply that a connection waits for.
+/// The stage of a connection. Every stage except `Idle` waits for one reply.
 pub(super) enum Stage {
-    /// VERSION, which completes the handshake.
+    /// Waiting for VERSION, which completes the handshake.
     AwaitingVersion,
-    /// No reply: no request is in flight.
+    /// No request is in flight.
     Idle,
-    /// The reply to OPEN or OPENDIR.
+    /// Waiting for the reply to OPEN or OPENDIR.
     Opening {
-        /// The request's operation, which states how the handle is used.
+        /// Operation of the request, which determines how the handle is used.
         operation: Operation,
-        /// The bytes of the object to write; empty for other operations.
+        /// Content of the object to write; empty for other operations.
         ///
-        /// A copy: the request keeps its own until it is finished, and only that one is counted in
-        /// [`crate::memory_budget::MemoryBudget::request_body_bytes`]. So an upload takes twice
-        /// the counted memory, and three times while [`Upload::new`] splits this copy.
+        /// This is a copy: the request keeps its own body until it is finished, and
+        /// [`crate::memory_budget::MemoryBudget::request_body_bytes`] counts only that one. An
+        /// upload therefore takes twice the counted memory, and three times while [`Upload::new`]
+        /// splits this copy.
         body: Vec<u8>,
     },
-    /// The reply to READ.
+    /// Waiting for the reply to READ.
     Reading {
-        /// The handle of the open file.
+        /// Handle of the open file.
         handle: ServerHandle,
-        /// The bytes of the object received so far.
+        /// Content of the object received so far.
         value: Vec<u8>,
     },
-    /// The reply to WRITE.
+    /// Waiting for the reply to WRITE.
     Writing(Upload),
-    /// The reply to the CLOSE of a write.
+    /// Waiting for the reply to the CLOSE of a write.
     Closing {
-        /// Bytes of the object.
+        /// Size of the object in bytes.
         size: u64,
     },
-    /// The reply to STAT.
+    /// Waiting for the reply to STAT.
     AwaitingAttributes,
-    /// The reply to READDIR.
+    /// Waiting for the reply to READDIR.
     Listing {
-        /// The handle of the open directory.
+        /// Handle of the open directory.
         handle: ServerHandle,
-        /// The entries received so far.
+        /// Entries received so far.
         entries: Vec<ObjectEntry>,
     },
 }
 
-/// A write of which some chunks may be left to send.
+/// A write in progress, with the chunks that have not been sent yet.
 pub(super) struct Upload {
-    /// The handle of the open file.
+    /// Handle of the open file.
     handle: ServerHandle,
-    /// The chunks that are not sent yet.
+    /// Chunks that have not been sent yet.
     remaining: VecDeque<Vec<u8>>,
-    /// Bytes sent so far.
+    /// Number of bytes sent so far; the offset of the next chunk.
     offset: u64,
 }
 
 impl Upload {
-    /// An upload of which nothing is sent. Copies `body`, which the caller drops afterwards.
+    /// Creates an upload of which nothing has been sent. Copies `body`, which the caller drops
+    /// afterwards.
     fn new(handle: ServerHandle, body: &[u8]) -> Upload {
         Upload {
             handle,
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Sends WRITE for the next chunk, or CLOSE after the last one.
+    /// Sends WRITE for the next chunk, or CLOSE after the last one, and returns the next stage.
     pub(super) fn send_next(mut self, commands: &mut CommandWriter<'_>) -> Stage {
         let Some(chunk) = self.remaining.pop_front() else {
             commands.close(&self.handle);
@@ -84,7 +86,7 @@
 }
 
 impl Stage {
-    /// Sends the first command of a request.
+    /// Sends the first command of a request and returns the stage that waits for its reply.
     pub(super) fn start(request: &StorageRequest, commands: &mut CommandWriter<'_>) -> Stage {
         match request.operation {
             Operation::Read => commands.open(&object_path(request), OpenFlags::READ),
@@ -105,8 +107,8 @@
         }
     }
 
-    /// Sends the first command on a handle that the server opened.
-    pub(super) fn use_handle(
+    /// Sends the first command that uses a handle opened by the server, and returns the next stage.
+    pub(super) fn continue_with_handle(
         handle: ServerHandle,
         operation: Operation,
         body: &[u8],
@@ -115,14 +117,14 @@
         match operation {
             Operation::Write => Upload::new(handle, body).send_next(commands),
             Operation::List => Stage::read_directory(handle, Vec::new(), commands),
-            // A STAT opens no handle, so only reads come here; see `Stage::start`.
+            // Only reads reach this arm, because a STAT opens no handle; see `Stage::start`.
             Operation::Read | Operation::Stat => {
                 Stage::read_next_chunk(handle, Vec::new(), commands)
             }
         }
     }
 
-    /// Sends READ for the bytes after `value`.
+    /// Sends READ for the bytes after `value` and returns the next stage.
     pub(super) fn read_next_chunk(
         handle: ServerHandle,
         value: Vec<u8>,
@@ -132,7 +134,7 @@
         Stage::Reading { handle, value }
     }
 
-    /// Sends READDIR for the names after `entries`.
+    /// Sends READDIR for the entries after `entries` and returns the next stage.
     pub(super) fn read_directory(
         handle: ServerHandle,
         entries: Vec<ObjectEntry>,
@@ -142,7 +144,7 @@
         Stage::Listing { handle, entries }
     }
 
-    /// The handle that must be closed if the request ends at this stage.
+    /// Returns the handle that must be closed if the request ends at this stage.
     pub(super) fn into_handle(self) -> Option<ServerHandle> {
         match self {
             Stage::Reading { handle, .. }
@@ -157,12 +159,13 @@
     }
 }
 
-/// The path of the directory of a request's volume.
+/// Returns the path of the directory of a request's volume.
 fn volume_path(request: &StorageRequest) -> String {
     format!("/{}", HexId(request.volume.0))
 }
 
-/// The path of a request's object: its name or, if the client's protocol has no names, its id.
+/// Returns the path of a request's object. The file name is the object's name or, if the client's
+/// protocol has no names, the object's id.
 fn object_path(request: &StorageRequest) -> String {
     let directory = volume_path(request);
     match &request.object_name {
