--- a/crates/gateway/src/hex_id.rs
+++ b/crates/gateway/src/hex_id.rs
@@ -1,30 +1,29 @@
-//! The text form of 64-bit ids in the protocols, in paths and at the console: 16 hexadecimal
-//! digits.
+//! Text encoding of 64-bit ids: 16 hexadecimal digits. The protocols, paths and the console use it.
 
 use std::fmt;
 use std::num::ParseIntError;
 use std::str::FromStr;
 
-/// Length of an id's text form in bytes; each digit takes one.
+/// Length of the text form in bytes, one byte per digit.
 const HEX_ID_LENGTH: usize = 16;
 
-/// An id whose text form is 16 hexadecimal digits.
+/// A 64-bit id that is displayed and parsed as 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HexId(pub u64);
 
-/// A text is not an id.
+/// The error returned when a string cannot be parsed as a [`HexId`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseHexIdError {
-    /// The text has more or fewer than 16 bytes.
+    /// The string is not 16 bytes long.
     #[error("not 16 characters long")]
     WrongLength,
-    /// The text is not a hexadecimal number.
+    /// The string is not a hexadecimal number.
     #[error(transparent)]
     NotHexadecimal(#[from] ParseIntError),
 }
 
 impl fmt::Display for HexId {
-    /// Writes the id in lower-case digits, with leading zeros.
+    /// Writes 16 lower-case digits, with leading zeros.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:016x}", self.0)
     }
@@ -33,7 +32,7 @@
 impl FromStr for HexId {
     type Err = ParseHexIdError;
 
-    /// Parses an id. Upper-case digits are accepted, and, as by [`u64::from_str_radix`], a plus
+    /// Parses an id. Accepts upper-case digits and, because [`u64::from_str_radix`] does, a plus
     /// sign in place of the first digit.
     fn from_str(text: &str) -> Result<HexId, ParseHexIdError> {
         if text.len() != HEX_ID_LENGTH {
--- a/crates/gateway/src/resp_bulk_string.rs
+++ b/crates/gateway/src/resp_bulk_string.rs
@@ -1,33 +1,34 @@
-//! Bulk strings of RESP2: a length line such as `$5`, the content, and a line end.
+//! Codec for RESP2 bulk strings. A bulk string consists of a length line such as `$5`, the content,
+//! and CR LF.
 //!
-//! The client protocol and the node protocol share this codec. Each reads the length line itself,
-//! as they bound it differently.
+//! The client protocol and the node protocol share this codec. Each of them parses the length line
+//! itself, because their limits on it differ.
 
 use std::io::Write;
 
-/// The end of each line and of each bulk string's content.
+/// Terminates each line and the content of each bulk string.
 const TERMINATOR: &[u8] = b"\r\n";
 
-/// The content of a bulk string is not followed by a line end.
+/// The error returned when the content of a bulk string is not followed by CR LF.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no line end after a bulk string")]
+#[error("bulk string not terminated by CR LF")]
 pub struct MissingTerminator;
 
-/// Appends `value` as a bulk string to `out`.
+/// Appends `value` to `out` as a bulk string.
 pub fn append_bulk_string(value: &[u8], out: &mut Vec<u8>) {
-    // Writing to a vector cannot fail.
+    // Writing to a `Vec` cannot fail.
     let _ = write!(out, "${}\r\n", value.len());
     out.extend_from_slice(value);
     out.extend_from_slice(TERMINATOR);
 }
 
-/// Reads the content of a bulk string of `length` bytes that starts at `position`, and moves
-/// `position` past its line end. Returns `None`, with `position` unchanged, until the line end has
-/// been received.
+/// Reads the content of a bulk string: `length` bytes that start at `position`. Advances `position`
+/// past the CR LF that follows. Returns `None` and leaves `position` unchanged if `input` does not
+/// contain all of it yet.
 ///
 /// # Errors
 ///
-/// [`MissingTerminator`] if something else than a line end follows the content.
+/// Returns [`MissingTerminator`] if the content is not followed by CR LF.
 pub fn read_bulk_content<'a>(
     input: &'a [u8],
     position: &mut usize,
--- a/crates/gateway/src/resp_wire_names.rs
+++ b/crates/gateway/src/resp_wire_names.rs
@@ -1,9 +1,9 @@
-//! The names that the RESP2 protocol has on the wire, mapped to the terms of the code.
+//! Names that the RESP2 protocol uses on the wire, as constants named in the terms of the code.
 //!
-//! This is the only place that states them: the client protocol decodes them, the node protocol
-//! encodes the same ones, and nothing behind the protocols knows them.
+//! They are defined only here. The client protocol decodes them and the node protocol encodes the
+//! same ones; code outside the protocols does not use them.
 
-/// Names of commands.
+/// Command names.
 pub(crate) mod command {
     /// Reads an object.
     pub(crate) const READ: &[u8] = b"IO.IN";
@@ -11,34 +11,34 @@
     pub(crate) const WRITE: &[u8] = b"IO.OUT";
 }
 
-/// Names in a request's list of parameters. `r`, which marks a client's retry, is not used: like
-/// unknown names it is accepted, and forwarded with the list.
+/// Names in the parameter list of a request. The parameter `r`, which marks a client's retry, is
+/// not evaluated: like an unknown parameter, it is accepted and forwarded with the list.
 pub(crate) mod parameter {
-    /// The class of the request.
+    /// Class of the request.
     pub(crate) const CLASS: &str = "c";
-    /// The plan of the volume.
+    /// Plan of the volume.
     pub(crate) const PLAN: &str = "t";
-    /// How long the sender waits for the reply, in milliseconds.
+    /// Time in milliseconds that the sender waits for the reply.
     pub(crate) const TIMEOUT: &str = "d";
-    /// The id of the volume.
+    /// Id of the volume.
     pub(crate) const VOLUME: &str = "volume";
-    /// The size of the request in units.
+    /// Size of the request in units.
     pub(crate) const UNITS: &str = "units";
-    /// The shard that stores the object; [`UNASSIGNED_SHARD`] for a new object.
+    /// Shard that stores the object, or [`UNASSIGNED_SHARD`] for a new object.
     pub(crate) const SHARD: &str = "shard";
-    /// The value of [`SHARD`] for a new object, which has no shard yet.
+    /// Value of [`SHARD`] for a new object, which has no shard yet.
     pub(crate) const UNASSIGNED_SHARD: &str = "-1";
-    /// The number of gateways through which the requests of the volume arrive.
+    /// Number of gateways that receive requests for the volume.
     pub(crate) const HOSTS: &str = "hosts";
 }
 
 /// Names in the usage report of a node's reply.
 pub(crate) mod usage_report {
-    /// Part of the volume's provisioned rate that was used, in percent.
+    /// Percentage of the volume's provisioned rate that was used.
     pub(crate) const UTILIZATION: &str = "used";
-    /// Units that the volume got from the node through other gateways.
+    /// Units that the node served to the volume through other gateways.
     pub(crate) const REMOTE_UNITS: &str = "cost";
 }
 
-/// The name of the error with which an overloaded side rejects a request.
+/// Name of the error with which an overloaded gateway or node rejects a request.
 pub(crate) const BUSY_ERROR: &str = "BUSY";
