--- a/crates/gateway/src/config/decode.rs
+++ b/crates/gateway/src/config/decode.rs
@@ -1,4 +1,4 @@
-//! Reading and decoding of configuration files.
+//! Reads and decodes configuration files.
 
 use super::error::ConfigError;
 use serde::de::DeserializeOwned;
@@ -9,7 +9,8 @@
     std::fs::read(path).map_err(|source| ConfigError::unreadable(path, source))
 }
 
-/// Decodes JSON; the parser overwrites `text`. `file` is the file's name in errors.
+/// Decodes JSON in place: the parser overwrites `text`. `file` identifies the configuration in
+/// errors.
 pub(super) fn decode<T: DeserializeOwned>(text: &mut [u8], file: &str) -> Result<T, ConfigError> {
     let mut json =
         simd_json::Deserializer::from_slice(text).map_err(|source| ConfigError::Malformed {
--- a/crates/gateway/src/config/keys.rs
+++ b/crates/gateway/src/config/keys.rs
@@ -1,32 +1,32 @@
-//! Keys of the configuration files that errors quote where their words differ from the code's
-//! terms.
+//! Paths of the keys in `limits` and `settings`, for error messages.
 //!
-//! The decoders map the same keys in `sections` and in the types of `deployment_settings`.
+//! The spelling of some keys differs from the name of the field in the code. For decoding,
+//! `serde(rename)` maps these keys in `sections` and in the types of `deployment_settings`.
 
-/// Key of the limit on file descriptors.
+/// Key of the maximum number of file descriptors.
 pub(super) const MAX_DESCRIPTORS: &str = "limits.sockets";
-/// Key of the limit on memory.
+/// Key of the memory limit in MiB.
 pub(super) const MEMORY_MB: &str = "limits.memory_mb";
-/// Key of the classes of requests.
+/// Key of the request classes.
 pub(super) const CLASSES: &str = "settings.classes";
-/// Key of the plans of volumes.
+/// Key of the volume plans.
 pub(super) const PLANS: &str = "settings.plans";
-/// Key of the limit on the attempts of a request.
+/// Key of the maximum number of attempts for a request.
 pub(super) const MAX_ATTEMPTS: &str = "settings.allowed.max_attempts";
-/// Key of the number of shards.
+/// Key of the shard count.
 pub(super) const SHARD_COUNT: &str = "settings.domain.n_shards";
 
-/// Key of the latency objective of a class.
+/// Key of the latency objective of the class at `class_index`.
 pub(super) fn latency_objective(class_index: usize) -> String {
     format!("{CLASSES}[{class_index}].aim_ms")
 }
 
-/// Key of the deadline of a class.
+/// Key of the deadline of the class at `class_index`.
 pub(super) fn deadline(class_index: usize) -> String {
     format!("{CLASSES}[{class_index}].deadline_ms")
 }
 
-/// Key of a word of the settings that the scheduler does not know.
-pub(super) fn of_settings(key: &str) -> String {
+/// Path in the configuration file of a key whose path within the settings object is `key`.
+pub(super) fn settings_key(key: &str) -> String {
     format!("settings.{key}")
 }
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,5 +1,8 @@
-//! Configuration. The environment, the file that `ROUTER_CONFIG` names and the operator's file are
-//! read, validated and completed with defaults only here. Every error names the key at fault.
+//! Configuration of the gateway.
+//!
+//! This module loads the configuration, validates it and fills in defaults. No other module
+//! interprets the environment variables, the file that `ROUTER_CONFIG` names or the operator's
+//! file. Every error about a value names its key or environment variable.
 
 mod decode;
 mod error;
--- a/crates/gateway/src/config/model.rs
+++ b/crates/gateway/src/config/model.rs
@@ -11,47 +11,48 @@
 /// The validated configuration of a gateway.
 #[derive(Debug)]
 pub struct Config {
-    /// The file to read on [`Config::reload`].
+    /// The file that this configuration was loaded from; [`Config::reload`] reads it again.
     pub(super) source: ConfigSource,
     /// Name of this gateway.
     pub name: String,
-    /// Address on which RESP2 clients are accepted.
+    /// Address on which the gateway accepts RESP2 clients; `None` for no RESP2 listener.
     pub listen: Option<SocketAddr>,
-    /// Address of the discovery endpoint that serves the endpoint list.
+    /// Address of the discovery endpoint that serves the endpoint list; `None` if the nodes come
+    /// from the inventory only.
     pub discovery: Option<SocketAddr>,
-    /// Endpoint list to start with, before discovery sends one.
+    /// Endpoint list to use until discovery sends one.
     pub cached_endpoints: EndpointListUpdate,
-    /// Seed of the random number generator.
+    /// Seed of the scheduler's random number generator.
     pub seed: u64,
-    /// Number of file descriptors that the process may use.
+    /// Maximum number of file descriptors that the process may open.
     pub max_descriptors: usize,
-    /// How the memory of the process is divided.
+    /// Division of the memory limit among the buffers.
     pub budget: MemoryBudget,
     /// Settings of the deployment.
     pub settings: DeploymentSettings,
-    /// Path of the inventory of storage nodes.
+    /// Path of the inventory of storage nodes; `None` if the nodes come from discovery only.
     pub inventory: Option<PathBuf>,
-    /// Settings of the SFTP listener, if there is one.
+    /// Settings of the SFTP listener; `None` for no SFTP listener.
     pub sftp: Option<SftpSettings>,
-    /// Log level.
+    /// Most verbose level of the messages that are logged.
     pub log: LevelFilter,
 }
 
-/// The file that a configuration was read from, and its kind.
+/// The file that a configuration was loaded from, and its format.
 #[derive(Clone, Debug)]
 pub(super) enum ConfigSource {
-    /// The file that `ROUTER_CONFIG` named.
+    /// The file that `ROUTER_CONFIG` named at start-up.
     RouterConfig(PathBuf),
-    /// The operator's file.
+    /// The operator's file, given by `--config`.
     OperatorFile(PathBuf),
 }
 
-/// Which source takes precedence where both the environment and the file state a value.
+/// The source that takes precedence if both the environment and the file set a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precedence {
-    /// The environment, used at the start of the process.
+    /// The environment takes precedence. Used at start-up.
     Environment,
-    /// The file, used on a reload: the file may have changed, while the environment is that of the
-    /// start.
+    /// The file takes precedence. Used on a reload, because the file may have changed since
+    /// start-up, while the environment of a running process cannot.
     File,
 }
--- a/crates/gateway/src/config/operator.rs
+++ b/crates/gateway/src/config/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file.
+//! Loads the operator's file, which `--config` names.
 
 use super::decode;
 use super::error::ConfigError;
@@ -11,30 +11,32 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Name of the gateway if the operator's file gives none.
+/// Name of the gateway if the operator's file does not set one.
 const DEFAULT_NAME: &str = "storage-gateway";
-/// Seed of the random number generator: the same for all gateways with an operator's file, which
-/// states none.
+/// Seed of the random number generator. It is the same for every gateway with an operator's file,
+/// because that file has no key for a seed.
 const SEED: u64 = 0;
 
-/// Loads an operator's file. Paths in it are relative to the file's own folder.
+/// Loads an operator's file. Relative paths in it are resolved against the file's directory.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the file.
+/// Returns an error if the file cannot be read or decoded, or if one of its values is invalid. The
+/// error names the file.
 pub fn from_file(path: &Path) -> Result<Config, ConfigError> {
     let loaded = load(path);
     loaded.map_err(|error| error.in_file(path))
 }
 
-/// Loads an operator's file; errors of single values name the key, but not the file.
+/// Loads an operator's file. Errors about single values name the key but not the file, which
+/// [`from_file`] adds.
 fn load(path: &Path) -> Result<Config, ConfigError> {
     let file = read_operator_file(path)?;
     let sftp = match &file.sftp {
         Some(section) => Some(SftpSettings::from_section(section, &file.settings)?),
         None => None,
     };
-    let folder = path.parent().unwrap_or(Path::new("."));
+    let directory = path.parent().unwrap_or(Path::new("."));
     Ok(Config {
         source: ConfigSource::OperatorFile(path.to_owned()),
         name: file.name.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
@@ -45,14 +47,15 @@
         max_descriptors: file.limits.max_descriptors,
         budget: MemoryBudget::from_memory_mb(file.limits.memory_mb),
         settings: file.settings,
-        inventory: file.inventory.map(|inventory| folder.join(inventory)),
+        inventory: file.inventory.map(|inventory| directory.join(inventory)),
         sftp,
         log: parse_log_level("log", file.log.as_deref())?,
     })
 }
 
-/// Reads an operator's file and validates the sections that do not depend on others, and that it
-/// states at least one source of nodes and one listener.
+/// Reads an operator's file and validates `settings` and `limits`. Also checks that the file
+/// configures at least one source of nodes (`inventory` or `discovery`) and at least one listener
+/// (`listen` or `sftp`).
 fn read_operator_file(path: &Path) -> Result<Operator, ConfigError> {
     let mut text = decode::read(path)?;
     let mut file: Operator = decode::decode(&mut text, &path.display().to_string())?;
@@ -63,15 +66,21 @@
     };
     check_shared_sections(&file.settings, &file.limits, deadline_rule)?;
     if file.inventory.is_none() && file.discovery.is_none() {
-        return Err(ConfigError::missing("inventory"));
+        return Err(ConfigError::missing(
+            "inventory",
+            "inventory or discovery as the source of nodes",
+        ));
     }
     if file.listen.is_none() && file.sftp.is_none() {
-        return Err(ConfigError::missing("listen"));
+        return Err(ConfigError::missing(
+            "listen",
+            "listen or sftp, to accept clients",
+        ));
     }
     Ok(file)
 }
 
-/// Parses an address that may be absent.
+/// Parses the address of an optional key; an absent key gives `None`.
 fn parse_optional_address(
     key: &str,
     text: Option<&str>,
--- a/crates/gateway/src/config/platform.rs
+++ b/crates/gateway/src/config/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's configuration: the file that `ROUTER_CONFIG` names, and the other environment
-//! variables.
+//! Loads the platform's configuration: the file that `ROUTER_CONFIG` names, and the other
+//! environment variables.
 
 use super::decode;
 use super::error::ConfigError;
@@ -16,34 +16,39 @@
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
 /// Environment variable with the name of the gateway.
 const NAME_VARIABLE: &str = "ROUTER_NAME";
-/// Environment variable with the address on which RESP2 clients are accepted.
+/// Environment variable with the address on which the gateway accepts RESP2 clients.
 const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
 /// Environment variable with the address of the discovery endpoint.
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
 /// Environment variable with the log level.
 const LOG_VARIABLE: &str = "STORAGE_GATEWAY_LOG";
-/// Seed of the random number generator if the file states none, as a hexadecimal number.
+/// Hexadecimal seed of the random number generator if the file does not set one.
 const DEFAULT_SEED: &str = "0";
 
-/// Loads the platform's configuration: the file that `ROUTER_CONFIG` names. The other environment
-/// variables take precedence over the file.
+/// Loads the platform's configuration from the file that `ROUTER_CONFIG` names. The other
+/// environment variables take precedence over the file. `env` looks up an environment variable.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the file or with a variable.
+/// Returns an error if `ROUTER_CONFIG` is not set, if the file cannot be read or decoded, or if a
+/// value in the file or in a variable is missing or invalid.
 pub fn from_env(env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-    let path = env(CONFIG_VARIABLE).ok_or_else(|| ConfigError::missing(CONFIG_VARIABLE))?;
+    let path = env(CONFIG_VARIABLE).ok_or_else(|| {
+        ConfigError::missing(CONFIG_VARIABLE, "the path of the configuration file")
+    })?;
     let path = PathBuf::from(path);
     let mut text = decode::read(&path)?;
     parse_router_config(&mut text, &path, env, Precedence::Environment)
 }
 
-/// Parses the content of the file that `ROUTER_CONFIG` names; see [`from_env`]. `text` is decoded
-/// in place.
+/// Parses the content of the file that `ROUTER_CONFIG` names. `text` is decoded in place; `path` is
+/// kept for [`Config::reload`]. `precedence` decides between `name`, `listen` and `discovery` in
+/// the file and the environment variables for them.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the text or with a variable.
+/// Returns an error if the text cannot be decoded, or if a value in it or in a variable is missing
+/// or invalid.
 pub fn parse_router_config(
     text: &mut [u8],
     path: &Path,
@@ -75,36 +80,42 @@
     })
 }
 
-/// The sources of the values that both the environment and the file may state.
+/// Resolves the values that both the environment and the file can set.
 struct ValueSources<E> {
-    /// Looks up a variable of the environment.
+    /// Looks up an environment variable.
     env: E,
-    /// Which source takes precedence.
+    /// The source that takes precedence if both set a value.
     precedence: Precedence,
 }
 
 impl<E: Fn(&str) -> Option<String>> ValueSources<E> {
-    /// The value of `variable`, or the one that the file states for it.
-    fn required(&self, variable: &str, in_file: Option<String>) -> Result<String, ConfigError> {
+    /// Returns the value of `variable` or `file_value`, the value in the file, whichever takes
+    /// precedence. Fails if neither is set.
+    fn required(&self, variable: &str, file_value: Option<String>) -> Result<String, ConfigError> {
         let value = match self.precedence {
-            Precedence::Environment => (self.env)(variable).or(in_file),
-            Precedence::File => in_file.or_else(|| (self.env)(variable)),
+            Precedence::Environment => (self.env)(variable).or(file_value),
+            Precedence::File => file_value.or_else(|| (self.env)(variable)),
         };
-        value.ok_or_else(|| ConfigError::missing(variable))
+        value.ok_or_else(|| {
+            ConfigError::missing(
+                variable,
+                "a value in this variable or in the file that ROUTER_CONFIG names",
+            )
+        })
     }
 
-    /// The same for an address.
+    /// Like [`ValueSources::required`], but parses the value as an address.
     fn required_address(
         &self,
         variable: &str,
-        in_file: Option<String>,
+        file_value: Option<String>,
     ) -> Result<SocketAddr, ConfigError> {
-        let text = self.required(variable, in_file)?;
+        let text = self.required(variable, file_value)?;
         parse_address(variable, &text)
     }
 }
 
-/// Parses the seed of the random number generator.
+/// Parses the seed of the random number generator; an empty text gives [`DEFAULT_SEED`].
 fn parse_seed(text: &str) -> Result<u64, ConfigError> {
     let text = if text.is_empty() { DEFAULT_SEED } else { text };
     parse_hexadecimal("seed", text)
--- a/crates/gateway/src/config/reload.rs
+++ b/crates/gateway/src/config/reload.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration again.
+//! Reloads the configuration while the gateway runs.
 
 use super::decode;
 use super::error::ConfigError;
@@ -7,13 +7,16 @@
 use super::platform::parse_router_config;
 
 impl Config {
-    /// Reads the configuration again from the same file. The file takes precedence over the
-    /// environment, which cannot have changed since the start; only `STORAGE_GATEWAY_LOG` takes
-    /// precedence over the file that `ROUTER_CONFIG` names.
+    /// Loads the configuration again from the file that it was first loaded from.
+    ///
+    /// For a file that `ROUTER_CONFIG` named, the file now takes precedence over the environment,
+    /// which cannot have changed since start-up. The exception is `STORAGE_GATEWAY_LOG`, which
+    /// always takes precedence over the file.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the file as it is now.
+    /// Returns an error if the file can no longer be read or decoded, or if a value in it is
+    /// missing or invalid.
     pub fn reload(&self, env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         match &self.source {
             ConfigSource::RouterConfig(path) => {
--- a/crates/gateway/src/config/sections.rs
+++ b/crates/gateway/src/config/sections.rs
@@ -1,78 +1,81 @@
-//! The configuration files as serde decodes them: the file that `ROUTER_CONFIG` names, and the
-//! operator's file.
+//! The types that serde decodes configuration files into: the file that `ROUTER_CONFIG` names, and
+//! the operator's file.
 //!
-//! The keys of the files stand in this module and in the keys of errors only: `serde(rename)` maps
-//! them to the standard terms where they differ. The decoder's error messages contain the names of
-//! these types, so renaming one changes user-visible text.
+//! `serde(rename)` maps a key to the usual term where the two differ. Outside of this module, only
+//! error messages contain keys of the files, except those below `settings`, which
+//! `deployment_settings` decodes, and those below `known`, which `endpoint` decodes. The decoder's
+//! error messages contain the names of these types, so renaming a type changes text that operators
+//! see.
 
 use crate::endpoint::EndpointListUpdate;
 use deployment_settings::DeploymentSettings;
 use serde::Deserialize;
 use std::path::PathBuf;
 
-/// File descriptors that the process may use if the file states no limit.
+/// Maximum number of file descriptors if the file does not set `limits.sockets`.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
-/// Memory that the process may use if the file states no limit, in MiB.
+/// Memory limit in MiB if the file does not set `limits.memory_mb`.
 const DEFAULT_MEMORY_MB: usize = 256;
 
-/// The file that `ROUTER_CONFIG` names. The environment may give `name`, `listen` and `discovery`
-/// instead.
+/// The file that `ROUTER_CONFIG` names. Environment variables can set `name`, `listen` and
+/// `discovery` instead of the file.
 #[derive(Deserialize)]
 pub(super) struct Router {
     /// Name of this gateway.
     pub name: Option<String>,
-    /// Address on which RESP2 clients are accepted.
+    /// IP address and port on which the gateway accepts RESP2 clients.
     pub listen: Option<String>,
-    /// Address of the discovery endpoint that serves the endpoint list.
+    /// IP address and port of the discovery endpoint that serves the endpoint list.
     pub discovery: Option<String>,
-    /// Seed of the random number generator, as a hexadecimal number; empty for 0.
+    /// Seed of the random number generator as a hexadecimal number; empty or absent for 0.
     #[serde(default)]
     pub seed: String,
     /// Limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// Endpoint list to start with, before discovery sends one.
+    /// Endpoint list to use until discovery sends one.
     #[serde(default, rename = "known")]
     pub cached_endpoints: EndpointListUpdate,
     /// Settings of the deployment.
     pub settings: DeploymentSettings,
-    /// Log level.
+    /// Name of the log level; `info` if absent.
     #[serde(default)]
     pub log: Option<String>,
 }
 
-/// The operator's file.
+/// The operator's file, which `--config` names.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Operator {
     /// Name of this gateway.
     pub name: Option<String>,
-    /// Address on which RESP2 clients are accepted.
+    /// IP address and port on which the gateway accepts RESP2 clients.
     pub listen: Option<String>,
-    /// Address of the discovery endpoint that serves the endpoint list.
+    /// IP address and port of the discovery endpoint that serves the endpoint list.
     pub discovery: Option<String>,
-    /// Path of the inventory, relative to the folder of this file.
+    /// Path of the inventory, relative to the directory of this file.
     pub inventory: Option<PathBuf>,
-    /// Log level.
+    /// Name of the log level; `info` if absent.
     pub log: Option<String>,
     /// Limits of the process.
     #[serde(default)]
     pub limits: Limits,
     /// Settings of the deployment.
     pub settings: DeploymentSettings,
-    /// The SFTP listener.
+    /// Settings of the SFTP listener; absent for no SFTP listener.
     pub sftp: Option<OperatorSftp>,
 }
 
-/// `sftp` in the operator's file.
+/// The section `sftp` of the operator's file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct OperatorSftp {
-    /// Address on which SFTP clients are accepted.
+    /// IP address and port on which the gateway accepts SFTP clients.
     pub listen: String,
-    /// Largest upload that is buffered, in bytes.
+    /// Largest accepted upload in bytes; `MAX_VALUE_BYTES` if absent. The gateway buffers an upload
+    /// completely.
     pub max_upload_bytes: Option<usize>,
-    /// Bytes that count as one unit.
+    /// Number of bytes that count as one unit; 16 KiB if absent.
     pub unit_bytes: Option<u64>,
     /// Name of the class of reads.
     pub read_class: String,
@@ -80,11 +83,11 @@
     pub write_class: String,
     /// Name of the class of reads of large objects; `read_class` if absent.
     pub large_read_class: Option<String>,
-    /// Smallest size in bytes of an object that counts as large; if absent, no object does.
+    /// Size in bytes from which an object counts as large; if absent, no object counts as large.
     pub large_bytes: Option<u64>,
     /// Name of the class of listings; `read_class` if absent.
     pub list_class: Option<String>,
-    /// Volumes that clients may access.
+    /// Volumes that SFTP clients can access.
     pub volumes: Vec<OperatorVolume>,
 }
 
@@ -92,7 +95,7 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct OperatorVolume {
-    /// Name of the volume, which is the first part of the paths of its objects.
+    /// Name of the volume, which is the first component of the paths of its objects.
     pub name: String,
     /// Id of the volume, as a hexadecimal number.
     pub id: String,
@@ -100,14 +103,14 @@
     pub plan: String,
 }
 
-/// `limits` in either file.
+/// The section `limits` of either file.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(super) struct Limits {
-    /// Number of file descriptors that the process may use.
+    /// Maximum number of file descriptors that the process may open.
     #[serde(rename = "sockets")]
     pub max_descriptors: usize,
-    /// Memory that the process may use, in MiB.
+    /// Memory limit of the process in MiB.
     pub memory_mb: usize,
 }
 
--- a/crates/gateway/src/config/sftp.rs
+++ b/crates/gateway/src/config/sftp.rs
@@ -1,5 +1,4 @@
-//! Settings of the SFTP listener: validation and conversion of the section `sftp` of the
-//! operator's file.
+//! Settings of the SFTP listener, converted from the section `sftp` of the operator's file.
 
 use super::error::{ConfigError, InvalidValue};
 use super::keys;
@@ -11,17 +10,17 @@
 use io_scheduler::ClassIndex;
 use std::net::SocketAddr;
 
-/// Bytes that count as one unit, if the file does not state it.
+/// Number of bytes that count as one unit if the file does not set `sftp.unit_bytes`.
 const DEFAULT_UNIT_BYTES: u64 = 16 << 10;
 
 /// Settings of the SFTP listener.
 #[derive(Clone, Debug)]
 pub struct SftpSettings {
-    /// Address on which SFTP clients are accepted.
+    /// Address on which the gateway accepts SFTP clients.
     pub listen: SocketAddr,
-    /// Largest upload that is buffered, in bytes.
+    /// Largest accepted upload in bytes; the gateway buffers an upload completely.
     pub max_upload_bytes: usize,
-    /// Bytes that count as one unit.
+    /// Number of bytes that count as one unit.
     pub unit_bytes: u64,
     /// Class of reads.
     pub read_class: ClassIndex,
@@ -29,20 +28,20 @@
     pub write_class: ClassIndex,
     /// Class of listings.
     pub list_class: ClassIndex,
-    /// Class of reads of objects known to have at least `large_bytes`.
+    /// Class of reads of objects whose known size is at least `large_bytes`.
     pub large_read_class: ClassIndex,
-    /// Smallest size in bytes of an object that counts as large.
+    /// Size in bytes from which an object counts as large; `u64::MAX` if no object does.
     pub large_bytes: u64,
-    /// Volumes that clients may access.
+    /// Volumes that SFTP clients can access.
     pub volumes: Vec<SftpVolume>,
 }
 
-/// Whether the requests of a class read or write.
+/// The kind of access of the requests of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Access {
-    /// They read objects or list them.
+    /// The requests read or list objects.
     Read,
-    /// They write objects.
+    /// The requests write objects.
     Write,
 }
 
@@ -52,10 +51,13 @@
         section: &OperatorSftp,
         settings: &DeploymentSettings,
     ) -> Result<SftpSettings, ConfigError> {
-        // A path does not state a shard: it is derived from the object's name and the number of
-        // shards.
+        // SFTP paths do not name a shard. The gateway derives it from the object's name and the
+        // shard count, so the count is required.
         if settings.storage.shard_count == 0 {
-            return Err(ConfigError::missing(keys::SHARD_COUNT));
+            return Err(ConfigError::missing(
+                keys::SHARD_COUNT,
+                "a number of shards above 0, which sftp requires",
+            ));
         }
         let classes = ClassLookup { settings };
         let volumes = convert_volumes(&section.volumes, settings)?;
@@ -68,21 +70,23 @@
             listen: parse_address("sftp.listen", &section.listen)?,
             max_upload_bytes,
             unit_bytes,
-            read_class: classes.reading("sftp.read_class", read_class)?,
-            write_class: classes.writing("sftp.write_class", &section.write_class)?,
-            large_read_class: classes.reading("sftp.large_read_class", large_read_class)?,
+            read_class: classes.find_read_class("sftp.read_class", read_class)?,
+            write_class: classes.find_write_class("sftp.write_class", &section.write_class)?,
+            large_read_class: classes.find_read_class("sftp.large_read_class", large_read_class)?,
             large_bytes: section.large_bytes.unwrap_or(u64::MAX),
-            list_class: classes.reading("sftp.list_class", list_class)?,
+            list_class: classes.find_read_class("sftp.list_class", list_class)?,
             volumes,
         })
     }
 }
 
-/// Largest upload in bytes; at most the largest value that is forwarded to a node.
+/// Returns the largest accepted upload in bytes. It must not exceed [`MAX_VALUE_BYTES`], the
+/// largest value that the gateway forwards to a node, which is also the default.
 fn max_upload_bytes(section: &OperatorSftp) -> Result<usize, ConfigError> {
     let max_upload_bytes = section.max_upload_bytes.unwrap_or(MAX_VALUE_BYTES);
     if max_upload_bytes > MAX_VALUE_BYTES {
         let source = InvalidValue::AboveMaximum {
+            value: max_upload_bytes,
             max: MAX_VALUE_BYTES,
         };
         return Err(ConfigError::invalid_value("sftp.max_upload_bytes", source));
@@ -90,49 +94,54 @@
     Ok(max_upload_bytes)
 }
 
-/// Bytes that count as one unit.
+/// Returns the number of bytes that count as one unit, which must be above 0.
 fn unit_bytes(section: &OperatorSftp) -> Result<u64, ConfigError> {
     let unit_bytes = section.unit_bytes.unwrap_or(DEFAULT_UNIT_BYTES);
     if unit_bytes == 0 {
-        let source = InvalidValue::NotPositive;
+        let source = InvalidValue::NotPositive(unit_bytes.to_string());
         return Err(ConfigError::invalid_value("sftp.unit_bytes", source));
     }
     Ok(unit_bytes)
 }
 
-/// Finds classes of the settings by name.
+/// Looks up classes of the settings by name.
 #[derive(Clone, Copy)]
 struct ClassLookup<'a> {
-    /// The settings that state the classes.
+    /// The settings that define the classes.
     settings: &'a DeploymentSettings,
 }
 
 impl ClassLookup<'_> {
-    /// The class `name`, whose requests must read. `key` is the key that names it.
-    fn reading(self, key: &str, name: &str) -> Result<ClassIndex, ConfigError> {
-        self.with_access(key, name, Access::Read)
+    /// Looks up a class of reads. `key` is the key that names the class, for errors.
+    fn find_read_class(self, key: &str, name: &str) -> Result<ClassIndex, ConfigError> {
+        self.find_class(key, name, Access::Read)
     }
 
-    /// The class `name`, whose requests must write. `key` is the key that names it.
-    fn writing(self, key: &str, name: &str) -> Result<ClassIndex, ConfigError> {
-        self.with_access(key, name, Access::Write)
+    /// Looks up a class of writes. `key` is the key that names the class, for errors.
+    fn find_write_class(self, key: &str, name: &str) -> Result<ClassIndex, ConfigError> {
+        self.find_class(key, name, Access::Write)
     }
 
-    /// The class `name`. Fails unless its requests do what `access` states.
-    fn with_access(self, key: &str, name: &str, access: Access) -> Result<ClassIndex, ConfigError> {
+    /// Looks up a class by name. Fails if there is none, or if the access of its requests is not
+    /// `access`.
+    fn find_class(self, key: &str, name: &str, access: Access) -> Result<ClassIndex, ConfigError> {
         let classes = &self.settings.classes;
         let Some(index) = classes.iter().position(|class| class.name == name) else {
             let source = InvalidValue::UnknownClass(name.to_owned());
             return Err(ConfigError::invalid_value(key, source));
         };
         if self.access(index) != access {
-            let source = InvalidValue::WrongAccess(name.to_owned());
+            let source = InvalidValue::WrongAccess {
+                class: name.to_owned(),
+                expected_writes: access == Access::Write,
+            };
             return Err(ConfigError::invalid_value(key, source));
         }
         Ok(ClassIndex(index))
     }
 
-    /// What the requests of a class do; they read if the settings do not state it.
+    /// Returns the access of the requests of a class. They read if `domain.writes` has no entry for
+    /// the class.
     fn access(self, index: usize) -> Access {
         match self.settings.storage.writes.get(index) {
             Some(true) => Access::Write,
--- a/crates/gateway/src/config/sftp_volumes.rs
+++ b/crates/gateway/src/config/sftp_volumes.rs
@@ -1,5 +1,4 @@
-//! The volumes that SFTP clients may access: validation and conversion of `sftp.volumes` of the
-//! operator's file.
+//! The volumes that SFTP clients can access, converted from `sftp.volumes` of the operator's file.
 
 use super::error::{ConfigError, InvalidValue};
 use super::sections::OperatorVolume;
@@ -7,10 +6,10 @@
 use deployment_settings::DeploymentSettings;
 use io_scheduler::{PlanIndex, VolumeId};
 
-/// A volume that clients may access.
+/// A volume that SFTP clients can access.
 #[derive(Clone, Debug)]
 pub struct SftpVolume {
-    /// Name of the volume, which is the first part of the paths of its objects.
+    /// Name of the volume, which is the first component of the paths of its objects.
     pub name: String,
     /// Id of the volume.
     pub id: VolumeId,
@@ -18,7 +17,7 @@
     pub plan: PlanIndex,
 }
 
-/// Validates and converts `sftp.volumes`.
+/// Validates and converts the entries of `sftp.volumes`.
 pub(super) fn convert_volumes(
     entries: &[OperatorVolume],
     settings: &DeploymentSettings,
@@ -32,22 +31,23 @@
     Ok(volumes)
 }
 
-/// Checks that a volume's name is valid as the first part of a path and is not used by an earlier
-/// volume.
+/// Checks that the name of a volume is valid as the first component of a path and that no earlier
+/// volume has it. `key` is the key of the volume, for errors.
 fn check_volume_name(key: &str, name: &str, earlier: &[SftpVolume]) -> Result<(), ConfigError> {
     let key = format!("{key}.name");
     if name.is_empty() || name.contains('/') || name.starts_with('.') {
-        let source = InvalidValue::NotAFolderName(name.to_owned());
+        let source = InvalidValue::InvalidVolumeName(name.to_owned());
         return Err(ConfigError::invalid_value(&key, source));
     }
     if earlier.iter().any(|volume| volume.name == name) {
-        let source = InvalidValue::Duplicate(name.to_owned());
+        let source = InvalidValue::DuplicateVolumeName(name.to_owned());
         return Err(ConfigError::invalid_value(&key, source));
     }
     Ok(())
 }
 
-/// Converts the id and the plan of a volume.
+/// Converts an entry of `sftp.volumes`, whose name is already checked. `key` is the key of the
+/// entry, for errors.
 fn convert_volume(
     key: &str,
     entry: &OperatorVolume,
--- a/crates/gateway/src/inventory/csv_format.rs
+++ b/crates/gateway/src/inventory/csv_format.rs
@@ -1,19 +1,20 @@
-//! Inventories in CSV: a line of headings, then one line for each node.
+//! Parses inventories in CSV: a header line, then one line for each node. Lines that begin with `#`
+//! are comments.
 
 use super::error::{InvalidVar, InventoryError, Location};
 use super::node::InventoryNode;
 use super::vars::{NodeError, VarName, Vars};
 use csv::{ErrorKind, Position, ReaderBuilder, StringRecord, Trim};
 
-/// Headings that are required; the other vars have defaults.
+/// Headings of the columns that are required. The other vars have defaults.
 const REQUIRED_HEADINGS: [&str; 3] = ["name", "address", "shard"];
 
-/// Parses an inventory in CSV. `file` is the file's name in errors.
+/// Parses an inventory in CSV. `file` is the path of the file, for errors.
 ///
 /// # Errors
 ///
-/// Fails if the text is not well-formed CSV, a required heading is missing, or a line does not
-/// describe a node or repeats the name of an earlier one.
+/// Returns an error if the text is not well-formed CSV, a required column is missing, a line does
+/// not describe a valid node, or two nodes have the same name.
 pub fn from_csv(text: &str, file: &str) -> Result<Vec<InventoryNode>, InventoryError> {
     let mut reader = ReaderBuilder::new()
         .trim(Trim::All)
@@ -31,26 +32,26 @@
         nodes: Vec::new(),
     };
     for record in reader.records() {
-        let record = record.map_err(|source| unreadable_record(file, source))?;
+        let record = record.map_err(|source| malformed_record(file, source))?;
         collector.add(&record)?;
     }
     Ok(collector.nodes)
 }
 
-/// Collects the nodes of a file.
+/// Converts the lines of a file to nodes and collects them.
 struct NodeCollector<'a> {
-    /// The text of the file.
+    /// Content of the file.
     text: &'a str,
-    /// Name of the file, for errors.
+    /// Path of the file, for errors.
     file: &'a str,
-    /// The first line of the file.
+    /// The header line of the file.
     headings: StringRecord,
-    /// The nodes of the lines so far.
+    /// The nodes of the lines that have been added.
     nodes: Vec<InventoryNode>,
 }
 
 impl NodeCollector<'_> {
-    /// Adds the node of one line.
+    /// Adds the node that a line describes.
     fn add(&mut self, record: &StringRecord) -> Result<(), InventoryError> {
         let line = record
             .position()
@@ -69,13 +70,14 @@
     }
 }
 
-/// The error for a line that the decoder cannot split into fields.
-fn unreadable_record(file: &str, source: csv::Error) -> InventoryError {
+/// Creates the error for a line that the CSV reader cannot split into fields, or that has the wrong
+/// number of fields.
+fn malformed_record(file: &str, source: csv::Error) -> InventoryError {
     let line = source.position().map_or(0, Position::line);
     csv_error(file, Location::Line(line), source)
 }
 
-/// Wraps an error of the CSV decoder.
+/// Adds the file and the location to an error of the CSV reader.
 fn csv_error(file: &str, location: Location, source: csv::Error) -> InventoryError {
     InventoryError::Csv {
         file: file.to_owned(),
@@ -84,7 +86,7 @@
     }
 }
 
-/// Checks that every required heading is present.
+/// Checks that the header line contains every required column.
 fn check_headings(headings: &StringRecord, file: &str) -> Result<(), InventoryError> {
     for heading in REQUIRED_HEADINGS {
         if !headings.iter().any(|present| present == heading) {
@@ -97,7 +99,7 @@
     Ok(())
 }
 
-/// Decodes the fields of one line.
+/// Decodes the fields of a line. `line` and `file` are for errors.
 fn decode_record(
     record: &StringRecord,
     headings: &StringRecord,
@@ -112,7 +114,7 @@
     })
 }
 
-/// Heading of the field that a decoder's error refers to, if it refers to a single field.
+/// Returns the heading of the field that a decoding error is about, if it is about a single field.
 fn field_at_fault<'a>(error: &csv::Error, headings: &'a StringRecord) -> Option<&'a str> {
     let ErrorKind::Deserialize { err, .. } = error.kind() else {
         return None;
@@ -121,8 +123,8 @@
     headings.get(index)
 }
 
-/// The node that a line describes. Its name must differ from those of earlier nodes, as the name
-/// identifies a node.
+/// Converts the vars of a line to a node. The name identifies a node, so it must differ from the
+/// names of all earlier nodes.
 fn to_unique_node(vars: &Vars, earlier: &[InventoryNode]) -> Result<InventoryNode, NodeError> {
     let name = vars.name.as_deref().unwrap_or_default();
     if name.is_empty() {
@@ -131,14 +133,15 @@
     if earlier.iter().any(|node| node.record.name == name) {
         return Err(NodeError {
             var: VarName::Name,
-            source: InvalidVar::Duplicate(name.to_owned()),
+            source: InvalidVar::DuplicateName(name.to_owned()),
         });
     }
     vars.to_node(name)
 }
 
-/// Number of the line with the first record at or after a byte offset. The decoder's own line
-/// number does not serve, as it is that of the empty lines and comments that precede a record.
+/// Returns the line number of the first record at or after a byte offset. The CSV reader's own line
+/// number cannot be used: if empty lines or comments precede a record, it is the number of those
+/// lines and not that of the record.
 fn line_of(text: &str, byte: u64) -> u64 {
     let (before, rest) = text.split_at_checked(byte as usize).unwrap_or((text, ""));
     let skipped = rest
--- a/crates/gateway/src/inventory/error.rs
+++ b/crates/gateway/src/inventory/error.rs
@@ -1,30 +1,34 @@
-//! Errors of reading an inventory. Each names the file and the location in it.
+//! Errors of reading an inventory.
+//!
+//! Each error names the file, and the location in it if the error is about a part of the file.
 
 use std::{fmt, io};
 
-/// Why an inventory cannot be used.
+/// An error that prevents an inventory from being used.
 #[derive(Debug, thiserror::Error)]
 pub enum InventoryError {
     /// The file cannot be read.
-    #[error("{file}: cannot be read: {source}")]
+    #[error("cannot read {file}: {source}")]
     Unreadable {
         /// Path of the file.
         file: String,
         /// The operating system's error.
         source: io::Error,
     },
-    /// The extension of the file's name states no known format.
-    #[error("{file}: name: ends in none of .csv, .yml, .yaml")]
+    /// The extension of the file name is not that of a supported format.
+    #[error(
+        "{file}: unknown inventory format; expected a file name ending in .csv, .yml or .yaml"
+    )]
     UnknownFormat {
         /// Path of the file.
         file: String,
     },
-    /// The first line of a CSV file lacks a heading.
-    #[error("{file}: line 1: heading {heading} is missing")]
+    /// A required column is missing from the header line of a CSV file.
+    #[error("{file}: header line: required column '{heading}' is missing")]
     MissingHeading {
         /// Path of the file.
         file: String,
-        /// The heading.
+        /// Heading of the column.
         heading: &'static str,
     },
     /// The file is not well-formed CSV, or a field has the wrong type.
@@ -47,44 +51,47 @@
         /// The decoder's error; its text has several lines, of which only the first is shown.
         source: Box<serde_saphyr::Error>,
     },
-    /// Groups are nested more deeply than is allowed.
-    #[error("{file}: {group}: groups stand too deep in one another")]
+    /// A group is nested too deeply.
+    #[error("{file}: {group}: group is nested in more than {max_depth} other groups")]
     NestedTooDeeply {
         /// Path of the file.
         file: String,
-        /// Path of the group that is too deep.
+        /// Path of the group.
         group: String,
+        /// Maximum number of groups that may contain a group.
+        max_depth: usize,
     },
-    /// A var of a node is missing or cannot be used.
+    /// A var of a node is missing or invalid.
     #[error("{file}: {location}: {source}")]
     InvalidVar {
         /// Path of the file.
         file: String,
         /// Location in the file.
         location: Location,
-        /// What is wrong with the var.
+        /// Why the var is invalid.
         source: InvalidVar,
     },
 }
 
-/// What is wrong with a var of a node.
+/// Why a var of a node is invalid. The texts do not repeat the var, which
+/// [`InventoryError::InvalidVar`] names in its location.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidVar {
-    /// The var is required.
-    #[error("not set")]
+    /// The var is required, but it is absent or empty.
+    #[error("required, but not set")]
     NotSet,
-    /// The text is not an IP address with a port.
-    #[error("'{0}' is no address with a port")]
+    /// The text is not an IP address followed by a port.
+    #[error("invalid address '{0}'; expected an IP address and port, such as 127.0.0.1:6379")]
     NotAnAddress(String),
     /// The text is not the name of a status.
-    #[error("'{0}' is none of in_service, terminating, terminated")]
+    #[error("unknown status '{0}'; expected in_service, terminating or terminated")]
     UnknownStatus(String),
     /// The text is not the name of a protocol.
-    #[error("'{0}' is neither resp2 nor sftp")]
+    #[error("unknown protocol '{0}'; expected resp2 or sftp")]
     UnknownProtocol(String),
-    /// An earlier node has this name.
-    #[error("'{0}' stands twice")]
-    Duplicate(String),
+    /// An earlier node has the same name.
+    #[error("duplicate node name '{0}'; expected a different name for each node")]
+    DuplicateName(String),
 }
 
 /// A location in an inventory.
@@ -94,14 +101,14 @@
     Document,
     /// A line.
     Line(u64),
-    /// A field of a line.
+    /// A field of a line in a CSV file.
     Field {
         /// Number of the line.
         line: u64,
         /// Heading of the field.
         field: String,
     },
-    /// The path of a key, its parts separated by dots.
+    /// The path of a key in a YAML file, with dots between its components.
     Key(String),
 }
 
@@ -116,7 +123,7 @@
     }
 }
 
-/// The first line of an error's text.
+/// Returns the first line of the text of an error.
 fn first_line(error: &serde_saphyr::Error) -> String {
     error
         .to_string()
--- a/crates/gateway/src/inventory/file.rs
+++ b/crates/gateway/src/inventory/file.rs
@@ -1,4 +1,4 @@
-//! Reading of inventory files.
+//! Reads inventory files.
 
 use super::csv_format::from_csv;
 use super::error::InventoryError;
@@ -6,12 +6,13 @@
 use super::yaml_format::from_yaml;
 use std::path::Path;
 
-/// Reads an inventory. The extension of the file name selects the format.
+/// Reads an inventory. The extension of the file name selects the format: `.csv`, `.yml` or
+/// `.yaml`.
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be read, its extension is not known, or its content is not a valid
-/// inventory.
+/// Returns an error if the file cannot be read, its name has another extension, or its content is
+/// not a valid inventory.
 pub fn read(path: &Path) -> Result<Vec<InventoryNode>, InventoryError> {
     let file = path.display().to_string();
     let text = match std::fs::read_to_string(path) {
--- a/crates/gateway/src/inventory/mod.rs
+++ b/crates/gateway/src/inventory/mod.rs
@@ -1,6 +1,7 @@
-//! Inventories of storage nodes in the formats of configuration tools: CSV, or YAML in the
-//! structure of an Ansible inventory, with groups, hosts and vars (the variables of a host or
-//! group).
+//! Reads inventories of storage nodes.
+//!
+//! An inventory is a CSV file with one line for each node, or a YAML file with the structure of an
+//! Ansible inventory: groups of hosts, with vars (variables) on groups and hosts.
 
 mod csv_format;
 mod error;
--- a/crates/gateway/src/inventory/node.rs
+++ b/crates/gateway/src/inventory/node.rs
@@ -1,15 +1,15 @@
-//! A node as an inventory describes it.
+//! A storage node of an inventory.
 
 use crate::endpoint::{EndpointRecord, Protocol};
 use std::net::SocketAddr;
 
-/// One node of an inventory.
+/// A storage node of an inventory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InventoryNode {
-    /// The node in the form of an endpoint list's entry.
+    /// The name, zone, shard, status and start time of the node, as in the endpoint list.
     pub record: EndpointRecord,
-    /// Its address.
+    /// Address to which the gateway connects.
     pub address: SocketAddr,
-    /// Its protocol.
+    /// Protocol that the node speaks.
     pub protocol: Protocol,
 }
--- a/crates/gateway/src/inventory/vars.rs
+++ b/crates/gateway/src/inventory/vars.rs
@@ -1,8 +1,9 @@
-//! The variables that describe a node in an inventory, in either format, and their conversion to a
-//! node.
+//! The vars (variables) that describe a node in an inventory of either format, and their conversion
+//! to a node.
 //!
-//! The names of the vars and of their values are those of the endpoint list on the wire. They
-//! stand in this module only.
+//! The spelling of the vars and of their values is the same as on the wire of the endpoint list.
+//! Within the inventory, only this module, the required headings of `csv_format` and the error
+//! messages contain it.
 
 use super::error::InvalidVar;
 use super::node::InventoryNode;
@@ -13,28 +14,28 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The vars of a node that this program uses; any others are ignored, as they are meant for other
-/// tools.
+/// The vars of a node that the gateway uses. Other vars are ignored, because an inventory can
+/// contain vars for other tools.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(super) struct Vars {
-    /// Name of the node in CSV; in YAML the host's key names it.
+    /// Name of the node in CSV. In YAML, the key of the host is the name of the node.
     pub name: Option<String>,
-    /// Its IP address with a port.
+    /// IP address and port of the node.
     address: Option<String>,
-    /// Its zone.
+    /// Zone of the node; empty if absent.
     zone: Option<String>,
-    /// Shard that it stores.
+    /// Shard whose objects the node stores.
     shard: Option<u64>,
-    /// Name of its protocol.
+    /// Protocol that the node speaks, `resp2` or `sftp`; `resp2` if absent.
     protocol: Option<String>,
-    /// Name of its status.
+    /// Status of the node: `in_service`, `terminating` or `terminated`; `in_service` if absent.
     status: Option<String>,
-    /// When its process last started, in milliseconds; 0 if this is not known.
+    /// Time in milliseconds at which the node's process last started; absent or 0 if unknown.
     #[serde(rename = "since_ms")]
     started_at_ms: Option<f64>,
 }
 
-/// Names a var in errors: one that is required or has a restricted value.
+/// A var that errors can name: one that is required or accepts only certain values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum VarName {
     /// `name`.
@@ -61,18 +62,19 @@
     }
 }
 
-/// A var of one node that cannot be used; the caller adds the location in the file.
+/// A var of a node that is missing or invalid. The caller adds the location in the file.
 #[derive(Debug, thiserror::Error)]
 #[error("{var}: {source}")]
 pub(super) struct NodeError {
     /// The var.
     pub var: VarName,
-    /// What is wrong with it.
+    /// Why the var is invalid.
     pub source: InvalidVar,
 }
 
 impl Vars {
-    /// A copy of these vars in which unset ones are taken from `defaults`, except the name.
+    /// Returns a copy in which every var that is not set has the value from `defaults`. The name is
+    /// not copied.
     pub(super) fn with_defaults(&self, defaults: &Vars) -> Vars {
         Vars {
             name: None,
@@ -85,8 +87,9 @@
         }
     }
 
-    /// The node that these vars describe, with the given name. The first var that cannot be used
-    /// is reported, in the order address (not set), status, address, protocol, shard.
+    /// Converts the vars to a node with the given name. If several vars are invalid, the error is
+    /// about the first of these: address not set, invalid status, invalid address, invalid
+    /// protocol, shard not set.
     pub(super) fn to_node(&self, name: &str) -> Result<InventoryNode, NodeError> {
         let address = self
             .address
@@ -110,7 +113,8 @@
         })
     }
 
-    /// When the node's process last started, if a time above 0 is set.
+    /// Returns the time at which the node's process last started; `None` if the var is absent or
+    /// not above 0.
     fn started_at(&self) -> Option<Micros> {
         match self.started_at_ms {
             Some(started_at_ms) if started_at_ms > 0.0 => Some(micros(started_at_ms)),
@@ -118,7 +122,7 @@
         }
     }
 
-    /// Parses the status; in service if it is not set.
+    /// Parses the status; an absent status means in service.
     fn parse_status(&self) -> Result<EndpointStatus, NodeError> {
         match self.status.as_deref() {
             None | Some("in_service") => Ok(EndpointStatus::InService),
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Parses the protocol; RESP2 if it is not set.
+    /// Parses the protocol; an absent protocol means RESP2.
     fn parse_protocol(&self) -> Result<Protocol, NodeError> {
         match self.protocol.as_deref() {
             None | Some("resp2") => Ok(Protocol::Resp2),
@@ -145,7 +149,7 @@
 }
 
 impl NodeError {
-    /// The error for a required var that is not set.
+    /// Creates the error for a required var that is not set.
     pub(super) fn not_set(var: VarName) -> NodeError {
         NodeError {
             var,
@@ -154,7 +158,7 @@
     }
 }
 
-/// Parses an IP address with a port.
+/// Parses an IP address and port.
 fn parse_address(text: &str) -> Result<SocketAddr, NodeError> {
     text.parse().map_err(|_| NodeError {
         var: VarName::Address,
--- a/crates/gateway/src/inventory/yaml_format.rs
+++ b/crates/gateway/src/inventory/yaml_format.rs
@@ -1,5 +1,5 @@
-//! Inventories in YAML, in the structure of an Ansible inventory: groups with `hosts`, `vars` and
-//! `children`.
+//! Parses inventories in YAML with the structure of an Ansible inventory: groups with `hosts`,
+//! `vars` and `children`.
 
 use super::error::{InventoryError, Location};
 use super::node::InventoryNode;
@@ -7,14 +7,14 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// Deepest accepted nesting of groups, which bounds the recursion.
+/// Maximum number of groups that may contain a group. It bounds the recursion.
 const MAX_DEPTH: usize = 16;
 
 /// A group of hosts.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Group {
-    /// Hosts by name, with their own vars.
+    /// Hosts of the group by name, with the vars that are set on the host.
     hosts: Option<BTreeMap<String, Option<Vars>>>,
     /// Vars that apply to every host of the group and of its subgroups.
     vars: Option<Vars>,
@@ -22,30 +22,30 @@
     children: Option<BTreeMap<String, Option<Group>>>,
 }
 
-/// A host, with the vars from all groups that list it.
+/// A host, with its own vars and those of all groups that list it.
 #[derive(Debug, Default)]
 struct Host {
     /// Path of the key where the host was first listed.
     path: String,
-    /// Its vars, merged from all groups.
+    /// The vars of the host, merged over all groups that list it.
     vars: Vars,
 }
 
-/// Collects the hosts of nested groups.
+/// Collects the hosts of all groups and merges their vars.
 #[derive(Debug)]
 struct HostCollector<'a> {
-    /// Name of the file, for errors.
+    /// Path of the file, for errors.
     file: &'a str,
-    /// Hosts collected so far, by name.
+    /// The hosts of the groups that have been visited, by name.
     hosts: BTreeMap<String, Host>,
 }
 
-/// Parses an inventory in YAML. `file` is the file's name in errors.
+/// Parses an inventory in YAML. `file` is the path of the file, for errors.
 ///
 /// # Errors
 ///
-/// Fails if the text is not well-formed YAML, groups are nested too deeply, or the vars of a host
-/// do not describe a node.
+/// Returns an error if the text is not well-formed YAML, a group is nested too deeply, or the vars
+/// of a host do not describe a valid node.
 pub fn from_yaml(text: &str, file: &str) -> Result<Vec<InventoryNode>, InventoryError> {
     let groups = decode(text, file)?;
     let mut collector = HostCollector {
@@ -58,7 +58,7 @@
     collector.into_nodes()
 }
 
-/// Decodes the groups at the top of the document.
+/// Decodes the top-level groups of the document.
 fn decode(text: &str, file: &str) -> Result<BTreeMap<String, Option<Group>>, InventoryError> {
     serde_saphyr::from_str(text).map_err(|source| {
         let location = match source.location() {
@@ -74,8 +74,8 @@
 }
 
 impl HostCollector<'_> {
-    /// Collects the hosts of a group and of its subgroups. `inherited` holds the vars of the
-    /// groups that contain it.
+    /// Collects the hosts of a group and of its subgroups. `path` is the path of the group's key,
+    /// `inherited` has the vars of the groups that contain it, and `depth` is their number.
     fn collect(
         &mut self,
         path: &str,
@@ -88,6 +88,7 @@
             return Err(InventoryError::NestedTooDeeply {
                 file: self.file.to_owned(),
                 group: path.to_owned(),
+                max_depth: MAX_DEPTH,
             });
         }
         let group_vars = with_inherited(group.vars.as_ref(), inherited);
@@ -101,8 +102,8 @@
         Ok(())
     }
 
-    /// Adds a host of a group. If several groups list the host, their vars are merged, and the
-    /// group that comes last takes precedence.
+    /// Adds a host of a group. If several groups list the host, its vars are merged, and those from
+    /// the group that is visited last take precedence.
     fn add_host(
         &mut self,
         group_path: &str,
@@ -118,7 +119,7 @@
         host.vars = vars.with_defaults(&host.vars);
     }
 
-    /// Converts the hosts to nodes, in the order of their names.
+    /// Converts the hosts to nodes, sorted by name.
     fn into_nodes(self) -> Result<Vec<InventoryNode>, InventoryError> {
         let mut nodes = Vec::with_capacity(self.hosts.len());
         for (name, host) in &self.hosts {
@@ -136,7 +137,8 @@
     }
 }
 
-/// The vars of a host or group: its own, if it has any, and those that it inherits.
+/// Returns the vars that apply to a host or group: its own, if there are any, and the inherited
+/// ones that it does not set itself.
 fn with_inherited(own: Option<&Vars>, inherited: &Vars) -> Vars {
     match own {
         Some(own) => own.with_defaults(inherited),
--- a/crates/gateway/tests/in_process/configuration.rs
+++ b/crates/gateway/tests/in_process/configuration.rs
@@ -85,7 +85,10 @@
         2 * small.max_requests
     );
     let too_small = budget(r#"{"memory_mb":1}"#).expect_err("1 MB is too little");
-    assert_eq!(too_small, "limits.memory_mb: must be from 16 to 1048576");
+    assert_eq!(
+        too_small,
+        "limits.memory_mb: invalid value 1; expected a number from 16 to 1048576"
+    );
 }
 
 #[test]
@@ -93,19 +96,20 @@
     let cases = [
         (
             "name,shard\n".to_owned(),
-            "f: line 1: heading address is missing",
+            "f: header line: required column 'address' is missing",
         ),
         (
             format!("{HEADINGS}a,127.0.0.1:1,0,ftp\n"),
-            "f: line 2, protocol: 'ftp' is neither resp2 nor sftp",
+            "f: line 2, protocol: unknown protocol 'ftp'; expected resp2 or sftp",
         ),
         (
             format!("{HEADINGS}a,here,0,sftp\n"),
-            "f: line 2, address: 'here' is no address with a port",
+            "f: line 2, address: invalid address 'here'; expected an IP address and port, such as \
+             127.0.0.1:6379",
         ),
         (
             format!("{HEADINGS}a,[::1]:1,0,\n\n# b\na,[::1]:2,1,\n"),
-            "f: line 5, name: 'a' stands twice",
+            "f: line 5, name: duplicate node name 'a'; expected a different name for each node",
         ),
     ];
     for (text, expected) in cases {
@@ -121,7 +125,7 @@
 fn yaml_inventory_error_names_the_key_or_the_line() {
     assert_eq!(
         yaml_error("g:\n  hosts:\n    a: {shard: 1}\n"),
-        "f: g.hosts.a.address: not set"
+        "f: g.hosts.a.address: required, but not set"
     );
     assert!(yaml_error("g:\n  hosts: [\n").starts_with("f: line "));
 }
@@ -130,12 +134,13 @@
 fn configuration_error_names_the_key() {
     assert_eq!(
         router_config_error(format!(r#"{{"settings":{SETTINGS_JSON}}}"#)),
-        "ROUTER_NAME: not set"
+        "ROUTER_NAME: not set; expected a value in this variable or in the file that ROUTER_CONFIG \
+         names"
     );
     let unknown_effect = SETTINGS_JSON.replace("\"pure\"", "\"sometimes\"");
     assert_eq!(
         router_config_error(format!(r#"{{"settings":{unknown_effect}}}"#)),
-        "settings.classes.effect: 'sometimes' is unknown"
+        "settings.classes.effect: unknown value 'sometimes'; expected pure, token or side_effect"
     );
     let wrong_type = router_config_error(r#"{"settings":{"plans":[{"pays":"x"}]}}"#.to_owned());
     assert!(wrong_type.starts_with("ROUTER_CONFIG: settings.plans[0].pays:"));
@@ -151,6 +156,9 @@
     let error = config::from_file(&path).expect_err("an invalid configuration");
     assert_eq!(
         error.to_string(),
-        format!("{}: limits.sockets: must be at least 64", path.display())
+        format!(
+            "{}: limits.sockets: invalid value 4; expected at least 64",
+            path.display()
+        )
     );
 }
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -1,4 +1,4 @@
-//! Conversion of the decoded settings to the settings of the scheduler.
+//! Converts the decoded settings to the scheduler's settings.
 
 use crate::time::micros;
 use crate::types::{ClassSettings, DeploymentSettings, PlanSettings};
@@ -10,11 +10,11 @@
 };
 
 impl DeploymentSettings {
-    /// Converts the settings for the scheduler.
+    /// Converts the settings to the scheduler's settings.
     ///
     /// # Errors
     ///
-    /// If the idempotency or the deduplication scope of a class is not a known word.
+    /// Returns an error if the idempotency or the deduplication scope of a class is unknown.
     pub fn to_scheduler_settings(&self) -> Result<Settings, UnknownValue> {
         let DeploymentSettings {
             permissions,
@@ -42,14 +42,14 @@
         })
     }
 
-    /// The classes, in the order of the settings.
+    /// Converts the classes, in the order of the settings.
     fn request_classes(&self) -> Result<Vec<RequestClass>, UnknownValue> {
         self.classes.iter().map(RequestClass::try_from).collect()
     }
 
-    /// Number of gateways that poll the same discovery endpoint: all of them if they poll the
-    /// discovery service itself, only this one if it polls the agent on its own host, and 0 if
-    /// there is neither.
+    /// Returns the number of gateways that poll the same discovery endpoint: all of them if they
+    /// poll the discovery service itself, 1 if each polls the agent on its own host, and 0 if this
+    /// gateway polls neither.
     fn discovery_clients(&self) -> u32 {
         match self.discovery {
             DiscoverySetting::PollService => self.gateway_count.max(1),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Slow start of nodes, gathered from the rules and from the properties of the nodes.
+    /// Returns the slow-start parameters, which come from `rules` and `domain`.
     fn slow_start(&self) -> SlowStart {
         SlowStart {
             initial_capacity: self.rules.initial_capacity,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The retry budget; `None` if the settings state no window for it.
+    /// Returns the retry budget; `None` if the settings do not set its window.
     fn retry_budget(&self) -> Option<RetryBudget> {
         let window_ms = self.rules.retry_window_ms?;
         Some(RetryBudget {
@@ -92,8 +92,8 @@
     }
 }
 
-/// Whether requests of the class may run twice. The deduplication scope is converted for every
-/// class, and first, so that an unknown one is reported even where it is not used.
+/// Converts the idempotency of a class. The deduplication scope is converted first and for every
+/// class, so that an unknown scope is reported even if the class does not use it.
 fn idempotency(class: &ClassSettings) -> Result<Idempotency, UnknownValue> {
     let scope = deduplication_scope(&class.deduplication_scope)?;
     match &class.idempotency {
@@ -103,26 +103,28 @@
             window: micros(class.deduplication_window_ms),
         }),
         IdempotencySetting::NonIdempotent => Ok(Idempotency::NonIdempotent),
-        IdempotencySetting::Unknown(word) => Err(UnknownValue {
+        IdempotencySetting::Unknown(value) => Err(UnknownValue {
             key: IdempotencySetting::KEY,
-            value: word.clone(),
+            value: value.clone(),
+            expected: IdempotencySetting::EXPECTED,
         }),
     }
 }
 
-/// Which nodes recognize the idempotency keys of each other's requests.
+/// Converts the deduplication scope; the default is all nodes.
 fn deduplication_scope(
     setting: &DeduplicationScopeSetting,
 ) -> Result<DeduplicationScope, UnknownValue> {
     match setting {
-        DeduplicationScopeSetting::Unstated | DeduplicationScopeSetting::All => {
+        DeduplicationScopeSetting::Unset | DeduplicationScopeSetting::All => {
             Ok(DeduplicationScope::All)
         }
         DeduplicationScopeSetting::Zone => Ok(DeduplicationScope::Zone),
         DeduplicationScopeSetting::Shard => Ok(DeduplicationScope::Shard),
-        DeduplicationScopeSetting::Unknown(word) => Err(UnknownValue {
+        DeduplicationScopeSetting::Unknown(value) => Err(UnknownValue {
             key: DeduplicationScopeSetting::KEY,
-            value: word.clone(),
+            value: value.clone(),
+            expected: DeduplicationScopeSetting::EXPECTED,
         }),
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,12 +1,13 @@
-//! The settings of a deployment, with one decoder that the gateway and the simulator adapter share.
+//! Settings of a deployment, shared by the gateway and the simulator adapter.
 //!
-//! The simulator sends them as an object in its first message; a gateway reads the same object from
-//! the key `settings` of its configuration. [`DeploymentSettings`] serves both, and
-//! [`DeploymentSettings::to_scheduler_settings`] converts it for the scheduler.
+//! The gateway reads the settings object from the key `settings` of its configuration. The
+//! simulator sends the same object in the message that starts a simulated gateway. Both programs
+//! decode it as [`DeploymentSettings`] and convert it with
+//! [`DeploymentSettings::to_scheduler_settings`].
 //!
-//! Names of the settings object stand in two modules only: `types` has its keys, as
-//! `serde(rename)` where a field bears another name, and `values` has the words that some of its
-//! values are limited to.
+//! Only two modules contain the spelling of the settings object. `types` has its keys: where a key
+//! differs from the name of the field, `serde(rename)` states the key. `values` has the accepted
+//! values of the settings that have a fixed set of them.
 
 #![warn(clippy::missing_docs_in_private_items)]
 
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -1,81 +1,87 @@
-//! Settings whose value is one of a fixed set of words.
+//! Settings that accept a fixed set of values. Only this module has the spelling of the values.
 //!
-//! Only this module knows the words. One that it doesn't know is decoded as well, into a variant
-//! that holds it, and [`DeploymentSettings::to_scheduler_settings`] decides whether that is an
-//! error. So a misspelled word is reported with its key, and not as a syntax error.
+//! An unknown value decodes to a variant that holds it, and
+//! [`DeploymentSettings::to_scheduler_settings`] decides whether it is an error. A misspelled value
+//! is therefore reported as an invalid value of its key, not as an error of the decoder.
 //!
 //! [`DeploymentSettings::to_scheduler_settings`]: crate::DeploymentSettings::to_scheduler_settings
 
 use serde::Deserialize;
 
-/// Whether a request may run twice.
+/// Whether the requests of a class may be executed twice.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(from = "String")]
 pub enum IdempotencySetting {
-    /// It may: running it again has no further effect.
+    /// They may: a second execution has no further effect.
     Idempotent,
-    /// It may where nodes recognize its idempotency key and drop the duplicate.
+    /// They may be dispatched again within the deduplication scope and window of the class, where
+    /// nodes recognize the idempotency key and drop the duplicate.
     WithKey,
-    /// It may not: it would take effect twice.
+    /// They may not: a second execution would take effect twice.
     NonIdempotent,
-    /// Any other word.
+    /// Any other value.
     Unknown(String),
 }
 
 impl IdempotencySetting {
     /// Path of the key within the settings object, without list indices.
     pub const KEY: &str = "classes.effect";
+    /// The accepted values, for errors.
+    pub const EXPECTED: &str = "pure, token or side_effect";
 }
 
 impl From<String> for IdempotencySetting {
-    fn from(word: String) -> Self {
-        match word.as_str() {
+    fn from(value: String) -> Self {
+        match value.as_str() {
             "pure" => Self::Idempotent,
             "token" => Self::WithKey,
             "side_effect" => Self::NonIdempotent,
-            _ => Self::Unknown(word),
+            _ => Self::Unknown(value),
         }
     }
 }
 
-/// A class has to state its idempotency: there is no value that is safe to assume.
+/// An absent value is [`Unknown`](IdempotencySetting::Unknown), because no default is safe: every
+/// class must set its idempotency.
 impl Default for IdempotencySetting {
     fn default() -> Self {
         Self::Unknown(String::new())
     }
 }
 
-/// Which nodes share their record of idempotency keys, so that each recognizes a key that another
-/// has received.
+/// The nodes that share their records of idempotency keys. Each of them recognizes a key that
+/// another one has received.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(from = "String")]
 pub enum DeduplicationScopeSetting {
-    /// The key is absent or empty, which means the same as [`All`](Self::All).
+    /// The setting is absent or empty, which has the same effect as [`All`](Self::All).
     #[default]
-    Unstated,
-    /// All nodes.
+    Unset,
+    /// All nodes of the deployment.
     All,
     /// The nodes of one zone.
     Zone,
     /// The nodes of one shard.
     Shard,
-    /// Any other word.
+    /// Any other value.
     Unknown(String),
 }
 
 impl DeduplicationScopeSetting {
     /// Path of the key within the settings object, without list indices.
     pub const KEY: &str = "classes.group";
+    /// The accepted values, for errors.
+    pub const EXPECTED: &str = "all, zone, cell or an empty string";
 }
 
 impl From<String> for DeduplicationScopeSetting {
-    fn from(word: String) -> Self {
-        match word.as_str() {
-            "" => Self::Unstated,
+    fn from(value: String) -> Self {
+        match value.as_str() {
+            "" => Self::Unset,
             "all" => Self::All,
             "zone" => Self::Zone,
             "cell" => Self::Shard,
-            _ => Self::Unknown(word),
+            _ => Self::Unknown(value),
         }
     }
 }
@@ -86,16 +92,17 @@
 pub enum DiscoverySetting {
     /// Each gateway polls the discovery service.
     PollService,
-    /// Any other word: no gateway polls the discovery service.
+    /// Any other value: no gateway polls the discovery service. A gateway polls the discovery agent
+    /// on its host, if there is one.
     Other(String),
 }
 
 impl From<String> for DiscoverySetting {
-    fn from(word: String) -> Self {
-        if word == "subscribe" {
+    fn from(value: String) -> Self {
+        if value == "subscribe" {
             Self::PollService
         } else {
-            Self::Other(word)
+            Self::Other(value)
         }
     }
 }
--- a/crates/settings/tests/conversion.rs
+++ b/crates/settings/tests/conversion.rs
@@ -1,27 +1,27 @@
-//! Every key of the settings object reaches the right setting of the scheduler.
+//! Tests that every key of the settings object is converted to the right setting of the scheduler.
 
 use deployment_settings::{micros, DeploymentSettings, UnknownValue};
 use io_scheduler::{DeduplicationScope, Idempotency, Micros, Settings, Units, UnitsPerSecond};
 use serde_json::{json, Value};
 
 fn decode(object: Value) -> DeploymentSettings {
-    serde_json::from_value(object).expect("the settings decode")
+    serde_json::from_value(object).expect("settings that decode")
 }
 
 fn convert(object: Value) -> Settings {
     decode(object)
         .to_scheduler_settings()
-        .expect("the settings convert")
+        .expect("settings that convert")
 }
 
 fn conversion_error(object: Value) -> UnknownValue {
     decode(object)
         .to_scheduler_settings()
-        .expect_err("the conversion fails")
+        .expect_err("settings that fail to convert")
 }
 
 #[test]
-fn an_empty_object_gives_zeros_and_no_feature() {
+fn empty_object_gives_zeros_and_disables_optional_features() {
     let settings = convert(json!({}));
     assert!(settings.classes.is_empty());
     assert!(settings.plans.is_empty());
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn each_allowed_feature_has_its_own_key() {
+fn each_optional_feature_has_its_own_key() {
     let settings = convert(json!({"allowed": {"max_attempts": 4}}));
     assert_eq!(settings.max_attempts, 4);
     for key in ["may_cancel", "probes", "second_copies"] {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn each_key_of_a_class_reaches_its_setting() {
+fn each_class_key_is_converted() {
     let object = json!({"classes": [
         {"aim_ms": 150.5, "points": 3.0, "late_value": 0.25, "effect": "pure", "by_arrival": true},
         {"effect": "side_effect"}
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn an_idempotency_key_has_the_scope_and_the_window_of_its_class() {
+fn idempotency_key_gets_scope_and_window_of_its_class() {
     for (group, scope) in [
         ("zone", DeduplicationScope::Zone),
         ("cell", DeduplicationScope::Shard),
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn each_key_of_a_plan_reaches_its_setting() {
+fn each_plan_key_is_converted() {
     let object = json!({"plans": [{
         "reservation": 1.0, "parts": 2.0, "never_over": 3.0, "cap_depth": 4.0, "limit_slack": 5.0,
         "pays": 6.0, "usual_rate": 7.0
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn each_key_of_the_domain_reaches_its_setting() {
+fn each_domain_key_is_converted() {
     let settings = convert(json!({"domain": {
         "cold_bears": 1.0, "unit_mean": 2.0, "units_top": 3.0, "meter_ms": 4.0, "fair_worth": 5.0,
         "spare_worth": 6.0, "counts_others": true
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn each_key_of_the_rules_reaches_its_setting() {
+fn each_rules_key_is_converted() {
     let object = json!({"rules": {
         "cold_from": 1.0, "cold_ms": 2.0, "fall_ms": 3.0, "tip_multiple": 4.0,
         "must_ask_in_ms": 5.0, "order_settle_ms": 6.0, "stop_sending_within_ms": 7.0,
@@ -134,23 +134,27 @@
     assert_eq!(settings.slow_start.burst_factor, 4.0);
     assert_eq!(settings.max_poll_interval, 5_000);
     assert_eq!(settings.quiesce_period, 6_000);
-    let budget = settings.retry_budget.expect("there is a window");
+    let budget = settings
+        .retry_budget
+        .expect("a retry budget, as its window is set");
     assert_eq!(budget.window, 8_000);
     assert_eq!(budget.allowance, 9.0);
     assert_eq!(budget.ratio, 10.0);
 }
 
 #[test]
-fn a_retry_budget_exists_only_with_a_window() {
+fn retry_budget_requires_a_window() {
     let settings = convert(json!({"rules": {"extra_free": 9.0, "further_ratio": 10.0}}));
     assert!(settings.retry_budget.is_none());
     let settings = convert(json!({"rules": {"resend_span_ms": 8.0}}));
-    let budget = settings.retry_budget.expect("there is a window");
+    let budget = settings
+        .retry_budget
+        .expect("a retry budget, as its window is set");
     assert_eq!((budget.allowance, budget.ratio), (0.0, 0.0));
 }
 
 #[test]
-fn discovery_clients_are_the_whole_group_one_for_an_agent_or_none() {
+fn discovery_clients_are_all_gateways_or_one_with_an_agent_or_none() {
     for (discovery, group_size, has_discovery_agent, clients) in [
         ("subscribe", 30, false, 30),
         ("subscribe", 30, true, 30),
@@ -163,7 +167,7 @@
         settings.has_discovery_agent = has_discovery_agent;
         let converted = settings
             .to_scheduler_settings()
-            .expect("the settings convert");
+            .expect("settings that convert");
         assert_eq!(converted.hosts, group_size);
         assert_eq!(
             converted.discovery_clients, clients,
@@ -173,12 +177,12 @@
 }
 
 #[test]
-fn the_agent_is_not_part_of_the_object() {
+fn discovery_agent_is_not_a_key_of_the_settings_object() {
     assert!(!decode(json!({"has_discovery_agent": true})).has_discovery_agent);
 }
 
 #[test]
-fn keys_that_only_the_programs_use_keep_their_spelling() {
+fn keys_that_the_scheduler_does_not_use_are_decoded() {
     let settings = decode(json!({
         "allowed": {"conn_idle_ms": 1.0, "connect_timeout_ms": 2.0},
         "classes": [{"name": "read", "deadline_ms": 3.0}],
@@ -199,51 +203,59 @@
 }
 
 #[test]
-fn an_unknown_word_is_reported_with_its_key() {
+fn unknown_value_is_reported_with_its_key() {
     let error = conversion_error(json!({"classes": [{"effect": "pure"}, {"effect": "sometimes"}]}));
     assert_eq!(
         error,
         UnknownValue {
             key: "classes.effect",
-            value: "sometimes".to_owned()
+            value: "sometimes".to_owned(),
+            expected: "pure, token or side_effect"
         }
     );
     assert_eq!(
         error.to_string(),
-        "field classes.effect: 'sometimes' is unknown"
+        "field classes.effect: unknown value 'sometimes'; expected pure, token or side_effect"
     );
     let error = conversion_error(json!({"classes": [{"effect": "token", "group": "rack"}]}));
     assert_eq!(
         error,
         UnknownValue {
             key: "classes.group",
-            value: "rack".to_owned()
+            value: "rack".to_owned(),
+            expected: "all, zone, cell or an empty string"
         }
     );
-    assert_eq!(error.to_string(), "field classes.group: 'rack' is unknown");
+    assert_eq!(
+        error.to_string(),
+        "field classes.group: unknown value 'rack'; expected all, zone, cell or an empty string"
+    );
 }
 
-/// A gateway compares the settings before and after a reload.
+/// On a reload, the gateway compares the new settings to the current ones, unknown values included.
 #[test]
-fn settings_differ_if_a_word_differs() {
-    let class = |key: &str, word: &str| decode(json!({"classes": [{ key: word }]}));
+fn settings_with_different_values_are_not_equal() {
+    let class = |key: &str, value: &str| decode(json!({"classes": [{ key: value }]}));
     assert_eq!(class("group", ""), decode(json!({"classes": [{}]})));
     assert_ne!(class("group", ""), class("group", "all"));
     assert_ne!(class("group", "rack"), class("group", "row"));
     assert_ne!(class("effect", "often"), class("effect", "sometimes"));
-    let discovery = |word: &str| decode(json!({ "discovery": word }));
+    let discovery = |value: &str| decode(json!({ "discovery": value }));
     assert_eq!(discovery(""), decode(json!({})));
     assert_ne!(discovery(""), discovery("automatic"));
 }
 
 #[test]
-fn an_absent_idempotency_is_unknown() {
+fn absent_idempotency_is_an_error() {
     let error = conversion_error(json!({"classes": [{"name": "read"}]}));
-    assert_eq!(error.to_string(), "field classes.effect: '' is unknown");
+    assert_eq!(
+        error.to_string(),
+        "field classes.effect: unknown value ''; expected pure, token or side_effect"
+    );
 }
 
 #[test]
-fn an_unknown_deduplication_scope_is_an_error_of_every_class_and_comes_first() {
+fn unknown_deduplication_scope_is_reported_first_even_if_unused() {
     let error = conversion_error(json!({"classes": [{"effect": "pure", "group": "rack"}]}));
     assert_eq!(error.key, "classes.group");
     let error = conversion_error(json!({"classes": [{"effect": "sometimes", "group": "rack"}]}));
@@ -251,7 +263,7 @@
 }
 
 #[test]
-fn milliseconds_round_to_microseconds_and_stop_at_the_ends_of_the_range() {
+fn milliseconds_are_rounded_to_microseconds_and_saturate() {
     assert_eq!(micros(1.5), 1_500);
     assert_eq!(micros(0.0004), 0);
     assert_eq!(micros(0.0006), 1);
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -316,7 +316,8 @@
     for (event, cause) in [
         (
             json!({"ENLIST": {"rng_seed": 5, "info": unknown_idempotency}}),
-            "ENLIST: field classes.effect: 'sometimes' is unknown",
+            "ENLIST: field classes.effect: unknown value 'sometimes'; expected pure, token or \
+             side_effect",
         ),
         (
             unknown_plan,
