--- a/crates/gateway/src/console/command.rs
+++ b/crates/gateway/src/console/command.rs
@@ -1,9 +1,9 @@
-//! Parsing of the console's command lines.
+//! Parses the command lines of the console.
 
-/// A command line of the console.
+/// A command of the console.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConsoleCommand {
-    /// Print a summary of the gateway's state.
+    /// Print a one-line summary of the gateway's state.
     Status,
     /// Print the table of nodes.
     Nodes,
@@ -11,29 +11,31 @@
     Volumes,
     /// Drain the node with this name.
     Drain(String),
-    /// Stop draining the node with this name.
+    /// Stop draining the node with this name, which returns to its status in the endpoint list.
     Undrain(String),
-    /// Read the inventory again.
+    /// Read the inventory again; an invalid one changes nothing.
     Reload,
     /// Print [`HELP`].
     Help,
-    /// Shut the gateway down gracefully.
+    /// Shut the gateway down gracefully: it ends when all accepted requests are finished.
     Quit,
-    /// An empty line: print nothing.
+    /// An empty line: do nothing.
     Nothing,
 }
 
-/// A line that is not a command. The text is shown to the operator.
+/// An error in a command line. The console prints its text to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConsoleError {
-    /// The command takes the name of a node and nothing else.
-    #[error("{command} takes the name of one node")]
+    /// The command was not given exactly one argument, the name of a node.
+    #[error("{command}: expected the name of one node; usage: {command} NAME")]
     NodeNameExpected {
-        /// The command.
+        /// The command that was entered.
         command: String,
     },
-    /// No command has this name.
-    #[error("'{command}' is no command here: try help")]
+    /// No command has this name, or the command takes no arguments and was given some.
+    #[error(
+        "'{command}' is not a command or takes no arguments; enter help for a list of commands"
+    )]
     UnknownCommand {
         /// The first word of the line.
         command: String,
@@ -42,21 +44,21 @@
 
 /// The text that the command `help` prints.
 pub const HELP: &str = "\
-status        what the gateway is doing
-nodes         the nodes, their state and service
-volumes       service by volume
-drain NAME    send a node nothing new; what it has is finished
-undrain NAME  take that back
-reload        read the inventory again; a bad one changes nothing
-help          this list
-quit          finish what has been taken and end
+status        print the numbers of nodes in service, connections and open requests
+nodes         list nodes: shard, state, attempts in flight (out), units served
+volumes       list volumes: requests received (taken), served, rejected (refused), failed; units
+drain NAME    send no new attempts to the node; attempts in flight are completed
+undrain NAME  stop draining the node; it gets its status in the endpoint list again
+reload        read the inventory again; an invalid inventory changes nothing
+help          print this list of commands
+quit          complete the accepted requests, then shut down
 ";
 
-/// Parses a command line.
+/// Parses a command line. Words are separated by whitespace.
 ///
 /// # Errors
 ///
-/// Fails if the line is not a command.
+/// Returns an error if there is no such command, or if its arguments are wrong.
 pub fn parse(line: &str) -> Result<ConsoleCommand, ConsoleError> {
     let words: Vec<&str> = line.split_whitespace().collect();
     match words.as_slice() {
--- a/crates/gateway/src/console/mod.rs
+++ b/crates/gateway/src/console/mod.rs
@@ -1,5 +1,5 @@
-//! The operator's console: parsing of the command lines, and formatting of the tables that it
-//! prints. The event loop executes the commands.
+//! The operator's console: parses command lines and formats the tables of nodes and volumes. The
+//! event loop reads the lines, executes the commands and prints their output.
 
 mod command;
 mod tables;
--- a/crates/gateway/src/console/tables.rs
+++ b/crates/gateway/src/console/tables.rs
@@ -1,4 +1,4 @@
-//! The tables that the console prints.
+//! Formats the tables of nodes and volumes for the console.
 
 use crate::config::SftpVolume;
 use crate::dispatcher::{NodeState, VolumeCounters};
@@ -7,7 +7,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Formats the table of nodes.
+/// Formats the table of nodes. The column `out` is the number of attempts in flight, and `units`
+/// the service that the node has given to this gateway.
 pub fn format_nodes<'a>(nodes: impl Iterator<Item = &'a NodeState>) -> String {
     let mut table = format!(
         "{:<24} {:>6} {:<9} {:>5} {:>12}\n",
@@ -19,7 +20,7 @@
     table
 }
 
-/// Appends the line of one node.
+/// Appends the row of a node.
 fn append_node(table: &mut String, node: &NodeState) {
     let NodeState {
         name,
@@ -29,7 +30,7 @@
         attempts_in_flight,
         ..
     } = node;
-    let state = state_word(*status);
+    let state = status_label(*status);
     // Writing to a string cannot fail.
     let _ = writeln!(
         table,
@@ -37,8 +38,8 @@
     );
 }
 
-/// The word for a node's status.
-fn state_word(status: EndpointStatus) -> &'static str {
+/// Returns the text for a node's status in the column `state`.
+fn status_label(status: EndpointStatus) -> &'static str {
     match status {
         EndpointStatus::InService => "serving",
         EndpointStatus::Draining => "draining",
@@ -46,8 +47,9 @@
     }
 }
 
-/// Formats the table of volumes. A volume is shown by its name if it is one of `named_volumes`,
-/// the volumes of the SFTP listener, and by its id otherwise.
+/// Formats the table of volumes. `named_volumes` are the volumes of the SFTP listener: they are
+/// shown by name, all others by id. The column `taken` is the number of requests received,
+/// `refused` the number of requests rejected.
 #[must_use]
 pub fn format_volumes(
     volume_counters: &BTreeMap<VolumeId, VolumeCounters>,
@@ -63,7 +65,7 @@
     table
 }
 
-/// Appends the line of one volume.
+/// Appends the row of a volume.
 fn append_volume(table: &mut String, name: &str, counters: &VolumeCounters) {
     let VolumeCounters {
         received,
@@ -80,7 +82,7 @@
     );
 }
 
-/// The name of a volume if it is one of `named_volumes`, and else its id.
+/// Returns the name of a volume if it is one of `named_volumes`, and its id otherwise.
 fn volume_name(id: VolumeId, named_volumes: &[SftpVolume]) -> String {
     match named_volumes.iter().find(|volume| volume.id == id) {
         Some(volume) => volume.name.clone(),
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -9,9 +9,9 @@
 
 /// The text that `--help` prints.
 const USAGE: &str = "\
-usage: storage-gateway                          serve as ROUTER_CONFIG says
-       storage-gateway --config FILE            serve as an operator's file says, with a console
-       storage-gateway --config FILE --check    say whether the file and its inventory can be used
+usage: storage-gateway                          run with the file that ROUTER_CONFIG names
+       storage-gateway --config FILE            run with an operator's file and open a console
+       storage-gateway --config FILE --check    check an operator's file and its inventory, and exit
 ";
 
 /// Exit code for a command line that cannot be parsed.
