--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,16 +1,16 @@
-//! The errors that end the program.
+//! Errors that terminate the adapter.
 
 use crate::wire::{EventError, ParseError};
 use std::fmt;
 use std::io;
 use thiserror::Error;
 
-/// Number of a line of standard input, from 1. Blank lines count.
+/// Number of a line of standard input. The first line has number 1, and blank lines count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineNumber(usize);
 
 impl LineNumber {
-    /// The number of the line at an index, from 0.
+    /// Returns the number of the line with this index. The first line has index 0.
     #[must_use]
     pub fn of_index(index: usize) -> Self {
         LineNumber(index + 1)
@@ -23,32 +23,32 @@
     }
 }
 
-/// An error that ends the program.
+/// An error that terminates the adapter.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// A line of standard input could not be answered.
+    /// A line of standard input cannot be answered.
     #[error("line {line}: {source}")]
     Line {
-        /// The line.
+        /// Number of the line.
         line: LineNumber,
-        /// The cause.
+        /// Why the line cannot be answered.
         source: LineError,
     },
-    /// A reply could not be encoded to standard output.
-    #[error("cannot write: {0}")]
+    /// The JSON of a reply cannot be encoded, or cannot be written to standard output.
+    #[error("cannot write the reply to standard output: {0}")]
     Encode(#[source] serde_json::Error),
-    /// Standard output failed.
-    #[error("cannot write: {0}")]
+    /// The line break after a reply cannot be written, or standard output cannot be flushed.
+    #[error("cannot write the reply to standard output: {0}")]
     Write(#[source] io::Error),
 }
 
-/// Why a line could not be answered.
+/// Why a line cannot be answered.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// Standard input failed.
-    #[error("cannot read: {0}")]
+    /// Standard input cannot be read.
+    #[error("cannot read standard input: {0}")]
     Read(#[source] io::Error),
-    /// The line is not a batch of events.
+    /// The line is not a valid batch of events.
     #[error(transparent)]
     Parse(#[from] ParseError),
     /// The line contains an event that cannot be handled.
--- a/crates/simulator-adapter/src/instance/decode.rs
+++ b/crates/simulator-adapter/src/instance/decode.rs
@@ -1,4 +1,4 @@
-//! Conversion of the simulator's messages to events for the scheduler.
+//! Converts the simulator's messages to events for the scheduler.
 
 use super::Instance;
 use crate::wire::{
@@ -11,12 +11,12 @@
 };
 
 impl Instance {
-    /// Converts a message. Returns `None` if the scheduler need not handle it, for instance because
-    /// its request is not tracked.
+    /// Converts a message to an event. Returns `None` if there is nothing to handle for the
+    /// scheduler, for example because the request is not tracked.
     ///
     /// # Errors
     ///
-    /// If the message names an unknown class, plan or status.
+    /// Returns an error if the message contains an unknown class, plan or status code.
     pub fn decode_event(&mut self, message: EventMessage) -> Result<Option<Event>, EventError> {
         let event = match message {
             EventMessage::EndpointList { kind, endpoints } => {
@@ -36,7 +36,8 @@
                 id.map(Event::ClientDisconnected)
             }
             EventMessage::HealthCheckCompleted(message) => {
-                // The message may be the first to name the node, which then gets the next id.
+                // The message can be the first to name this node. The lookup then assigns the next
+                // id, so that ids follow the order in which nodes are first named.
                 self.nodes.id(&message.node);
                 None
             }
@@ -44,7 +45,8 @@
                 let attempt = self.decode_attempt(&message)?;
                 attempt.map(Event::AttemptCompleted)
             }
-            // The registry handles starts and stops, and no decision depends on other instances.
+            // The registry handles starts and stops. Messages from other instances are ignored,
+            // because no decision depends on them.
             EventMessage::Start { .. } | EventMessage::Stop {} | EventMessage::PeerMessage {} => {
                 None
             }
@@ -52,7 +54,7 @@
         Ok(event)
     }
 
-    /// Converts the endpoint list.
+    /// Converts an endpoint list, or changes to it.
     fn decode_endpoint_list(&mut self, kind: EndpointListKind, rows: &[EndpointRow]) -> Event {
         let mut endpoints = Vec::with_capacity(rows.len());
         for row in rows {
@@ -61,7 +63,7 @@
         Event::EndpointList(kind.into(), endpoints)
     }
 
-    /// Converts one row of the endpoint list.
+    /// Converts a row of the endpoint list.
     fn decode_endpoint(&mut self, row: &EndpointRow) -> Endpoint {
         Endpoint {
             node: self.nodes.id(&row.node),
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Converts a client's request and starts to track it.
+    /// Converts a client's request and adds it to the tracked requests.
     fn decode_request(&mut self, message: IncomingRequest) -> Result<Request, EventError> {
         let plan = self.plan_index(&message)?;
         let class = self.class_index(&message)?;
@@ -90,7 +92,7 @@
         })
     }
 
-    /// Index of a request's plan in the settings.
+    /// Returns the index of a request's plan in the settings.
     fn plan_index(&self, message: &IncomingRequest) -> Result<PlanIndex, EventError> {
         let index = self
             .plan_names
@@ -102,7 +104,7 @@
         })
     }
 
-    /// Index of a request's class in the settings.
+    /// Returns the index of a request's class in the settings.
     fn class_index(&self, message: &IncomingRequest) -> Result<ClassIndex, EventError> {
         let index = self
             .class_names
@@ -116,8 +118,8 @@
             })
     }
 
-    /// Converts the end of an attempt and updates its request. Returns `None` if the request is not
-    /// tracked.
+    /// Converts the outcome of an attempt and updates the tracked request. Returns `None` if the
+    /// request is not tracked.
     fn decode_attempt(
         &mut self,
         message: &AttemptOutcomeMessage,
@@ -128,8 +130,8 @@
                 status: message.status,
             });
         };
-        // Before the request, as the message may be the first to name the node, which then gets the
-        // next id, whether the request is tracked or not.
+        // The node is looked up before the request: if the message is the first to name the node,
+        // the lookup assigns the next id, even if the request is not tracked.
         let node = self.nodes.id(&message.node);
         let Some(request) = self.requests.id(&message.request) else {
             return Ok(None);
--- a/crates/simulator-adapter/src/instance/encode.rs
+++ b/crates/simulator-adapter/src/instance/encode.rs
@@ -1,4 +1,4 @@
-//! Conversion of the scheduler's actions to messages for the simulator.
+//! Converts the scheduler's actions to messages for the simulator.
 
 use super::Instance;
 use crate::wire::{ActionMessage, TimerName};
@@ -6,8 +6,8 @@
 use io_scheduler::{Action, Micros, NodeId, RequestId};
 
 impl Instance {
-    /// Converts an action and updates the entry of its request. Returns `None` if the request is
-    /// not tracked.
+    /// Converts an action to a message and updates the tracked request. Returns `None` if the
+    /// request is not tracked.
     pub fn encode_action(&mut self, action: &Action, now: Micros) -> Option<ActionMessage> {
         match *action {
             Action::Dispatch {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Converts a dispatch, which adds one to the request's attempts in flight.
+    /// Converts a dispatch and adds one to the request's attempts in flight.
     fn encode_dispatch(
         &mut self,
         request: RequestId,
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Converts the final response "rejected", which closes the request.
+    /// Converts the rejection of a request and closes the request.
     fn encode_rejection(
         &mut self,
         request: RequestId,
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Converts the final response "failed", which closes the request.
+    /// Converts the failure of a request and closes the request.
     fn encode_failure(&mut self, request: RequestId) -> Option<ActionMessage> {
         let request = self.requests.close(request)?;
         Some(ActionMessage::Fail {
@@ -62,7 +62,8 @@
         })
     }
 
-    /// Converts a cancellation. The attempt stays in flight until its outcome is received.
+    /// Converts the cancellation of an attempt. The attempt counts as in flight until its outcome
+    /// is received.
     fn encode_cancellation(&self, request: RequestId, attempt: u32) -> Option<ActionMessage> {
         let request = self.requests.name(request)?;
         Some(ActionMessage::Cancel {
@@ -72,8 +73,8 @@
     }
 }
 
-/// Converts the time at which the timer is to fire, which on the wire is relative. A time that has
-/// passed counts as now.
+/// Converts the time at which the timer fires to a delay from `now`, because the wire has relative
+/// times for timers. The delay is 0 if that time has passed.
 fn encode_timer(at: Micros, now: Micros) -> ActionMessage {
     let delay = (at - now).max(0);
     ActionMessage::SetTimer {
--- a/crates/simulator-adapter/src/instance/mod.rs
+++ b/crates/simulator-adapter/src/instance/mod.rs
@@ -1,5 +1,5 @@
-//! One simulated gateway: its scheduler, and the tables that map names on the wire to the
-//! scheduler's ids.
+//! An instance: one simulated gateway. It consists of a scheduler and of the tables that map names
+//! on the wire to the scheduler's ids.
 
 mod decode;
 mod encode;
@@ -14,30 +14,31 @@
 use requests::RequestTable;
 use zones::ZoneTable;
 
-/// One simulated gateway.
+/// A simulated gateway.
 pub struct Instance {
-    /// Makes the decisions.
+    /// Decides which actions the gateway takes.
     scheduler: Scheduler,
-    /// Names of the classes, in the order of the settings: the scheduler refers to a class by its
-    /// index.
+    /// Names of the classes, in the order of the settings. The scheduler refers to a class by its
+    /// index in this list.
     class_names: Vec<ClassName>,
-    /// Names of the plans, in the order of the settings: the scheduler refers to a plan by its
-    /// index.
+    /// Names of the plans, in the order of the settings. The scheduler refers to a plan by its
+    /// index in this list.
     plan_names: Vec<PlanName>,
-    /// Ids of the zones.
+    /// Ids of the zones that the settings or a message have named.
     zones: ZoneTable,
-    /// Ids of the nodes.
+    /// Ids of the nodes that a message has named.
     nodes: NodeTable,
     /// The requests that messages may still refer to.
     requests: RequestTable,
 }
 
 impl Instance {
-    /// Creates a gateway whose random numbers start from `seed`, at the simulated time `now`.
+    /// Creates an instance. `seed` initializes the scheduler's random number generator, and `now`
+    /// is the current simulated time.
     ///
     /// # Errors
     ///
-    /// If the settings cannot be converted for the scheduler.
+    /// Returns an error if the settings cannot be converted to the scheduler's settings.
     pub fn new(seed: u64, settings: &DeploymentSettings, now: Micros) -> Result<Self, EventError> {
         let scheduler_settings = settings.to_scheduler_settings()?;
         Ok(Instance {
@@ -65,7 +66,7 @@
     }
 }
 
-/// Names of the classes in the settings.
+/// Returns the names of the classes, in the order of the settings.
 fn class_names(settings: &DeploymentSettings) -> Vec<ClassName> {
     settings
         .classes
@@ -74,7 +75,7 @@
         .collect()
 }
 
-/// Names of the plans in the settings.
+/// Returns the names of the plans, in the order of the settings.
 fn plan_names(settings: &DeploymentSettings) -> Vec<PlanName> {
     settings
         .plans
--- a/crates/simulator-adapter/src/instance/requests.rs
+++ b/crates/simulator-adapter/src/instance/requests.rs
@@ -1,4 +1,4 @@
-//! The table of requests that messages may still refer to.
+//! The table of tracked requests: those that messages can still refer to.
 
 use crate::wire::RequestName;
 use io_scheduler::RequestId;
@@ -8,27 +8,27 @@
 struct TrackedRequest {
     /// Name of the request on the wire.
     name: RequestName,
-    /// Number of dispatched attempts whose outcome has not been received.
+    /// Number of attempts that were dispatched and whose outcome has not been received.
     attempts_in_flight: u32,
-    /// Whether the client still waits for the final response.
+    /// Whether the client is still waiting for the final response.
     is_open: bool,
 }
 
-/// Requests by name and by id. A request is tracked until it is closed and no attempt of it is in
-/// flight.
+/// The tracked requests, by name and by id. A request is tracked until it is closed and has no
+/// attempts in flight.
 #[derive(Default)]
 pub struct RequestTable {
-    /// Id of each name; if a name is used again, that of its newest request.
+    /// The id of each name. If several requests have used a name, the id is that of the newest.
     ids: HashMap<RequestName, RequestId>,
     /// The requests by id.
     tracked: HashMap<RequestId, TrackedRequest>,
-    /// Id of the next request, without its type.
+    /// The id of the next request.
     next_id: u64,
 }
 
 impl RequestTable {
-    /// Adds an open request. If its name is already in use, the name refers to the new request from
-    /// now on.
+    /// Adds an open request. If the name is already in use, it refers to the new request from now
+    /// on.
     pub fn add(&mut self, name: RequestName) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -42,21 +42,21 @@
         id
     }
 
-    /// The id of a request; `None` if it is not tracked.
+    /// Returns the id of a request; `None` if it is not tracked.
     #[must_use]
     pub fn id(&self, name: &RequestName) -> Option<RequestId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of a request; `None` if it is not tracked.
+    /// Returns the name of a request; `None` if it is not tracked.
     #[must_use]
     pub fn name(&self, id: RequestId) -> Option<&RequestName> {
         let request = self.tracked.get(&id)?;
         Some(&request.name)
     }
 
-    /// Closes a request, which has its final response or needs none. Returns its name; `None` if it
-    /// is not tracked.
+    /// Closes a request that has its final response or no longer needs one. Returns its name;
+    /// `None` if it is not tracked.
     pub fn close(&mut self, id: RequestId) -> Option<&RequestName> {
         let request = self.tracked.get_mut(&id)?;
         request.is_open = false;
@@ -70,23 +70,23 @@
         Some(id)
     }
 
-    /// Counts an attempt as in flight. Returns the name of its request; `None` if that is not
-    /// tracked.
+    /// Adds one to the attempts in flight of a request. Returns the name of the request; `None` if
+    /// it is not tracked.
     pub fn start_attempt(&mut self, id: RequestId) -> Option<&RequestName> {
         let request = self.tracked.get_mut(&id)?;
         request.attempts_in_flight += 1;
         Some(&request.name)
     }
 
-    /// Counts an attempt as ended. The count stays at 0 if the simulator reports more outcomes than
-    /// there were attempts.
+    /// Subtracts one from the attempts in flight of a request. The count stays at 0 if the
+    /// simulator reports more outcomes than there were attempts.
     pub fn end_attempt(&mut self, id: RequestId) {
         if let Some(request) = self.tracked.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
         }
     }
 
-    /// Removes the closed requests that have no attempt in flight.
+    /// Stops tracking the closed requests that have no attempts in flight.
     pub fn remove_finished(&mut self) {
         self.tracked
             .retain(|_, request| request.is_open || request.attempts_in_flight > 0);
--- a/crates/simulator-adapter/src/instance/zones.rs
+++ b/crates/simulator-adapter/src/instance/zones.rs
@@ -1,21 +1,21 @@
-//! Ids of zones.
+//! The table of the ids of zones.
 
 use crate::wire::ZoneName;
 use io_scheduler::Zone;
 use std::collections::HashMap;
 
-/// Maps the names of zones to ids: those in the settings to their index there, any other name to
-/// the next free id when it first appears.
+/// Maps the names of zones to ids. The id of a zone in the settings is its index there. Any other
+/// zone gets the next unused id when a message first names it.
 pub struct ZoneTable {
-    /// Id of each name.
+    /// The id of each name.
     ids: HashMap<ZoneName, Zone>,
-    /// Id of the next new name, without its type.
+    /// The id of the next new zone.
     next_id: u64,
 }
 
 impl ZoneTable {
-    /// Creates a table of the zones in the settings. A repeated name has its first index; the other
-    /// indices stay unused.
+    /// Creates a table of the zones in the settings. A name that occurs more than once gets its
+    /// first index as the id, and no zone gets the other indices.
     #[must_use]
     pub fn new(names: &[String]) -> Self {
         let mut table = ZoneTable {
@@ -23,24 +23,24 @@
             next_id: 0,
         };
         for name in names {
-            let zone = table.next_zone();
+            let zone = table.allocate_id();
             table.ids.entry(ZoneName(name.clone())).or_insert(zone);
         }
         table
     }
 
-    /// The id of a zone; a new zone gets the next id.
+    /// Returns the id of a zone. A name that is not in the table gets the next id.
     pub fn id(&mut self, name: &ZoneName) -> Zone {
         if let Some(zone) = self.ids.get(name) {
             return *zone;
         }
-        let zone = self.next_zone();
+        let zone = self.allocate_id();
         self.ids.insert(name.clone(), zone);
         zone
     }
 
-    /// Takes the next free id.
-    fn next_zone(&mut self) -> Zone {
+    /// Allocates the next id.
+    fn allocate_id(&mut self) -> Zone {
         let zone = Zone(self.next_id);
         self.next_id += 1;
         zone
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,11 @@
-//! Runs the scheduler under the simulator: reads batches of events from standard input, one JSON
-//! object a line, and writes one line of actions to standard output for each batch.
+//! Adapter that runs the scheduler in the simulator.
 //!
-//! The process hosts any number of simulated gateways ([`registry`]); each has a scheduler of its
-//! own and shares no state with the others ([`instance`]). [`wire`] defines the messages.
+//! The simulator sends batches of events to standard input, one JSON object per line. The adapter
+//! answers each batch with one line of actions on standard output.
+//!
+//! One process hosts any number of simulated gateways, called instances ([`registry`]). Each
+//! instance has its own scheduler and shares no state with the others ([`instance`]). [`wire`]
+//! defines the messages.
 
 #![warn(clippy::missing_docs_in_private_items)]
 
@@ -27,7 +30,7 @@
     }
 }
 
-/// Answers every line of the input until it ends.
+/// Answers the lines of the input until its end or the first error.
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut registry = InstanceRegistry::default();
     for (index, line) in input.split(b'\n').enumerate() {
@@ -42,7 +45,7 @@
     Ok(())
 }
 
-/// Handles the batch of one line and returns the reply; `None` for a blank line.
+/// Parses and handles the batch in a line. Returns the reply, or `None` for a blank line.
 fn answer(
     registry: &mut InstanceRegistry,
     line: io::Result<Vec<u8>>,
@@ -56,8 +59,8 @@
     Ok(Some(reply))
 }
 
-/// Writes one line and flushes it, because the simulator waits for each reply before it sends the
-/// next batch.
+/// Writes a reply as one line and flushes the output, because the simulator waits for the reply
+/// before it sends the next batch.
 fn write_reply(output: &mut impl Write, reply: &ActionBatch) -> Result<(), AdapterError> {
     serde_json::to_writer(&mut *output, reply).map_err(AdapterError::Encode)?;
     output.write_all(b"\n").map_err(AdapterError::Write)?;
--- a/crates/simulator-adapter/src/registry.rs
+++ b/crates/simulator-adapter/src/registry.rs
@@ -1,4 +1,4 @@
-//! The table of simulated gateways that this process hosts.
+//! The registry of the simulated gateways that this process hosts.
 
 use crate::instance::Instance;
 use crate::wire::{
@@ -9,19 +9,21 @@
 use io_scheduler::{Event, Micros};
 use std::collections::BTreeMap;
 
-/// The running instances. They share no state.
+/// The running instances (simulated gateways). They share no state.
 #[derive(Default)]
 pub struct InstanceRegistry {
-    /// The instances that have started and not stopped.
+    /// The instances that were started and have not been stopped.
     instances: BTreeMap<InstanceId, Instance>,
 }
 
 impl InstanceRegistry {
-    /// Passes each instance its events and collects their actions, in the order of the batch.
+    /// Passes the events of a batch to their instances and collects the resulting actions, in the
+    /// order of the batch.
     ///
     /// # Errors
     ///
-    /// If an event cannot be handled; the rest of the batch is then not handled.
+    /// Returns an error at the first event that cannot be handled. The rest of the batch is then
+    /// skipped.
     pub fn handle(&mut self, batch: EventBatch) -> Result<ActionBatch, EventError> {
         let now = micros(batch.now_ms);
         let mut reply = ActionBatch {
@@ -38,9 +40,11 @@
         Ok(reply)
     }
 
-    /// Starts and stops the instance as the messages say, and decodes the others for its scheduler.
-    /// A start or a stop discards the events before it, as the state that they would change is
-    /// lost.
+    /// Decodes the messages to an instance. Messages to start or stop the instance are executed
+    /// here; all others become events for its scheduler.
+    ///
+    /// A start or stop discards the events that precede it in the batch, because the instance loses
+    /// the state that they would change.
     fn decode_events(
         &mut self,
         id: InstanceId,
@@ -69,7 +73,8 @@
         Ok(events)
     }
 
-    /// Passes the events to the instance and returns its actions; none if it is not running.
+    /// Passes the events to an instance and returns its actions. An instance that is not running
+    /// has no actions.
     fn run_instance(
         &mut self,
         id: InstanceId,
@@ -82,7 +87,7 @@
         }
     }
 
-    /// The instance with this id, which has to run.
+    /// Returns the instance with this id. Fails if it is not running.
     fn running_instance(&mut self, id: InstanceId) -> Result<&mut Instance, EventError> {
         self.instances
             .get_mut(&id)
--- a/crates/simulator-adapter/src/wire/actions.rs
+++ b/crates/simulator-adapter/src/wire/actions.rs
@@ -1,88 +1,88 @@
-//! Messages to the simulator. A field in `_ms` is in milliseconds: a point in time of the simulated
-//! clock, or a duration, as its comment says.
+//! Messages to the simulator. A field whose name ends in `_ms` is in milliseconds. Its comment says
+//! whether it is a time of the simulated clock or a duration.
 
 use super::{BatchNumber, InstanceId, NodeName, RequestName, TimerName};
 use serde::Serialize;
 
-/// One line: the reply to one batch of events.
+/// The reply to a batch of events. It is one line of output.
 #[derive(Serialize)]
 pub struct ActionBatch {
-    /// Number of the batch that is answered.
+    /// Number of the batch that this replies to.
     #[serde(rename = "frame")]
     pub number: BatchNumber,
-    /// The actions of each instance that has any.
+    /// The actions by instance. Instances without actions are left out.
     #[serde(rename = "parts")]
     pub instances: Vec<InstanceActions>,
 }
 
-/// The actions of one instance, in order.
+/// The actions of one instance, in the order in which the scheduler issued them.
 #[derive(Serialize)]
 pub struct InstanceActions {
     /// The instance.
     #[serde(rename = "dispatcher_id")]
     pub instance: InstanceId,
-    /// Its actions.
+    /// The actions of the instance.
     #[serde(rename = "output")]
     pub actions: Vec<ActionMessage>,
 }
 
-/// One action of an instance.
+/// An action of an instance.
 #[derive(Serialize)]
 pub enum ActionMessage {
-    /// Dispatch an attempt.
+    /// Dispatch an attempt to a node.
     #[serde(rename = "FORWARD")]
     Dispatch {
         /// The request.
         #[serde(rename = "ref")]
         request: RequestName,
-        /// The node that it goes to.
+        /// The node that the attempt is dispatched to.
         #[serde(rename = "server")]
         node: NodeName,
-        /// Point in time at which the attempt times out.
+        /// Time at which the attempt times out.
         #[serde(rename = "try_until_ms")]
         deadline_ms: f64,
     },
-    /// Final response: rejected; the client may safely retry.
+    /// Send the final response "rejected". The client may safely retry.
     #[serde(rename = "SHED")]
     Reject {
         /// The request.
         #[serde(rename = "ref")]
         request: RequestName,
-        /// Duration for which the client should wait before it retries (Retry-After); 0 for none
-        /// given.
+        /// Retry-After: duration for which the client should wait before it retries; 0 if the
+        /// response does not state one.
         retry_after_ms: f64,
     },
-    /// Final response: failed; the request may have been executed.
+    /// Send the final response "failed". The request may have been executed.
     #[serde(rename = "ABORT")]
     Fail {
         /// The request.
         #[serde(rename = "ref")]
         request: RequestName,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt in flight.
     #[serde(rename = "DROP_ATTEMPT")]
     Cancel {
         /// The request.
         #[serde(rename = "ref")]
         request: RequestName,
-        /// Number among the attempts of the request, from 0.
+        /// Number of the attempt. The first attempt of a request has number 0.
         #[serde(rename = "go")]
         attempt: u32,
     },
-    /// Watch the endpoint list.
+    /// Open a watch on the endpoint list.
     #[serde(rename = "OBSERVE")]
     OpenWatch {
         /// Always true: the adapter never closes a watch.
         #[serde(rename = "on")]
         open: bool,
     },
-    /// Set a timer.
+    /// Set the timer of the instance.
     #[serde(rename = "DEFER")]
     SetTimer {
         /// The timer.
         #[serde(rename = "ref")]
         timer: TimerName,
-        /// Duration until it fires.
+        /// Duration until the timer fires.
         #[serde(rename = "wait_ms")]
         delay_ms: f64,
     },
--- a/crates/simulator-adapter/src/wire/attempt.rs
+++ b/crates/simulator-adapter/src/wire/attempt.rs
@@ -1,49 +1,52 @@
-//! The end of an attempt as the simulator sends it.
+//! The message about the outcome of an attempt.
 
 use super::{NodeName, RequestName, StatusCode};
 use serde::Deserialize;
 
-/// Value of the usage report for a use of 0%; smaller values stand for no report.
-const USAGE_OF_ZERO_PERCENT: f64 = 1.0;
+/// Offset of the percentage in the usage report: 1 means 0%. A value below it means that there is
+/// no report.
+const USAGE_OFFSET: f64 = 1.0;
 
-/// Percent in the whole.
-const PERCENT: f64 = 100.0;
+/// The percentage that corresponds to a fraction of 1.
+const FULL_PERCENTAGE: f64 = 100.0;
 
-/// The end of an attempt.
+/// The outcome of an attempt.
 #[derive(Deserialize)]
 pub struct AttemptOutcomeMessage {
     /// The request.
     #[serde(rename = "ref")]
     pub request: RequestName,
-    /// How the attempt ended.
+    /// Status code with which the attempt ended.
     pub status: StatusCode,
-    /// Whether the request has its final response.
+    /// Whether the client has the final response, so that the request is closed.
     #[serde(default, rename = "complete")]
     pub request_closed: bool,
-    /// The node that it went to.
+    /// The node that the attempt was dispatched to.
     #[serde(rename = "server")]
     pub node: NodeName,
-    /// Duration since the dispatch, in milliseconds.
+    /// Duration of the attempt since its dispatch, in milliseconds.
     #[serde(default, rename = "time_taken_ms")]
     pub elapsed_ms: f64,
-    /// Units that the node served for the volume through other gateways since its last response.
+    /// Units that the node served for the volume through other gateways since its previous
+    /// response.
     #[serde(default, rename = "delta")]
     pub remote_units: f64,
-    /// Number among the attempts of the request, from 0.
+    /// Number of the attempt. The first attempt of a request has number 0.
     #[serde(default, rename = "go")]
     pub attempt: u32,
-    /// Usage report: 1 plus the percentage of the provisioned rate that the volume used; below 1
-    /// for none.
+    /// Usage report: 1 plus the percentage of its provisioned rate that the volume used. A value
+    /// below 1 means that there is no report.
     #[serde(default, rename = "used")]
     pub usage: f64,
 }
 
 impl AttemptOutcomeMessage {
-    /// Fraction of the provisioned rate that the volume used, if the message reports it.
+    /// Returns the fraction of its provisioned rate that the volume used; `None` if the message has
+    /// no usage report.
     #[must_use]
     pub fn utilization(&self) -> Option<f64> {
-        if self.usage >= USAGE_OF_ZERO_PERCENT {
-            Some((self.usage - USAGE_OF_ZERO_PERCENT) / PERCENT)
+        if self.usage >= USAGE_OFFSET {
+            Some((self.usage - USAGE_OFFSET) / FULL_PERCENTAGE)
         } else {
             None
         }
--- a/crates/simulator-adapter/src/wire/endpoint_list.rs
+++ b/crates/simulator-adapter/src/wire/endpoint_list.rs
@@ -1,23 +1,23 @@
-//! The endpoint list as the simulator sends it.
+//! The message with the endpoint list or changes to it.
 
 use super::{NodeName, ZoneName};
 use deployment_settings::micros;
 use io_scheduler::{EndpointListEvent, EndpointStatus, Micros};
 use serde::Deserialize;
 
-/// What the rows of a message are.
+/// The kind of an endpoint list message, which determines how its rows are applied.
 #[derive(Clone, Copy, Deserialize)]
 pub enum EndpointListKind {
-    /// The list that the gateway cached before it started.
+    /// The complete list that the gateway had cached before it started.
     #[serde(rename = "SAVED")]
     Cached,
-    /// The complete list.
+    /// The complete current list.
     #[serde(rename = "FULL")]
     Snapshot,
-    /// The rows that changed.
+    /// Only the rows that changed.
     #[serde(rename = "INCREMENTAL")]
     Delta,
-    /// The poll failed; there are no rows.
+    /// The poll failed. The message has no rows.
     #[serde(rename = "FAILED")]
     PollFailed,
 }
@@ -33,28 +33,28 @@
     }
 }
 
-/// One row: a storage node.
+/// A row of the endpoint list, which describes one storage node.
 #[derive(Deserialize)]
 pub struct EndpointRow {
-    /// The zone of the node; empty if absent.
+    /// Zone of the node; an absent zone counts as empty.
     #[serde(default, rename = "az")]
     pub zone: ZoneName,
-    /// The node.
+    /// Name of the node.
     #[serde(rename = "server")]
     pub node: NodeName,
-    /// Number of the shard that it holds.
+    /// Number of the shard whose objects the node stores; absent counts as 0.
     #[serde(default, rename = "unit_group")]
     pub shard: u64,
-    /// Whether it accepts requests.
+    /// Whether the node accepts requests.
     pub condition: EndpointCondition,
-    /// Point in time of the simulated clock at which it last started, in milliseconds; absent or 0
-    /// if that is not known.
+    /// Time of the simulated clock at which the node last started, in milliseconds; absent or 0 if
+    /// unknown.
     #[serde(rename = "online_since_ms")]
     pub started_at_ms: Option<f64>,
 }
 
 impl EndpointRow {
-    /// When the node last started, if that is known.
+    /// Returns the time at which the node last started; `None` if it is unknown.
     #[must_use]
     pub fn started_at(&self) -> Option<Micros> {
         let started_at_ms = self.started_at_ms?;
@@ -66,16 +66,16 @@
     }
 }
 
-/// Condition of a storage node.
+/// The status of a storage node in the endpoint list.
 #[derive(Clone, Copy, Deserialize)]
 pub enum EndpointCondition {
-    /// It accepts requests.
+    /// The node accepts requests.
     #[serde(rename = "SERVING")]
     InService,
-    /// It completes its requests and accepts no new ones.
+    /// The node completes the requests that it has, but accepts no new ones.
     #[serde(rename = "DRAINING")]
     Draining,
-    /// It was removed from the list.
+    /// The node was removed from the list.
     #[serde(rename = "DELETED")]
     Removed,
 }
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,7 +1,7 @@
-//! What can be wrong with a line of input.
+//! Errors in the content of a line of input.
 //!
-//! The texts name messages and fields as they are on the wire, since their reader looks for them in
-//! that line.
+//! The texts contain the names of messages and fields on the wire, so that they can be found in the
+//! line.
 
 use super::{ClassName, InstanceId, PlanName, RequestName, StatusCode};
 use deployment_settings::UnknownValue;
@@ -15,48 +15,58 @@
     Field {
         /// Path of the field within the batch.
         path: String,
-        /// The cause.
+        /// The decoder's error.
         source: serde_json::Error,
     },
-    /// Something follows the batch.
-    #[error("after the batch: {0}")]
+    /// Something other than whitespace follows the batch.
+    #[error("unexpected data after the batch: {0}")]
     TrailingData(#[source] serde_json::Error),
 }
 
-/// Why an event of a valid batch cannot be handled.
+/// Why an event in a well-formed batch cannot be handled.
 #[derive(Debug, Error)]
 pub enum EventError {
-    /// The instance has not been started, or has stopped.
-    #[error("dispatcher_id {instance}: event before ENLIST")]
+    /// The instance is not running: it was not started, or it was stopped.
+    #[error(
+        "dispatcher_id {instance}: event for an instance that is not running; expected ENLIST"
+    )]
     NotStarted {
         /// The instance.
         instance: InstanceId,
     },
-    /// The settings of an instance have a value that is not known.
+    /// A setting of the instance has an unknown value.
     #[error("ENLIST: {0}")]
     Settings(#[from] UnknownValue),
-    /// The settings do not have the plan of a request.
-    #[error("INCOMING {request}: field qos_class: '{plan}' is not in the settings")]
+    /// The settings define no plan with the name that a request has.
+    #[error(
+        "INCOMING {request}: field qos_class: unknown plan '{plan}'; expected one of info.plans"
+    )]
     UnknownPlan {
         /// The request.
         request: RequestName,
-        /// The unknown plan.
+        /// Name of the unknown plan.
         plan: PlanName,
     },
-    /// The settings do not have the class of a request.
-    #[error("INCOMING {request}: field lane: '{class}' is not in the settings")]
+    /// The settings define no class with the name that a request has.
+    #[error(
+        "INCOMING {request}: field lane: unknown class '{class}'; expected one of info.classes"
+    )]
     UnknownClass {
         /// The request.
         request: RequestName,
-        /// The unknown class.
+        /// Name of the unknown class.
         class: ClassName,
     },
-    /// The status of an attempt is not one of the simulator's.
-    #[error("OUTCOME {request}: field status: {status} is not an outcome")]
+    /// The status code of an attempt is not one of the constants of [`StatusCode`], which the text
+    /// lists.
+    #[error(
+        "OUTCOME {request}: field status: unknown status code {status}; expected 200, 408, 409, \
+         429, 444, 502, 520 or 521"
+    )]
     UnknownStatus {
         /// The request of the attempt.
         request: RequestName,
-        /// The unknown status.
+        /// The unknown status code.
         status: StatusCode,
     },
 }
--- a/crates/simulator-adapter/src/wire/events.rs
+++ b/crates/simulator-adapter/src/wire/events.rs
@@ -1,4 +1,4 @@
-//! Batches of messages from the simulator.
+//! Messages from the simulator, and the batches that contain them.
 
 use super::{
     AttemptOutcomeMessage, BatchNumber, EndpointListKind, EndpointRow, IncomingRequest, InstanceId,
@@ -7,50 +7,50 @@
 use deployment_settings::DeploymentSettings;
 use serde::Deserialize;
 
-/// One line: what happened at one point in time.
+/// The events of one time of the simulated clock. It is one line of input.
 #[derive(Deserialize)]
 pub struct EventBatch {
     /// The current time of the simulated clock, in milliseconds.
     #[serde(rename = "sim_time_ms")]
     pub now_ms: f64,
-    /// Number of the batch; the reply repeats it.
+    /// Number of the batch; the reply has the same number.
     #[serde(default, rename = "frame")]
     pub number: BatchNumber,
-    /// The events of each instance.
+    /// The events by instance.
     #[serde(default, rename = "parts")]
     pub instances: Vec<InstanceEvents>,
 }
 
-/// The events of one instance, in order.
+/// The events of one instance, in the order in which they occurred.
 #[derive(Deserialize)]
 pub struct InstanceEvents {
     /// The instance.
     #[serde(rename = "dispatcher_id")]
     pub instance: InstanceId,
-    /// Its events.
+    /// The events of the instance.
     #[serde(default, rename = "msgs")]
     pub events: Vec<EventMessage>,
 }
 
-/// One event of an instance.
+/// An event of an instance.
 #[derive(Deserialize)]
 pub enum EventMessage {
-    /// The instance starts, or starts anew and loses its state.
+    /// The instance starts. If it is already running, it restarts and loses its state.
     #[serde(rename = "ENLIST")]
     Start {
-        /// Seed of its random numbers.
+        /// Seed of the scheduler's random number generator.
         #[serde(rename = "rng_seed")]
         seed: u64,
         /// Settings of the deployment.
         #[serde(rename = "info")]
         settings: Box<DeploymentSettings>,
     },
-    /// The endpoint list, changes to it, or a failure to fetch it.
+    /// The endpoint list, changes to it, or a failed poll.
     #[serde(rename = "TARGETS")]
     EndpointList {
-        /// What the rows are.
+        /// Whether the rows are the complete list or changes to it.
         kind: EndpointListKind,
-        /// The rows.
+        /// The rows of the list; empty if the poll failed.
         #[serde(default, rename = "rows_in")]
         endpoints: Vec<EndpointRow>,
     },
@@ -60,7 +60,7 @@
     /// The timer of the instance fired.
     #[serde(rename = "ELAPSED")]
     TimerFired {},
-    /// The response to a request has begun: from now on the client receives it.
+    /// The client has begun to receive the response to a request.
     #[serde(rename = "UNDER_WAY")]
     ResponseStarted {
         /// The request.
@@ -70,7 +70,7 @@
     /// The instance stops and loses its state.
     #[serde(rename = "POWER_OFF")]
     Stop {},
-    /// A message from another instance; it is ignored.
+    /// A message from another instance, which the adapter ignores.
     #[serde(rename = "FROM_PEER")]
     PeerMessage {},
     /// The client of a request disconnected.
@@ -80,18 +80,19 @@
         #[serde(rename = "ref")]
         request: RequestName,
     },
-    /// A health check ended.
+    /// A health check completed.
     #[serde(rename = "PING_RESULT")]
     HealthCheckCompleted(HealthCheckMessage),
-    /// An attempt ended.
+    /// An attempt completed, whatever its outcome.
     #[serde(rename = "OUTCOME")]
     AttemptCompleted(AttemptOutcomeMessage),
 }
 
-/// The end of a health check. The adapter requests none; other fields of the message are ignored.
+/// The result of a health check. The adapter requests no health checks, so it decodes only the node
+/// and ignores the other fields.
 #[derive(Deserialize)]
 pub struct HealthCheckMessage {
-    /// The node.
+    /// The node that was checked.
     #[serde(rename = "server")]
     pub node: NodeName,
 }
--- a/crates/simulator-adapter/src/wire/ids.rs
+++ b/crates/simulator-adapter/src/wire/ids.rs
@@ -1,9 +1,10 @@
-//! Identifiers on the wire. Each kind has a type of its own, so that one is not taken for another.
+//! Identifiers on the wire. Each kind has its own type, so that the compiler rejects one kind in
+//! the place of another.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Defines types of identifiers on the wire, which cannot be mistaken for each other.
+/// Defines a newtype for each kind of identifier.
 macro_rules! identifiers {
     ($($(#[$attribute:meta])* $name:ident($value:ty)),*) => {$(
         $(#[$attribute])*
@@ -20,30 +21,30 @@
 }
 
 identifiers! {
-    /// A batch of events; its reply bears the same number.
+    /// Number of a batch of events; the reply has the same number.
     #[derive(Copy, Default)]
     BatchNumber(u64),
-    /// A simulated gateway; it keeps its id when it restarts.
+    /// Id of an instance (a simulated gateway), which it keeps when it restarts.
     #[derive(Copy)]
     InstanceId(u64),
-    /// A request of a client.
+    /// Name of a client's request.
     RequestName(String),
-    /// A storage node; it keeps its name when it restarts.
+    /// Name of a storage node, which it keeps when it restarts.
     NodeName(String),
-    /// A zone of storage nodes.
+    /// Name of a zone of storage nodes.
     #[derive(Default)]
     ZoneName(String),
-    /// A class of request, as in the settings.
+    /// Name of a request class in the settings.
     ClassName(String),
-    /// A plan, as in the settings.
+    /// Name of a plan in the settings.
     PlanName(String)
 }
 
-/// A timer of an instance.
+/// The name of a timer of an instance.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub enum TimerName {
-    /// The timer that the scheduler sets. An instance has no other, so the name of one that fired
-    /// is not decoded.
+    /// The timer that the scheduler sets. An instance has no other timer, so the adapter does not
+    /// decode the name of a timer that fired.
     #[serde(rename = "wake")]
     Scheduler,
 }
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,11 +1,11 @@
-//! The simulator's messages.
+//! The messages that the simulator and the adapter exchange.
 //!
-//! The names on the wire stand only in this module: fields and variants bear the project's terms,
-//! and `serde(rename)` states their spelling on the wire. Numbers that stand for something else,
-//! such as a negative shard for a new object, are interpreted here as well.
+//! Only this module contains the names that are used on the wire. The fields and variants are named
+//! by the usual terms, and `serde(rename)` states the name on the wire where it differs. Special
+//! values of numbers, such as a negative shard for a new object, are also interpreted here.
 //!
-//! serde's error texts contain the names of these types and variants and their number of fields.
-//! They are output of the program, which a rename here changes.
+//! serde's error messages contain the names of these types and variants, and how many fields they
+//! have. Changing one of these changes what the adapter prints on an invalid line.
 
 mod actions;
 mod attempt;
@@ -27,11 +27,11 @@
 pub use request::IncomingRequest;
 pub use status::StatusCode;
 
-/// Parses one line of input.
+/// Parses a line of input as a batch of events.
 ///
 /// # Errors
 ///
-/// If the line is not exactly one batch.
+/// Returns an error if the line is not a valid batch, or if anything follows the batch.
 pub fn parse(line: &[u8]) -> Result<EventBatch, ParseError> {
     let mut json = serde_json::Deserializer::from_slice(line);
     let batch = serde_path_to_error::deserialize(&mut json).map_err(|error| ParseError::Field {
--- a/crates/simulator-adapter/src/wire/status.rs
+++ b/crates/simulator-adapter/src/wire/status.rs
@@ -4,30 +4,30 @@
 use serde::Deserialize;
 use std::fmt;
 
-/// A status code as the simulator sends it. It may be one that this program does not know.
+/// A status code of an attempt. The type can hold codes that the adapter does not know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct StatusCode(u32);
 
 impl StatusCode {
-    /// Served; of a health check: the node is healthy.
+    /// The node served the attempt. For a health check: the node is healthy.
     pub const OK: StatusCode = StatusCode(200);
     /// The attempt timed out.
     pub const TIMED_OUT: StatusCode = StatusCode(408);
     /// The gateway did not dispatch the attempt.
     pub const NOT_DISPATCHED: StatusCode = StatusCode(409);
-    /// The node rejected the attempt for lack of capacity.
+    /// The node rejected the attempt because it lacked capacity.
     pub const OVERLOADED: StatusCode = StatusCode(429);
     /// The attempt was cancelled.
     pub const CANCELLED: StatusCode = StatusCode(444);
-    /// The node answered with an error.
+    /// The node responded with an error.
     pub const ERROR: StatusCode = StatusCode(502);
-    /// The connection was reset.
+    /// The connection to the node was reset.
     pub const RESET: StatusCode = StatusCode(520);
-    /// No connection could be established.
+    /// The connection to the node could not be established.
     pub const CONNECT_FAILED: StatusCode = StatusCode(521);
 
-    /// The outcome of an attempt with this status; `None` if the code is not known.
+    /// Returns the outcome of an attempt with this status code; `None` if the code is unknown.
     #[must_use]
     pub fn outcome(self) -> Option<Outcome> {
         match self {
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a program: hand-written lines in, replies and error texts out.
+//! Tests that run the adapter as a process, send it lines, and check its replies and error texts.
 
 use serde_json::{json, Value};
 use std::io::Write;
@@ -11,7 +11,7 @@
     events: Vec<Value>,
 }
 
-/// One line of input.
+/// A batch of events, which is one line of input.
 struct Batch {
     frame: u64,
     now_ms: f64,
@@ -19,7 +19,7 @@
 }
 
 impl Batch {
-    /// A batch without events.
+    /// Creates a batch without events.
     fn new(frame: u64, now_ms: f64) -> Batch {
         Batch {
             frame,
@@ -28,20 +28,20 @@
         }
     }
 
-    /// Adds the events of an instance.
+    /// Adds events of an instance.
     fn with(mut self, instance: u64, events: Vec<Value>) -> Batch {
         self.parts.push(InstanceEvents { instance, events });
         self
     }
 
-    /// The batch with the events of these instances only.
+    /// Returns the batch with the events of these instances only.
     fn only_of(&self, instances: &[u64]) -> Batch {
         let mut parts = self.parts.clone();
         parts.retain(|part| instances.contains(&part.instance));
         Batch { parts, ..*self }
     }
 
-    /// The batch as the simulator sends it.
+    /// Returns the batch as a line of JSON.
     fn line(&self) -> String {
         let mut parts = Vec::new();
         for InstanceEvents { instance, events } in &self.parts {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Runs the adapter until it has read these lines or stops at one of them.
+/// Runs the adapter on these lines, until it has read all of them or stops at an invalid one.
 fn run_adapter(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -60,13 +60,13 @@
         .spawn()
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("standard input is piped");
-    // An adapter that stops at an invalid line closes its input early.
+    // The write fails if the adapter has stopped at an invalid line before the end of the input.
     let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
     drop(input);
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// The replies to batches that are all valid.
+/// Returns the replies to the batches, all of which must be valid.
 fn replies(batches: &[Batch]) -> Vec<Value> {
     let lines: Vec<String> = batches.iter().map(Batch::line).collect();
     let output = run_adapter(&lines);
@@ -81,7 +81,7 @@
         .collect()
 }
 
-/// The error text for a line that follows a valid one, which starts instance 0.
+/// Returns the error text for an invalid second line. The first line starts instance 0.
 fn error_text(line: &str) -> String {
     let start = Batch::new(0, 1.0).with(0, start_events());
     let output = run_adapter(&[start.line(), line.to_owned()]);
@@ -110,11 +110,11 @@
         "rules": {
             "cold_from": 0.2, "cold_ms": 17000.0, "fall_ms": 1000.0, "must_ask_in_ms": 10000.0
         },
-        "unheard_of": {"x": [1, 2]}
+        "unknown_key": {"x": [1, 2]}
     })
 }
 
-/// The events that start an instance with one node.
+/// Returns the events that start an instance with one node.
 fn start_events() -> Vec<Value> {
     vec![
         json!({"ENLIST": {"rng_seed": 5, "info": settings()}}),
@@ -135,7 +135,7 @@
     json!({"ELAPSED": {"ref": "wake"}})
 }
 
-/// The actions of an instance in a reply.
+/// Returns the actions of an instance in a reply.
 fn actions_of(reply: &Value, instance: u64) -> Vec<Value> {
     let parts = reply["parts"].as_array().expect("parts is a list");
     let part = parts.iter().find(|part| part["dispatcher_id"] == instance);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_request_is_dispatched_and_an_empty_batch_gets_an_empty_reply() {
+fn request_is_dispatched_and_empty_batch_gets_empty_reply() {
     let replies = replies(&[
         Batch::new(0, 1.0),
         Batch::new(1, 2.0).with(3, start_events()),
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn each_action_has_its_message() {
+fn each_action_is_encoded_as_its_message() {
     let mut start = start_events();
     start[0]["ENLIST"]["info"]["classes"][0]["effect"] = json!("side_effect");
     let timed_out = json!({"OUTCOME": {"ref": "c:a", "status": 408, "server": "10.0.0.1:1"}});
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_restart_within_a_batch_drops_pending_requests() {
+fn restart_within_a_batch_drops_pending_requests() {
     let mut restart = vec![request_received("c:a", 900.0), json!({"POWER_OFF": {}})];
     restart.extend(start_events());
     let late_outcome = json!({"OUTCOME": {"ref": "c:a", "status": 502, "server": "10.0.0.1:1"}});
@@ -233,8 +233,8 @@
     assert!(!has_action(&after_outcome, "SHED") && !has_action(&after_outcome, "FORWARD"));
 }
 
-/// The batches of 40 requests to each of two instances; the first also learns how its attempts
-/// ended.
+/// Returns batches that send 40 requests to each of two instances. Only the first instance also
+/// gets the outcomes of its attempts.
 fn batches_of_two_instances() -> Vec<Batch> {
     let served = |request: &str| {
         json!({"OUTCOME": {"ref": request, "status": 200, "complete": true, "server": "10.0.0.1:1",
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn instances_act_the_same_in_one_process_and_in_separate_ones() {
+fn instances_in_one_process_act_as_in_separate_processes() {
     let batches = batches_of_two_instances();
     let replies_for = |instances: &[u64]| {
         let batches: Vec<Batch> = batches
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn an_invalid_line_is_reported_with_its_number_and_field() {
+fn invalid_line_is_reported_with_its_number_and_field() {
     assert!(error_text("{not json").contains("simulator-adapter"));
     assert!(error_text_of_event(json!({"NEWS": {}})).contains("NEWS"));
     let missing_fields = json!({"INCOMING": {"ref": "c:a"}});
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn an_error_text_states_the_line_the_event_and_the_cause() {
+fn error_text_states_the_line_the_event_and_the_cause() {
     let mut unknown_idempotency = settings();
     unknown_idempotency["classes"][0]["effect"] = json!("sometimes");
     let mut unknown_plan = request_received("c:a", 5.0);
@@ -321,15 +321,16 @@
         ),
         (
             unknown_plan,
-            "INCOMING c:a: field qos_class: 'gold' is not in the settings",
+            "INCOMING c:a: field qos_class: unknown plan 'gold'; expected one of info.plans",
         ),
         (
             unknown_class,
-            "INCOMING c:a: field lane: 'nowhere' is not in the settings",
+            "INCOMING c:a: field lane: unknown class 'nowhere'; expected one of info.classes",
         ),
         (
             json!({"OUTCOME": {"ref": "c:a", "status": 299, "server": "10.0.0.1:1"}}),
-            "OUTCOME c:a: field status: 299 is not an outcome",
+            "OUTCOME c:a: field status: unknown status code 299; expected 200, 408, 409, 429, 444, \
+             502, 520 or 521",
         ),
     ] {
         assert_eq!(
@@ -338,10 +339,10 @@
         );
     }
     let not_started = Batch::new(1, 2.0).with(7, vec![timer_fired()]);
-    let expected = "simulator-adapter: line 2: dispatcher_id 7: event before ENLIST\n";
+    let expected = "simulator-adapter: line 2: dispatcher_id 7: event for an instance that is not \
+                    running; expected ENLIST\n";
     assert_eq!(error_text(&not_started.line()), expected);
     let trailing = Batch::new(1, 2.0).line() + "{}";
-    assert!(
-        error_text(&trailing).starts_with("simulator-adapter: line 2: after the batch: trailing")
-    );
+    assert!(error_text(&trailing)
+        .starts_with("simulator-adapter: line 2: unexpected data after the batch: trailing"));
 }
