--- a/crates/gateway/src/config/error.rs
+++ b/crates/gateway/src/config/error.rs
@@ -27,7 +27,7 @@
     },
     /// The JSON does not match the configuration's schema: a key is missing or unknown, or its
     /// value has the wrong type.
-    #[error("{file}: {key}: {source}")]
+    #[error("{file}: {key}: cannot decode: {source}")]
     Undecodable {
         /// Path of the file, or the environment variable that names it.
         file: String,
--- a/crates/gateway/src/config/sftp.rs
+++ b/crates/gateway/src/config/sftp.rs
@@ -56,7 +56,7 @@
         if settings.storage.shard_count == 0 {
             return Err(ConfigError::missing(
                 keys::SHARD_COUNT,
-                "a number of shards above 0, which sftp requires",
+                "a number of shards above 0, which the SFTP listener requires",
             ));
         }
         let classes = ClassLookup { settings };
