--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -19,7 +19,7 @@
     pub permissions: AllowedFeatures,
     /// Request classes. The scheduler refers to a class by its index in this list.
     pub classes: Vec<ClassSettings>,
-    /// How gateways learn the endpoint list.
+    /// How gateways get the endpoint list.
     pub discovery: DiscoverySetting,
     /// Whether a discovery agent runs on the gateway's host. The discovery service pushes the
     /// endpoint list to the agent, and the gateway polls the agent. The settings object has no key
@@ -37,7 +37,7 @@
     /// Contents of a node's load report. The gateway does not use this field.
     #[serde(rename = "report")]
     pub load_report: ReportSettings,
-    /// Parameters of slow start, retries, polling and draining that every gateway must follow.
+    /// Parameters of slow start, retries, polling, draining and ordering for every gateway.
     pub rules: RuleSettings,
     /// Names of the zones of the storage nodes.
     pub zones: Vec<String>,
@@ -134,8 +134,8 @@
     pub writes: Vec<bool>,
 }
 
-/// A plan: the service that a volume is entitled to. The values apply to each volume of the plan,
-/// summed over all gateways and nodes.
+/// A plan: reservation, weight, limit and provisioned rate of a volume. The values apply to each
+/// volume of the plan, summed over all gateways and nodes.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 pub struct PlanSettings {
@@ -175,7 +175,7 @@
     pub value_names: Vec<String>,
 }
 
-/// Parameters of slow start, retries, polling and draining that every gateway must follow.
+/// Parameters of slow start, retries, polling, draining and ordering for every gateway.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 pub struct RuleSettings {
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// How gateways learn the endpoint list.
+/// How gateways get the endpoint list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(from = "String")]
 pub enum DiscoverySetting {
