--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -9,9 +9,9 @@
 
 /// Printed by `--help`, and on standard error if the command line is invalid.
 const USAGE: &str = "\
-usage: storage-gateway                          serve with the file that ROUTER_CONFIG names
-       storage-gateway --config FILE            serve with an operator's file, with a console
-       storage-gateway --config FILE --check    check the file and its inventory, then exit
+usage: storage-gateway                          run with the file that ROUTER_CONFIG names
+       storage-gateway --config FILE            run with an operator's file and open a console
+       storage-gateway --config FILE --check    check an operator's file and its inventory, and exit
 ";
 
 /// Exit code for an invalid command line.
