--- a/crates/gateway/tests/in_process/discovery.rs
+++ b/crates/gateway/tests/in_process/discovery.rs
@@ -1,30 +1,34 @@
-//! The watch on discovery's endpoint list: its response is parsed in pieces of any size and under
-//! any framing.
+//! Parsing of the discovery service's response to a watch on the endpoint list. The response may
+//! arrive in pieces of any size and with any HTTP/1.1 framing.
 
 use io_scheduler::EndpointStatus;
 use storage_gateway::discovery::WatchParser;
 use storage_gateway::endpoint::EndpointListUpdate;
 
-/// The list indices of the updates.
-fn indices(updates: &[EndpointListUpdate]) -> Vec<u64> {
+/// Returns the endpoint list index of each update.
+fn list_indices(updates: &[EndpointListUpdate]) -> Vec<u64> {
     updates.iter().map(|update| update.index).collect()
 }
 
 #[test]
-fn chunked_watch_response_is_parsed_byte_by_byte() {
+fn chunked_watch_response_that_arrives_byte_by_byte_is_parsed() {
     let response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n\
                     1\r\n\n\r\n8\r\n{\"index\"\r\n5\r\n:43}\n\r\n1\r\n\n\r\n0\r\n\r\n";
     let (mut parser, mut updates) = (WatchParser::default(), Vec::new());
     for byte in response.as_bytes() {
-        parser.feed(&[*byte], &mut updates).expect("well formed");
+        parser
+            .feed(&[*byte], &mut updates)
+            .expect("the response should be valid");
     }
-    assert_eq!(indices(&updates), [43]);
+    assert_eq!(list_indices(&updates), [43]);
     assert!(parser.is_complete());
 }
 
+/// A response is invalid if its status is not 200, its framing is malformed or its body is not a
+/// stream of JSON objects.
 #[test]
-fn malformed_watch_response_is_an_error() {
-    let malformed = [
+fn invalid_watch_response_is_an_error() {
+    let invalid_responses = [
         "HTTP/1.1 503 Busy\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\nwords",
         "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
@@ -32,16 +36,16 @@
         "HTTP/1.1 101 Switching\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
     ];
-    for response in malformed {
+    for response in invalid_responses {
         let result = WatchParser::default().feed(response.as_bytes(), &mut Vec::new());
         assert!(result.is_err(), "{response:?}");
     }
 }
 
-/// A list may be indented, and its response chunked, of a stated length or of none, after
-/// informational responses.
+/// The JSON of an update may be indented. The body may be chunked, have a Content-Length or end
+/// when the connection is closed, and a 1xx response may come first.
 #[test]
-fn endpoint_list_is_parsed_under_every_http_framing() {
+fn endpoint_list_is_parsed_with_every_http_framing() {
     let list = "{\n  \"index\": 7,\n  \"endpoints\": [\n    \
                 {\"name\": \"a }\\\" {\", \"address\": \"127.0.0.1:1\",\n \
                 \"status\": \"in_service\"}\n  ]\n}\n";
@@ -54,14 +58,17 @@
     );
     let fixed_length = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
     let until_close = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}");
-    // Only a stated length says that the list is complete.
-    for (response, complete) in [(chunked, false), (fixed_length, true), (until_close, false)] {
+    // Only the response with a Content-Length is complete: the last chunk has not arrived in the
+    // chunked response, and the connection has not been closed in the third one.
+    for (response, is_complete) in [(chunked, false), (fixed_length, true), (until_close, false)] {
         for piece_length in [1, response.len()] {
             let (mut parser, mut updates) = (WatchParser::default(), Vec::new());
             for piece in response.as_bytes().chunks(piece_length) {
-                parser.feed(piece, &mut updates).expect("well formed");
+                parser
+                    .feed(piece, &mut updates)
+                    .expect("the response should be valid");
             }
-            assert_eq!(indices(&updates), [7, 8, 9], "{response}");
+            assert_eq!(list_indices(&updates), [7, 8, 9], "{response}");
             let names: Vec<_> = updates[0]
                 .listed_endpoints()
                 .map(|endpoint| endpoint.record.name)
@@ -69,32 +76,36 @@
             assert_eq!(names, ["a }\" {"]);
             assert_eq!(
                 (parser.is_complete(), parser.is_mid_object()),
-                (complete, false)
+                (is_complete, false)
             );
         }
     }
 }
 
+/// A JSON object that never ends must be rejected once it exceeds the maximum length or nesting
+/// depth; otherwise the parser would buffer it without bound.
 #[test]
-fn object_without_end_or_nested_too_deeply_is_an_error() {
+fn json_object_that_is_too_long_or_nested_too_deeply_is_an_error() {
     let head = "HTTP/1.1 200 OK\r\n\r\n";
-    let endless = [
+    let endless_objects = [
         ("{\"endpoints\":[", "{\"name\":\"n\"},", 100_000),
         ("{\"a\":", "[", 20),
     ];
-    for (beginning, repeated, times) in endless {
+    for (start, repeated, count) in endless_objects {
         let (mut parser, mut updates) = (WatchParser::default(), Vec::new());
         parser
-            .feed(format!("{head}{beginning}").as_bytes(), &mut updates)
-            .expect("the object may still be completed");
+            .feed(format!("{head}{start}").as_bytes(), &mut updates)
+            .expect("the start of the object should be accepted");
         assert!(parser.is_mid_object());
-        let result = (0..times).try_for_each(|_| parser.feed(repeated.as_bytes(), &mut updates));
-        assert!(result.is_err() && updates.is_empty(), "{beginning}");
+        let result = (0..count).try_for_each(|_| parser.feed(repeated.as_bytes(), &mut updates));
+        assert!(result.is_err() && updates.is_empty(), "{start}");
     }
 }
 
+/// A later version of the discovery service may add a status. A node with such a status must get
+/// no new requests.
 #[test]
-fn endpoint_of_unknown_status_is_treated_as_draining() {
+fn endpoint_with_unknown_status_is_treated_as_draining() {
     let text =
         "{\"endpoints\":[{\"name\":\"n\",\"address\":\"127.0.0.1:1\",\"status\":\"paused\"}]}\n";
     let mut response = format!(
@@ -105,7 +116,7 @@
     let mut updates = Vec::new();
     WatchParser::default()
         .feed(response.as_bytes(), &mut updates)
-        .expect("well formed");
+        .expect("the response should be valid");
     let statuses: Vec<_> = updates[0]
         .listed_endpoints()
         .map(|endpoint| endpoint.record.status)
--- a/crates/gateway/tests/in_process/dispatcher/client_request_ids.rs
+++ b/crates/gateway/tests/in_process/dispatcher/client_request_ids.rs
@@ -1,15 +1,15 @@
-//! The ids that clients give their requests.
+//! Client request ids, which must be unique among the unfinished requests.
 
-use super::harness::{in_service, Harness};
+use super::harness::{in_service_record, Harness};
 use crate::support::settings::deployment_settings;
 use io_scheduler::Outcome;
 use storage_gateway::storage_request::{InvalidRequest, Operation, Response};
 
-/// A request with the client request id of another one in flight gets an error; neither ends the
-/// other.
+/// A request with the client request id of an unfinished request is invalid. The unfinished request
+/// must not be affected, and the id can be used again after its response.
 #[test]
-fn a_duplicate_client_request_id_is_invalid_until_the_first_request_is_done() {
-    let mut harness = Harness::new(&deployment_settings(), &[in_service("n", 0)]);
+fn duplicate_client_request_id_is_invalid_until_the_first_request_is_completed() {
+    let mut harness = Harness::new(&deployment_settings(), &[in_service_record("n", 0)]);
     let request = harness.new_request(Operation::Read, Some(0));
     let first = harness.submit_request(request.clone());
     let duplicate = harness.submit_request(request.clone());
@@ -33,21 +33,23 @@
     assert_eq!(
         harness.take_started_attempts().len(),
         1,
-        "an id is free again after its response"
+        "the id should be usable again after the response"
     );
 }
 
+/// The text is sent to clients, so it must not change.
 #[test]
-fn the_reason_of_an_invalid_request_keeps_its_text() {
+fn error_text_for_a_duplicate_client_request_id_is_unchanged() {
     let text = InvalidRequest::DuplicateClientRequestId.to_string();
     assert_eq!(text, "the id is that of an open request");
 }
 
-/// A request that waits for a node is dropped when its client disconnects.
+/// A request that waits for a node is dropped when its client disconnects. Another request with its
+/// client request id must then be accepted.
 #[test]
-fn a_client_request_id_is_free_again_after_its_client_has_disconnected() {
+fn client_request_id_can_be_used_again_after_its_client_has_disconnected() {
     const UNKNOWN_SHARD: u64 = 7;
-    let mut harness = Harness::new(&deployment_settings(), &[in_service("n", 0)]);
+    let mut harness = Harness::new(&deployment_settings(), &[in_service_record("n", 0)]);
     let request = harness.new_request(Operation::Read, Some(UNKNOWN_SHARD));
     let first = harness.submit_request(request.clone());
     harness.run_turn();
@@ -61,7 +63,7 @@
     harness.run_turn();
     assert!(
         harness.take_responses().is_empty(),
-        "the second request is in flight"
+        "the second request should be unfinished, not invalid"
     );
     assert_eq!(harness.dispatcher.open_requests(), 1);
 }
--- a/crates/gateway/tests/in_process/dispatcher/drains.rs
+++ b/crates/gateway/tests/in_process/dispatcher/drains.rs
@@ -1,28 +1,31 @@
-//! Nodes that drain.
+//! The drain grace: how long requests may be written to a node after it has started to drain.
 
-use super::harness::{endpoint, in_service, Harness, MS};
+use super::harness::{endpoint_record, in_service_record, Harness, MS};
 use crate::support::settings::deployment_settings;
 use io_scheduler::EndpointStatus;
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::storage_request::Operation;
 
+/// The drain grace of the settings is 500 ms from the first entry that shows the node as draining
+/// or removed. The write deadline is 30 ms earlier, so that the last attempt reaches the node in
+/// time. After it, no request may be written to the node until the node is in service again.
 #[test]
-fn nothing_is_written_to_a_draining_node_after_the_drain_grace() {
-    let mut harness = Harness::new(&deployment_settings(), &[in_service("n", 0)]);
+fn requests_are_not_written_to_a_draining_node_after_its_write_deadline() {
+    let mut harness = Harness::new(&deployment_settings(), &[in_service_record("n", 0)]);
     harness.submit(Operation::Read, Some(0));
     harness.run_turn();
     let node = harness.take_started_attempts()[0].node;
     let drained_at = harness.now;
-    harness.update_endpoint(endpoint("n", 0, EndpointStatus::Draining));
+    harness.update_endpoint(endpoint_record("n", 0, EndpointStatus::Draining));
     assert!(harness.dispatcher.may_write(node, drained_at + 400 * MS));
-    // A later entry for the same drain does not extend the grace.
+    // A later entry that shows the node as removed does not extend the drain grace.
     harness.now = drained_at + 400 * MS;
-    harness.update_endpoint(endpoint("n", 0, EndpointStatus::Removed));
+    harness.update_endpoint(endpoint_record("n", 0, EndpointStatus::Removed));
     assert!(!harness.dispatcher.may_write(node, drained_at + 490 * MS));
     harness.now = drained_at + 500 * MS;
     harness.update_endpoint(EndpointRecord {
         started_at: Some(drained_at),
-        ..in_service("n", 0)
+        ..in_service_record("n", 0)
     });
     assert!(harness.dispatcher.may_write(node, drained_at + 501 * MS));
 }
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with the timers and the clock of an event loop.
+//! Drives a dispatcher as the event loop does, with a virtual clock, and collects its commands.
 
 use crate::support::settings::deployment_settings;
 use deployment_settings::DeploymentSettings;
@@ -18,70 +18,70 @@
 
 /// Microseconds in one millisecond.
 pub const MS: Micros = 1_000;
-/// Memory of the gateway, in megabytes.
+/// Memory limit of the gateway, in MiB.
 pub const MEMORY_MB: usize = 64;
-/// How long a client waits for a response.
+/// How long each client waits for a response, in microseconds.
 pub const CLIENT_TIMEOUT: Micros = 6_000 * MS;
-/// The volume of requests that state no other.
+/// The volume of the requests that [`Harness::new_request`] creates.
 pub const DEFAULT_VOLUME: VolumeId = VolumeId(1);
-/// The class of reads in the settings.
+/// The class `read` of the settings, which is used for all operations but writes.
 const READ_CLASS: ClassIndex = ClassIndex(0);
-/// The class of writes in the settings.
+/// The class `write` of the settings.
 const WRITE_CLASS: ClassIndex = ClassIndex(1);
-/// When the tests start.
-const START: Micros = 1_000_000 * MS;
-/// Seed of the scheduler's random numbers.
+/// Time at which each test starts, in microseconds.
+const START_TIME: Micros = 1_000_000 * MS;
+/// Seed of the scheduler's random number generator.
 const SCHEDULER_SEED: u64 = 7;
 
-/// A request that was submitted.
-pub struct Submitted {
-    /// The slot of its response.
+/// Identifies a request that was submitted.
+pub struct SubmittedRequest {
+    /// Number of the reply slot that gets its response.
     pub slot: u64,
-    /// The id that the dispatcher gave it.
+    /// The id that the dispatcher assigned to the request.
     pub id: RequestId,
 }
 
-/// The final response to a request.
-pub struct Responded {
-    /// The slot of the request.
+/// The final response to a request, as the dispatcher issued it.
+pub struct FinalResponse {
+    /// Number of the reply slot of the request.
     pub slot: u64,
     /// The response.
     pub response: Response,
 }
 
-/// An attempt that the dispatcher has started.
+/// An attempt that the dispatcher started with [`Command::StartAttempt`].
 pub struct StartedAttempt {
-    /// Its id.
+    /// The id of the attempt.
     pub id: AttemptId,
-    /// The node that it goes to.
+    /// The node that the request is forwarded to.
     pub node: NodeId,
-    /// When it times out.
+    /// When the attempt times out.
     pub times_out_at: Micros,
 }
 
-/// A dispatcher with the timers and the clock of an event loop.
+/// A dispatcher with the timers and the clock that an event loop would give it.
 pub struct Harness {
     /// The dispatcher under test.
     pub dispatcher: Dispatcher,
-    /// The timers that it has set.
+    /// The timers that the dispatcher has set.
     pub timers: TimerQueue,
-    /// The current time.
+    /// The current time of the virtual clock.
     pub now: Micros,
-    /// The commands that were given and not taken out.
+    /// Commands that the dispatcher issued and that the test has not taken yet.
     pub commands: Vec<Command>,
-    /// Number of requests submitted.
-    pub submitted: u64,
+    /// Number of requests submitted; also the number of the last reply slot.
+    pub submitted_count: u64,
 }
 
-/// The settings of the tests, changed by `change`.
+/// Returns the settings of the tests after `change` has modified them.
 pub fn settings_with(change: impl FnOnce(&mut DeploymentSettings)) -> DeploymentSettings {
     let mut settings = deployment_settings();
     change(&mut settings);
     settings
 }
 
-/// A record of an endpoint list.
-pub fn endpoint(name: &str, shard: u64, status: EndpointStatus) -> EndpointRecord {
+/// Returns the record of a node in the endpoint list.
+pub fn endpoint_record(name: &str, shard: u64, status: EndpointStatus) -> EndpointRecord {
     EndpointRecord {
         name: name.into(),
         zone: "a".into(),
@@ -91,38 +91,39 @@
     }
 }
 
-/// The record of a node that serves.
-pub fn in_service(name: &str, shard: u64) -> EndpointRecord {
-    endpoint(name, shard, EndpointStatus::InService)
+/// Returns the record of a node that is in service.
+pub fn in_service_record(name: &str, shard: u64) -> EndpointRecord {
+    endpoint_record(name, shard, EndpointStatus::InService)
 }
 
 impl Harness {
-    /// A dispatcher that has received the list of these endpoints.
+    /// Creates a dispatcher that has received a snapshot of the endpoint list with these endpoints.
     pub fn new(settings: &DeploymentSettings, endpoints: &[EndpointRecord]) -> Harness {
         let budget = MemoryBudget::from_memory_mb(MEMORY_MB);
-        let mut dispatcher =
-            Dispatcher::new(settings, budget, SCHEDULER_SEED, START).expect("valid settings");
-        dispatcher.update_endpoints(EndpointListEvent::Snapshot, endpoints, START);
+        let mut dispatcher = Dispatcher::new(settings, budget, SCHEDULER_SEED, START_TIME)
+            .expect("the settings of the tests should be valid");
+        dispatcher.update_endpoints(EndpointListEvent::Snapshot, endpoints, START_TIME);
         let mut harness = Harness {
             dispatcher,
             timers: TimerQueue::default(),
-            now: START,
+            now: START_TIME,
             commands: Vec::new(),
-            submitted: 0,
+            submitted_count: 0,
         };
         harness.run_turn();
         harness.commands.clear();
         harness
     }
 
-    /// A request with an object and a client request id of its own.
+    /// Returns a request with a new object and a new client request id. Calls without a submitted
+    /// request in between return the same ones.
     pub fn new_request(&self, operation: Operation, shard: Option<u64>) -> StorageRequest {
         StorageRequest {
             operation,
-            object: ObjectKey(self.submitted),
+            object: ObjectKey(self.submitted_count),
             object_name: None,
             volume: DEFAULT_VOLUME,
-            client_request_id: self.submitted.to_string().into(),
+            client_request_id: self.submitted_count.to_string().into(),
             class: if operation == Operation::Write {
                 WRITE_CLASS
             } else {
@@ -138,15 +139,15 @@
         }
     }
 
-    /// Submits a request with an object and a client request id of its own.
-    pub fn submit(&mut self, operation: Operation, shard: Option<u64>) -> Submitted {
+    /// Submits a request with a new object and a new client request id.
+    pub fn submit(&mut self, operation: Operation, shard: Option<u64>) -> SubmittedRequest {
         self.submit_request(self.new_request(operation, shard))
     }
 
-    /// Submits a request.
-    pub fn submit_request(&mut self, request: StorageRequest) -> Submitted {
-        self.submitted += 1;
-        let slot = self.submitted;
+    /// Submits a request; its response gets the next reply slot.
+    pub fn submit_request(&mut self, request: StorageRequest) -> SubmittedRequest {
+        self.submitted_count += 1;
+        let slot = self.submitted_count;
         let reply_slot = ReplySlot {
             connection: ConnectionToken::from(0),
             slot: SlotNumber(slot),
@@ -154,20 +155,20 @@
         let id = self
             .dispatcher
             .submit(request, reply_slot, self.now, &mut self.timers);
-        Submitted { slot, id }
+        SubmittedRequest { slot, id }
     }
 
-    /// Passes on a change of one endpoint.
+    /// Sends the dispatcher a delta of the endpoint list that contains this endpoint.
     pub fn update_endpoint(&mut self, endpoint: EndpointRecord) {
         self.dispatcher
             .update_endpoints(EndpointListEvent::Delta, &[endpoint], self.now);
     }
 
-    /// One turn of the event loop: expired timers, then the scheduler.
+    /// Runs one turn of the event loop: handles the expired timers, then runs the scheduler.
     pub fn run_turn(&mut self) {
         while let Some(timer) = self.timers.pop_expired(self.now) {
             let Timer::Dispatcher(timer) = timer else {
-                panic!("the dispatcher has set {timer:?}");
+                panic!("the dispatcher set a timer of another component: {timer:?}");
             };
             self.dispatcher
                 .handle_timer(timer, self.now, &mut self.timers);
@@ -176,13 +177,13 @@
             .run_scheduler(self.now, &mut self.timers, &mut self.commands);
     }
 
-    /// Lets time pass, then runs one turn.
-    pub fn advance(&mut self, span: Micros) {
-        self.now += span;
+    /// Advances the clock by `duration`, then runs one turn.
+    pub fn advance(&mut self, duration: Micros) {
+        self.now += duration;
         self.run_turn();
     }
 
-    /// Takes the attempts started out of the commands.
+    /// Removes the commands that start an attempt and returns their attempts.
     pub fn take_started_attempts(&mut self) -> Vec<StartedAttempt> {
         let mut started = Vec::new();
         self.commands.retain(|command| match command {
@@ -204,15 +205,15 @@
         started
     }
 
-    /// Takes the final responses out of the commands.
-    pub fn take_responses(&mut self) -> Vec<Responded> {
+    /// Removes the commands that respond to a request and returns their responses.
+    pub fn take_responses(&mut self) -> Vec<FinalResponse> {
         let mut responses = Vec::new();
         self.commands.retain(|command| match command {
             Command::Respond {
                 reply_slot,
                 response,
             } => {
-                responses.push(Responded {
+                responses.push(FinalResponse {
                     slot: reply_slot.slot.0,
                     response: response.clone(),
                 });
@@ -223,12 +224,12 @@
         responses
     }
 
-    /// So much of the attempt is written that the node may have executed the request.
-    pub fn note_may_have_executed(&mut self, attempt: AttemptId) {
+    /// Reports that so much of the request was written to the node that it may have executed it.
+    pub fn record_may_have_executed(&mut self, attempt: AttemptId) {
         self.dispatcher.note_may_have_executed(attempt);
     }
 
-    /// The node answers the attempt.
+    /// Reports the result of an attempt; a served one has the value `v`.
     pub fn complete(&mut self, attempt: AttemptId, outcome: Outcome) {
         let mut result = AttemptResult::without_body(outcome);
         if outcome == Outcome::Served {
@@ -238,7 +239,7 @@
             .complete_attempt(attempt, result, self.now, &mut self.timers);
     }
 
-    /// The attempt ends without an answer.
+    /// Reports that an attempt ended without a result.
     pub fn abort(&mut self, attempt: AttemptId, cause: AbortCause) {
         self.dispatcher
             .abort_attempt(attempt, cause, self.now, &mut self.timers);
--- a/crates/gateway/tests/in_process/dispatcher/mod.rs
+++ b/crates/gateway/tests/in_process/dispatcher/mod.rs
@@ -1,4 +1,4 @@
-//! The dispatcher on a virtual clock.
+//! Tests of the dispatcher with a virtual clock and no I/O.
 
 mod attempts;
 mod bounded_state;
--- a/crates/gateway/tests/in_process/dispatcher/random_load.rs
+++ b/crates/gateway/tests/in_process/dispatcher/random_load.rs
@@ -1,7 +1,9 @@
-//! Random requests, disconnects, drains and results, checked against what the dispatcher promises.
+//! Random requests, client disconnects, draining nodes and results of attempts. The test checks the
+//! guarantees of the dispatcher after each step.
 
 use super::harness::{
-    endpoint, in_service, Harness, Responded, StartedAttempt, Submitted, CLIENT_TIMEOUT, MS,
+    endpoint_record, in_service_record, FinalResponse, Harness, StartedAttempt, SubmittedRequest,
+    CLIENT_TIMEOUT, MS,
 };
 use crate::support::random_numbers::RandomNumbers;
 use crate::support::settings::deployment_settings;
@@ -11,55 +13,58 @@
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::storage_request::{AttemptId, Operation};
 
-/// Random requests, disconnects, drains and results, checked against what the dispatcher promises.
+/// Generates the load, and records what is needed to check the guarantees of the dispatcher.
 struct RandomLoad {
+    /// Seed of `random`, which the messages of failed assertions contain.
     seed: u64,
+    /// Generator of all random choices.
     random: RandomNumbers,
+    /// The dispatcher under test.
     harness: Harness,
-    /// When the client of each request without a response gives up, by slot.
+    /// Time at which the client of each request without a response times out, by reply slot.
     client_deadlines: BTreeMap<u64, Micros>,
-    /// Slots of the requests whose client has disconnected.
-    disconnected: BTreeSet<u64>,
-    /// Requests that write.
-    writes: BTreeSet<RequestId>,
+    /// Reply slots of the requests whose client has disconnected.
+    disconnected_slots: BTreeSet<u64>,
+    /// Write requests.
+    write_requests: BTreeSet<RequestId>,
     /// Requests that a node may have executed.
     may_have_executed: BTreeSet<RequestId>,
-    /// Attempts that the test has not ended.
+    /// Attempts in flight that the test has not ended yet.
     in_flight: Vec<AttemptId>,
-    /// Nodes that drain, by the number of their shard.
-    draining: BTreeSet<u64>,
+    /// Shards of the draining nodes, which are also the ids of these nodes.
+    draining_shards: BTreeSet<u64>,
 }
 
 impl RandomLoad {
-    /// The names of the nodes, each of the shard of its index.
-    const NODES: [&'static str; 3] = ["a", "b", "c"];
+    /// Names of the nodes. The index of a name is the shard of its node.
+    const NODE_NAMES: [&'static str; 3] = ["a", "b", "c"];
 
-    /// A load whose random numbers follow from the seed.
+    /// Creates a load that is reproducible from `seed`.
     fn new(seed: u64) -> RandomLoad {
-        let endpoints: Vec<EndpointRecord> = Self::NODES
+        let endpoints: Vec<EndpointRecord> = Self::NODE_NAMES
             .iter()
             .zip(0..)
-            .map(|(name, shard)| in_service(name, shard))
+            .map(|(name, shard)| in_service_record(name, shard))
             .collect();
         RandomLoad {
             seed,
             random: RandomNumbers::new(seed),
             harness: Harness::new(&deployment_settings(), &endpoints),
             client_deadlines: BTreeMap::new(),
-            disconnected: BTreeSet::new(),
-            writes: BTreeSet::new(),
+            disconnected_slots: BTreeSet::new(),
+            write_requests: BTreeSet::new(),
             may_have_executed: BTreeSet::new(),
             in_flight: Vec::new(),
-            draining: BTreeSet::new(),
+            draining_shards: BTreeSet::new(),
         }
     }
 
-    /// True in one of `count` cases.
+    /// Returns true with a probability of one in `count`.
     fn one_in(&mut self, count: u64) -> bool {
         self.random.below(count) == 0
     }
 
-    /// Submits a request; the client of one in twelve disconnects at once.
+    /// Submits a read or a write. The client of one request in twelve disconnects immediately.
     fn submit(&mut self) {
         let operation = if self.one_in(3) {
             Operation::Write
@@ -68,141 +73,148 @@
         };
         let shard = self.random.below(3);
         let shard = if self.one_in(4) { None } else { Some(shard) };
-        let Submitted { slot, id } = self.harness.submit(operation, shard);
+        let SubmittedRequest { slot, id } = self.harness.submit(operation, shard);
         self.client_deadlines
             .insert(slot, self.harness.now + CLIENT_TIMEOUT);
         if operation == Operation::Write {
-            self.writes.insert(id);
+            self.write_requests.insert(id);
         }
         if self.one_in(12) {
             let harness = &mut self.harness;
             harness
                 .dispatcher
                 .client_disconnected(id, harness.now, &mut harness.timers);
-            self.disconnected.insert(slot);
+            self.disconnected_slots.insert(slot);
         }
     }
 
-    /// Lets a node drain, or brings a draining one back into service.
+    /// Changes a random node from in service to draining, or from draining to in service.
     fn toggle_draining(&mut self) {
-        let node = self.random.below(3);
-        let drains = !self.draining.remove(&node);
-        if drains {
-            self.draining.insert(node);
+        let shard = self.random.below(3);
+        let starts_draining = !self.draining_shards.remove(&shard);
+        if starts_draining {
+            self.draining_shards.insert(shard);
         }
-        let status = if drains {
+        let status = if starts_draining {
             EndpointStatus::Draining
         } else {
             EndpointStatus::InService
         };
-        self.harness
-            .update_endpoint(endpoint(Self::NODES[node as usize], node, status));
+        self.harness.update_endpoint(endpoint_record(
+            Self::NODE_NAMES[shard as usize],
+            shard,
+            status,
+        ));
     }
 
-    /// Checks the attempts started and writes most of them to their node.
-    fn write_started_attempts(&mut self) {
+    /// Checks the attempts that were started, and writes three in four of them to their nodes.
+    fn check_and_write_started_attempts(&mut self) {
         let seed = self.seed;
         for StartedAttempt { id, node, .. } in self.harness.take_started_attempts() {
             assert!(
-                !self.draining.contains(&node.0),
-                "seed {seed}: an attempt at a draining node"
+                !self.draining_shards.contains(&node.0),
+                "seed {seed}: an attempt was started at a draining node"
             );
-            let is_write = self.writes.contains(&id.request);
-            let repeated = is_write && self.may_have_executed.contains(&id.request);
+            let is_write = self.write_requests.contains(&id.request);
+            let is_unsafe_retry = is_write && self.may_have_executed.contains(&id.request);
             assert!(
-                !repeated,
-                "seed {seed}: a write that may have run is dispatched again"
+                !is_unsafe_retry,
+                "seed {seed}: a write was retried that a node may have executed"
             );
             if !self.one_in(4) {
-                self.harness.note_may_have_executed(id);
+                self.harness.record_may_have_executed(id);
                 self.may_have_executed.insert(id.request);
             }
             self.in_flight.push(id);
         }
     }
 
-    /// Ends a random number of the attempts in flight.
+    /// Ends a random number of the attempts in flight, each with a random outcome.
     fn end_some_attempts(&mut self) {
         while !self.in_flight.is_empty() && !self.one_in(3) {
-            let position = self.random.below(self.in_flight.len() as u64);
-            let attempt = self.in_flight.swap_remove(position as usize);
-            let written = self.may_have_executed.contains(&attempt.request);
+            let index = self.random.below(self.in_flight.len() as u64);
+            let attempt = self.in_flight.swap_remove(index as usize);
+            let may_have_executed = self.may_have_executed.contains(&attempt.request);
             match self.random.below(6) {
                 0 => self.harness.abort(attempt, AbortCause::ConnectionLost),
-                // The node never responds: the timeout ends the attempt.
+                // The node never responds; the attempt times out.
                 1 => {}
-                2 if !self.writes.contains(&attempt.request) => {
+                2 if !self.write_requests.contains(&attempt.request) => {
                     self.harness.complete(attempt, Outcome::Overloaded);
                 }
-                3 if written => self.harness.complete(attempt, Outcome::Error),
-                _ if written => self.harness.complete(attempt, Outcome::Served),
+                3 if may_have_executed => self.harness.complete(attempt, Outcome::Error),
+                _ if may_have_executed => self.harness.complete(attempt, Outcome::Served),
                 _ => self.harness.complete(attempt, Outcome::ConnectFailed),
             }
         }
     }
 
-    /// Checks that each response is the only one, in time and to a client that is still connected.
+    /// Checks that each response is the only one to its request, is sent to a client that has not
+    /// disconnected, and is at most 20 ms later than the client's timeout.
     fn check_responses(&mut self) {
         let seed = self.seed;
-        for Responded { slot, .. } in self.harness.take_responses() {
+        for FinalResponse { slot, .. } in self.harness.take_responses() {
             let Some(client_deadline) = self.client_deadlines.remove(&slot) else {
-                panic!("seed {seed}: a second response to {slot}");
+                panic!("seed {seed}: second response for slot {slot}");
             };
-            let disconnected = self.disconnected.contains(&slot);
+            let disconnected = self.disconnected_slots.contains(&slot);
             assert!(
                 !disconnected,
-                "seed {seed}: a response to {slot}, whose client has disconnected"
+                "seed {seed}: response for slot {slot}, whose client has disconnected"
             );
             assert!(
                 self.harness.now <= client_deadline + 20 * MS,
-                "seed {seed}: {slot} is late"
+                "seed {seed}: late response for slot {slot}"
             );
         }
     }
 
-    /// Lets a short time pass, in which anything may happen; new requests only if `submits`.
-    fn step(&mut self, submits: bool) {
-        if submits && self.one_in(2) {
+    /// Advances the clock by less than 20 ms, with random events before and after. Submits new
+    /// requests only if `may_submit` is set.
+    fn step(&mut self, may_submit: bool) {
+        if may_submit && self.one_in(2) {
             self.submit();
         }
         if self.one_in(60) {
             self.toggle_draining();
         }
-        let span = self.random.below(20) as Micros * MS;
-        self.harness.advance(span);
-        self.write_started_attempts();
+        let duration = self.random.below(20) as Micros * MS;
+        self.harness.advance(duration);
+        self.check_and_write_started_attempts();
         self.end_some_attempts();
         self.check_responses();
     }
 
-    /// Fails every further attempt until each request has got its response.
+    /// Advances the clock by 7 s, which is longer than the timeout of the clients, and fails every
+    /// further attempt. Then checks that no request is left without a response.
     fn run_to_completion(&mut self) {
         let seed = self.seed;
         for _ in 0..700 {
             self.harness.advance(10 * MS);
-            for Responded { slot, .. } in self.harness.take_responses() {
-                let first = self.client_deadlines.remove(&slot).is_some();
-                assert!(first, "seed {seed}: a second response to {slot}");
+            for FinalResponse { slot, .. } in self.harness.take_responses() {
+                let is_first = self.client_deadlines.remove(&slot).is_some();
+                assert!(is_first, "seed {seed}: second response for slot {slot}");
             }
             for attempt in self.harness.take_started_attempts() {
                 self.harness.complete(attempt.id, Outcome::ConnectFailed);
             }
         }
         self.client_deadlines
-            .retain(|slot, _| !self.disconnected.contains(slot));
+            .retain(|slot, _| !self.disconnected_slots.contains(slot));
         assert!(
             self.client_deadlines.is_empty(),
-            "seed {seed}: no response to {:?}",
+            "seed {seed}: no response for these slots: {:?}",
             self.client_deadlines
         );
         assert_eq!(self.harness.dispatcher.open_requests(), 0);
     }
 }
 
-/// Whatever happens, from fixed seeds: each request gets exactly one response in time, no write is
-/// dispatched again after it may have run, and no attempt starts at a draining node.
+/// Checks three guarantees under random loads from fixed seeds: each request gets exactly one
+/// response, and in time, unless its client disconnects; a write is not retried after a node may
+/// have executed it; and no attempt is started at a draining node.
 #[test]
-fn every_request_gets_exactly_one_response_whatever_happens() {
+fn every_request_gets_exactly_one_response_under_random_load() {
     for seed in 1..=8 {
         let mut load = RandomLoad::new(seed);
         for step in 0..3_000 {
--- a/crates/gateway/tests/in_process/idle_timeout.rs
+++ b/crates/gateway/tests/in_process/idle_timeout.rs
@@ -1,17 +1,18 @@
-//! The estimate of how long a node keeps an idle connection.
+//! The estimate of how long a node keeps an idle connection open.
 
 use io_scheduler::Micros;
 use storage_gateway::connections::node::idle_timeout::IdleTimeoutEstimate;
 
+/// Microseconds in one millisecond.
 const MS: Micros = 1_000;
-/// The longest idle timeout that the settings allow.
+/// Maximum of the estimate, which the settings specify, in microseconds.
 const MAX_IDLE_TIMEOUT: Micros = 21_000 * MS;
 
-/// A node that closes idle connections sooner than its settings say gets no request on a
-/// connection that was idle for so long, least of all a write. A single reset with another cause
-/// has no lasting effect.
+/// A node may drop idle connections before the idle timeout of the settings. The gateway must not
+/// reuse a connection that was idle for so long; for non-idempotent requests the bound is lower. A
+/// single reset with another cause must have no lasting effect.
 #[test]
-fn connections_idle_beyond_the_estimate_are_not_reused() {
+fn connections_idle_for_longer_than_the_estimate_are_not_reused() {
     let mut estimate = IdleTimeoutEstimate::new(MAX_IDLE_TIMEOUT);
     assert!(
         estimate.allows_non_idempotent(10_000 * MS) && !estimate.allows_non_idempotent(11_000 * MS)
@@ -21,8 +22,7 @@
     assert_eq!(
         estimate.max_idle_time(),
         MAX_IDLE_TIMEOUT,
-        "the first reset came long after the request, \
-         the second on a connection that was hardly idle"
+        "resets should be ignored 80 ms after the request or after an idle time of only 5 ms"
     );
     estimate.record_reset(200 * MS, MS);
     assert!(estimate.allows_idempotent(150 * MS));
@@ -34,7 +34,7 @@
     assert_eq!(
         estimate.max_idle_time(),
         150 * MS,
-        "responses on busy connections say nothing"
+        "responses after a short idle time should not change the estimate"
     );
     for _ in 0..100 {
         estimate.record_response(estimate.max_idle_time());
@@ -44,7 +44,7 @@
     assert_eq!(
         estimate.max_idle_time(),
         MAX_IDLE_TIMEOUT,
-        "longer idle times did no harm"
+        "a single reset should be ignored after responses on connections that were idle for longer"
     );
     for _ in 0..10 {
         estimate.record_reset(200 * MS, MS);
@@ -52,6 +52,6 @@
     assert_eq!(
         estimate.max_idle_time(),
         150 * MS,
-        "repeated resets outweigh them"
+        "repeated resets should lower the estimate despite such responses"
     );
 }
--- a/crates/gateway/tests/in_process/main.rs
+++ b/crates/gateway/tests/in_process/main.rs
@@ -1,4 +1,4 @@
-//! Tests of single parts of the gateway, without sockets and processes.
+//! Tests of individual modules of the gateway. They run in the test process and open no sockets.
 
 mod client_protocols;
 mod configuration;
--- a/crates/gateway/tests/in_process/malformed_input.rs
+++ b/crates/gateway/tests/in_process/malformed_input.rs
@@ -1,4 +1,4 @@
-//! Parsers accept any input without a panic, and never report a result that consumed no input.
+//! Parsers must not panic on any input, and must consume input with every result they report.
 
 use crate::support::random_numbers::RandomNumbers;
 use crate::support::settings::deployment_settings;
@@ -10,9 +10,9 @@
 use storage_gateway::node_protocol::{self, NodeProtocol};
 use storage_gateway::storage_request::{Operation, SlotNumber};
 
-/// Pieces that random input is made of: what the protocols use, so that it gets past their first
-/// bytes.
-const ALPHABET: [&[u8]; 17] = [
+/// Fragments from which random input is composed. They occur in the protocols, so that some
+/// inputs pass the checks of the first bytes.
+const FRAGMENTS: [&[u8]; 17] = [
     b"*",
     b"$",
     b"-1",
@@ -32,17 +32,18 @@
     b"\x01",
 ];
 
-/// Random input of 1 to 16 pieces.
+/// Returns random input of 1 to 16 fragments.
 fn random_input(random: &mut RandomNumbers) -> Vec<u8> {
     let mut input = Vec::new();
     for _ in 0..=random.below(16) {
-        let piece = random.below(ALPHABET.len() as u64);
-        input.extend_from_slice(ALPHABET[piece as usize]);
+        let index = random.below(FRAGMENTS.len() as u64);
+        input.extend_from_slice(FRAGMENTS[index as usize]);
     }
     input
 }
 
-/// A command of a client consumes input, unless it is incomplete or ends the connection.
+/// Checks that a parsed client command consumes input, unless it is incomplete or closes the
+/// connection.
 fn check_client_protocol(schema: &Rc<RequestSchema>, input: &[u8]) {
     let mut position = 0;
     let step = RespProtocol::new(schema.clone()).parse_command(
@@ -55,7 +56,7 @@
     assert!(position <= input.len() && (position > 0 || may_consume_nothing));
 }
 
-/// A result of an attempt consumes input.
+/// Checks that the result of an attempt consumes input, in each node protocol.
 fn check_node_protocols(input: &[u8]) {
     let mut output = Vec::new();
     let mut protocols: [Box<dyn NodeProtocol>; 2] = [
@@ -71,15 +72,17 @@
     }
 }
 
-/// Random input is never an update of the endpoint list.
+/// Checks that the input, which is not a valid HTTP response, is not parsed as an update of the
+/// endpoint list.
 fn check_watch_parser(input: &[u8]) {
     let mut updates = Vec::new();
     let result = WatchParser::default().feed(input, &mut updates);
     assert!(result.is_err() || updates.is_empty());
 }
 
+/// A client command that consumed no input would be parsed again in an endless loop.
 #[test]
-fn random_input_causes_no_panic_and_no_result_without_consumed_input() {
+fn parsers_do_not_panic_on_random_input_and_consume_input_with_each_result() {
     let schema = RequestSchema::new(&deployment_settings());
     let mut random = RandomNumbers::new(1);
     for _ in 0..20_000 {
--- a/crates/gateway/tests/in_process/node_protocols.rs
+++ b/crates/gateway/tests/in_process/node_protocols.rs
@@ -1,5 +1,5 @@
-//! The protocols towards storage nodes: responses are decoded in pieces of any size, and malformed
-//! or unsolicited ones are errors.
+//! The protocols for storage nodes. Replies are decoded in pieces of any size, and malformed or
+//! unsolicited replies are errors.
 
 use crate::support::storage_request::{storage_request, MAX_VALUE_BYTES};
 use io_scheduler::{Outcome, Units};
@@ -10,29 +10,29 @@
 use storage_gateway::sftp_packet::{OpenFlags, Packet, PacketType, RequestId, StatusCode};
 use storage_gateway::storage_request::{AttemptResult, Operation, ResponseBody};
 
-/// What the tests compare of an attempt's result.
+/// The fields of an [`AttemptResult`], in a type that can be compared.
 #[derive(Debug, PartialEq)]
-struct ComparedResult {
+struct ComparableResult {
     outcome: Outcome,
     body: Option<ResponseBody>,
     utilization: Option<f64>,
     remote_units: f64,
 }
 
-impl ComparedResult {
-    /// A read that was served with this value.
-    fn served(text: &str, utilization: Option<f64>, remote_units: f64) -> ComparedResult {
-        ComparedResult {
+impl ComparableResult {
+    /// Returns the result of a read that was served with the value `text`.
+    fn served(text: &str, utilization: Option<f64>, remote_units: f64) -> ComparableResult {
+        ComparableResult {
             outcome: Outcome::Served,
-            body: value(text),
+            body: value_body(text),
             utilization,
             remote_units,
         }
     }
 
-    /// An attempt that the node rejected or failed, without a load report.
-    fn unserved(outcome: Outcome, remote_units: f64) -> ComparedResult {
-        ComparedResult {
+    /// Returns the result of an attempt that the node rejected or failed.
+    fn not_served(outcome: Outcome, remote_units: f64) -> ComparableResult {
+        ComparableResult {
             outcome,
             body: None,
             utilization: None,
@@ -41,15 +41,15 @@
     }
 }
 
-impl From<AttemptResult> for ComparedResult {
-    fn from(result: AttemptResult) -> ComparedResult {
+impl From<AttemptResult> for ComparableResult {
+    fn from(result: AttemptResult) -> ComparableResult {
         let AttemptResult {
             outcome,
             body,
             remote_units: Units(remote_units),
             utilization,
         } = result;
-        ComparedResult {
+        ComparableResult {
             outcome,
             body,
             utilization,
@@ -58,69 +58,74 @@
     }
 }
 
-/// Feeds a response byte by byte; it must be complete with its last byte and not before.
+/// Decodes a reply that arrives byte by byte. Checks that the result is returned after the last
+/// byte and not earlier.
 fn decode_byte_by_byte(
     protocol: &mut dyn NodeProtocol,
-    response: &[u8],
+    reply: &[u8],
 ) -> Result<AttemptResult, ProtocolError> {
     let (mut input, mut output) = (Vec::new(), Vec::new());
-    for (index, byte) in response.iter().enumerate() {
+    for (index, byte) in reply.iter().enumerate() {
         input.push(*byte);
         if let Some(result) = protocol.decode(&mut input, &mut output)? {
-            assert_eq!((index + 1, input.len()), (response.len(), 0));
+            assert_eq!((index + 1, input.len()), (reply.len(), 0));
             return Ok(result);
         }
     }
-    panic!("no result after {:?}", String::from_utf8_lossy(response));
+    panic!("no result after {:?}", String::from_utf8_lossy(reply));
 }
 
-/// Sends a read over RESP and decodes the response; checks the request's wire form on the way.
-fn resp_exchange(response: &str) -> Result<ComparedResult, ProtocolError> {
+/// Sends a read over RESP2, checks its encoding, and decodes the reply.
+fn resp_read(reply: &str) -> Result<ComparableResult, ProtocolError> {
     let mut protocol = RespProtocol::new(MAX_VALUE_BYTES);
     let mut output = Vec::new();
-    let bytes_without_effect =
+    let bytes_before_execution =
         protocol.encode_request(&storage_request(Operation::Read), 480, &mut output);
     assert_eq!(
-        bytes_without_effect + 1,
+        bytes_before_execution + 1,
         output.len(),
-        "it has not run before its last byte has left"
+        "a node should execute a command only after its last byte"
     );
     let command =
         "*4\r\n$5\r\nIO.IN\r\n$16\r\n00000000000000ab\r\n$1\r\nx\r\n$19\r\nc=read,d=480,t=gold\r\n";
     assert_eq!(String::from_utf8_lossy(&output), command);
-    decode_byte_by_byte(&mut protocol, response.as_bytes()).map(ComparedResult::from)
+    decode_byte_by_byte(&mut protocol, reply.as_bytes()).map(ComparableResult::from)
 }
 
-/// The body of a response with a value.
-fn value(text: &str) -> Option<ResponseBody> {
+/// Returns the body of a response that contains the value `text`.
+fn value_body(text: &str) -> Option<ResponseBody> {
     Some(ResponseBody::Value(text.as_bytes().to_vec()))
 }
 
+/// A reply with a value ends with a usage report and a load report, either of which may be null.
+/// The gateway reads the utilization (`used`) and the units served through other gateways (`cost`)
+/// from the usage report, and ignores the load report. An error may contain a usage report, too.
 #[test]
-fn resp_response_is_decoded_with_its_cost_and_load_report() {
-    let with_report = "*3\r\n$2\r\nv\r\r\n$14\r\nused=37,cost=4\r\n$7\r\nqueue=2\r\n";
+fn resp_reply_is_decoded_with_its_usage_report() {
+    let with_reports = "*3\r\n$2\r\nv\r\r\n$14\r\nused=37,cost=4\r\n$7\r\nqueue=2\r\n";
     assert_eq!(
-        resp_exchange(with_report),
-        Ok(ComparedResult::served("v\r", Some(0.37), 4.0))
+        resp_read(with_reports),
+        Ok(ComparableResult::served("v\r", Some(0.37), 4.0))
     );
-    let without_report = "*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n";
+    let without_reports = "*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n";
     assert_eq!(
-        resp_exchange(without_report),
-        Ok(ComparedResult::served("", None, 0.0))
+        resp_read(without_reports),
+        Ok(ComparableResult::served("", None, 0.0))
     );
     assert_eq!(
-        resp_exchange("-BUSY\r\n"),
-        Ok(ComparedResult::unserved(Outcome::Overloaded, 0.0))
+        resp_read("-BUSY\r\n"),
+        Ok(ComparableResult::not_served(Outcome::Overloaded, 0.0))
     );
     assert_eq!(
-        resp_exchange("-ERR failed cost=2 queue=1\r\n"),
-        Ok(ComparedResult::unserved(Outcome::Error, 2.0))
+        resp_read("-ERR failed cost=2 queue=1\r\n"),
+        Ok(ComparableResult::not_served(Outcome::Error, 2.0))
     );
 }
 
+/// An invalid usage or load report must be ignored: the value of the reply is still served.
 #[test]
-fn resp_load_report_that_is_unreadable_or_absurd_leaves_the_value_served() {
-    let served = Ok(ComparedResult::served("v", None, 0.0));
+fn resp_value_is_served_despite_malformed_or_out_of_range_reports() {
+    let served = Ok(ComparableResult::served("v", None, 0.0));
     let reports = [
         "$9\r\nused=1e99\r\n:1\r\n",
         "*1\r\n$1\r\nx\r\n-what\r\n",
@@ -128,7 +133,7 @@
     ];
     for report in reports {
         assert_eq!(
-            resp_exchange(&format!("*3\r\n$1\r\nv\r\n{report}")),
+            resp_read(&format!("*3\r\n$1\r\nv\r\n{report}")),
             served,
             "{report:?}"
         );
@@ -136,12 +141,13 @@
     let mut protocol = RespProtocol::new(MAX_VALUE_BYTES);
     protocol.encode_request(&storage_request(Operation::Read), 1, &mut Vec::new());
     let not_utf8 = b"*3\r\n$1\r\nv\r\n$2\r\n\xff\xfe\r\n$1\r\n\x80\r\n";
-    let result = decode_byte_by_byte(&mut protocol, not_utf8).expect("the value is valid");
-    assert_eq!(result.body, value("v"));
+    let result =
+        decode_byte_by_byte(&mut protocol, not_utf8).expect("the reply should be accepted");
+    assert_eq!(result.body, value_body("v"));
 }
 
 #[test]
-fn malformed_resp_response_is_a_protocol_error() {
+fn malformed_resp_reply_is_a_protocol_error() {
     let missing_terminator = ProtocolError::MissingTerminator(MissingTerminator);
     let malformed = [
         ("?", ProtocolError::UnexpectedType),
@@ -159,36 +165,37 @@
         ),
         ("*3\r\n$1\r\nab\r\n", missing_terminator),
     ];
-    for (response, error) in malformed {
-        assert_eq!(resp_exchange(response).err(), Some(error), "{response:?}");
+    for (reply, error) in malformed {
+        assert_eq!(resp_read(reply).err(), Some(error), "{reply:?}");
     }
 }
 
-/// A value may be larger than what clients may send, as far as the memory budget allows.
+/// A node may send larger values than a client, up to a maximum that depends on the memory budget.
+/// The declared length of a value counts as buffered until the value is complete.
 #[test]
-fn resp_value_is_accepted_up_to_the_limit_given() {
+fn resp_value_is_accepted_up_to_the_maximum_value_length() {
     let text = "v".repeat(400 << 10);
-    let response = format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes();
+    let reply = format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes();
     for (max_value_bytes, accepted) in [(1 << 20, true), (300 << 10, false)] {
         let mut protocol = RespProtocol::new(max_value_bytes);
         protocol.encode_request(&storage_request(Operation::Read), 1, &mut Vec::new());
         let (mut input, mut decoded) = (Vec::new(), Ok(None));
-        for piece in response.chunks(16 << 10) {
+        for piece in reply.chunks(16 << 10) {
             input.extend_from_slice(piece);
             decoded = protocol.decode(&mut input, &mut Vec::new());
             if decoded.is_err() {
                 break;
             }
-            let expected_buffer = if matches!(decoded, Ok(None)) {
+            let expected_bytes = if matches!(decoded, Ok(None)) {
                 text.len()
             } else {
                 0
             };
-            assert_eq!(protocol.buffered_bytes(), expected_buffer);
+            assert_eq!(protocol.buffered_bytes(), expected_bytes);
         }
         match decoded {
-            Ok(Some(result)) => assert_eq!((result.body, accepted), (value(&text), true)),
-            Ok(None) => panic!("{max_value_bytes}: the value is incomplete"),
+            Ok(Some(result)) => assert_eq!((result.body, accepted), (value_body(&text), true)),
+            Ok(None) => panic!("no result after the whole reply; limit {max_value_bytes} bytes"),
             Err(error) => {
                 assert_eq!((error, accepted), (ProtocolError::InvalidLength, false));
             }
@@ -196,9 +203,10 @@
     }
 }
 
-/// Even part of an unsolicited response must not be taken for the response to the next request.
+/// A reply that arrives while no request is in flight must not be mistaken for the reply to the
+/// next request, even if only its first byte has arrived.
 #[test]
-fn unsolicited_resp_response_is_a_protocol_error() {
+fn unsolicited_resp_reply_is_a_protocol_error() {
     for unsolicited in [&b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"[..], b"*"] {
         let mut protocol = RespProtocol::new(MAX_VALUE_BYTES);
         assert!(protocol
@@ -207,14 +215,14 @@
     }
 }
 
-/// A HANDLE reply.
+/// Returns a HANDLE packet with the handle `h`.
 fn handle_packet(id: u32) -> Vec<u8> {
     Packet::with_id(PacketType::HANDLE, RequestId(id))
         .string("h")
         .finish()
 }
 
-/// A STATUS reply without a message.
+/// Returns a STATUS packet with an empty message.
 fn status_packet(id: u32, code: StatusCode) -> Vec<u8> {
     Packet::with_id(PacketType::STATUS, RequestId(id))
         .u32(code as u32)
@@ -223,19 +231,19 @@
         .finish()
 }
 
-/// Feeds a packet that is valid and completes no request.
+/// Decodes a packet, and checks that it is valid and does not complete a request.
 #[track_caller]
-fn decode_without_result(protocol: &mut SftpProtocol, mut packet: Vec<u8>) {
+fn assert_no_result(protocol: &mut SftpProtocol, mut packet: Vec<u8>) {
     let result = protocol.decode(&mut packet, &mut Vec::new());
     assert!(matches!(result, Ok(None)));
 }
 
-/// An SFTP connection whose handshake is complete.
-fn sftp_after_handshake() -> SftpProtocol {
+/// Returns the protocol of an SFTP connection whose handshake is complete.
+fn sftp_protocol_after_handshake() -> SftpProtocol {
     let mut protocol = SftpProtocol::new(MAX_VALUE_BYTES);
     protocol.start_handshake(&mut Vec::new());
     assert!(!protocol.ready());
-    decode_without_result(
+    assert_no_result(
         &mut protocol,
         Packet::new(PacketType::VERSION).u32(3).finish(),
     );
@@ -243,52 +251,62 @@
     protocol
 }
 
-/// Starts a write, and checks the flags of its OPEN.
-fn start_write(protocol: &mut SftpProtocol) {
+/// Starts a write, and checks that its OPEN has the flags that create or truncate the file.
+fn start_sftp_write(protocol: &mut SftpProtocol) {
     let mut output = Vec::new();
     assert_eq!(
         protocol.encode_request(&storage_request(Operation::Write), 1, &mut output),
         0,
-        "any byte of a write's OPEN may take effect"
+        "an OPEN may take effect as soon as its first byte is written"
     );
     let flags = OpenFlags::WRITE | OpenFlags::CREATE | OpenFlags::TRUNCATE;
     let flags = flags.0.to_be_bytes();
     assert!(output.windows(4).any(|window| window == flags));
 }
 
-/// Starts a read.
-fn start_read(protocol: &mut SftpProtocol) {
+/// Starts a read; its reply is decoded later.
+fn start_sftp_read(protocol: &mut SftpProtocol) {
     protocol.encode_request(&storage_request(Operation::Read), 1, &mut Vec::new());
 }
 
+/// Checks which SFTP replies are ignored, complete a read or are errors. A read must fail when its
+/// data exceeds the maximum length of a value.
 #[test]
-fn sftp_response_with_a_foreign_id_is_ignored_and_data_without_end_fails_the_read() {
-    let mut protocol = sftp_after_handshake();
-    start_write(&mut protocol);
-    // A response with the id of no command is ignored.
-    decode_without_result(&mut protocol, handle_packet(77));
-    // An object that does not exist is a complete result of a read.
-    start_read(&mut protocol);
+fn sftp_reply_with_an_unknown_id_is_ignored_and_a_read_of_too_much_data_fails() {
+    let mut protocol = sftp_protocol_after_handshake();
+    start_sftp_write(&mut protocol);
+    // No command has the id 77, so the reply is ignored.
+    assert_no_result(&mut protocol, handle_packet(77));
+    // NoSuchFile completes the read: the object does not exist.
+    start_sftp_read(&mut protocol);
     let result = decode_byte_by_byte(&mut protocol, &status_packet(2, StatusCode::NoSuchFile));
-    assert_eq!(result.expect("a result").body, Some(ResponseBody::NotFound));
-    // The third packet exceeds the largest value: the read fails, and a CLOSE is sent.
-    start_read(&mut protocol);
-    decode_without_result(&mut protocol, handle_packet(3));
+    assert_eq!(
+        result.expect("the read should be completed").body,
+        Some(ResponseBody::NotFound)
+    );
+    // With the third packet of 30 KiB the value is longer than 64 KiB: the read fails, and a CLOSE
+    // is sent.
+    start_sftp_read(&mut protocol);
+    assert_no_result(&mut protocol, handle_packet(3));
     for id in 4..7 {
         let mut input = Packet::with_id(PacketType::DATA, RequestId(id))
             .string(vec![0; 30 << 10])
             .finish();
         let result = protocol.decode(&mut input, &mut Vec::new());
-        let outcome = result.expect("well formed").map(|result| result.outcome);
+        let outcome = result
+            .expect("the packet should be valid")
+            .map(|result| result.outcome);
         let expected = if id == 6 { Some(Outcome::Error) } else { None };
         assert_eq!(outcome, expected, "packet {id}");
     }
-    // The response to the CLOSE that nobody waits for is ignored once; repeated, it is an
-    // error.
-    let closed = status_packet(7, StatusCode::Ok);
-    decode_without_result(&mut protocol, closed.clone());
+    // The reply to this CLOSE is ignored, because the request is already complete. A second reply
+    // is unsolicited, which is an error.
+    let close_reply = status_packet(7, StatusCode::Ok);
+    assert_no_result(&mut protocol, close_reply.clone());
     assert_eq!(
-        protocol.decode(&mut closed.clone(), &mut Vec::new()).err(),
+        protocol
+            .decode(&mut close_reply.clone(), &mut Vec::new())
+            .err(),
         Some(ProtocolError::UnsolicitedReply)
     );
 }
--- a/crates/gateway/tests/in_process/slab.rs
+++ b/crates/gateway/tests/in_process/slab.rs
@@ -1,9 +1,9 @@
-//! The slab of connections.
+//! The slab that stores connections by token.
 
 use storage_gateway::context::slab::Slab;
 
-/// An event for a connection that was closed in the same turn must not reach the connection that
-/// took its place in the slab.
+/// An event for a connection that was closed earlier in the same turn of the event loop must not
+/// reach the connection that reuses its slot in the slab.
 #[test]
 fn tokens_are_never_reused() {
     let mut slab = Slab::default();
--- a/crates/gateway/tests/in_process/support/mod.rs
+++ b/crates/gateway/tests/in_process/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several of the tests need.
+//! Helpers that several test modules use.
 
 pub mod random_numbers;
 pub mod settings;
