--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -103,7 +103,7 @@
         key: Some(request.object),
         shard: request.shard,
         units: request.units,
-        hosts: request.hosts,
+        host_count: request.hosts,
         deadline,
     }
 }
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -63,7 +63,7 @@
     /// Size of the request.
     pub units: Units,
     /// Number of hosts that receive the volume's requests.
-    pub hosts: f64,
+    pub host_count: f64,
     /// Time at which the client stops waiting.
     pub deadline: Micros,
 }
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -87,7 +87,7 @@
     /// Burst that a node can handle within a window, as a multiple of its capacity at that time.
     pub burst_factor: f64,
     /// Units that a node can serve within a window when its process starts, for all hosts together.
-    pub units: Units,
+    pub initial_units_per_window: Units,
 }
 
 /// Settings of the deployment, fixed at start-up.
@@ -98,7 +98,7 @@
     /// Plans of volumes, by index.
     pub plans: Vec<VolumePlan>,
     /// Number of hosts that share the nodes, this one included.
-    pub hosts: u32,
+    pub host_count: u32,
     /// Maximum number of attempts of one request, the first included.
     pub max_attempts: u32,
     /// Whether attempts in flight may be cancelled.
@@ -128,7 +128,7 @@
     pub reports_remote_units: bool,
     /// Value of units that are within the volume's provisioned rate but beyond its reservation, as
     /// a fraction of the value of reserved units.
-    pub within_share_value: f64,
+    pub provisioned_value: f64,
     /// Value of units beyond the volume's provisioned rate, as a fraction of the value of reserved
     /// units.
     pub surplus_value: f64,
--- a/crates/scheduler/src/dmclock/selection.rs
+++ b/crates/scheduler/src/dmclock/selection.rs
@@ -153,7 +153,7 @@
         if self.is_surplus(head) {
             self.settings.surplus_value
         } else {
-            self.settings.within_share_value
+            self.settings.provisioned_value
         }
     }
 
--- a/crates/scheduler/src/node/slow_start.rs
+++ b/crates/scheduler/src/node/slow_start.rs
@@ -122,7 +122,7 @@
         let nominal_units = self.nominal_rate.units_within(slow_start.window);
         let rate_quota = nominal_units * HOST_IMBALANCE_FACTOR * slow_start.burst_factor * capacity;
         let rate_quota = rate_quota.min(node_quota);
-        let hosts = f64::from(self.settings.hosts.max(1));
+        let hosts = f64::from(self.settings.host_count.max(1));
         let even_quota = node_quota / hosts;
         rate_quota + (even_quota - rate_quota) / hosts.sqrt()
     }
@@ -157,5 +157,6 @@
 /// Returns the units that a node of this capacity can serve within a window, for all hosts
 /// together.
 fn node_quota(slow_start: &SlowStart, capacity: f64) -> Units {
-    slow_start.units * capacity / slow_start.initial_capacity.max(MIN_INITIAL_CAPACITY)
+    slow_start.initial_units_per_window * capacity
+        / slow_start.initial_capacity.max(MIN_INITIAL_CAPACITY)
 }
--- a/crates/scheduler/src/scheduler/intake.rs
+++ b/crates/scheduler/src/scheduler/intake.rs
@@ -21,7 +21,7 @@
         };
         self.volumes
             .entry(request.volume, plan, &self.settings, self.started_at)
-            .record_request(plan, request.hosts, known_shard, self.now);
+            .record_request(plan, request.host_count, known_shard, self.now);
         self.retry_budget.record_request(self.now);
         let pending = PendingRequest::new(
             request,
--- a/crates/scheduler/tests/characterization/interface.rs
+++ b/crates/scheduler/tests/characterization/interface.rs
@@ -47,7 +47,7 @@
     Settings {
         classes: deployment.classes.iter().map(request_class).collect(),
         plans: deployment.plans.iter().map(volume_plan).collect(),
-        hosts: deployment.hosts,
+        host_count: deployment.hosts,
         max_attempts: deployment.max_attempts,
         cancellation_allowed: deployment.cancellation_allowed,
         discovery_clients: deployment.discovery_clients,
@@ -57,7 +57,7 @@
             duration: deployment.warmup.duration,
             window: deployment.warmup.window,
             burst_factor: deployment.warmup.burst_factor,
-            units: Units(deployment.warmup.units),
+            initial_units_per_window: Units(deployment.warmup.units),
         },
         quiesce_period: deployment.quiesce_period,
         retry_budget: deployment.retry_budget.map(|budget| RetryBudget {
@@ -69,7 +69,7 @@
         max_units: Units(deployment.max_units),
         usage_report_period: deployment.usage_report_period,
         reports_remote_units: deployment.reports_remote_units,
-        within_share_value: deployment.within_share_value,
+        provisioned_value: deployment.provisioned_value,
         surplus_value: deployment.surplus_value,
     }
 }
@@ -152,7 +152,7 @@
         key: arrival.key.map(ObjectKey),
         shard: arrival.shard.map(Shard),
         units: Units(arrival.units),
-        hosts: arrival.hosts,
+        host_count: arrival.hosts,
         deadline: arrival.deadline,
     }
 }
--- a/crates/scheduler/tests/characterization/plain.rs
+++ b/crates/scheduler/tests/characterization/plain.rs
@@ -117,7 +117,7 @@
     /// Whether responses report units served through other hosts.
     pub reports_remote_units: bool,
     /// Value of units within the provisioned rate.
-    pub within_share_value: f64,
+    pub provisioned_value: f64,
     /// Value of units beyond it.
     pub surplus_value: f64,
 }
--- a/crates/scheduler/tests/characterization/scenarios.rs
+++ b/crates/scheduler/tests/characterization/scenarios.rs
@@ -144,7 +144,7 @@
         max_units: 6.0,
         usage_report_period: 0,
         reports_remote_units: false,
-        within_share_value: 0.35,
+        provisioned_value: 0.35,
         surplus_value: 0.1,
     }
 }
@@ -486,7 +486,7 @@
         max_units: 0.0,
         usage_report_period: 0,
         reports_remote_units: false,
-        within_share_value: 0.0,
+        provisioned_value: 0.0,
         surplus_value: 0.0,
     };
     scenario.discovery = Discovery::Watched { mean: 3 * SECOND };
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -37,7 +37,7 @@
     Settings {
         classes: vec![request_class(Idempotency::Idempotent)],
         plans: vec![volume_plan(0.0, 1.0, 0.0)],
-        hosts: 1,
+        host_count: 1,
         max_attempts: 3,
         cancellation_allowed: true,
         discovery_clients: 0,
@@ -47,7 +47,7 @@
             duration: 10 * SECOND,
             window: SECOND,
             burst_factor: 3.0,
-            units: Units(20.0),
+            initial_units_per_window: Units(20.0),
         },
         quiesce_period: 0,
         retry_budget: None,
@@ -55,7 +55,7 @@
         max_units: Units(6.0),
         usage_report_period: 0,
         reports_remote_units: false,
-        within_share_value: 0.35,
+        provisioned_value: 0.35,
         surplus_value: 0.1,
     }
 }
@@ -172,7 +172,7 @@
             key: None,
             shard: shard.map(Shard),
             units: Units(1.0),
-            hosts: 1.0,
+            host_count: 1.0,
             deadline: self.now + 2 * SECOND,
         }
     }
--- a/crates/scheduler/tests/concurrency_limit.rs
+++ b/crates/scheduler/tests/concurrency_limit.rs
@@ -14,7 +14,7 @@
         [(3, false, 1), (200, false, 1), (3, true, 5), (200, true, 5)]
     {
         let mut settings = settings();
-        settings.hosts = hosts;
+        settings.host_count = hosts;
         let mut harness = SchedulerHarness::new(settings, 1);
         if measured {
             harness.warm_up(0);
--- a/crates/scheduler/tests/degenerate_settings.rs
+++ b/crates/scheduler/tests/degenerate_settings.rs
@@ -13,13 +13,13 @@
     settings.max_units = Units::ZERO;
     settings.slow_start.initial_capacity = 0.0;
     settings.slow_start.duration = 0;
-    settings.slow_start.units = Units::ZERO;
-    settings.hosts = 0;
+    settings.slow_start.initial_units_per_window = Units::ZERO;
+    settings.host_count = 0;
     let mut harness = SchedulerHarness::new(settings, 1);
     for _ in 0..20 {
         let request = Request {
             units: Units::ZERO,
-            hosts: 0.0,
+            host_count: 0.0,
             ..harness.request(Some(0))
         };
         let id = request.id.0;
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -120,7 +120,7 @@
     duration: Micros,
 ) -> FleetPolls {
     let mut settings = settings();
-    settings.hosts = host_count;
+    settings.host_count = host_count;
     settings.discovery_clients = host_count;
     let mut hosts = Vec::new();
     for seed in 1..=u64::from(host_count) {
--- a/crates/scheduler/tests/dmclock.rs
+++ b/crates/scheduler/tests/dmclock.rs
@@ -169,7 +169,7 @@
         let mut events = vec![Event::TimerFired];
         if elapsed_ms % 20 == 0 {
             let mut request = harness.request(Some(0));
-            request.hosts = 2.0;
+            request.host_count = 2.0;
             request.deadline = harness.now + 60 * SECOND;
             events.push(Event::RequestReceived(request));
         }
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -52,11 +52,11 @@
 
     fn settings(&self) -> Settings {
         let mut settings = settings();
-        settings.hosts = self.hosts;
+        settings.host_count = self.hosts;
         settings.slow_start.duration = SLOW_START;
         settings.slow_start.initial_capacity = INITIAL_CAPACITY;
         settings.slow_start.burst_factor = 3.0;
-        settings.slow_start.units =
+        settings.slow_start.initial_units_per_window =
             Units(FULL_CAPACITY * INITIAL_CAPACITY * settings.slow_start.burst_factor);
         let provisioned_rate = self.provisioned_rate();
         settings.plans = vec![VolumePlan {
@@ -80,7 +80,7 @@
         WarmingNode {
             load: self,
             dispatched_at: fleet.dispatched_at,
-            slow_start_units: settings.slow_start.units.0,
+            slow_start_units: settings.slow_start.initial_units_per_window.0,
         }
     }
 }
@@ -143,7 +143,7 @@
         Request {
             id: RequestId(request.id.0 * VOLUMES + volume),
             volume: VolumeId(volume),
-            hosts: HOSTS_PER_VOLUME as f64,
+            host_count: HOSTS_PER_VOLUME as f64,
             units: Units(UNITS_PER_REQUEST),
             deadline: now + 2 * SECOND,
             ..request
@@ -360,7 +360,7 @@
     // this host's part is 3. It gets the mean of both: four units, in requests of two and a half.
     const REQUESTS_PER_WINDOW: Micros = 6;
     let mut settings = settings();
-    settings.hosts = 4;
+    settings.host_count = 4;
     settings.plans[0].provisioned_rate = UnitsPerSecond(4.0);
     let mut in_first_window = 0;
     let mut in_second_window = 0;
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -25,7 +25,7 @@
         Ok(Settings {
             classes: self.request_classes()?,
             plans: self.plans.iter().map(VolumePlan::from).collect(),
-            hosts: self.gateway_count,
+            host_count: self.gateway_count,
             max_attempts: permissions.max_attempts,
             cancellation_allowed: permissions.cancellation,
             discovery_clients: self.discovery_clients(),
@@ -37,7 +37,7 @@
             max_units: Units(storage.max_units),
             usage_report_period: micros(storage.usage_report_period_ms),
             reports_remote_units: storage.reports_remote_units,
-            within_share_value: storage.within_share_value,
+            provisioned_value: storage.provisioned_value,
             surplus_value: storage.surplus_value,
         })
     }
@@ -64,7 +64,7 @@
             duration: micros(self.rules.slow_start_duration_ms),
             window: micros(self.rules.slow_start_window_ms),
             burst_factor: self.rules.slow_start_burst_factor,
-            units: Units(self.storage.slow_start_units),
+            initial_units_per_window: Units(self.storage.slow_start_units),
         }
     }
 
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -111,14 +111,15 @@
     /// gateways.
     #[serde(rename = "counts_others")]
     pub reports_remote_units: bool,
-    /// Fraction of their full value, from 0 to 1, of units that are beyond the volume's reservation
-    /// but within its share.
+    /// Value of units that are within the volume's provisioned rate but beyond its reservation, as
+    /// a fraction, from 0 to 1, of the value of reserved units.
     #[serde(rename = "fair_worth")]
-    pub within_share_value: f64,
+    pub provisioned_value: f64,
     /// Period of the usage reports in milliseconds; 0 if responses contain no usage report.
     #[serde(rename = "meter_ms")]
     pub usage_report_period_ms: f64,
-    /// Fraction of their full value, from 0 to 1, of units that are beyond the volume's share.
+    /// Value of units beyond the volume's provisioned rate, as a fraction, from 0 to 1, of the
+    /// value of reserved units.
     #[serde(rename = "spare_worth")]
     pub surplus_value: f64,
     /// Number of shards.
--- a/crates/settings/tests/conversion.rs
+++ b/crates/settings/tests/conversion.rs
@@ -25,7 +25,7 @@
     let settings = convert(json!({}));
     assert!(settings.classes.is_empty());
     assert!(settings.plans.is_empty());
-    assert_eq!(settings.hosts, 0);
+    assert_eq!(settings.host_count, 0);
     assert_eq!(settings.max_attempts, 0);
     assert!(!settings.cancellation_allowed);
     assert_eq!(settings.discovery_clients, 0);
@@ -110,11 +110,11 @@
         "cold_bears": 1.0, "unit_mean": 2.0, "units_top": 3.0, "meter_ms": 4.0, "fair_worth": 5.0,
         "spare_worth": 6.0, "counts_others": true
     }}));
-    assert_eq!(settings.slow_start.units, Units(1.0));
+    assert_eq!(settings.slow_start.initial_units_per_window, Units(1.0));
     assert_eq!(settings.mean_units, Units(2.0));
     assert_eq!(settings.max_units, Units(3.0));
     assert_eq!(settings.usage_report_period, 4_000);
-    assert_eq!(settings.within_share_value, 5.0);
+    assert_eq!(settings.provisioned_value, 5.0);
     assert_eq!(settings.surplus_value, 6.0);
     assert!(settings.reports_remote_units);
 }
@@ -168,7 +168,7 @@
         let converted = settings
             .to_scheduler_settings()
             .expect("settings that convert");
-        assert_eq!(converted.hosts, group_size);
+        assert_eq!(converted.host_count, group_size);
         assert_eq!(
             converted.discovery_clients, clients,
             "{discovery} {group_size} {has_discovery_agent}"
--- a/crates/simulator-adapter/src/instance/decode.rs
+++ b/crates/simulator-adapter/src/instance/decode.rs
@@ -87,7 +87,7 @@
             key: message.object_key.map(ObjectKey),
             shard,
             units: Units(message.units),
-            hosts: message.hosts.unwrap_or_default(),
+            host_count: message.hosts.unwrap_or_default(),
             deadline: micros(message.deadline_ms),
         })
     }
