--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -50,8 +50,8 @@
             if over_budget && !client.replies.is_empty() {
                 break;
             }
-            let has_endpoint = context.dispatcher.has_endpoint();
-            match client.parse_command(&mut position, has_endpoint) {
+            let has_node_in_service = context.dispatcher.has_node_in_service();
+            match client.parse_command(&mut position, has_node_in_service) {
                 CommandStep::Incomplete => break,
                 CommandStep::Close(reply) => {
                     client.close_after_reply(reply);
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -155,15 +155,15 @@
     }
 
     /// Parses the command that starts at `position` of the input, and moves `position` past it.
-    /// `has_endpoint` says whether any node is in service.
+    /// `has_node_in_service` says whether any node is in service.
     pub(super) fn parse_command(
         &mut self,
         position: &mut usize,
-        has_endpoint: bool,
+        has_node_in_service: bool,
     ) -> CommandStep {
         let slot = self.replies.next_slot();
         self.protocol
-            .parse_command(&self.socket.input, position, slot, has_endpoint)
+            .parse_command(&self.socket.input, position, slot, has_node_in_service)
     }
 
     /// Discards the parsed input, or all input if the connection is closing. Updates
--- a/crates/gateway/src/connections/node/attempts.rs
+++ b/crates/gateway/src/connections/node/attempts.rs
@@ -120,7 +120,7 @@
         }
         let flushed = connection.flush();
         if let Some(attempt) = connection.mark_may_have_executed() {
-            context.dispatcher.note_may_have_executed(attempt);
+            context.dispatcher.record_may_have_executed(attempt);
         }
         let interest = connection.interest();
         let result =
@@ -151,7 +151,7 @@
         connection.in_flight = None;
         self.attempt_connections.remove(&attempt);
         // The scheduler counts this as a fault of the node, like a refused connection.
-        context.abort_attempt(attempt, AbortCause::DrainGuard);
+        context.abort_attempt(attempt, AbortCause::WriteDeadlinePassed);
     }
 }
 
--- a/crates/gateway/src/connections/node/closing.rs
+++ b/crates/gateway/src/connections/node/closing.rs
@@ -34,7 +34,7 @@
         connection: &NodeConnection,
         context: &Context,
     ) -> Option<&mut ConnectionPool> {
-        if !context.dispatcher.knows_node(connection.node) {
+        if !context.dispatcher.contains_node(connection.node) {
             return None;
         }
         let pool = self.pools.get_mut(&connection.node)?;
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -65,7 +65,7 @@
     /// the node may have executed the request. `None` until the request is encoded.
     execution_offset: Option<u64>,
     /// Whether the node may have executed the request, of which the dispatcher has been notified;
-    /// see [`crate::dispatcher::Dispatcher::note_may_have_executed`].
+    /// see [`crate::dispatcher::Dispatcher::record_may_have_executed`].
     pub(super) may_have_executed: bool,
     /// When the connection was assigned to the attempt.
     pub(super) started_at: Micros,
--- a/crates/gateway/src/connections/node/events.rs
+++ b/crates/gateway/src/connections/node/events.rs
@@ -105,7 +105,7 @@
         };
         let attempt = in_flight.attempt.id;
         self.attempt_connections.remove(&attempt);
-        context.dispatcher.note_may_have_executed(attempt);
+        context.dispatcher.record_may_have_executed(attempt);
         context.complete_attempt(attempt, result);
         if let Some(pool) = self.pools.get_mut(&connection.node) {
             pool.idle_timeout_estimate
--- a/crates/gateway/src/connections/node/node_connections.rs
+++ b/crates/gateway/src/connections/node/node_connections.rs
@@ -80,7 +80,7 @@
     pub(crate) fn remove_unlisted(&mut self, context: &mut Context) {
         let nodes = self.pools.keys().copied();
         let unlisted: Vec<NodeId> = nodes
-            .filter(|node| !context.dispatcher.knows_node(*node))
+            .filter(|node| !context.dispatcher.contains_node(*node))
             .collect();
         for node in unlisted {
             let idle = self
@@ -98,7 +98,7 @@
     /// left.
     pub(super) fn remove_pool_if_unused(&mut self, node: NodeId, context: &Context) {
         let is_empty = self.pools.get(&node).is_some_and(|pool| pool.count == 0);
-        if is_empty && !context.dispatcher.knows_node(node) {
+        if is_empty && !context.dispatcher.contains_node(node) {
             self.pools.remove(&node);
         }
     }
--- a/crates/gateway/src/dispatcher/abort_cause.rs
+++ b/crates/gateway/src/dispatcher/abort_cause.rs
@@ -7,9 +7,9 @@
 pub enum AbortCause {
     /// No connection to the node could be opened, or it was not established in time.
     NoConnection,
-    /// The drain guard: the write deadline of a node that is out of service passed before the
-    /// request was written to it. See [`Dispatcher::may_write`](super::Dispatcher::may_write).
-    DrainGuard,
+    /// The write deadline of a node that is out of service passed before the request was written to
+    /// it. See [`Dispatcher::may_write`](super::Dispatcher::may_write).
+    WriteDeadlinePassed,
     /// The connection was closed or reset before the response was complete.
     ConnectionLost,
     /// The node sent an invalid response, or one that exceeds the memory budget.
@@ -30,7 +30,7 @@
         match self {
             AbortCause::Cancelled if !may_have_executed => Outcome::NotDispatched,
             _ if !may_have_executed => Outcome::ConnectFailed,
-            AbortCause::NoConnection | AbortCause::DrainGuard => Outcome::ConnectFailed,
+            AbortCause::NoConnection | AbortCause::WriteDeadlinePassed => Outcome::ConnectFailed,
             AbortCause::ConnectionLost => Outcome::Reset,
             AbortCause::InvalidResponse => Outcome::Error,
             AbortCause::TimedOut => Outcome::TimedOut,
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -48,7 +48,7 @@
     }
 
     /// Records that enough of the request was written to the node for the node to have executed it.
-    pub fn note_may_have_executed(&mut self, attempt: AttemptId) {
+    pub fn record_may_have_executed(&mut self, attempt: AttemptId) {
         if let Some(attempt) = self.requests.attempt_mut(attempt) {
             attempt.may_have_executed = true;
         }
--- a/crates/gateway/src/dispatcher/endpoints.rs
+++ b/crates/gateway/src/dispatcher/endpoints.rs
@@ -27,12 +27,12 @@
 
     /// Whether a node is listed, or removed but with attempts in flight.
     #[must_use]
-    pub fn knows_node(&self, node: NodeId) -> bool {
+    pub fn contains_node(&self, node: NodeId) -> bool {
         self.nodes.contains(node)
     }
 
-    /// The drain guard: whether the gateway may start to write an attempt to a node at the time
-    /// `now`.
+    /// Returns whether the gateway may start to write an attempt to a node at the time `now`, that
+    /// is, whether the write deadline of the node has not passed.
     ///
     /// The scheduler dispatches nothing to a draining node, but a node may start to drain while an
     /// attempt waits for its connection.
@@ -43,7 +43,7 @@
 
     /// Whether any node is in service.
     #[must_use]
-    pub fn has_endpoint(&self) -> bool {
+    pub fn has_node_in_service(&self) -> bool {
         self.nodes.has_in_service()
     }
 
--- a/crates/gateway/tests/in_process/dispatcher/attempts.rs
+++ b/crates/gateway/tests/in_process/dispatcher/attempts.rs
@@ -14,7 +14,7 @@
         harness.run_turn();
         let attempt = harness.take_started_attempts()[0].id;
         if written {
-            harness.note_may_have_executed(attempt);
+            harness.record_may_have_executed(attempt);
         }
         harness.abort(attempt, AbortCause::ConnectionLost);
         harness.run_turn();
@@ -34,7 +34,7 @@
     let StartedAttempt {
         id, times_out_at, ..
     } = started[0];
-    harness.note_may_have_executed(id);
+    harness.record_may_have_executed(id);
     harness.advance(times_out_at - 1 - harness.now);
     assert!(harness.dispatcher.is_awaiting(id));
     harness.advance(1);
--- a/crates/gateway/tests/in_process/dispatcher/bounded_state.rs
+++ b/crates/gateway/tests/in_process/dispatcher/bounded_state.rs
@@ -51,7 +51,7 @@
             harness.dispatcher.nodes().count() <= 2,
             "the removed node has an attempt in flight"
         );
-        harness.note_may_have_executed(attempt);
+        harness.record_may_have_executed(attempt);
         harness.complete(attempt, Outcome::Served);
         harness.run_turn();
         let responses = harness.take_responses();
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -224,8 +224,8 @@
     }
 
     /// So much of the attempt is written that the node may have executed the request.
-    pub fn note_may_have_executed(&mut self, attempt: AttemptId) {
-        self.dispatcher.note_may_have_executed(attempt);
+    pub fn record_may_have_executed(&mut self, attempt: AttemptId) {
+        self.dispatcher.record_may_have_executed(attempt);
     }
 
     /// The node answers the attempt.
--- a/crates/gateway/tests/in_process/dispatcher/random_load.rs
+++ b/crates/gateway/tests/in_process/dispatcher/random_load.rs
@@ -114,7 +114,7 @@
                 "seed {seed}: a write that may have run is dispatched again"
             );
             if !self.one_in(4) {
-                self.harness.note_may_have_executed(id);
+                self.harness.record_may_have_executed(id);
                 self.may_have_executed.insert(id.request);
             }
             self.in_flight.push(id);
--- a/crates/gateway/tests/in_process/dispatcher/slow_start.rs
+++ b/crates/gateway/tests/in_process/dispatcher/slow_start.rs
@@ -93,7 +93,7 @@
             if attempt.node == RESTARTED && self.harness.now >= self.restarted_at {
                 self.dispatched_at.push(self.harness.now);
             }
-            self.harness.note_may_have_executed(attempt.id);
+            self.harness.record_may_have_executed(attempt.id);
             let outcome = if attempt.node == RESTARTED && goes_down {
                 Outcome::Reset
             } else {
