--- a/crates/gateway/src/connections/client/client_connections.rs
+++ b/crates/gateway/src/connections/client/client_connections.rs
@@ -26,7 +26,7 @@
     /// Number of open connections.
     pub(super) count: usize,
     /// Number of open connections that have sent a request and are not in a lingering close.
-    pub(super) requesters: usize,
+    pub(super) requesting_clients: usize,
     /// Total bytes of encoded replies, over all connections, that have not been written to a socket
     /// yet.
     pub(super) unsent_bytes: usize,
@@ -52,7 +52,7 @@
             sftp,
             limits,
             count: 0,
-            requesters: 0,
+            requesting_clients: 0,
             unsent_bytes: 0,
             partial_command_bytes: 0,
             eviction_queue: EvictionQueue::default(),
--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -62,7 +62,7 @@
                 return self.drop_connection(client, context);
             }
             client.start_lingering(context.now);
-            self.uncount_requester(&mut client);
+            self.uncount_requesting_client(&mut client);
         }
         client.socket.consume_all();
         let registered = client.socket.set_interest(Interest::Read, &context.poller);
@@ -79,7 +79,7 @@
         context.free(client.token());
         client.timer.cancel(&mut context.timers);
         self.count -= 1;
-        self.uncount_requester(&mut client);
+        self.uncount_requesting_client(&mut client);
         client.counted_unsent_bytes.set(0, &mut self.unsent_bytes);
         client
             .counted_partial_command_bytes
@@ -90,10 +90,10 @@
     }
 
     /// Removes a connection from the number of those that have sent a request.
-    fn uncount_requester(&mut self, client: &mut ClientConnection) {
+    fn uncount_requesting_client(&mut self, client: &mut ClientConnection) {
         if client.eviction_priority == EvictionPriority::SentRequest {
             client.eviction_priority = EvictionPriority::SentCommand;
-            self.requesters -= 1;
+            self.requesting_clients -= 1;
         }
     }
 }
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -75,7 +75,7 @@
     ) {
         if client.eviction_priority < EvictionPriority::SentRequest {
             client.eviction_priority = EvictionPriority::SentRequest;
-            self.requesters += 1;
+            self.requesting_clients += 1;
         }
         let reply_slot = ReplySlot {
             connection: client.token(),
--- a/crates/gateway/src/connections/client/eviction_queue.rs
+++ b/crates/gateway/src/connections/client/eviction_queue.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns the connection that has been idle for longest among those that have sent a request.
-    pub(super) fn longest_idle_requester(&self) -> Option<ConnectionToken> {
+    pub(super) fn longest_idle_requesting_client(&self) -> Option<ConnectionToken> {
         let first = EvictionCandidate::range_start(EvictionPriority::SentRequest);
         let end = EvictionCandidate::range_start(EvictionPriority::PartialCommand);
         self.candidates
--- a/crates/gateway/src/connections/descriptors.rs
+++ b/crates/gateway/src/connections/descriptors.rs
@@ -9,7 +9,7 @@
 /// At most one in this many descriptors may be used by client connections that have sent a request.
 /// Clients are expected to use up to a third of the descriptors for requests. Limiting them to a
 /// quarter leaves descriptors for new connections.
-const DESCRIPTORS_PER_REQUESTER: usize = 4;
+const DESCRIPTORS_PER_REQUESTING_CLIENT: usize = 4;
 /// Percentage of the unreserved descriptors that connections to nodes may use.
 const NODE_CONNECTION_PERCENT: usize = 40;
 
@@ -20,7 +20,7 @@
     pub(crate) clients: usize,
     /// Maximum number of client connections that have sent a request. If there are more, idle ones
     /// among them are closed.
-    pub(crate) requesters: usize,
+    pub(crate) requesting_clients: usize,
     /// Maximum number of connections to nodes.
     pub(crate) nodes: usize,
 }
@@ -33,7 +33,7 @@
         let nodes = usable * NODE_CONNECTION_PERCENT / 100;
         ConnectionLimits {
             clients: usable - nodes,
-            requesters: max_descriptors / DESCRIPTORS_PER_REQUESTER,
+            requesting_clients: max_descriptors / DESCRIPTORS_PER_REQUESTING_CLIENT,
             nodes,
         }
     }
--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -109,13 +109,14 @@
     fn receive(&mut self, updates: &mut Vec<EndpointListUpdate>) -> io::Result<WatchReadResult> {
         let status = self.socket.read_available(MAX_BYTES_PER_TURN)?;
         let bytes = std::mem::take(&mut self.socket.input);
-        let was_mid_object = self.parser.is_mid_object();
+        let had_partial_object = self.parser.has_partial_object();
         let parsed = self.parser.feed(&bytes, updates);
         let completes_object = !updates.is_empty();
         Ok(WatchReadResult {
             parsed,
             is_ended: status == StreamStatus::Ended || self.parser.is_complete(),
-            restarts_heartbeat_timeout: !bytes.is_empty() && (!was_mid_object || completes_object),
+            restarts_heartbeat_timeout: !bytes.is_empty()
+                && (!had_partial_object || completes_object),
         })
     }
 }
--- a/crates/gateway/src/connections/listener.rs
+++ b/crates/gateway/src/connections/listener.rs
@@ -99,7 +99,7 @@
 
     /// Stops accepting for [`ACCEPT_PAUSE`] on all listeners except `handled`, the one that is
     /// being handled. The poller continues to report that one.
-    pub(crate) fn pause_others(&self, handled: ConnectionToken, context: &mut Context) {
+    pub(crate) fn pause_all_except(&self, handled: ConnectionToken, context: &mut Context) {
         for listener in &self.listeners {
             if listener.token != handled {
                 set_events(listener, EventFlags::empty(), context);
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -1,6 +1,6 @@
 //! A non-blocking TCP stream with its input and output buffers, registered with the poller.
 
-use super::nonblocking::{read_chunk, Chunk};
+use super::nonblocking::{read_chunk, ReadOutcome};
 use crate::connection_token::ConnectionToken;
 use crate::context::{ConnectionKind, Context, Poller};
 use rustix::event::epoll::EventFlags;
@@ -145,14 +145,14 @@
         while self.input.len() < max_buffered {
             let wanted = READ_CHUNK_BYTES.min(max_buffered - self.input.len());
             match read_chunk(&mut self.stream, &mut buffer[..wanted]) {
-                Ok(Chunk::Bytes(count)) => {
+                Ok(ReadOutcome::Bytes(count)) => {
                     self.input.extend_from_slice(&buffer[..count]);
                     if count < wanted {
                         return Ok(StreamStatus::Open);
                     }
                 }
-                Ok(Chunk::NoneAvailable) => return Ok(StreamStatus::Open),
-                Ok(Chunk::Ended) => return Ok(StreamStatus::Ended),
+                Ok(ReadOutcome::WouldBlock) => return Ok(StreamStatus::Open),
+                Ok(ReadOutcome::Ended) => return Ok(StreamStatus::Ended),
                 Err(_) if self.input.len() > length_before => return Ok(StreamStatus::Ended),
                 Err(error) => return Err(error),
             }
@@ -169,10 +169,12 @@
         let mut buffer = [0; READ_CHUNK_BYTES];
         loop {
             match read_chunk(&mut self.stream, &mut buffer)? {
-                Chunk::Bytes(count) if count >= *remaining_bytes => return Ok(StreamStatus::Ended),
-                Chunk::Bytes(count) => *remaining_bytes -= count,
-                Chunk::NoneAvailable => return Ok(StreamStatus::Open),
-                Chunk::Ended => return Ok(StreamStatus::Ended),
+                ReadOutcome::Bytes(count) if count >= *remaining_bytes => {
+                    return Ok(StreamStatus::Ended)
+                }
+                ReadOutcome::Bytes(count) => *remaining_bytes -= count,
+                ReadOutcome::WouldBlock => return Ok(StreamStatus::Open),
+                ReadOutcome::Ended => return Ok(StreamStatus::Ended),
             }
         }
     }
--- a/crates/gateway/src/console/command.rs
+++ b/crates/gateway/src/console/command.rs
@@ -20,7 +20,7 @@
     /// Shut the gateway down gracefully: it ends when all accepted requests are finished.
     Quit,
     /// An empty line: do nothing.
-    Nothing,
+    Empty,
 }
 
 /// An error in a command line. The console prints its text to the operator.
@@ -62,7 +62,7 @@
 pub fn parse(line: &str) -> Result<ConsoleCommand, ConsoleError> {
     let words: Vec<&str> = line.split_whitespace().collect();
     match words.as_slice() {
-        [] => Ok(ConsoleCommand::Nothing),
+        [] => Ok(ConsoleCommand::Empty),
         ["status"] => Ok(ConsoleCommand::Status),
         ["nodes"] => Ok(ConsoleCommand::Nodes),
         ["volumes"] => Ok(ConsoleCommand::Volumes),
--- a/crates/gateway/src/discovery/json_stream.rs
+++ b/crates/gateway/src/discovery/json_stream.rs
@@ -24,7 +24,7 @@
 
 impl JsonStream {
     /// Whether an object has been received in part.
-    pub(super) fn is_mid_object(&self) -> bool {
+    pub(super) fn has_partial_object(&self) -> bool {
         self.depth > 0
     }
 
--- a/crates/gateway/src/discovery/watch_parser.rs
+++ b/crates/gateway/src/discovery/watch_parser.rs
@@ -65,8 +65,8 @@
 
     /// Whether an update has been received in part.
     #[must_use]
-    pub fn is_mid_object(&self) -> bool {
-        self.objects.is_mid_object()
+    pub fn has_partial_object(&self) -> bool {
+        self.objects.has_partial_object()
     }
 
     /// Parses as much of the input as possible.
--- a/crates/gateway/src/event_loop/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -45,7 +45,7 @@
     /// Runs a command and returns its output.
     fn run_console_command(&mut self, command: ConsoleCommand) -> String {
         match command {
-            ConsoleCommand::Nothing => String::new(),
+            ConsoleCommand::Empty => String::new(),
             ConsoleCommand::Help => console::HELP.to_owned(),
             ConsoleCommand::Nodes => console::format_nodes(self.context.dispatcher.nodes()),
             ConsoleCommand::Volumes => self.format_volumes(),
--- a/crates/gateway/src/event_loop/console_input.rs
+++ b/crates/gateway/src/event_loop/console_input.rs
@@ -4,7 +4,7 @@
 //! standard input.
 
 use crate::connection_token::ConnectionToken;
-use crate::connections::nonblocking::{read_chunk, Chunk};
+use crate::connections::nonblocking::{read_chunk, ReadOutcome};
 use crate::context::{ConnectionKind, Context};
 use rustix::event::epoll::EventFlags;
 use std::io;
@@ -61,9 +61,9 @@
         let mut bytes = [0; READ_CHUNK_BYTES];
         loop {
             match read_chunk(&mut self.stream, &mut bytes) {
-                Ok(Chunk::Bytes(count)) => self.buffer.extend_from_slice(&bytes[..count]),
-                Ok(Chunk::NoneAvailable) => return Ok(()),
-                Ok(Chunk::Ended) | Err(_) => return Err(InputClosed),
+                Ok(ReadOutcome::Bytes(count)) => self.buffer.extend_from_slice(&bytes[..count]),
+                Ok(ReadOutcome::WouldBlock) => return Ok(()),
+                Ok(ReadOutcome::Ended) | Err(_) => return Err(InputClosed),
             }
         }
     }
--- a/crates/gateway/src/event_loop/turn.rs
+++ b/crates/gateway/src/event_loop/turn.rs
@@ -62,6 +62,6 @@
             self.run_command(command);
         }
         self.client_connections
-            .close_excess_requesters(&mut self.context);
+            .close_excess_requesting_clients(&mut self.context);
     }
 }
--- a/crates/gateway/tests/in_process/discovery.rs
+++ b/crates/gateway/tests/in_process/discovery.rs
@@ -68,7 +68,7 @@
                 .collect();
             assert_eq!(names, ["a }\" {"]);
             assert_eq!(
-                (parser.is_complete(), parser.is_mid_object()),
+                (parser.is_complete(), parser.has_partial_object()),
                 (complete, false)
             );
         }
@@ -87,7 +87,7 @@
         parser
             .feed(format!("{head}{beginning}").as_bytes(), &mut updates)
             .expect("the object may still be completed");
-        assert!(parser.is_mid_object());
+        assert!(parser.has_partial_object());
         let result = (0..times).try_for_each(|_| parser.feed(repeated.as_bytes(), &mut updates));
         assert!(result.is_err() && updates.is_empty(), "{beginning}");
     }
