--- a/crates/gateway/src/client_protocol/mod.rs
+++ b/crates/gateway/src/client_protocol/mod.rs
@@ -11,7 +11,7 @@
 
 /// Result of [`ClientProtocol::parse_command`].
 #[derive(Debug)]
-pub enum CommandStep {
+pub enum ParsedCommand {
     /// The command is incomplete; no input was consumed.
     Incomplete,
     /// Send these bytes as the reply. The command submits no request.
@@ -38,15 +38,15 @@
     /// command unless it is incomplete or invalid.
     ///
     /// `slot` is the sequence number of the command on its connection; responses to its requests
-    /// are passed to [`encode_response`](Self::encode_response) with the same number. `ready`
+    /// are passed to [`encode_response`](Self::encode_response) with the same number. `is_ready`
     /// states whether the gateway can serve requests; commands such as `PING` report it.
     fn parse_command(
         &mut self,
         input: &[u8],
         position: &mut usize,
         slot: SlotNumber,
-        ready: bool,
-    ) -> CommandStep;
+        is_ready: bool,
+    ) -> ParsedCommand;
 
     /// Handles the response to one request of the command at `slot`. Called at most once for each
     /// submitted request, in any order. Appends the encoded reply to `out` once the command can be
--- a/crates/gateway/src/client_protocol/resp/protocol.rs
+++ b/crates/gateway/src/client_protocol/resp/protocol.rs
@@ -4,7 +4,7 @@
 use super::reply;
 use super::request::{build_request, RequestArguments};
 use super::schema::RequestSchema;
-use crate::client_protocol::{ClientProtocol, CommandStep, EncodedReply};
+use crate::client_protocol::{ClientProtocol, EncodedReply, ParsedCommand};
 use crate::memory_budget::OVERLOADED_RETRY_AFTER;
 use crate::resp_wire_names::command;
 use crate::storage_request::{Operation, Response, SlotNumber};
@@ -31,14 +31,14 @@
 
     /// Executes a complete command, given as its name and arguments: replies to it or submits its
     /// request.
-    fn run_command(&self, name_and_arguments: &[&[u8]], ready: bool) -> CommandStep {
+    fn run_command(&self, name_and_arguments: &[&[u8]], is_ready: bool) -> ParsedCommand {
         let Some((name, arguments)) = name_and_arguments.split_first() else {
-            return CommandStep::Reply(Vec::new());
+            return ParsedCommand::Reply(Vec::new());
         };
         match name.to_ascii_uppercase().as_slice() {
             command::READ => self.read(arguments),
             command::WRITE => self.write(arguments),
-            b"PING" if ready => fixed_reply(reply::PONG),
+            b"PING" if is_ready => fixed_reply(reply::PONG),
             b"PING" => fixed_reply(reply::NOT_READY),
             b"CLIENT" | b"SELECT" => fixed_reply(reply::OK),
             _ => fixed_reply(reply::UNKNOWN_COMMAND),
@@ -46,7 +46,7 @@
     }
 
     /// Handles the command that reads an object.
-    fn read(&self, arguments: &[&[u8]]) -> CommandStep {
+    fn read(&self, arguments: &[&[u8]]) -> ParsedCommand {
         let [object, client_request_id, parameters] = arguments else {
             return fixed_reply(reply::WRONG_ARGUMENT_COUNT);
         };
@@ -60,7 +60,7 @@
     }
 
     /// Handles the command that writes an object.
-    fn write(&self, arguments: &[&[u8]]) -> CommandStep {
+    fn write(&self, arguments: &[&[u8]]) -> ParsedCommand {
         let [object, client_request_id, parameters, body] = arguments else {
             return fixed_reply(reply::WRONG_ARGUMENT_COUNT);
         };
@@ -74,17 +74,17 @@
     }
 
     /// Builds the request of a command and submits it, or replies with an error if it is invalid.
-    fn submit(&self, operation: Operation, arguments: &RequestArguments<'_>) -> CommandStep {
+    fn submit(&self, operation: Operation, arguments: &RequestArguments<'_>) -> ParsedCommand {
         match build_request(&self.schema, operation, arguments) {
-            Ok(request) => CommandStep::Submit(vec![request]),
-            Err(error) => CommandStep::Reply(reply::encode_request_error(&error)),
+            Ok(request) => ParsedCommand::Submit(vec![request]),
+            Err(error) => ParsedCommand::Reply(reply::encode_request_error(&error)),
         }
     }
 }
 
 /// Replies to a command with fixed bytes.
-fn fixed_reply(bytes: &[u8]) -> CommandStep {
-    CommandStep::Reply(bytes.to_vec())
+fn fixed_reply(bytes: &[u8]) -> ParsedCommand {
+    ParsedCommand::Reply(bytes.to_vec())
 }
 
 impl ClientProtocol for RespProtocol {
@@ -93,12 +93,12 @@
         input: &[u8],
         position: &mut usize,
         _slot: SlotNumber,
-        ready: bool,
-    ) -> CommandStep {
+        is_ready: bool,
+    ) -> ParsedCommand {
         match parse_arguments(input, position) {
-            Ok(Some(name_and_arguments)) => self.run_command(&name_and_arguments, ready),
-            Ok(None) => CommandStep::Incomplete,
-            Err(error) => CommandStep::Close(reply::encode_syntax_error(error)),
+            Ok(Some(name_and_arguments)) => self.run_command(&name_and_arguments, is_ready),
+            Ok(None) => ParsedCommand::Incomplete,
+            Err(error) => ParsedCommand::Close(reply::encode_syntax_error(error)),
         }
     }
 
--- a/crates/gateway/src/client_protocol/sftp/mod.rs
+++ b/crates/gateway/src/client_protocol/sftp/mod.rs
@@ -7,8 +7,8 @@
 //!
 //! [`SftpProtocol`] decodes packets and keeps the commands whose requests are in flight
 //! (`pending`). Commands operate on the client's `session`: `commands` starts them, and `responses`
-//! completes those that submitted requests. [`SftpShared`] is the state that all clients share: the
-//! builder of `requests`, the cached `object_sizes` and the `buffer_budget`.
+//! completes those that submitted requests. [`SftpListenerState`] is the state that all clients
+//! share: the builder of `requests`, the cached `object_sizes` and the `buffer_budget`.
 
 mod buffer_budget;
 mod commands;
@@ -28,4 +28,4 @@
 mod shared;
 
 pub use protocol::SftpProtocol;
-pub use shared::SftpShared;
+pub use shared::SftpListenerState;
--- a/crates/gateway/src/client_protocol/sftp/protocol.rs
+++ b/crates/gateway/src/client_protocol/sftp/protocol.rs
@@ -5,8 +5,8 @@
 use super::pending::PendingCommand;
 use super::responses::CommandProgress;
 use super::session::Session;
-use super::shared::SftpShared;
-use crate::client_protocol::{ClientProtocol, CommandStep, EncodedReply};
+use super::shared::SftpListenerState;
+use crate::client_protocol::{ClientProtocol, EncodedReply, ParsedCommand};
 use crate::sftp_packet::{
     decode_packet, DecodedPacket, Fields, Packet, PacketType, RequestId, VERSION,
 };
@@ -32,7 +32,7 @@
 impl SftpProtocol {
     /// Creates the state of a new connection.
     #[must_use]
-    pub fn new(shared: Rc<SftpShared>) -> SftpProtocol {
+    pub fn new(shared: Rc<SftpListenerState>) -> SftpProtocol {
         SftpProtocol {
             initialized: false,
             session: Session::new(shared),
@@ -42,16 +42,16 @@
 
     /// Handles the first packet. Replies with VERSION if it is INIT with a version; any other
     /// packet closes the connection.
-    fn initialize(&mut self, packet: DecodedPacket<'_>) -> CommandStep {
+    fn initialize(&mut self, packet: DecodedPacket<'_>) -> ParsedCommand {
         let DecodedPacket {
             packet_type,
             mut fields,
         } = packet;
         self.initialized = packet_type == PacketType::INIT && fields.u32().is_ok();
         if !self.initialized {
-            return CommandStep::Close(Vec::new());
+            return ParsedCommand::Close(Vec::new());
         }
-        CommandStep::Reply(Packet::new(PacketType::VERSION).u32(VERSION).finish())
+        ParsedCommand::Reply(Packet::new(PacketType::VERSION).u32(VERSION).finish())
     }
 
     /// Executes the command at `slot`. `fields` contains the fields after the request id.
@@ -61,9 +61,9 @@
         packet_type: PacketType,
         request_id: RequestId,
         fields: Fields<'_>,
-    ) -> CommandStep {
+    ) -> ParsedCommand {
         match self.session.run_command(packet_type, request_id, fields) {
-            Ok(CommandOutcome::Reply(reply)) => CommandStep::Reply(reply),
+            Ok(CommandOutcome::Reply(reply)) => ParsedCommand::Reply(reply),
             Ok(CommandOutcome::Submit {
                 requests,
                 operation,
@@ -73,9 +73,9 @@
                     operation,
                 };
                 self.pending.insert(slot, command);
-                CommandStep::Submit(requests)
+                ParsedCommand::Submit(requests)
             }
-            Err(error) => CommandStep::Reply(error.to_status(request_id)),
+            Err(error) => ParsedCommand::Reply(error.to_status(request_id)),
         }
     }
 }
@@ -87,11 +87,11 @@
         position: &mut usize,
         slot: SlotNumber,
         _ready: bool,
-    ) -> CommandStep {
+    ) -> ParsedCommand {
         let packet = match decode_packet(input, position) {
             Ok(Some(packet)) => packet,
-            Ok(None) => return CommandStep::Incomplete,
-            Err(_) => return CommandStep::Close(Vec::new()),
+            Ok(None) => return ParsedCommand::Incomplete,
+            Err(_) => return ParsedCommand::Close(Vec::new()),
         };
         if !self.initialized {
             return self.initialize(packet);
@@ -102,7 +102,7 @@
         } = packet;
         match fields.request_id() {
             Ok(request_id) => self.run_command(slot, packet_type, request_id, fields),
-            Err(_) => CommandStep::Close(Vec::new()),
+            Err(_) => ParsedCommand::Close(Vec::new()),
         }
     }
 
--- a/crates/gateway/src/client_protocol/sftp/shared.rs
+++ b/crates/gateway/src/client_protocol/sftp/shared.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 /// State shared by all clients of the SFTP listener.
-pub struct SftpShared {
+pub struct SftpListenerState {
     /// Volumes that clients may access.
     pub(super) volumes: Vec<SftpVolume>,
     /// Maximum size of an upload in bytes.
@@ -21,7 +21,7 @@
     pub(super) buffer_budget: Rc<BufferBudget>,
 }
 
-impl SftpShared {
+impl SftpListenerState {
     /// Creates the shared state of a listener. The handles of all clients together may buffer up to
     /// `max_buffered_bytes`. Client request ids count up from `first_request_id`.
     #[must_use]
@@ -30,8 +30,8 @@
         settings: &DeploymentSettings,
         max_buffered_bytes: usize,
         first_request_id: u64,
-    ) -> Rc<SftpShared> {
-        Rc::new(SftpShared {
+    ) -> Rc<SftpListenerState> {
+        Rc::new(SftpListenerState {
             requests: RequestBuilder::new(&config, settings, first_request_id),
             volumes: config.volumes,
             max_upload_bytes: config.max_upload_bytes,
--- a/crates/gateway/src/config/model.rs
+++ b/crates/gateway/src/config/model.rs
@@ -27,7 +27,7 @@
     /// Maximum number of file descriptors that the process may open.
     pub max_descriptors: usize,
     /// Division of the memory limit among the buffers.
-    pub budget: MemoryBudget,
+    pub memory_budget: MemoryBudget,
     /// Settings of the deployment.
     pub settings: DeploymentSettings,
     /// Path of the inventory of storage nodes; `None` if the nodes come from discovery only.
@@ -35,7 +35,7 @@
     /// Settings of the SFTP listener; `None` for no SFTP listener.
     pub sftp: Option<SftpSettings>,
     /// Most verbose level of the messages that are logged.
-    pub log: LevelFilter,
+    pub log_level: LevelFilter,
 }
 
 /// The file that a configuration was loaded from, and its format.
--- a/crates/gateway/src/config/operator.rs
+++ b/crates/gateway/src/config/operator.rs
@@ -45,11 +45,11 @@
         cached_endpoints: EndpointListUpdate::default(),
         seed: SEED,
         max_descriptors: file.limits.max_descriptors,
-        budget: MemoryBudget::from_memory_mb(file.limits.memory_mb),
+        memory_budget: MemoryBudget::from_memory_mb(file.limits.memory_mb),
         settings: file.settings,
         inventory: file.inventory.map(|inventory| directory.join(inventory)),
         sftp,
-        log: parse_log_level("log", file.log.as_deref())?,
+        log_level: parse_log_level("log", file.log.as_deref())?,
     })
 }
 
--- a/crates/gateway/src/config/platform.rs
+++ b/crates/gateway/src/config/platform.rs
@@ -72,11 +72,11 @@
         cached_endpoints: file.cached_endpoints,
         seed,
         max_descriptors: file.limits.max_descriptors,
-        budget: MemoryBudget::from_memory_mb(file.limits.memory_mb),
+        memory_budget: MemoryBudget::from_memory_mb(file.limits.memory_mb),
         settings: file.settings,
         inventory: None,
         sftp: None,
-        log: parse_log_level(LOG_VARIABLE, log.as_deref())?,
+        log_level: parse_log_level(LOG_VARIABLE, log.as_deref())?,
     })
 }
 
--- a/crates/gateway/src/connections/client/client_connections.rs
+++ b/crates/gateway/src/connections/client/client_connections.rs
@@ -3,7 +3,7 @@
 use super::connection::ClientConnection;
 use super::eviction_queue::EvictionQueue;
 use crate::client_protocol::resp::RequestSchema;
-use crate::client_protocol::sftp::SftpShared;
+use crate::client_protocol::sftp::SftpListenerState;
 use crate::config::Config;
 use crate::connection_token::ConnectionToken;
 use crate::connections::descriptors::ConnectionLimits;
@@ -20,7 +20,7 @@
     /// connections.
     pub(super) request_schema: Rc<RequestSchema>,
     /// State shared by all SFTP connections; `None` if SFTP is not configured.
-    pub(super) sftp: Option<Rc<SftpShared>>,
+    pub(super) sftp: Option<Rc<SftpListenerState>>,
     /// Maximum numbers of connections.
     pub(super) limits: ConnectionLimits,
     /// Number of open connections.
@@ -41,11 +41,11 @@
     /// Creates an empty set of connections. `now` is the seed for SFTP handles, so that they differ
     /// from those of an earlier run of the gateway.
     pub(crate) fn new(config: &Config, limits: ConnectionLimits, now: Micros) -> ClientConnections {
-        let file_bytes = config.budget.sftp_file_bytes;
+        let file_bytes = config.memory_budget.sftp_file_bytes;
         let sftp = config
             .sftp
             .clone()
-            .map(|settings| SftpShared::new(settings, &config.settings, file_bytes, now as u64));
+            .map(|sftp| SftpListenerState::new(sftp, &config.settings, file_bytes, now as u64));
         ClientConnections {
             connections: HashMap::new(),
             request_schema: RequestSchema::new(&config.settings),
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -3,7 +3,7 @@
 use super::client_connections::ClientConnections;
 use super::connection::{ClientConnection, MAX_INPUT_BYTES, MAX_UNSENT_BYTES};
 use super::eviction_queue::EvictionPriority;
-use crate::client_protocol::CommandStep;
+use crate::client_protocol::ParsedCommand;
 use crate::context::Context;
 use crate::storage_request::{ReplySlot, StorageRequest};
 use io_scheduler::Micros;
@@ -43,7 +43,7 @@
     /// reached. Returns the number of input bytes that were parsed.
     fn run_commands(&mut self, client: &mut ClientConnection, context: &mut Context) -> usize {
         let mut position = 0;
-        let over_budget = self.unsent_bytes >= context.config.budget.unsent_reply_bytes;
+        let over_budget = self.unsent_bytes >= context.config.memory_budget.unsent_reply_bytes;
         while client.may_parse_command() {
             // While the unsent replies of all clients exceed their budget, each client may have
             // only one pending reply.
@@ -52,13 +52,13 @@
             }
             let has_node_in_service = context.dispatcher.has_node_in_service();
             match client.parse_command(&mut position, has_node_in_service) {
-                CommandStep::Incomplete => break,
-                CommandStep::Close(reply) => {
+                ParsedCommand::Incomplete => break,
+                ParsedCommand::Close(reply) => {
                     client.close_after_reply(reply);
                     break;
                 }
-                CommandStep::Reply(reply) => client.replies.push_encoded(reply),
-                CommandStep::Submit(requests) => self.submit(client, requests, context),
+                ParsedCommand::Reply(reply) => client.replies.push_encoded(reply),
+                ParsedCommand::Submit(requests) => self.submit(client, requests, context),
             }
             client.record_command(context.now);
         }
@@ -102,7 +102,8 @@
         client
             .counted_partial_command_bytes
             .set(buffered_bytes, &mut self.partial_command_bytes);
-        let over_budget = self.partial_command_bytes > context.config.budget.partial_command_bytes;
+        let over_budget =
+            self.partial_command_bytes > context.config.memory_budget.partial_command_bytes;
         if over_budget && client.partial_command_since.is_some() && !client.is_closing() {
             client.close_after_reply(client.protocol.overloaded_reply());
             client.socket.consume_all();
@@ -131,7 +132,7 @@
     /// The limits that stop parsing do not bound the replies to commands already in flight. This
     /// check does, before the process runs out of memory.
     fn has_excessive_backlog(&self, client: &ClientConnection, context: &Context) -> bool {
-        let max_unsent_bytes = MAX_BACKLOG_FACTOR * context.config.budget.unsent_reply_bytes;
+        let max_unsent_bytes = MAX_BACKLOG_FACTOR * context.config.memory_budget.unsent_reply_bytes;
         self.unsent_bytes > max_unsent_bytes && client.socket.unsent_bytes() > MAX_UNSENT_BYTES
     }
 }
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -3,7 +3,7 @@
 use super::eviction_queue::{EvictionCandidate, EvictionPriority};
 use super::reply_queue::ReplyQueue;
 use crate::client_protocol::resp::MAX_COMMAND_BYTES;
-use crate::client_protocol::{ClientProtocol, CommandStep, EncodedReply};
+use crate::client_protocol::{ClientProtocol, EncodedReply, ParsedCommand};
 use crate::connection_token::ConnectionToken;
 use crate::connections::connection_timer::ConnectionTimer;
 use crate::connections::counted_bytes::CountedBytes;
@@ -160,7 +160,7 @@
         &mut self,
         position: &mut usize,
         has_node_in_service: bool,
-    ) -> CommandStep {
+    ) -> ParsedCommand {
         let slot = self.replies.next_slot();
         self.protocol
             .parse_command(&self.socket.input, position, slot, has_node_in_service)
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -128,7 +128,7 @@
     /// Returns whether requests may be written, that is, whether the TCP connection is established
     /// and the protocol's handshake is complete.
     pub(super) fn is_ready(&self) -> bool {
-        self.is_connected && self.protocol.ready()
+        self.is_connected && self.protocol.is_ready()
     }
 
     /// Returns the events to wait for.
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -52,7 +52,7 @@
         if let Some(pool) = self.pools.get_mut(&node) {
             pool.count += 1;
         }
-        let max_value_bytes = context.config.budget.max_value_bytes;
+        let max_value_bytes = context.config.memory_budget.max_value_bytes;
         let mut connection = NodeConnection::new(socket, node, address, max_value_bytes);
         let timeout_at = context.now + connect_timeout(context);
         connection.timer.set(Some(timeout_at), &mut context.timers);
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -160,19 +160,14 @@
         Ok(StreamStatus::Open)
     }
 
-    /// Reads and discards all available input, and subtracts its length from `remaining_bytes`. The
-    /// result is [`StreamStatus::Ended`] as soon as the input uses up `remaining_bytes`.
-    pub(crate) fn discard_available(
-        &mut self,
-        remaining_bytes: &mut usize,
-    ) -> io::Result<StreamStatus> {
+    /// Reads and discards all available input, and subtracts its length in bytes from `remaining`.
+    /// The result is [`StreamStatus::Ended`] as soon as the input uses up `remaining`.
+    pub(crate) fn discard_available(&mut self, remaining: &mut usize) -> io::Result<StreamStatus> {
         let mut buffer = [0; READ_CHUNK_BYTES];
         loop {
             match read_chunk(&mut self.stream, &mut buffer)? {
-                ReadOutcome::Bytes(count) if count >= *remaining_bytes => {
-                    return Ok(StreamStatus::Ended)
-                }
-                ReadOutcome::Bytes(count) => *remaining_bytes -= count,
+                ReadOutcome::Bytes(count) if count >= *remaining => return Ok(StreamStatus::Ended),
+                ReadOutcome::Bytes(count) => *remaining -= count,
                 ReadOutcome::WouldBlock => return Ok(StreamStatus::Open),
                 ReadOutcome::Ended => return Ok(StreamStatus::Ended),
             }
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -48,8 +48,12 @@
         let cached = std::mem::take(&mut config.cached_endpoints);
         let limits = ConnectionLimits::for_descriptors(config.max_descriptors);
         let clock = Clock::new();
-        let dispatcher =
-            Dispatcher::new(&config.settings, config.budget, config.seed, clock.now())?;
+        let dispatcher = Dispatcher::new(
+            &config.settings,
+            config.memory_budget,
+            config.seed,
+            clock.now(),
+        )?;
         let context = Context::new(config, clock, dispatcher)?;
         let mut gateway = Gateway {
             listeners: Listeners::default(),
--- a/crates/gateway/src/event_loop/reload.rs
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -25,7 +25,7 @@
         if new.settings != current.settings || new.listen != current.listen {
             log::warn!("changes to 'settings' and 'listen' take effect only after a restart");
         }
-        logger::install(new.log);
+        logger::install(new.log_level);
         current.inventory = new.inventory;
         if let Err(error) = self.reload_inventory() {
             log::warn!("inventory not reloaded: {error}");
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -107,7 +107,7 @@
 
 /// Installs the logger and creates the gateway.
 fn create_gateway(config: Config) -> Result<Gateway, GatewayError> {
-    logger::install(config.log);
+    logger::install(config.log_level);
     log::info!("starting {}", config.name);
     Gateway::new(config)
 }
--- a/crates/gateway/src/node_protocol/mod.rs
+++ b/crates/gateway/src/node_protocol/mod.rs
@@ -18,11 +18,11 @@
     fn start_handshake(&mut self, out: &mut Vec<u8>);
 
     /// Returns whether requests may be sent, that is, whether the handshake is complete.
-    fn ready(&self) -> bool;
+    fn is_ready(&self) -> bool;
 
     /// Appends the first command of `request` to `out`. `time_limit_ms` is the node's time limit in
     /// milliseconds; it is sent if the protocol has a field for it. Called only while
-    /// [`ready`](Self::ready) and with no request in flight.
+    /// [`is_ready`](Self::is_ready) and with no request in flight.
     ///
     /// Returns how many of the appended bytes can be written without enabling the node to execute
     /// the request. Once more bytes have been written, the node may have executed it.
@@ -37,7 +37,7 @@
     /// responses. For RESP2 this is the declared length of the value, or 0 before it is known. For
     /// SFTP it is the part of an object that READ commands have returned so far; the entries of a
     /// listing and incomplete packets are not counted.
-    fn buffered_bytes(&self) -> usize;
+    fn counted_response_bytes(&self) -> usize;
 
     /// Consumes received bytes from the front of `input`. Returns the result of the request in
     /// flight once its reply is complete, and `None` until then. Appends further commands of the
--- a/crates/gateway/src/node_protocol/resp/protocol.rs
+++ b/crates/gateway/src/node_protocol/resp/protocol.rs
@@ -60,7 +60,7 @@
 impl NodeProtocol for RespProtocol {
     fn start_handshake(&mut self, _out: &mut Vec<u8>) {}
 
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         true
     }
 
@@ -89,7 +89,7 @@
         out.len() - start - 1
     }
 
-    fn buffered_bytes(&self) -> usize {
+    fn counted_response_bytes(&self) -> usize {
         self.declared_length
     }
 
--- a/crates/gateway/src/node_protocol/sftp/protocol.rs
+++ b/crates/gateway/src/node_protocol/sftp/protocol.rs
@@ -49,7 +49,7 @@
         let Some(packet) = decode_packet(input, position)? else {
             return Ok(DecodeStep::InputConsumed);
         };
-        if !self.ready() {
+        if !self.is_ready() {
             self.finish_handshake(packet)?;
             return Ok(DecodeStep::PacketConsumed);
         }
@@ -113,7 +113,7 @@
         out.extend(Packet::new(PacketType::INIT).u32(VERSION).finish());
     }
 
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         !matches!(self.stage, Stage::AwaitingVersion)
     }
 
@@ -134,7 +134,7 @@
         out.len() - start - 1
     }
 
-    fn buffered_bytes(&self) -> usize {
+    fn counted_response_bytes(&self) -> usize {
         match &self.stage {
             Stage::Reading { value, .. } => value.len(),
             _ => 0,
--- a/crates/gateway/tests/in_process/configuration.rs
+++ b/crates/gateway/tests/in_process/configuration.rs
@@ -64,7 +64,7 @@
             }}"#
         );
         load_router_config(text)
-            .map(|config| config.budget)
+            .map(|config| config.memory_budget)
             .map_err(|error| error.to_string())
     };
     let small = budget(r#"{"memory_mb":32,"sockets":256}"#).expect("32 MB are enough");
--- a/crates/gateway/tests/in_process/malformed_input.rs
+++ b/crates/gateway/tests/in_process/malformed_input.rs
@@ -5,7 +5,7 @@
 use crate::support::storage_request::{storage_request, MAX_VALUE_BYTES};
 use std::rc::Rc;
 use storage_gateway::client_protocol::resp::{RequestSchema, RespProtocol};
-use storage_gateway::client_protocol::{ClientProtocol, CommandStep};
+use storage_gateway::client_protocol::{ClientProtocol, ParsedCommand};
 use storage_gateway::discovery::WatchParser;
 use storage_gateway::node_protocol::{self, NodeProtocol};
 use storage_gateway::storage_request::{Operation, SlotNumber};
@@ -51,7 +51,7 @@
         SlotNumber::FIRST,
         true,
     );
-    let may_consume_nothing = matches!(step, CommandStep::Incomplete | CommandStep::Close(_));
+    let may_consume_nothing = matches!(step, ParsedCommand::Incomplete | ParsedCommand::Close(_));
     assert!(position <= input.len() && (position > 0 || may_consume_nothing));
 }
 
--- a/crates/gateway/tests/in_process/node_protocols.rs
+++ b/crates/gateway/tests/in_process/node_protocols.rs
@@ -184,7 +184,7 @@
             } else {
                 0
             };
-            assert_eq!(protocol.buffered_bytes(), expected_buffer);
+            assert_eq!(protocol.counted_response_bytes(), expected_buffer);
         }
         match decoded {
             Ok(Some(result)) => assert_eq!((result.body, accepted), (value(&text), true)),
@@ -234,12 +234,12 @@
 fn sftp_after_handshake() -> SftpProtocol {
     let mut protocol = SftpProtocol::new(MAX_VALUE_BYTES);
     protocol.start_handshake(&mut Vec::new());
-    assert!(!protocol.ready());
+    assert!(!protocol.is_ready());
     decode_without_result(
         &mut protocol,
         Packet::new(PacketType::VERSION).u32(3).finish(),
     );
-    assert!(protocol.ready());
+    assert!(protocol.is_ready());
     protocol
 }
 
