--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -3,7 +3,7 @@
 use super::eviction_queue::{EvictionCandidate, EvictionPriority};
 use super::reply_queue::ReplyQueue;
 use crate::client_protocol::resp::MAX_COMMAND_BYTES;
-use crate::client_protocol::{ClientProtocol, CommandStep, EncodedReply};
+use crate::client_protocol::{ClientProtocol, EncodedReply, ParsedCommand};
 use crate::connection_token::ConnectionToken;
 use crate::connections::connection_timer::ConnectionTimer;
 use crate::connections::counted_bytes::CountedBytes;
@@ -155,15 +155,15 @@
     }
 
     /// Parses the command that starts at `position` of the input, and moves `position` past it.
-    /// `has_endpoint` says whether any node is in service.
+    /// `has_node_in_service` says whether any node is in service.
     pub(super) fn parse_command(
         &mut self,
         position: &mut usize,
-        has_endpoint: bool,
-    ) -> CommandStep {
+        has_node_in_service: bool,
+    ) -> ParsedCommand {
         let slot = self.replies.next_slot();
         self.protocol
-            .parse_command(&self.socket.input, position, slot, has_endpoint)
+            .parse_command(&self.socket.input, position, slot, has_node_in_service)
     }
 
     /// Discards the parsed input, or all input if the connection is closing. Updates
--- a/crates/gateway/tests/in_process/configuration.rs
+++ b/crates/gateway/tests/in_process/configuration.rs
@@ -73,7 +73,7 @@
             }}"#
         );
         parse_router_config_text(text)
-            .map(|config| config.budget)
+            .map(|config| config.memory_budget)
             .map_err(|error| error.to_string())
     };
     let small = budget(r#"{"memory_mb":32,"sockets":256}"#).expect("32 MiB should be accepted");
--- a/crates/gateway/tests/in_process/discovery.rs
+++ b/crates/gateway/tests/in_process/discovery.rs
@@ -75,7 +75,7 @@
                 .collect();
             assert_eq!(names, ["a }\" {"]);
             assert_eq!(
-                (parser.is_complete(), parser.is_mid_object()),
+                (parser.is_complete(), parser.has_partial_object()),
                 (is_complete, false)
             );
         }
@@ -96,7 +96,7 @@
         parser
             .feed(format!("{head}{start}").as_bytes(), &mut updates)
             .expect("the start of the object should be accepted");
-        assert!(parser.is_mid_object());
+        assert!(parser.has_partial_object());
         let result = (0..count).try_for_each(|_| parser.feed(repeated.as_bytes(), &mut updates));
         assert!(result.is_err() && updates.is_empty(), "{start}");
     }
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -226,7 +226,7 @@
 
     /// Reports that so much of the request was written to the node that it may have executed it.
     pub fn record_may_have_executed(&mut self, attempt: AttemptId) {
-        self.dispatcher.note_may_have_executed(attempt);
+        self.dispatcher.record_may_have_executed(attempt);
     }
 
     /// Reports the result of an attempt; a served one has the value `v`.
--- a/crates/gateway/tests/in_process/node_protocols.rs
+++ b/crates/gateway/tests/in_process/node_protocols.rs
@@ -191,7 +191,7 @@
             } else {
                 0
             };
-            assert_eq!(protocol.buffered_bytes(), expected_bytes);
+            assert_eq!(protocol.counted_response_bytes(), expected_bytes);
         }
         match decoded {
             Ok(Some(result)) => assert_eq!((result.body, accepted), (value_body(&text), true)),
@@ -242,12 +242,12 @@
 fn sftp_protocol_after_handshake() -> SftpProtocol {
     let mut protocol = SftpProtocol::new(MAX_VALUE_BYTES);
     protocol.start_handshake(&mut Vec::new());
-    assert!(!protocol.ready());
+    assert!(!protocol.is_ready());
     assert_no_result(
         &mut protocol,
         Packet::new(PacketType::VERSION).u32(3).finish(),
     );
-    assert!(protocol.ready());
+    assert!(protocol.is_ready());
     protocol
 }
 
