--- a/crates/gateway/src/client_protocol/resp/error.rs
+++ b/crates/gateway/src/client_protocol/resp/error.rs
@@ -18,7 +18,7 @@
     /// The total size of the arguments exceeds [`MAX_COMMAND_BYTES`](super::MAX_COMMAND_BYTES).
     #[error("command too large")]
     CommandTooLarge,
-    /// The content of a bulk string is not followed by CR LF at its declared length.
+    /// The content of a bulk string is not followed by CRLF at its declared length.
     #[error("expected the end of a bulk string")]
     MissingBulkEnd,
     /// The input has another RESP type than the one expected.
@@ -27,7 +27,7 @@
     /// A length line exceeds the maximum size.
     #[error("line too long")]
     LineTooLong,
-    /// A line ends with LF instead of CR LF.
+    /// A line ends with LF instead of CRLF.
     #[error("expected CR LF")]
     MissingCarriageReturn,
     /// A declared length is not a number.
--- a/crates/gateway/src/config/keys.rs
+++ b/crates/gateway/src/config/keys.rs
@@ -16,17 +16,18 @@
 /// Key of the shard count.
 pub(super) const SHARD_COUNT: &str = "settings.domain.n_shards";
 
-/// Key of the latency objective of the class at `class_index`.
+/// Returns the key of the latency objective of the class at `class_index`.
 pub(super) fn latency_objective(class_index: usize) -> String {
     format!("{CLASSES}[{class_index}].aim_ms")
 }
 
-/// Key of the deadline of the class at `class_index`.
+/// Returns the key of the deadline of the class at `class_index`.
 pub(super) fn deadline(class_index: usize) -> String {
     format!("{CLASSES}[{class_index}].deadline_ms")
 }
 
-/// Path in the configuration file of a key whose path within the settings object is `key`.
+/// Returns the path in the configuration file of a key whose path within the settings object is
+/// `key`.
 pub(super) fn settings_key(key: &str) -> String {
     format!("settings.{key}")
 }
--- a/crates/gateway/src/config/model.rs
+++ b/crates/gateway/src/config/model.rs
@@ -41,7 +41,7 @@
 /// The file that a configuration was loaded from, and its format.
 #[derive(Clone, Debug)]
 pub(super) enum ConfigSource {
-    /// The file that `ROUTER_CONFIG` named at start-up.
+    /// The file that `ROUTER_CONFIG` named at startup.
     RouterConfig(PathBuf),
     /// The operator's file, given by `--config`.
     OperatorFile(PathBuf),
@@ -50,9 +50,9 @@
 /// The source that takes precedence if both the environment and the file set a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precedence {
-    /// The environment takes precedence. Used at start-up.
+    /// The environment takes precedence. Used at startup.
     Environment,
     /// The file takes precedence. Used on a reload, because the file may have changed since
-    /// start-up, while the environment of a running process cannot.
+    /// startup, while the environment of a running process cannot.
     File,
 }
--- a/crates/gateway/src/config/reload.rs
+++ b/crates/gateway/src/config/reload.rs
@@ -10,7 +10,7 @@
     /// Loads the configuration again from the file that it was first loaded from.
     ///
     /// For a file that `ROUTER_CONFIG` named, the file now takes precedence over the environment,
-    /// which cannot have changed since start-up. The exception is `STORAGE_GATEWAY_LOG`, which
+    /// which cannot have changed since startup. The exception is `STORAGE_GATEWAY_LOG`, which
     /// always takes precedence over the file.
     ///
     /// # Errors
--- a/crates/gateway/src/connection_token.rs
+++ b/crates/gateway/src/connection_token.rs
@@ -17,12 +17,12 @@
         ConnectionToken(u64::from(generation) << 32 | u64::from(index))
     }
 
-    /// Index of the slot.
+    /// Returns the index of the slot.
     pub(crate) fn index(self) -> usize {
         self.0 as u32 as usize
     }
 
-    /// Generation of the slot when the token was reserved.
+    /// Returns the generation of the slot when the token was reserved.
     pub(crate) fn generation(self) -> u32 {
         (self.0 >> 32) as u32
     }
--- a/crates/gateway/src/connections/client/accept.rs
+++ b/crates/gateway/src/connections/client/accept.rs
@@ -34,8 +34,8 @@
     /// client connections is reached, idle connections are evicted.
     pub(crate) fn accept(&mut self, listener: &Listener, context: &mut Context) -> AcceptOutcome {
         for accepted in 0..MAX_ACCEPTED_PER_TURN {
-            // The poller's event guarantees only one connection in the accept queue. Don't evict a
-            // connection for another that may not exist.
+            // The poller's event guarantees only one connection in the accept queue. Do not evict
+            // a connection for another that may not exist.
             if self.is_full() && accepted > 0 {
                 return AcceptOutcome::Done;
             }
--- a/crates/gateway/src/connections/client/client_connections.rs
+++ b/crates/gateway/src/connections/client/client_connections.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub(crate) fn count(&self) -> usize {
         self.count
     }
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -11,7 +11,7 @@
 use io_scheduler::{Micros, RequestId};
 
 /// Maximum input in bytes that is buffered for a connection: the largest command with the length
-/// prefixes of its words.
+/// prefixes of its arguments.
 pub(super) const MAX_INPUT_BYTES: usize = MAX_COMMAND_BYTES + (2 << 10);
 /// Maximum number of commands of one connection that wait for a reply. No further command is parsed
 /// until a reply is sent.
--- a/crates/gateway/src/connections/client/reply_queue.rs
+++ b/crates/gateway/src/connections/client/reply_queue.rs
@@ -44,7 +44,7 @@
         self.pending.len()
     }
 
-    /// The slot of the next command's reply.
+    /// Returns the slot of the next command's reply.
     pub(super) fn next_slot(&self) -> SlotNumber {
         self.next_slot
     }
--- a/crates/gateway/src/connections/node/node_connections.rs
+++ b/crates/gateway/src/connections/node/node_connections.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub(crate) fn count(&self) -> usize {
         self.count
     }
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -205,7 +205,7 @@
         }
         self.output.clear();
         self.flushed = 0;
-        // Don't let an idle connection keep the memory of a large value.
+        // Do not let an idle connection keep the memory of a large value.
         self.output.shrink_to(RETAINED_CAPACITY_BYTES);
         Ok(())
     }
--- a/crates/gateway/src/context/clock.rs
+++ b/crates/gateway/src/context/clock.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The current time in microseconds since the Unix epoch.
+    /// Returns the current time in microseconds since the Unix epoch.
     pub(crate) fn now(&self) -> Micros {
         self.unix_time_at_start + self.instant_at_start.elapsed().as_micros() as Micros
     }
--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -88,7 +88,8 @@
         self.now = self.clock.now();
     }
 
-    /// Microseconds from the actual time, not [`Context::now`], until `at`; 0 if `at` has passed.
+    /// Returns the microseconds from the actual time, not [`Context::now`], until `at`; 0 if `at`
+    /// has passed.
     pub(crate) fn time_until(&self, at: Micros) -> Micros {
         (at - self.clock.now()).max(0)
     }
@@ -120,12 +121,12 @@
         self.connections.free(token);
     }
 
-    /// The kind of a connection; `None` if it was closed.
+    /// Returns the kind of a connection; `None` if it was closed.
     pub(crate) fn connection_kind(&self, token: ConnectionToken) -> Option<ConnectionKind> {
         self.connections.get(token).copied()
     }
 
-    /// The tokens of all open connections of a kind, in the order of their slots.
+    /// Returns the tokens of all open connections of a kind, in the order of their slots.
     pub(crate) fn tokens_of(
         &self,
         kind: ConnectionKind,
--- a/crates/gateway/src/context/poller.rs
+++ b/crates/gateway/src/context/poller.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// The data that epoll stores with a descriptor and returns with its events: the token.
+/// Returns the data that epoll stores with a descriptor and returns with its events: the token.
 fn event_data(token: ConnectionToken) -> EventData {
     EventData::new_u64(token.into())
 }
--- a/crates/gateway/src/context/shutdown.rs
+++ b/crates/gateway/src/context/shutdown.rs
@@ -38,12 +38,12 @@
         timers.set(now + SHUTDOWN_GRACE, Timer::Shutdown);
     }
 
-    /// Whether a shutdown was requested.
+    /// Returns whether a shutdown was requested.
     pub(crate) fn is_requested(&self) -> bool {
         self.is_requested
     }
 
-    /// Whether client connections are closed as soon as they are idle.
+    /// Returns whether client connections are closed as soon as they are idle.
     pub(crate) fn is_draining(&self) -> bool {
         self.is_draining
     }
@@ -60,7 +60,8 @@
         }
     }
 
-    /// When the gateway will have been idle for long enough to exit; `None` if it is not idle.
+    /// Returns the time at which the gateway will have been idle for long enough to exit; `None` if
+    /// it is not idle.
     pub(crate) fn completes_at(&self) -> Option<Micros> {
         self.idle_since.map(|since| since + EXIT_IDLE_TIME)
     }
--- a/crates/gateway/src/context/slab.rs
+++ b/crates/gateway/src/context/slab.rs
@@ -44,7 +44,7 @@
         ConnectionToken::new(self.slots[index as usize].generation, index)
     }
 
-    /// The storage for the value of a token; `None` if the token was freed.
+    /// Returns the storage for the value of a token; `None` if the token was freed.
     fn value_mut(&mut self, token: ConnectionToken) -> Option<&mut Option<T>> {
         let slot = self.slots.get_mut(token.index())?;
         if slot.generation != token.generation() {
@@ -53,7 +53,7 @@
         Some(&mut slot.value)
     }
 
-    /// The value of a token; `None` if the token was freed or has no value yet.
+    /// Returns the value of a token; `None` if the token was freed or has no value yet.
     #[must_use]
     pub fn get(&self, token: ConnectionToken) -> Option<&T> {
         let slot = self.slots.get(token.index())?;
@@ -80,7 +80,7 @@
         value
     }
 
-    /// The tokens that have a value, with their values, ordered by slot.
+    /// Returns the tokens that have a value, with their values, ordered by slot.
     pub fn iter(&self) -> impl Iterator<Item = (ConnectionToken, &T)> {
         let slots = self.slots.iter().enumerate();
         slots.filter_map(|(index, slot)| {
--- a/crates/gateway/src/discovery/error.rs
+++ b/crates/gateway/src/discovery/error.rs
@@ -1,6 +1,6 @@
 //! Errors in the response to a watch on the endpoint list.
 
-/// An error in discovery's response to a watch.
+/// An error in the discovery service's response to a watch.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
     /// The status code is not 200. Contains the status line in lower case.
--- a/crates/gateway/src/discovery/framing.rs
+++ b/crates/gateway/src/discovery/framing.rs
@@ -32,7 +32,7 @@
 }
 
 impl ParserState {
-    /// The state after `consumed` more bytes of body data have been parsed.
+    /// Returns the state after `consumed` more bytes of body data have been parsed.
     pub(super) fn after_data(self, consumed: usize) -> ParserState {
         match self {
             ParserState::ChunkData { remaining } if remaining == consumed => ParserState::ChunkEnd,
@@ -59,7 +59,7 @@
     Ok(size as usize)
 }
 
-/// The state after the response head, which is given in lower case.
+/// Returns the state after the response head, which is given in lower case.
 pub(super) fn state_after_head(head: &str) -> Result<ParserState, WatchError> {
     let mut lines = head.lines();
     let status_line = lines.next().unwrap_or_default();
@@ -73,8 +73,8 @@
     Ok(body_framing(lines)?)
 }
 
-/// Whether a status code is that of an interim response (1xx), which is followed by the final
-/// response. 101 is not: it switches to another protocol, which the request does not ask for.
+/// Returns whether a status code is that of an interim response (1xx), which is followed by the
+/// final response. 101 is not: it switches to another protocol, which the request does not ask for.
 fn is_informational(status: &str) -> bool {
     status.len() == 3 && status.starts_with('1') && status != "101"
 }
@@ -100,7 +100,7 @@
     Ok(state)
 }
 
-/// The state at the start of a body with the stated Content-Length.
+/// Returns the state at the start of a body with the stated Content-Length.
 fn fixed_length(length: &str) -> Result<ParserState, FramingError> {
     match length.parse() {
         Ok(0) => Ok(ParserState::Complete),
@@ -111,8 +111,8 @@
     }
 }
 
-/// The start of a part of the response with control characters escaped, to be quoted in an error
-/// message.
+/// Returns the start of a part of the response with control characters escaped, to be quoted in an
+/// error message.
 fn quoted(text: &[u8]) -> String {
     let start = &text[..text.len().min(MAX_QUOTED_BYTES)];
     start.escape_ascii().to_string()
--- a/crates/gateway/src/discovery/json_stream.rs
+++ b/crates/gateway/src/discovery/json_stream.rs
@@ -9,7 +9,7 @@
 const MAX_DEPTH: usize = 16;
 
 /// Splits a stream into JSON objects. Objects may contain line breaks, and may be separated by
-/// white space or not at all, so the end of an object is found by counting braces and brackets.
+/// whitespace or not at all, so the end of an object is found by counting braces and brackets.
 #[derive(Debug, Default)]
 pub(super) struct JsonStream {
     /// The part of the current object that has been received.
@@ -23,7 +23,7 @@
 }
 
 impl JsonStream {
-    /// Whether an object has been received in part.
+    /// Returns whether an object has been received in part.
     pub(super) fn has_partial_object(&self) -> bool {
         self.depth > 0
     }
--- a/crates/gateway/src/discovery/request.rs
+++ b/crates/gateway/src/discovery/request.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-/// Encodes the request that opens a watch on the endpoint list. Discovery responds with the changes
-/// made after the list version `from`.
+/// Encodes the request that opens a watch on the endpoint list. The discovery service responds
+/// with the changes made after the list version `from`.
 #[must_use]
 pub fn watch_request(host: &SocketAddr, from: u64) -> String {
     format!(
--- a/crates/gateway/src/discovery/watch_parser.rs
+++ b/crates/gateway/src/discovery/watch_parser.rs
@@ -57,13 +57,13 @@
         result
     }
 
-    /// Whether the response is complete.
+    /// Returns whether the response is complete.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.state == ParserState::Complete
     }
 
-    /// Whether an update has been received in part.
+    /// Returns whether an update has been received in part.
     #[must_use]
     pub fn has_partial_object(&self) -> bool {
         self.objects.has_partial_object()
@@ -165,7 +165,7 @@
         Ok(length)
     }
 
-    /// The input that has not been parsed yet.
+    /// Returns the input that has not been parsed yet.
     fn unread(&self) -> &[u8] {
         &self.input[self.position..]
     }
--- a/crates/gateway/src/dispatcher/abort_cause.rs
+++ b/crates/gateway/src/dispatcher/abort_cause.rs
@@ -21,7 +21,7 @@
 }
 
 impl AbortCause {
-    /// The outcome to report to the scheduler.
+    /// Returns the outcome to report to the scheduler.
     ///
     /// If the node cannot have executed the request, a cancellation says nothing about the node and
     /// is reported as [`Outcome::NotDispatched`]. Any other cause is then reported as a failure to
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -41,7 +41,7 @@
         });
     }
 
-    /// Whether the result of an attempt is awaited.
+    /// Returns whether the result of an attempt is awaited.
     #[must_use]
     pub fn is_awaiting(&self, attempt: AttemptId) -> bool {
         self.requests.attempt(attempt).is_some()
--- a/crates/gateway/src/dispatcher/endpoints.rs
+++ b/crates/gateway/src/dispatcher/endpoints.rs
@@ -25,7 +25,7 @@
         self.events.push(Event::EndpointList(kind, endpoints));
     }
 
-    /// Whether a node is listed, or removed but with attempts in flight.
+    /// Returns whether a node is listed, or removed but with attempts in flight.
     #[must_use]
     pub fn contains_node(&self, node: NodeId) -> bool {
         self.nodes.contains(node)
@@ -41,13 +41,13 @@
         self.nodes.may_write(node, now)
     }
 
-    /// Whether any node is in service.
+    /// Returns whether any node is in service.
     #[must_use]
     pub fn has_node_in_service(&self) -> bool {
         self.nodes.has_in_service()
     }
 
-    /// The states of all nodes, ordered by id.
+    /// Returns the states of all nodes, ordered by id.
     pub fn nodes(&self) -> impl Iterator<Item = &NodeState> {
         self.nodes.iter()
     }
--- a/crates/gateway/src/dispatcher/node_registry.rs
+++ b/crates/gateway/src/dispatcher/node_registry.rs
@@ -55,24 +55,24 @@
         id
     }
 
-    /// The states of all nodes, ordered by id.
+    /// Returns the states of all nodes, ordered by id.
     pub(super) fn iter(&self) -> impl Iterator<Item = &NodeState> {
         self.nodes.values()
     }
 
-    /// Whether a node is listed, or removed but with attempts in flight.
+    /// Returns whether a node is listed, or removed but with attempts in flight.
     pub(super) fn contains(&self, node: NodeId) -> bool {
         self.nodes.contains_key(&node)
     }
 
-    /// Whether any node is in service.
+    /// Returns whether any node is in service.
     pub(super) fn has_in_service(&self) -> bool {
         self.nodes
             .values()
             .any(|node| node.status == EndpointStatus::InService)
     }
 
-    /// Whether the gateway may start to write an attempt to a node at the time `now`.
+    /// Returns whether the gateway may start to write an attempt to a node at the time `now`.
     pub(super) fn may_write(&self, node: NodeId, now: Micros) -> bool {
         self.nodes
             .get(&node)
--- a/crates/gateway/src/dispatcher/node_state.rs
+++ b/crates/gateway/src/dispatcher/node_state.rs
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Whether the node can be dropped: it is removed and no attempt is in flight at it.
+    /// Returns whether the node can be dropped: it is removed and no attempt is in flight at it.
     pub(super) fn is_obsolete(&self) -> bool {
         self.status == EndpointStatus::Removed && self.attempts_in_flight == 0
     }
 
-    /// Whether the gateway may start to write an attempt to the node at the time `now`.
+    /// Returns whether the gateway may start to write an attempt to the node at the time `now`.
     pub(super) fn may_write(&self, now: Micros) -> bool {
         self.write_deadline.is_none_or(|deadline| now < deadline)
     }
--- a/crates/gateway/src/dispatcher/responses.rs
+++ b/crates/gateway/src/dispatcher/responses.rs
@@ -67,7 +67,8 @@
         });
     }
 
-    /// Whether the client still waits for the final response. False for a request that was removed.
+    /// Returns whether the client still waits for the final response. False for a request that was
+    /// removed.
     pub(super) fn awaits_response(&self, id: RequestId) -> bool {
         self.requests
             .get(id)
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Whether events for the scheduler or commands for the event loop are pending.
+    /// Returns whether events for the scheduler or commands for the event loop are pending.
     #[must_use]
     pub fn has_work(&self) -> bool {
         !self.events.is_empty() || !self.commands.is_empty()
--- a/crates/gateway/src/dispatcher/state.rs
+++ b/crates/gateway/src/dispatcher/state.rs
@@ -54,19 +54,19 @@
         })
     }
 
-    /// The counters of the volumes with the most requests, by volume.
+    /// Returns the counters of the volumes with the most requests, by volume.
     #[must_use]
     pub fn volume_counters(&self) -> &BTreeMap<VolumeId, VolumeCounters> {
         self.volume_counters.by_volume()
     }
 
-    /// Numbers of entries in the tables of the scheduler, which must stay bounded.
+    /// Returns the numbers of entries in the tables of the scheduler, which must stay bounded.
     #[must_use]
     pub fn state_sizes(&self) -> StateSizes {
         self.scheduler.state_sizes()
     }
 
-    /// Number of requests that have no final response yet.
+    /// Returns the number of requests that have no final response yet.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.requests.awaiting_response_count()
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -86,8 +86,8 @@
     }
 }
 
-/// The latest time to send the final response to a client that waits for `client_timeout` after
-/// `now`.
+/// Returns the latest time to send the final response to a client that waits for `client_timeout`
+/// after `now`.
 fn response_deadline(now: Micros, client_timeout: Micros) -> Micros {
     let margin = RESPONSE_DELIVERY_MARGIN.min(client_timeout / DELIVERY_MARGIN_DIVISOR);
     now + (client_timeout - margin).max(0)
--- a/crates/gateway/src/dispatcher/unfinished_request.rs
+++ b/crates/gateway/src/dispatcher/unfinished_request.rs
@@ -66,17 +66,18 @@
         }
     }
 
-    /// The request as the client sent it.
+    /// Returns the request as the client sent it.
     pub(super) fn storage_request(&self) -> &Arc<StorageRequest> {
         &self.storage_request
     }
 
-    /// When the dispatcher itself fails the request if it still has no final response.
+    /// Returns the time at which the dispatcher itself fails the request if it still has no final
+    /// response.
     pub(super) fn overdue_at(&self) -> Micros {
         self.response_deadline + OVERDUE_GRACE
     }
 
-    /// Whether the client still waits for the final response.
+    /// Returns whether the client still waits for the final response.
     pub(super) fn awaits_response(&self) -> bool {
         self.reply_slot.is_some()
     }
@@ -87,7 +88,7 @@
         self.reply_slot.take()
     }
 
-    /// Whether a failure at the time `now` is reported to the client as a timeout.
+    /// Returns whether a failure at the time `now` is reported to the client as a timeout.
     pub(super) fn has_timed_out(&self, now: Micros) -> bool {
         self.last_attempt_timed_out || self.response_deadline <= now
     }
@@ -121,28 +122,28 @@
         Some(self.attempts.remove(position))
     }
 
-    /// The attempt with this number, if its result is awaited.
+    /// Returns the attempt with this number, if its result is awaited.
     pub(super) fn attempt(&self, number: u32) -> Option<&AwaitedAttempt> {
         self.attempts
             .iter()
             .find(|attempt| attempt.number == number)
     }
 
-    /// The attempt with this number, if its result is awaited.
+    /// Returns the attempt with this number, if its result is awaited.
     pub(super) fn attempt_mut(&mut self, number: u32) -> Option<&mut AwaitedAttempt> {
         self.attempts
             .iter_mut()
             .find(|attempt| attempt.number == number)
     }
 
-    /// Numbers of the attempts that their nodes cannot have executed.
+    /// Returns the numbers of the attempts that their nodes cannot have executed.
     pub(super) fn unexecuted_attempts(&self) -> Vec<u32> {
         let attempts = self.attempts.iter();
         let unexecuted = attempts.filter(|attempt| !attempt.may_have_executed);
         unexecuted.map(|attempt| attempt.number).collect()
     }
 
-    /// Whether the request can be removed: no final response and no result of an attempt is
+    /// Returns whether the request can be removed: no final response and no result of an attempt is
     /// awaited.
     pub(super) fn is_finished(&self) -> bool {
         !self.awaits_response() && self.attempts.is_empty()
--- a/crates/gateway/src/dispatcher/unfinished_requests.rs
+++ b/crates/gateway/src/dispatcher/unfinished_requests.rs
@@ -40,12 +40,12 @@
         id
     }
 
-    /// Whether a request with this client request id is unfinished.
+    /// Returns whether a request with this client request id is unfinished.
     pub(super) fn contains_client_request_id(&self, client_request_id: &str) -> bool {
         self.client_request_ids.contains(client_request_id)
     }
 
-    /// Whether the memory budget allows another request with a body of this many bytes.
+    /// Returns whether the memory budget allows another request with a body of this many bytes.
     pub(super) fn has_capacity(&self, body_bytes: usize) -> bool {
         self.requests.len() < self.budget.max_requests
             && self.buffered_body_bytes + body_bytes <= self.budget.request_body_bytes
@@ -60,22 +60,22 @@
         self.requests.insert(id, unfinished);
     }
 
-    /// The unfinished request with this id.
+    /// Returns the unfinished request with this id.
     pub(super) fn get(&self, id: RequestId) -> Option<&UnfinishedRequest> {
         self.requests.get(&id)
     }
 
-    /// The unfinished request with this id.
+    /// Returns the unfinished request with this id.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut UnfinishedRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// The attempt with this id, if its result is awaited.
+    /// Returns the attempt with this id, if its result is awaited.
     pub(super) fn attempt(&self, id: AttemptId) -> Option<&AwaitedAttempt> {
         self.requests.get(&id.request)?.attempt(id.number)
     }
 
-    /// The attempt with this id, if its result is awaited.
+    /// Returns the attempt with this id, if its result is awaited.
     pub(super) fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut AwaitedAttempt> {
         self.requests.get_mut(&id.request)?.attempt_mut(id.number)
     }
@@ -93,7 +93,7 @@
         Some(removed)
     }
 
-    /// Number of requests that have no final response yet.
+    /// Returns the number of requests that have no final response yet.
     pub(super) fn awaiting_response_count(&self) -> usize {
         self.requests
             .values()
--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -34,7 +34,7 @@
 }
 
 impl VolumeCounterTable {
-    /// All counters, by volume.
+    /// Returns all counters, by volume.
     pub(super) fn by_volume(&self) -> &BTreeMap<VolumeId, VolumeCounters> {
         &self.by_volume
     }
--- a/crates/gateway/src/endpoint/update.rs
+++ b/crates/gateway/src/endpoint/update.rs
@@ -37,8 +37,8 @@
 }
 
 impl EndpointListUpdate {
-    /// The event that is reported to the scheduler: a snapshot if the update replaces the list, a
-    /// delta if it changes some entries.
+    /// Returns the event that is reported to the scheduler: a snapshot if the update replaces the
+    /// list, a delta if it changes some entries.
     #[must_use]
     pub fn kind(&self) -> EndpointListEvent {
         if self.is_complete {
@@ -48,8 +48,8 @@
         }
     }
 
-    /// The entries with their addresses parsed. An entry whose address cannot be parsed is skipped
-    /// with a warning.
+    /// Returns the entries with their addresses parsed. An entry whose address cannot be parsed is
+    /// skipped with a warning.
     pub fn listed_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> + '_ {
         self.endpoints
             .iter()
--- a/crates/gateway/src/endpoint/wire.rs
+++ b/crates/gateway/src/endpoint/wire.rs
@@ -36,7 +36,7 @@
     /// Shard that the node stores.
     #[serde(default, rename = "group")]
     shard: u64,
-    /// Whether the node takes requests.
+    /// Whether the node accepts requests.
     status: WireStatus,
     /// When its process last started, in milliseconds since the Unix epoch; 0 if unknown.
     #[serde(default, rename = "since_ms")]
@@ -47,7 +47,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum WireStatus {
-    /// The node takes requests.
+    /// The node accepts requests.
     InService,
     /// The node is draining: it completes its current requests and accepts no new ones.
     #[serde(rename = "terminating")]
--- a/crates/gateway/src/event_loop/console_input.rs
+++ b/crates/gateway/src/event_loop/console_input.rs
@@ -44,7 +44,7 @@
         })
     }
 
-    /// The token by which the poller reports the pipe.
+    /// Returns the token by which the poller reports the pipe.
     pub(super) fn token(&self) -> ConnectionToken {
         self.token
     }
--- a/crates/gateway/src/event_loop/endpoint_table.rs
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -29,7 +29,7 @@
 }
 
 impl EndpointTable {
-    /// Number of listed nodes.
+    /// Returns the number of listed nodes.
     pub(super) fn count(&self) -> usize {
         self.records.len()
     }
--- a/crates/gateway/src/event_loop/shutdown.rs
+++ b/crates/gateway/src/event_loop/shutdown.rs
@@ -35,7 +35,7 @@
         self.context.shutdown.record_idle(self.context.now) && events.is_empty()
     }
 
-    /// Whether no client connection is open and no request awaits its final response.
+    /// Returns whether no client connection is open and no request awaits its final response.
     fn is_idle(&self) -> bool {
         self.client_connections.count() == 0 && self.context.dispatcher.open_requests() == 0
     }
--- a/crates/gateway/src/event_loop/turn.rs
+++ b/crates/gateway/src/event_loop/turn.rs
@@ -30,9 +30,9 @@
         }
     }
 
-    /// How long the poller may wait for events, in microseconds; `None` for no limit, if no timer
-    /// is set. The poller does not wait if the dispatcher still has events or commands from this
-    /// turn.
+    /// Returns how long the poller may wait for events, in microseconds; `None` for no limit, if no
+    /// timer is set. The poller does not wait if the dispatcher still has events or commands from
+    /// this turn.
     fn poll_timeout(&self) -> Option<Micros> {
         if self.context.dispatcher.has_work() {
             return Some(0);
--- a/crates/gateway/src/node_protocol/error.rs
+++ b/crates/gateway/src/node_protocol/error.rs
@@ -8,33 +8,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
     /// Bytes arrived while no request was in flight.
-    #[error("a reply to no request")]
+    #[error("received data while no request was in flight")]
     UnsolicitedReply,
-    /// The reply exceeds the maximum size.
-    #[error("the reply is too long")]
+    /// The reply exceeds the maximum size, or the large responses of all connections exceed their
+    /// memory budget.
+    #[error("reply exceeds its size limit or the memory budget for large responses")]
     ReplyTooLong,
     /// A RESP2 value has another type than expected.
-    #[error("a value of an unexpected type")]
+    #[error("RESP2 value of an unexpected type")]
     UnexpectedType,
     /// A RESP2 line exceeds the maximum length.
-    #[error("a line is too long")]
+    #[error("RESP2 line exceeds the maximum length")]
     LineTooLong,
     /// The length of a RESP2 value is not a number, or is out of bounds.
-    #[error("an invalid length")]
+    #[error("invalid length of a RESP2 value")]
     InvalidLength,
     /// RESP2 arrays are nested too deeply.
-    #[error("arrays are nested too deeply")]
+    #[error("RESP2 arrays nested too deeply")]
     NestedTooDeeply,
-    /// The content of a RESP2 bulk string is not followed by CR LF at its declared length.
+    /// The content of a RESP2 bulk string is not followed by CRLF at its declared length.
     #[error(transparent)]
     MissingTerminator(#[from] MissingTerminator),
     /// An SFTP packet cannot be decoded.
     #[error(transparent)]
     MalformedPacket(#[from] MalformedPacket),
     /// An SFTP packet has a type that is not a valid reply to the last command.
-    #[error("a packet of an unexpected type")]
+    #[error("SFTP packet of an unexpected type")]
     UnexpectedPacket,
     /// The protocol version of the SFTP server is too old.
-    #[error("an unsupported protocol version")]
+    #[error("unsupported SFTP protocol version")]
     UnsupportedVersion,
 }
--- a/crates/gateway/src/node_protocol/resp/reader.rs
+++ b/crates/gateway/src/node_protocol/resp/reader.rs
@@ -65,7 +65,7 @@
         self.position
     }
 
-    /// Reads a line and returns it without CR LF. Returns an error for an incomplete line that
+    /// Reads a line and returns it without CRLF. Returns an error for an incomplete line that
     /// cannot become valid, because waiting for the rest would use up the time of the request.
     pub(super) fn read_line(&mut self) -> Result<&'a [u8], ReadError> {
         let rest = &self.input[self.position..];
--- a/crates/gateway/src/resp_bulk_string.rs
+++ b/crates/gateway/src/resp_bulk_string.rs
@@ -1,5 +1,5 @@
 //! Codec for RESP2 bulk strings. A bulk string consists of a length line such as `$5`, the content,
-//! and CR LF.
+//! and CRLF.
 //!
 //! The client protocol and the node protocol share this codec. Each of them parses the length line
 //! itself, because their limits on it differ.
@@ -9,9 +9,9 @@
 /// Terminates each line and the content of each bulk string.
 const TERMINATOR: &[u8] = b"\r\n";
 
-/// The error returned when the content of a bulk string is not followed by CR LF.
+/// The error returned when the content of a bulk string is not followed by CRLF.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("bulk string not terminated by CR LF")]
+#[error("bulk string not terminated by CRLF")]
 pub struct MissingTerminator;
 
 /// Appends `value` to `out` as a bulk string.
@@ -23,12 +23,12 @@
 }
 
 /// Reads the content of a bulk string: `length` bytes that start at `position`. Advances `position`
-/// past the CR LF that follows. Returns `None` and leaves `position` unchanged if `input` does not
+/// past the CRLF that follows. Returns `None` and leaves `position` unchanged if `input` does not
 /// contain all of it yet.
 ///
 /// # Errors
 ///
-/// Returns [`MissingTerminator`] if the content is not followed by CR LF.
+/// Returns [`MissingTerminator`] if the content is not followed by CRLF.
 pub fn read_bulk_content<'a>(
     input: &'a [u8],
     position: &mut usize,
--- a/crates/gateway/src/resp_wire_names.rs
+++ b/crates/gateway/src/resp_wire_names.rs
@@ -36,7 +36,7 @@
 pub(crate) mod usage_report {
     /// Percentage of the volume's provisioned rate that was used.
     pub(crate) const UTILIZATION: &str = "used";
-    /// Units that the node served to the volume through other gateways.
+    /// Units that the node served for the volume through other gateways.
     pub(crate) const REMOTE_UNITS: &str = "cost";
 }
 
--- a/crates/gateway/src/storage_request/reply_slot.rs
+++ b/crates/gateway/src/storage_request/reply_slot.rs
@@ -19,7 +19,7 @@
     /// The number of the first command.
     pub const FIRST: SlotNumber = SlotNumber(0);
 
-    /// The number of the next command.
+    /// Returns the number of the next command.
     #[must_use]
     pub fn next(self) -> SlotNumber {
         SlotNumber(self.0 + 1)
--- a/crates/gateway/src/timer_queue.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -80,7 +80,7 @@
         *expires_at = new_time;
     }
 
-    /// The time at which the next pending timer expires; `None` if no timer is pending.
+    /// Returns the time at which the next pending timer expires; `None` if no timer is pending.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Micros> {
         self.pending.first().map(|(at, _)| *at)
--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -31,7 +31,7 @@
         /// Number of the attempt within the request, from 0.
         attempt: u32,
     },
-    /// Open a watch of the endpoint list.
+    /// Open a watch on the endpoint list.
     OpenWatch,
     /// Deliver [`Event::TimerFired`](super::Event::TimerFired) at or after this time.
     SetTimer(Micros),
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the deployment, fixed at start-up.
+//! Settings of the deployment, fixed at startup.
 
 use super::{Micros, Units, UnitsPerSecond};
 
@@ -90,7 +90,7 @@
     pub initial_units_per_window: Units,
 }
 
-/// Settings of the deployment, fixed at start-up.
+/// Settings of the deployment, fixed at startup.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Classes of requests, by index.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Opens a watch of the endpoint list if a poll is due.
+    /// Opens a watch on the endpoint list if a poll is due.
     fn poll_if_due(&mut self) {
         if self.polling.start_poll_if_due(self.now) {
             self.actions.push(Action::OpenWatch);
