--- a/crates/gateway/src/config/model.rs
+++ b/crates/gateway/src/config/model.rs
@@ -20,7 +20,7 @@
     /// Address of the discovery endpoint that serves the endpoint list; `None` if the nodes come
     /// from the inventory only.
     pub discovery: Option<SocketAddr>,
-    /// Endpoint list to use until discovery sends one.
+    /// Endpoint list to use until the discovery service sends one.
     pub cached_endpoints: EndpointListUpdate,
     /// Seed of the scheduler's random number generator.
     pub seed: u64,
--- a/crates/gateway/src/config/sections.rs
+++ b/crates/gateway/src/config/sections.rs
@@ -33,7 +33,7 @@
     /// Limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// Endpoint list to use until discovery sends one.
+    /// Endpoint list to use until the discovery service sends one.
     #[serde(default, rename = "known")]
     pub cached_endpoints: EndpointListUpdate,
     /// Settings of the deployment.
--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -5,7 +5,7 @@
 //! the connection, receives the updates and detects when the watch has ended or failed.
 
 use crate::connections::socket::{start_connecting, Interest, Socket, StreamStatus};
-use crate::context::{ConnectionKind, Context, MICROS_PER_MILLI};
+use crate::context::{ConnectionKind, Context, MICROS_PER_MILLISECOND};
 use crate::discovery::{watch_request, WatchError, WatchParser};
 use crate::endpoint::EndpointListUpdate;
 use crate::timer_queue::{Timer, TimerQueue};
@@ -267,6 +267,6 @@
 
     /// Returns the milliseconds since the current or last connection was opened.
     fn elapsed_ms(&self, now: Micros) -> Micros {
-        (now - self.opened_at) / MICROS_PER_MILLI
+        (now - self.opened_at) / MICROS_PER_MILLISECOND
     }
 }
--- a/crates/gateway/src/connections/node/connection.rs
+++ b/crates/gateway/src/connections/node/connection.rs
@@ -5,7 +5,7 @@
 use crate::connections::connection_timer::ConnectionTimer;
 use crate::connections::counted_bytes::CountedBytes;
 use crate::connections::socket::{Interest, Socket, StreamStatus};
-use crate::context::MICROS_PER_MILLI;
+use crate::context::MICROS_PER_MILLISECOND;
 use crate::endpoint::Protocol;
 use crate::node_protocol::{resp, sftp, NodeProtocol, ProtocolError};
 use crate::storage_request::{AttemptId, AttemptResult, StorageRequest};
@@ -195,7 +195,7 @@
             return;
         };
         let attempt = &in_flight.attempt;
-        let wait_ms = (attempt.times_out_at - now) / MICROS_PER_MILLI;
+        let wait_ms = (attempt.times_out_at - now) / MICROS_PER_MILLISECOND;
         let start_offset = self.socket.bytes_sent + self.socket.unsent_bytes() as u64;
         let output = self.socket.output();
         let bytes_before_execution =
--- a/crates/gateway/src/context/clock.rs
+++ b/crates/gateway/src/context/clock.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 /// Microseconds per millisecond.
-pub(crate) const MICROS_PER_MILLI: Micros = 1_000;
+pub(crate) const MICROS_PER_MILLISECOND: Micros = 1_000;
 /// Microseconds per second.
 pub(super) const MICROS_PER_SECOND: Micros = 1_000_000;
 
--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -10,7 +10,7 @@
 mod shutdown;
 pub mod slab;
 
-pub(crate) use clock::{Clock, MICROS_PER_MILLI};
+pub(crate) use clock::{Clock, MICROS_PER_MILLISECOND};
 pub(crate) use poller::Poller;
 pub(crate) use shutdown::{Shutdown, EXIT_IDLE_TIME};
 
--- a/crates/gateway/src/context/poller.rs
+++ b/crates/gateway/src/context/poller.rs
@@ -10,7 +10,7 @@
 use std::io;
 
 /// Nanoseconds per microsecond.
-const NANOS_PER_MICRO: Micros = 1_000;
+const NANOS_PER_MICROSECOND: Micros = 1_000;
 
 /// An epoll instance. It reports each descriptor with the token that was passed when it was
 /// registered.
@@ -82,6 +82,6 @@
 fn timespec(micros: Micros) -> Timespec {
     Timespec {
         tv_sec: micros / MICROS_PER_SECOND,
-        tv_nsec: (micros % MICROS_PER_SECOND) * NANOS_PER_MICRO,
+        tv_nsec: (micros % MICROS_PER_SECOND) * NANOS_PER_MICROSECOND,
     }
 }
--- a/crates/gateway/src/endpoint/wire.rs
+++ b/crates/gateway/src/endpoint/wire.rs
@@ -1,4 +1,5 @@
-//! Wire format of endpoint list updates, which discovery sends and the configuration contains.
+//! Wire format of endpoint list updates, which the discovery service sends and the configuration
+//! contains.
 //!
 //! The names of the wire format are used only in this module. Its types are decoded by serde and
 //! immediately converted to the types of `update` and `record`.
--- a/crates/gateway/src/sftp_packet/reader.rs
+++ b/crates/gateway/src/sftp_packet/reader.rs
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// [`MalformedPacket`] if the length field is zero or above [`MAX_PACKET_LENGTH`].
+/// Returns [`MalformedPacket`] if the length field is zero or above [`MAX_PACKET_LENGTH`].
 pub fn decode_packet<'a>(
     input: &'a [u8],
     position: &mut usize,
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// [`MalformedPacket`] if the packet ends within the field.
+    /// Returns [`MalformedPacket`] if the packet ends within the field.
     pub fn u32(&mut self) -> Result<u32, MalformedPacket> {
         self.array().map(u32::from_be_bytes)
     }
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// [`MalformedPacket`] if the packet ends within the field.
+    /// Returns [`MalformedPacket`] if the packet ends within the field.
     pub fn u64(&mut self) -> Result<u64, MalformedPacket> {
         self.array().map(u64::from_be_bytes)
     }
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     ///
-    /// [`MalformedPacket`] if the packet ends within the field.
+    /// Returns [`MalformedPacket`] if the packet ends within the field.
     pub fn request_id(&mut self) -> Result<RequestId, MalformedPacket> {
         self.u32().map(RequestId)
     }
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// [`MalformedPacket`] if the packet ends within the field.
+    /// Returns [`MalformedPacket`] if the packet ends within the field.
     pub fn string(&mut self) -> Result<&'a [u8], MalformedPacket> {
         let length = self.u32()? as usize;
         self.bytes(length)
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     ///
-    /// [`MalformedPacket`] if the packet ends within the attributes.
+    /// Returns [`MalformedPacket`] if the packet ends within the attributes.
     pub fn attributes(&mut self) -> Result<Option<u64>, MalformedPacket> {
         let flags = self.u32()?;
         let size = if flags & HAS_SIZE != 0 {
--- a/crates/scheduler/src/node/slow_start.rs
+++ b/crates/scheduler/src/node/slow_start.rs
@@ -122,9 +122,9 @@
         let nominal_units = self.nominal_rate.units_within(slow_start.window);
         let rate_quota = nominal_units * HOST_IMBALANCE_FACTOR * slow_start.burst_factor * capacity;
         let rate_quota = rate_quota.min(node_quota);
-        let hosts = f64::from(self.settings.host_count.max(1));
-        let even_quota = node_quota / hosts;
-        rate_quota + (even_quota - rate_quota) / hosts.sqrt()
+        let host_count = f64::from(self.settings.host_count.max(1));
+        let even_quota = node_quota / host_count;
+        rate_quota + (even_quota - rate_quota) / host_count.sqrt()
     }
 
     /// Returns a pseudorandom number from 0 to 1 that differs between nodes and stays the same
--- a/crates/scheduler/src/volume/mod.rs
+++ b/crates/scheduler/src/volume/mod.rs
@@ -17,14 +17,14 @@
 /// Lower bound of the provisioned rate, which is a divisor in dmClock's nominal tag.
 const MIN_NOMINAL_RATE: UnitsPerSecond = UnitsPerSecond(1e-9);
 /// Lower bound of the number of hosts that receive a volume's requests.
-const MIN_HOSTS: f64 = 1.0;
+const MIN_HOST_COUNT: f64 = 1.0;
 
 /// A volume with recent requests.
 pub struct Volume {
     /// Reservation, weight, limit and provisioned rate of the volume.
     plan: VolumePlan,
     /// Number of hosts that receive the volume's requests, at least 1.
-    hosts: f64,
+    host_count: f64,
     /// Shards that the volume's requests named and that a node in service held.
     shards: BTreeSet<Shard>,
     /// Idle credit (sigma): one request of the largest size.
@@ -42,7 +42,7 @@
     pub fn new(plan: &VolumePlan, settings: &Settings, started_at: Micros) -> Self {
         Volume {
             plan: plan.clone(),
-            hosts: MIN_HOSTS,
+            host_count: MIN_HOST_COUNT,
             shards: BTreeSet::new(),
             idle_credit: settings.max_units,
             receives_remote_usage: settings.usage_report_period > 0
@@ -59,12 +59,12 @@
     pub fn record_request(
         &mut self,
         plan: &VolumePlan,
-        hosts: f64,
+        host_count: f64,
         shard: Option<Shard>,
         now: Micros,
     ) {
-        self.bucket.refill(plan, self.hosts, now);
-        self.hosts = hosts.max(MIN_HOSTS);
+        self.bucket.refill(plan, self.host_count, now);
+        self.host_count = host_count.max(MIN_HOST_COUNT);
         self.shards.extend(shard);
     }
 
@@ -86,13 +86,14 @@
 
     /// Returns whether the token bucket holds `units`, or the volume has no limit.
     pub fn has_tokens(&self, units: Units, now: Micros) -> bool {
-        !self.plan.limit.is_positive() || self.bucket.level(&self.plan, self.hosts, now) >= units
+        !self.plan.limit.is_positive()
+            || self.bucket.level(&self.plan, self.host_count, now) >= units
     }
 
     /// Consumes tokens for the first attempt of a request, if the volume has a limit.
     pub fn consume_tokens(&mut self, units: Units, now: Micros) {
         if self.plan.limit.is_positive() {
-            self.bucket.consume(units, &self.plan, self.hosts, now);
+            self.bucket.consume(units, &self.plan, self.host_count, now);
         }
     }
 
@@ -115,30 +116,30 @@
 
     /// Returns this host's part of the limit.
     pub fn limit_per_host(&self) -> UnitsPerSecond {
-        self.plan.limit / self.hosts
+        self.plan.limit / self.host_count
     }
 
     /// Returns the provisioned rate of all hosts if their service is reported to this host,
     /// otherwise this host's part of it.
     pub fn nominal_rate(&self) -> UnitsPerSecond {
-        let hosts = if self.receives_remote_usage {
+        let host_count = if self.receives_remote_usage {
             1.0
         } else {
-            self.hosts
+            self.host_count
         };
-        (self.plan.provisioned_rate / hosts).max(MIN_NOMINAL_RATE)
+        (self.plan.provisioned_rate / host_count).max(MIN_NOMINAL_RATE)
     }
 
     /// Returns this host's part of the provisioned rate, per shard of the volume.
     pub fn rate_per_shard(&self) -> UnitsPerSecond {
         let shards = self.shards.len().max(1);
-        self.plan.provisioned_rate / self.hosts / shards as f64
+        self.plan.provisioned_rate / self.host_count / shards as f64
     }
 
     /// Returns whether the volume can be removed without losing state: its token bucket is full,
     /// and it has had no request for `retention`.
     fn is_removable(&self, retention: Micros, now: Micros) -> bool {
-        let capacity = self.plan.burst_capacity / self.hosts;
+        let capacity = self.plan.burst_capacity / self.host_count;
         self.has_tokens(capacity, now) && now - self.bucket.refilled_at() >= retention
     }
 }
--- a/crates/scheduler/src/volume/token_bucket.rs
+++ b/crates/scheduler/src/volume/token_bucket.rs
@@ -26,21 +26,21 @@
 
     /// Returns the level at `now`, if the bucket is refilled at the rate of `plan` and capped at
     /// its capacity.
-    pub fn level(&self, plan: &VolumePlan, hosts: f64, now: Micros) -> Units {
-        let rate = plan.limit / hosts;
+    pub fn level(&self, plan: &VolumePlan, host_count: f64, now: Micros) -> Units {
+        let rate = plan.limit / host_count;
         let refilled = self.level + rate.units_within(now - self.refilled_at);
-        refilled.min(plan.burst_capacity / hosts)
+        refilled.min(plan.burst_capacity / host_count)
     }
 
     /// Updates the level to `now`.
-    pub fn refill(&mut self, plan: &VolumePlan, hosts: f64, now: Micros) {
-        self.level = self.level(plan, hosts, now);
+    pub fn refill(&mut self, plan: &VolumePlan, host_count: f64, now: Micros) {
+        self.level = self.level(plan, host_count, now);
         self.refilled_at = now;
     }
 
     /// Consumes units. The level may become negative.
-    pub fn consume(&mut self, units: Units, plan: &VolumePlan, hosts: f64, now: Micros) {
-        self.refill(plan, hosts, now);
+    pub fn consume(&mut self, units: Units, plan: &VolumePlan, host_count: f64, now: Micros) {
+        self.refill(plan, host_count, now);
         self.level -= units;
     }
 
