--- a/crates/scheduler/src/endpoints/polling.rs
+++ b/crates/scheduler/src/endpoints/polling.rs
@@ -1,4 +1,4 @@
-//! Decides when to poll the discovery service for the endpoint list. A poll opens a watch of the
+//! Decides when to poll the discovery service for the endpoint list. A poll opens a watch on the
 //! list.
 //!
 //! The discovery service handles polls one at a time, and also works on polls that have timed out.
