--- a/crates/gateway/src/context/clock.rs
+++ b/crates/gateway/src/context/clock.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 /// Microseconds per millisecond.
-pub(crate) const MICROS_PER_MILLI: Micros = 1_000;
+pub(crate) const MICROS_PER_MILLISECOND: Micros = 1_000;
 /// Microseconds per second.
 pub(super) const MICROS_PER_SECOND: Micros = 1_000_000;
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The current time in microseconds since the Unix epoch.
+    /// Returns the current time in microseconds since the Unix epoch.
     pub(crate) fn now(&self) -> Micros {
         self.unix_time_at_start + self.instant_at_start.elapsed().as_micros() as Micros
     }
