--- a/crates/scheduler/tests/characterization/churn.rs
+++ b/crates/scheduler/tests/characterization/churn.rs
@@ -1,190 +1,226 @@
-//! Changes of the cluster during a run: nodes that drain, leave, restart, are replaced, move or
-//! fall ill, and their return to normal.
+//! Changes of the cluster during a run: nodes drain, are removed, restart, are replaced, change
+//! zone or become faulty, and faulty nodes recover.
 
-use crate::cluster::{Condition, NodeModel, Nodes};
-use crate::plain::{Line, Status, Time, MILLISECOND, SECOND};
-use crate::random::Random;
+use crate::cluster::{Condition, Nodes, SimulatedNode};
+use crate::rng::Rng;
+use crate::types::{EndpointEntry, Micros, NodeStatus, MILLISECOND, SECOND};
 
-/// What may happen to the nodes.
+/// How often and how the nodes of the cluster change.
 #[derive(Clone)]
 pub struct Churn {
-    /// Mean time between two changes of membership; 0 for none.
-    pub membership_gap: Time,
-    /// Mean time between two changes of a node's condition; 0 for none.
-    pub condition_gap: Time,
-    /// Conditions that nodes fall into.
+    /// Mean time between two changes of the membership; 0 for no changes.
+    pub mean_membership_interval: Micros,
+    /// Mean time between two changes of a node's condition; 0 for no changes.
+    pub mean_condition_interval: Micros,
+    /// Conditions, one of which is chosen for each change.
     pub conditions: &'static [Condition],
-    /// Chance in a thousand that a change of condition hits all nodes.
-    pub all_at_once: u64,
+    /// Fraction of the changes of condition that affect all nodes in service, in a thousand.
+    pub all_nodes_per_mille: u64,
 }
 
-/// A change that follows on an earlier one.
+/// A later change that completes or reverts an earlier one.
 #[derive(Clone, Copy)]
-pub enum Repair {
-    /// A drained node is removed.
+pub enum FollowUp {
+    /// Removes a node that has drained or that shares its shard with another one.
     Remove(u64),
-    /// A node is listed anew, with the id of an earlier one or with a new one.
-    Join(NodeModel),
-    /// A node becomes healthy again.
-    Heal(u64),
+    /// Adds a node, whose id may be new or that of a removed node.
+    Add(SimulatedNode),
+    /// Makes a node healthy again.
+    Recover(u64),
 }
 
-/// The effect of a change: entries that differ now, and changes that follow.
+/// Effect of a change: the entries that it changed, and the later changes that it causes.
 #[derive(Default)]
-pub struct Effect {
+pub struct ClusterChange {
     /// Entries of the endpoint list that changed.
-    pub lines: Vec<Line>,
-    /// Later changes with the time until them.
-    pub repairs: Vec<(Time, Repair)>,
+    pub entries: Vec<EndpointEntry>,
+    /// Follow-up changes, each with the time until it.
+    pub follow_ups: Vec<(Micros, FollowUp)>,
 }
 
-impl Effect {
-    /// One entry changed.
-    fn of(line: Line) -> Self {
-        Effect {
-            lines: vec![line],
-            repairs: Vec::new(),
+impl ClusterChange {
+    /// Creates a change of one entry.
+    fn of_entry(entry: EndpointEntry) -> Self {
+        ClusterChange {
+            entries: vec![entry],
+            follow_ups: Vec::new(),
         }
     }
 }
 
-/// The ids of the nodes in service.
+/// Returns the ids of the nodes in service.
 fn in_service(nodes: &Nodes) -> Vec<u64> {
-    let in_service = |node: &&NodeModel| node.line.status == Status::InService;
+    let in_service = |node: &&SimulatedNode| node.entry.status == NodeStatus::InService;
     nodes
         .values()
         .filter(in_service)
-        .map(|node| node.line.node)
+        .map(|node| node.entry.node)
         .collect()
 }
 
-/// The id that the next new node gets.
-fn next_id(nodes: &Nodes) -> u64 {
+/// Returns an id that no node has had yet.
+fn unused_id(nodes: &Nodes) -> u64 {
     nodes.keys().next_back().map_or(0, |id| id + 1)
 }
 
 /// Applies a random change of membership.
-pub fn change_membership(nodes: &mut Nodes, now: Time, random: &mut Random) -> Effect {
+pub fn change_membership(nodes: &mut Nodes, now: Micros, rng: &mut Rng) -> ClusterChange {
     let candidates = in_service(nodes);
     if candidates.is_empty() {
-        return Effect::default();
+        return ClusterChange::default();
     }
-    let id = random.pick(&candidates);
-    let new_id = next_id(nodes);
-    let Line { zone, shard, .. } = nodes[&id].line;
-    // Clocks differ: a start may seem to lie in the future.
-    let skew = random.pick(&[0, 0, -400 * MILLISECOND, 100 * MILLISECOND]);
-    let started_at = random.chance(700).then_some(now + skew);
-    let successor = NodeModel::new(new_id, zone, shard, started_at);
-    let pause = random.between(20 * MILLISECOND, 3 * SECOND);
-    match random.below(9) {
-        0 | 1 => drain(nodes, id, successor, pause, random.chance(500)),
-        2 => leave(nodes, id, successor, pause),
-        3 => leave(nodes, id, successor, 0),
-        4 => Effect::of(join(nodes, NodeModel::new(id, zone, shard, Some(now)))),
+    let id = rng.choose(&candidates);
+    let new_id = unused_id(nodes);
+    let EndpointEntry { zone, shard, .. } = nodes[&id].entry;
+    // Clocks of nodes and hosts differ, so a start time may lie in the future.
+    let clock_skew = rng.choose(&[0, 0, -400 * MILLISECOND, 100 * MILLISECOND]);
+    let started_at = rng.chance_per_mille(700).then_some(now + clock_skew);
+    let successor = SimulatedNode::new(new_id, zone, shard, started_at);
+    let delay = rng.in_range(20 * MILLISECOND, 3 * SECOND);
+    match rng.below(9) {
+        0 | 1 => drain_and_replace(nodes, id, successor, delay, rng.chance_per_mille(500)),
+        2 => remove_and_replace(nodes, id, successor, delay),
+        3 => remove_and_replace(nodes, id, successor, 0),
+        4 => ClusterChange::of_entry(add_node(
+            nodes,
+            SimulatedNode::new(id, zone, shard, Some(now)),
+        )),
         5 => {
-            let started_at = nodes[&id].line.started_at;
-            Effect::of(join(nodes, NodeModel::new(id, zone + 1, shard, started_at)))
+            let started_at = nodes[&id].entry.started_at;
+            ClusterChange::of_entry(add_node(
+                nodes,
+                SimulatedNode::new(id, zone + 1, shard, started_at),
+            ))
         }
-        6 => overlap(nodes, successor, random.pick(&[id, new_id]), pause),
-        7 => leave(
+        6 => add_second_node(nodes, successor, rng.choose(&[id, new_id]), delay),
+        7 => remove_and_replace(
             nodes,
             id,
-            NodeModel::new(id, zone, shard, started_at),
-            pause,
+            SimulatedNode::new(id, zone, shard, started_at),
+            delay,
         ),
-        _ => Effect::of(join(nodes, NodeModel::new(id, zone, shard, None))),
+        _ => ClusterChange::of_entry(add_node(nodes, SimulatedNode::new(id, zone, shard, None))),
     }
 }
 
-/// A node drains; its successor joins at once if `early`, else after the node is gone.
-fn drain(nodes: &mut Nodes, id: u64, successor: NodeModel, pause: Time, early: bool) -> Effect {
-    let mut effect = Effect::of(set_status(nodes, id, Status::Draining));
-    effect.repairs.push((pause, Repair::Remove(id)));
-    if early {
-        effect.lines.push(join(nodes, successor));
+/// Drains a node and removes it after `delay`. Its successor is added at once if
+/// `successor_joins_first`, else 200 ms after the removal.
+fn drain_and_replace(
+    nodes: &mut Nodes,
+    id: u64,
+    successor: SimulatedNode,
+    delay: Micros,
+    successor_joins_first: bool,
+) -> ClusterChange {
+    let mut change = ClusterChange::of_entry(set_status(nodes, id, NodeStatus::Draining));
+    change.follow_ups.push((delay, FollowUp::Remove(id)));
+    if successor_joins_first {
+        change.entries.push(add_node(nodes, successor));
     } else {
-        effect
-            .repairs
-            .push((pause + 200 * MILLISECOND, Repair::Join(successor)));
+        change
+            .follow_ups
+            .push((delay + 200 * MILLISECOND, FollowUp::Add(successor)));
     }
-    effect
+    change
 }
 
-/// A node is removed; its successor joins after a pause.
-fn leave(nodes: &mut Nodes, id: u64, successor: NodeModel, pause: Time) -> Effect {
-    let mut effect = Effect::of(set_status(nodes, id, Status::Removed));
-    if pause > 0 {
-        effect.repairs.push((pause, Repair::Join(successor)));
+/// Removes a node and adds its successor after `delay`.
+fn remove_and_replace(
+    nodes: &mut Nodes,
+    id: u64,
+    successor: SimulatedNode,
+    delay: Micros,
+) -> ClusterChange {
+    let mut change = ClusterChange::of_entry(set_status(nodes, id, NodeStatus::Removed));
+    if delay > 0 {
+        change.follow_ups.push((delay, FollowUp::Add(successor)));
     } else {
-        effect.lines.push(join(nodes, successor));
+        change.entries.push(add_node(nodes, successor));
     }
-    effect
+    change
 }
 
-/// A second node joins a shard; one of the two is removed after a pause.
-fn overlap(nodes: &mut Nodes, successor: NodeModel, leaving: u64, pause: Time) -> Effect {
-    let mut effect = Effect::of(join(nodes, successor));
-    effect.repairs.push((pause, Repair::Remove(leaving)));
-    effect
+/// Adds a second node for a shard and removes one of the two after `delay`.
+fn add_second_node(
+    nodes: &mut Nodes,
+    successor: SimulatedNode,
+    removed_later: u64,
+    delay: Micros,
+) -> ClusterChange {
+    let mut change = ClusterChange::of_entry(add_node(nodes, successor));
+    change
+        .follow_ups
+        .push((delay, FollowUp::Remove(removed_later)));
+    change
 }
 
-/// Lets nodes fall into a condition for a while.
-pub fn change_condition(nodes: &mut Nodes, churn: &Churn, random: &mut Random) -> Effect {
+/// Puts one node, or all nodes in service, into a random condition until they recover.
+pub fn change_condition(nodes: &mut Nodes, churn: &Churn, rng: &mut Rng) -> ClusterChange {
     let mut ids = in_service(nodes);
-    let all = random.chance(churn.all_at_once);
-    let mut effect = Effect::default();
+    let affects_all_nodes = rng.chance_per_mille(churn.all_nodes_per_mille);
+    let mut change = ClusterChange::default();
     if ids.is_empty() {
-        return effect;
+        return change;
     }
-    if !all {
-        ids = vec![random.pick(&ids)];
+    if !affects_all_nodes {
+        ids = vec![rng.choose(&ids)];
     }
-    let condition = random.pick(churn.conditions);
-    let duration = random.between(100 * MILLISECOND, 5 * SECOND);
+    let condition = rng.choose(churn.conditions);
+    let duration = rng.in_range(100 * MILLISECOND, 5 * SECOND);
     for id in ids {
         if let Some(node) = nodes.get_mut(&id) {
             node.condition = condition;
         }
-        effect.repairs.push((duration, Repair::Heal(id)));
+        change.follow_ups.push((duration, FollowUp::Recover(id)));
     }
-    effect
+    change
 }
 
-/// Applies a change that follows on an earlier one.
-pub fn repair(nodes: &mut Nodes, repair: Repair, now: Time) -> Effect {
-    let mut effect = Effect::default();
-    match repair {
-        Repair::Remove(id) => effect.lines.push(set_status(nodes, id, Status::Removed)),
-        Repair::Join(mut node) => {
-            // Another node may have taken the id meanwhile.
-            let known = nodes.get(&node.line.node);
-            if known.is_some_and(|known| known.line.status != Status::Removed) {
-                node.line.node = next_id(nodes);
+/// Applies a follow-up change.
+pub fn apply_follow_up(nodes: &mut Nodes, follow_up: FollowUp, now: Micros) -> ClusterChange {
+    let mut change = ClusterChange::default();
+    match follow_up {
+        FollowUp::Remove(id) => change
+            .entries
+            .push(set_status(nodes, id, NodeStatus::Removed)),
+        FollowUp::Add(mut node) => {
+            // A node with the same id may have been added in the meantime.
+            let existing = nodes.get(&node.entry.node);
+            if existing.is_some_and(|existing| existing.entry.status != NodeStatus::Removed) {
+                node.entry.node = unused_id(nodes);
             }
-            node.line.started_at = node.line.started_at.map(|_| now);
-            effect.lines.push(join(nodes, node));
+            node.entry.started_at = node.entry.started_at.map(|_| now);
+            change.entries.push(add_node(nodes, node));
         }
-        Repair::Heal(id) => {
+        FollowUp::Recover(id) => {
             if let Some(node) = nodes.get_mut(&id) {
                 node.condition = Condition::Healthy;
             }
         }
     }
-    effect
+    change
 }
 
-/// Sets the state of a node and returns its entry.
-fn set_status(nodes: &mut Nodes, id: u64, status: Status) -> Line {
+/// Sets the status of a node and returns its entry.
+fn set_status(nodes: &mut Nodes, id: u64, status: NodeStatus) -> EndpointEntry {
     let node = nodes.get_mut(&id).expect("nodes stay in the model");
-    node.line.status = status;
-    node.line
+    node.entry.status = status;
+    node.entry
 }
 
-/// Lists a node, which keeps the attempts it may already have, and returns its entry.
-fn join(nodes: &mut Nodes, node: NodeModel) -> Line {
-    let load = nodes.get(&node.line.node).map_or(0, |known| known.load);
-    let line = node.line;
-    nodes.insert(line.node, NodeModel { load, ..node });
-    line
+/// Adds or replaces a node and returns its entry. Attempts in flight at a node with the same id are
+/// kept.
+fn add_node(nodes: &mut Nodes, node: SimulatedNode) -> EndpointEntry {
+    let attempts_in_flight = nodes
+        .get(&node.entry.node)
+        .map_or(0, |existing| existing.attempts_in_flight);
+    let entry = node.entry;
+    nodes.insert(
+        entry.node,
+        SimulatedNode {
+            attempts_in_flight,
+            ..node
+        },
+    );
+    entry
 }
--- a/crates/scheduler/tests/characterization/cluster.rs
+++ b/crates/scheduler/tests/characterization/cluster.rs
@@ -1,178 +1,208 @@
-//! The model of the storage nodes: their endpoint lines and conditions, and the fate of attempts.
+//! Model of the storage nodes: their endpoint list entries, their conditions, and when and how
+//! attempts at them end.
 
-use crate::plain::{Ending, Line, Status, Time, MILLISECOND};
-use crate::random::Random;
+use crate::rng::Rng;
+use crate::types::{AttemptOutcome, EndpointEntry, Micros, NodeStatus, MILLISECOND};
 use std::collections::BTreeMap;
 
-/// Nodes at the start of a run and the fates of their attempts; chances are in a thousand.
+/// Nodes at the start of a run, and the probabilities with which attempts at healthy nodes fail.
+/// Fields that end in `per_mille` are fractions in a thousand.
 #[derive(Clone)]
 pub struct Cluster {
-    /// Shards, each with one node at the start.
-    pub shards: u64,
-    /// Zones over which the nodes are spread.
-    pub zones: u64,
-    /// Latency of a request of mean size at an idle node.
-    pub latency: Time,
-    /// Attempts that a node takes at once; it responds to others that it is overloaded.
-    pub capacity: usize,
-    /// Attempts whose response is lost.
-    pub lost: u64,
-    /// Attempts that end with a lost connection.
-    pub reset: u64,
-    /// Attempts that get no connection.
-    pub connect_failed: u64,
-    /// Attempts that end with an error.
-    pub error: u64,
-    /// Attempts that are cancelled on their own.
-    pub cancelled: u64,
-    /// Attempts that are not sent.
-    pub not_dispatched: u64,
-    /// Whether the start times of the nodes are known at the start of the run.
-    pub known_starts: bool,
+    /// Number of shards, each with one node at the start of the run.
+    pub shard_count: u64,
+    /// Number of zones over which the nodes are spread.
+    pub zone_count: u64,
+    /// Mean latency of a request of mean size at an idle node.
+    pub idle_latency: Micros,
+    /// Number of attempts in flight at a node from which further ones end as overloaded.
+    pub max_attempts_in_flight: usize,
+    /// Fraction of attempts whose response is lost, so that they time out.
+    pub lost_per_mille: u64,
+    /// Fraction of attempts whose connection is lost.
+    pub reset_per_mille: u64,
+    /// Fraction of attempts for which no connection can be established.
+    pub connect_failed_per_mille: u64,
+    /// Fraction of attempts that end with an error response.
+    pub error_per_mille: u64,
+    /// Fraction of attempts that end as cancelled although the scheduler did not cancel them.
+    pub cancelled_per_mille: u64,
+    /// Fraction of attempts that the host cannot send.
+    pub not_dispatched_per_mille: u64,
+    /// Whether the endpoint list gives start times for the nodes that exist at the start of the
+    /// run.
+    pub start_times_known: bool,
 }
 
-/// How a node fares at present.
+/// Condition of a node, which determines how attempts at it end.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Condition {
-    /// As it should.
+    /// Attempts fail only with the probabilities of [`Cluster`].
     Healthy,
-    /// It responds this many times slower.
-    Slow(Time),
-    /// It loses all attempts.
-    Silent,
-    /// It accepts no connection.
+    /// The latency is multiplied by this factor.
+    Slow(Micros),
+    /// All attempts time out.
+    Unresponsive,
+    /// No connection can be established.
     Unreachable,
-    /// It loses connections.
-    Resetting,
-    /// It responds with errors only.
-    Failing,
-    /// It loses every second attempt and serves the others.
+    /// All connections are lost before a response.
+    ResetsConnections,
+    /// All responses are errors.
+    ReturnsErrors,
+    /// Half of the attempts, chosen at random, time out; the others end as at a healthy node.
     Lossy,
-    /// It has no capacity.
-    Full,
+    /// All attempts end as overloaded.
+    Overloaded,
 }
 
-/// One node.
+/// A simulated node.
 #[derive(Clone, Copy)]
-pub struct NodeModel {
-    /// Its endpoint line.
-    pub line: Line,
-    /// How it fares.
+pub struct SimulatedNode {
+    /// Entry in the endpoint list.
+    pub entry: EndpointEntry,
+    /// Current condition.
     pub condition: Condition,
-    /// Attempts in its queue or service.
-    pub load: usize,
+    /// Number of attempts in flight at the node.
+    pub attempts_in_flight: usize,
 }
 
-/// The nodes by id.
-pub type Nodes = BTreeMap<u64, NodeModel>;
+/// Simulated nodes by id; removed nodes stay in the map.
+pub type Nodes = BTreeMap<u64, SimulatedNode>;
 
 /// When and how an attempt ends.
-pub struct Fate {
+pub struct AttemptEnd {
     /// Time from the dispatch to the end.
-    pub after: Time,
-    /// How it ends.
-    pub ending: Ending,
+    pub after: Micros,
+    /// Outcome of the attempt.
+    pub outcome: AttemptOutcome,
 }
 
-impl Fate {
-    fn new(after: Time, ending: Ending) -> Self {
-        Fate { after, ending }
+impl AttemptEnd {
+    fn new(after: Micros, outcome: AttemptOutcome) -> Self {
+        AttemptEnd { after, outcome }
     }
 }
 
 impl Cluster {
-    /// The nodes at the start of a run: one for each shard.
-    pub fn nodes(&self, now: Time) -> Nodes {
+    /// Creates the nodes at the start of a run, one for each shard.
+    pub fn nodes(&self, now: Micros) -> Nodes {
         let mut nodes = Nodes::new();
-        for id in 0..self.shards {
+        for id in 0..self.shard_count {
             let started_at = self
-                .known_starts
-                .then(|| now - 700 * MILLISECOND * id as Time);
-            nodes.insert(id, NodeModel::new(id, id % self.zones, id, started_at));
+                .start_times_known
+                .then(|| now - 700 * MILLISECOND * id as Micros);
+            nodes.insert(
+                id,
+                SimulatedNode::new(id, id % self.zone_count, id, started_at),
+            );
         }
         nodes
     }
 
-    /// The fate of an attempt that is dispatched to a node now.
-    pub fn fate(
+    /// Chooses when and how an attempt that is dispatched to `node` now ends.
+    pub fn attempt_end(
         &self,
-        node: Option<&NodeModel>,
+        node: Option<&SimulatedNode>,
         relative_size: f64,
-        time_left: Time,
-        random: &mut Random,
-    ) -> Fate {
+        time_left: Micros,
+        rng: &mut Rng,
+    ) -> AttemptEnd {
         let Some(node) = node else {
-            return Fate::new(300, Ending::ConnectFailed);
+            return AttemptEnd::new(300, AttemptOutcome::ConnectFailed);
         };
-        let latency = self.latency_at(node, relative_size, random);
-        let is_lucky = random.chance(500);
-        let rare_fate = self.rare_fate(latency, time_left, random);
-        let usual_fate = if node.load >= self.capacity {
-            Fate::new(MILLISECOND, Ending::Overloaded)
+        let latency = self.random_latency(node, relative_size, rng);
+        let responds = rng.chance_per_mille(500);
+        let random_fault = self.random_fault(latency, time_left, rng);
+        let end_without_fault = if node.attempts_in_flight >= self.max_attempts_in_flight {
+            AttemptEnd::new(MILLISECOND, AttemptOutcome::Overloaded)
         } else if latency > time_left {
-            Fate::new(time_left, Ending::TimedOut)
+            AttemptEnd::new(time_left, AttemptOutcome::TimedOut)
         } else {
-            Fate::new(latency, Ending::Served)
+            AttemptEnd::new(latency, AttemptOutcome::Served)
         };
         match node.condition {
-            Condition::Silent => Fate::new(time_left, Ending::TimedOut),
-            Condition::Unreachable => Fate::new(400, Ending::ConnectFailed),
-            Condition::Resetting => Fate::new(2 * MILLISECOND, Ending::Reset),
-            Condition::Failing => Fate::new(3 * MILLISECOND, Ending::Error),
-            Condition::Full => Fate::new(MILLISECOND, Ending::Overloaded),
-            Condition::Lossy if !is_lucky => Fate::new(time_left, Ending::TimedOut),
-            _ => rare_fate.unwrap_or(usual_fate),
+            Condition::Unresponsive => AttemptEnd::new(time_left, AttemptOutcome::TimedOut),
+            Condition::Unreachable => AttemptEnd::new(400, AttemptOutcome::ConnectFailed),
+            Condition::ResetsConnections => AttemptEnd::new(2 * MILLISECOND, AttemptOutcome::Reset),
+            Condition::ReturnsErrors => AttemptEnd::new(3 * MILLISECOND, AttemptOutcome::Error),
+            Condition::Overloaded => AttemptEnd::new(MILLISECOND, AttemptOutcome::Overloaded),
+            Condition::Lossy if !responds => AttemptEnd::new(time_left, AttemptOutcome::TimedOut),
+            _ => random_fault.unwrap_or(end_without_fault),
         }
     }
 
-    /// One of the rare fates, by their chances.
-    fn rare_fate(&self, latency: Time, time_left: Time, random: &mut Random) -> Option<Fate> {
-        let draw = random.below(1000);
+    /// Chooses a random fault with the cluster's probabilities; `None` if no fault occurs.
+    fn random_fault(
+        &self,
+        latency: Micros,
+        time_left: Micros,
+        rng: &mut Rng,
+    ) -> Option<AttemptEnd> {
+        let random_value = rng.below(1000);
         let mut bound = 0;
-        let fates = [
-            (self.lost, Fate::new(time_left, Ending::TimedOut)),
-            (self.reset, Fate::new(latency / 2, Ending::Reset)),
-            (self.connect_failed, Fate::new(300, Ending::ConnectFailed)),
-            (self.error, Fate::new(latency, Ending::Error)),
-            (self.cancelled, Fate::new(latency / 3, Ending::Cancelled)),
-            (self.not_dispatched, Fate::new(0, Ending::NotDispatched)),
+        let faults = [
+            (
+                self.lost_per_mille,
+                AttemptEnd::new(time_left, AttemptOutcome::TimedOut),
+            ),
+            (
+                self.reset_per_mille,
+                AttemptEnd::new(latency / 2, AttemptOutcome::Reset),
+            ),
+            (
+                self.connect_failed_per_mille,
+                AttemptEnd::new(300, AttemptOutcome::ConnectFailed),
+            ),
+            (
+                self.error_per_mille,
+                AttemptEnd::new(latency, AttemptOutcome::Error),
+            ),
+            (
+                self.cancelled_per_mille,
+                AttemptEnd::new(latency / 3, AttemptOutcome::Cancelled),
+            ),
+            (
+                self.not_dispatched_per_mille,
+                AttemptEnd::new(0, AttemptOutcome::NotDispatched),
+            ),
         ];
-        for (chance, fate) in fates {
-            bound += chance;
-            if draw < bound {
-                return Some(fate);
+        for (per_mille, attempt_end) in faults {
+            bound += per_mille;
+            if random_value < bound {
+                return Some(attempt_end);
             }
         }
         None
     }
 
-    /// Latency at a node: it grows with its queue, with the size, and varies.
-    fn latency_at(&self, node: &NodeModel, relative_size: f64, random: &mut Random) -> Time {
-        let slowness = if let Condition::Slow(factor) = node.condition {
+    /// Returns a random latency, which grows with the attempts in flight and the size of the
+    /// request.
+    fn random_latency(&self, node: &SimulatedNode, relative_size: f64, rng: &mut Rng) -> Micros {
+        let slow_factor = if let Condition::Slow(factor) = node.condition {
             factor
         } else {
             1
         };
-        let queued = 1 + node.load as Time / 2;
-        let mean = self.latency * slowness * queued;
-        let sized = (mean as f64 * (0.5 + 0.5 * relative_size.clamp(0.0, 20.0))) as Time;
-        random.between(sized * 7 / 10, sized * 13 / 10 + 2)
+        let queue_factor = 1 + node.attempts_in_flight as Micros / 2;
+        let mean = self.idle_latency * slow_factor * queue_factor;
+        let mean_for_size = (mean as f64 * (0.5 + 0.5 * relative_size.clamp(0.0, 20.0))) as Micros;
+        rng.in_range(mean_for_size * 7 / 10, mean_for_size * 13 / 10 + 2)
     }
 }
 
-impl NodeModel {
-    /// A healthy node in service.
-    pub fn new(node: u64, zone: u64, shard: u64, started_at: Option<Time>) -> Self {
-        NodeModel {
-            line: Line {
+impl SimulatedNode {
+    /// Creates a healthy node in service without attempts.
+    pub fn new(node: u64, zone: u64, shard: u64, started_at: Option<Micros>) -> Self {
+        SimulatedNode {
+            entry: EndpointEntry {
                 node,
                 zone,
                 shard,
-                status: Status::InService,
+                status: NodeStatus::InService,
                 started_at,
             },
             condition: Condition::Healthy,
-            load: 0,
+            attempts_in_flight: 0,
         }
     }
 }
--- a/crates/scheduler/tests/characterization/driver.rs
+++ b/crates/scheduler/tests/characterization/driver.rs
@@ -1,218 +1,236 @@
-//! The simulation: a queue of happenings on a clock of its own, which feeds the scheduler and
-//! carries out its decisions.
+//! Discrete-event simulation of clients, nodes and the discovery service around one scheduler.
+//!
+//! Events are processed in the order of simulated time. They produce inputs for the scheduler, and
+//! the scheduler's decisions schedule further events.
 
-use crate::churn::{change_condition, change_membership, repair, Effect, Repair};
+use crate::churn::{apply_follow_up, change_condition, change_membership, ClusterChange, FollowUp};
 use crate::cluster::Nodes;
-use crate::interface::Subject;
-use crate::plain::{
-    Arrival, Completion, Decision, Ending, Input, Line, ListKind, Status, Time, MILLISECOND, SECOND,
-};
-use crate::random::Random;
-use crate::record::Record;
+use crate::rng::Rng;
 use crate::scenarios::{Discovery, Scenario};
+use crate::scheduler_adapter::SchedulerAdapter;
+use crate::summary::RunSummary;
+use crate::types::{
+    AttemptCompletion, AttemptOutcome, ClientRequest, Decision, EndpointEntry, Input,
+    ListUpdateKind, Micros, NodeStatus, MILLISECOND, SECOND,
+};
 use std::collections::BTreeMap;
 
-/// Time after the last request until the run ends, so that idle volumes are removed.
-const EPILOGUE: Time = 140 * SECOND;
-/// Time between two inputs that keep the scheduler going while nothing else happens.
-const TICK: Time = 3 * SECOND;
+/// Time from the last request to the end of the run, long enough for the removal of idle volumes.
+const TIME_AFTER_LAST_REQUEST: Micros = 140 * SECOND;
+/// Interval of the timer events that the scheduler receives in addition to the timers that it set.
+const PERIODIC_TIMER_INTERVAL: Micros = 3 * SECOND;
 
-/// Something that will happen at a time.
-enum Happening {
-    /// An input reaches the scheduler.
-    Feed(Input),
-    /// Clients send requests.
-    Burst,
-    /// A client sends a request again.
-    Again(Arrival),
-    /// The client of a request disconnects.
-    Disconnect(u64),
-    /// The response of an attempt starts.
-    StartResponse(u64, u32),
-    /// An attempt ends.
-    AttemptEnds(u64, u32, Ending),
+/// An event of the simulation.
+enum SimulationEvent {
+    /// The scheduler receives an input.
+    SchedulerInput(Input),
+    /// Clients send a burst of requests.
+    ClientBurst,
+    /// A client retries a request.
+    ClientRetry(ClientRequest),
+    /// The client of the request with this id disconnects.
+    ClientDisconnects(u64),
+    /// The response to an attempt starts, given by the request's id and the attempt's number.
+    ResponseStarts(u64, u32),
+    /// An attempt ends, given by the request's id and the attempt's number.
+    AttemptEnds(u64, u32, AttemptOutcome),
     /// The membership of the cluster changes.
-    Membership,
-    /// Nodes fall into a condition.
-    Condition,
-    /// A change that follows on an earlier one.
-    Repair(Repair),
-    /// The discovery service responds to a poll.
-    PollEnds(u64),
-    /// A watch ends.
+    MembershipChange,
+    /// The condition of one or all nodes changes.
+    ConditionChange,
+    /// A follow-up of an earlier change of the cluster is due.
+    FollowUp(FollowUp),
+    /// The poll with this number completes.
+    PollCompletes(u64),
+    /// The watch, or the poll interval, that began with the poll of this number ends.
     WatchEnds(u64),
-    /// The scheduler is kept going.
-    Tick,
+    /// The periodic timer fires.
+    PeriodicTimer,
 }
 
-/// A request in the driver's books.
-struct Client {
-    arrival: Arrival,
+/// State of a request from the client's point of view.
+struct ClientState {
+    request: ClientRequest,
+    /// Number of attempts dispatched so far.
     attempts: u32,
-    open: bool,
+    /// Whether the client is still waiting for the response.
+    is_open: bool,
 }
 
-/// An attempt that has not ended.
-struct Attempt {
+/// An attempt that has not ended yet.
+struct AttemptInFlight {
     node: u64,
-    dispatched_at: Time,
+    dispatched_at: Micros,
 }
 
-/// One run.
-struct Driver<'a> {
+/// State of one run.
+struct Simulation<'a> {
     scenario: &'a Scenario,
-    subject: Subject,
-    random: Random,
-    record: Record,
-    now: Time,
-    end: Time,
-    happenings: BTreeMap<(Time, u64), Happening>,
-    scheduled: u64,
+    scheduler: SchedulerAdapter,
+    rng: Rng,
+    summary: RunSummary,
+    now: Micros,
+    /// Time of the end of the run, which is set when the last request is sent.
+    ends_at: Micros,
+    /// Events by time; events at the same time keep the order in which they were scheduled.
+    pending_events: BTreeMap<(Micros, u64), SimulationEvent>,
+    /// Number of events scheduled so far, which orders events at the same time.
+    scheduled_count: u64,
     nodes: Nodes,
-    clients: BTreeMap<u64, Client>,
-    attempts: BTreeMap<(u64, u32), Attempt>,
-    unsent: u64,
-    watch: u64,
+    /// Clients by the id of their request.
+    clients: BTreeMap<u64, ClientState>,
+    /// Attempts in flight by the id of their request and their number.
+    attempts: BTreeMap<(u64, u32), AttemptInFlight>,
+    /// Requests that the clients have still to send, retries excluded.
+    unsent_requests: u64,
+    /// Number of the last poll, counted from 1; 0 before the first.
+    last_poll: u64,
     watch_is_open: bool,
-    usage_reported_at: Time,
+    /// Time of the last usage report, or the start of the run.
+    usage_reported_at: Micros,
 }
 
-/// Plays a scenario with a seed.
-pub fn play(scenario: &Scenario, seed: u64) -> Record {
-    let start = seed as Time * 7_654_321;
+/// Runs a scenario with a seed and returns the summary of the scheduler's decisions.
+pub fn run(scenario: &Scenario, seed: u64) -> RunSummary {
+    let start = seed as Micros * 7_654_321;
     let host_seed = seed.wrapping_mul(0xD1B5_4A32_D192_ED03);
-    let mut driver = Driver {
+    let mut simulation = Simulation {
         scenario,
-        subject: Subject::new(&scenario.deployment, host_seed, start),
-        random: Random::new(seed),
-        record: Record::new(),
+        scheduler: SchedulerAdapter::new(&scenario.deployment, host_seed, start),
+        rng: Rng::new(seed),
+        summary: RunSummary::new(),
         now: start,
-        end: Time::MAX,
-        happenings: BTreeMap::new(),
-        scheduled: 0,
+        ends_at: Micros::MAX,
+        pending_events: BTreeMap::new(),
+        scheduled_count: 0,
         nodes: scenario.cluster.nodes(start),
         clients: BTreeMap::new(),
         attempts: BTreeMap::new(),
-        unsent: scenario.traffic.requests,
-        watch: 0,
+        unsent_requests: scenario.traffic.request_count,
+        last_poll: 0,
         watch_is_open: false,
         usage_reported_at: start,
     };
-    driver.begin();
-    while driver.step() {}
-    driver.record
+    simulation.schedule_initial_events();
+    while simulation.step() {}
+    simulation.summary
 }
 
-impl Driver<'_> {
-    /// Schedules what sets the run going.
-    fn begin(&mut self) {
+impl Simulation<'_> {
+    /// Schedules the first endpoint list, the first burst, the periodic timer and the first changes
+    /// of the cluster.
+    fn schedule_initial_events(&mut self) {
         match self.scenario.discovery {
             Discovery::Pushed => {
-                let lines = self.listed();
-                self.feed(0, Input::List(ListKind::Snapshot, lines));
+                let entries = self.endpoint_list();
+                self.schedule_input(0, Input::EndpointList(ListUpdateKind::Snapshot, entries));
             }
             Discovery::Polled { .. } | Discovery::Watched { .. } => {
-                let mut lines = self.listed();
-                lines.pop();
-                lines.push(Line {
+                let mut entries = self.endpoint_list();
+                entries.pop();
+                entries.push(EndpointEntry {
                     node: 500,
                     zone: 0,
                     shard: 0,
-                    status: Status::InService,
+                    status: NodeStatus::InService,
                     started_at: None,
                 });
-                self.feed(0, Input::List(ListKind::Cached, lines));
+                self.schedule_input(0, Input::EndpointList(ListUpdateKind::Cached, entries));
             }
         }
-        self.schedule(MILLISECOND, Happening::Burst);
-        self.schedule(TICK, Happening::Tick);
+        self.schedule(MILLISECOND, SimulationEvent::ClientBurst);
+        self.schedule(PERIODIC_TIMER_INTERVAL, SimulationEvent::PeriodicTimer);
         self.schedule_changes(true, true);
     }
 
-    /// Hands over all that happens at the next time and carries out the decisions; false at the
-    /// end.
+    /// Processes all events at the next time, passes the resulting inputs to the scheduler and
+    /// executes its decisions. Returns false at the end of the run.
     fn step(&mut self) -> bool {
-        let Some((&(at, _), _)) = self.happenings.first_key_value() else {
+        let Some((&(at, _), _)) = self.pending_events.first_key_value() else {
             return false;
         };
-        if at > self.end {
+        if at > self.ends_at {
             return false;
         }
         self.now = at;
         let mut inputs = Vec::new();
-        while let Some(entry) = self.happenings.first_entry() {
+        while let Some(entry) = self.pending_events.first_entry() {
             if entry.key().0 > at {
                 break;
             }
-            let happening = entry.remove();
-            self.happen(happening, &mut inputs);
+            let event = entry.remove();
+            self.process(event, &mut inputs);
         }
-        let decisions = self.subject.handle(at, &inputs);
+        let decisions = self.scheduler.handle(at, &inputs);
         for decision in &decisions {
-            self.record.add(at, decision);
-            self.carry_out(decision);
+            self.summary.add_decision(at, decision);
+            self.execute(decision);
         }
-        self.record.add_sizes(at, self.subject.sizes());
+        self.summary.add_sizes(at, self.scheduler.sizes());
         true
     }
 
-    fn schedule(&mut self, after: Time, happening: Happening) {
-        self.scheduled += 1;
-        self.happenings
-            .insert((self.now + after.max(0), self.scheduled), happening);
+    /// Schedules an event after a delay; a negative delay counts as 0.
+    fn schedule(&mut self, after: Micros, event: SimulationEvent) {
+        self.scheduled_count += 1;
+        self.pending_events
+            .insert((self.now + after.max(0), self.scheduled_count), event);
     }
 
-    fn feed(&mut self, after: Time, input: Input) {
-        self.schedule(after, Happening::Feed(input));
+    /// Schedules an input of the scheduler after a delay.
+    fn schedule_input(&mut self, after: Micros, input: Input) {
+        self.schedule(after, SimulationEvent::SchedulerInput(input));
     }
 
-    /// Time until an end of an attempt, so that several ends fall on one time.
-    fn aligned(&self, after: Time) -> Time {
-        let quantum = self.scenario.quantum.max(1);
+    /// Extends the delay until the end of an attempt to the next multiple of the scenario's
+    /// completion granularity, so that several attempts end at the same time.
+    fn align_delay(&self, after: Micros) -> Micros {
+        let granularity = self.scenario.completion_granularity.max(1);
         let at = self.now + after.max(0);
-        (at + quantum - 1) / quantum * quantum - self.now
+        (at + granularity - 1) / granularity * granularity - self.now
     }
 
-    fn happen(&mut self, happening: Happening, inputs: &mut Vec<Input>) {
-        match happening {
-            Happening::Feed(input) => inputs.push(input),
-            Happening::Burst => self.send_burst(inputs),
-            Happening::Again(arrival) => self.receive(arrival, inputs),
-            Happening::Disconnect(request) => self.disconnect(request, inputs),
-            Happening::StartResponse(request, number) => {
+    /// Processes an event and appends the inputs that it produces.
+    fn process(&mut self, event: SimulationEvent, inputs: &mut Vec<Input>) {
+        match event {
+            SimulationEvent::SchedulerInput(input) => inputs.push(input),
+            SimulationEvent::ClientBurst => self.send_burst(inputs),
+            SimulationEvent::ClientRetry(request) => self.send_request(request, inputs),
+            SimulationEvent::ClientDisconnects(request) => self.disconnect_client(request, inputs),
+            SimulationEvent::ResponseStarts(request, number) => {
                 self.start_response(request, number, inputs);
             }
-            Happening::AttemptEnds(request, number, ending) => {
-                self.end_attempt(request, number, ending, inputs);
+            SimulationEvent::AttemptEnds(request, number, outcome) => {
+                self.complete_attempt(request, number, outcome, inputs);
             }
-            Happening::Membership => {
-                let effect = change_membership(&mut self.nodes, self.now, &mut self.random);
-                self.apply(effect, inputs);
+            SimulationEvent::MembershipChange => {
+                let change = change_membership(&mut self.nodes, self.now, &mut self.rng);
+                self.apply_change(change, inputs);
                 self.schedule_changes(true, false);
             }
-            Happening::Condition => {
+            SimulationEvent::ConditionChange => {
                 let churn = &self.scenario.churn;
-                let effect = change_condition(&mut self.nodes, churn, &mut self.random);
-                self.apply(effect, inputs);
+                let change = change_condition(&mut self.nodes, churn, &mut self.rng);
+                self.apply_change(change, inputs);
                 self.schedule_changes(false, true);
             }
-            Happening::Repair(change) => {
-                let effect = repair(&mut self.nodes, change, self.now);
-                self.apply(effect, inputs);
+            SimulationEvent::FollowUp(follow_up) => {
+                let change = apply_follow_up(&mut self.nodes, follow_up, self.now);
+                self.apply_change(change, inputs);
             }
-            Happening::PollEnds(watch) => self.end_poll(watch, inputs),
-            Happening::WatchEnds(watch) => self.end_watch(watch, inputs),
-            Happening::Tick => {
-                inputs.push(Input::Timer);
-                self.schedule(TICK, Happening::Tick);
+            SimulationEvent::PollCompletes(poll) => self.complete_poll(poll, inputs),
+            SimulationEvent::WatchEnds(poll) => self.end_watch(poll, inputs),
+            SimulationEvent::PeriodicTimer => {
+                inputs.push(Input::TimerFired);
+                self.schedule(PERIODIC_TIMER_INTERVAL, SimulationEvent::PeriodicTimer);
             }
         }
     }
 
-    /// The response of an attempt starts, unless the attempt has ended.
+    /// Starts the response of an attempt, unless the attempt has ended.
     fn start_response(&mut self, request: u64, number: u32, inputs: &mut Vec<Input>) {
         if self.attempts.contains_key(&(request, number)) {
-            self.close(request);
+            self.close_request(request);
             inputs.push(Input::ResponseStarted(request));
         }
     }
@@ -220,199 +238,230 @@
     /// Sends a burst of requests and schedules the next one.
     fn send_burst(&mut self, inputs: &mut Vec<Input>) {
         let traffic = &self.scenario.traffic;
-        let size = 1 + self
-            .random
-            .below(traffic.burst)
-            .min(self.random.below(traffic.burst));
-        for _ in 0..size.min(self.unsent) {
-            let id = self.record.requests;
+        let burst_size = 1 + self
+            .rng
+            .below(traffic.max_burst)
+            .min(self.rng.below(traffic.max_burst));
+        for _ in 0..burst_size.min(self.unsent_requests) {
+            let id = self.summary.requests_received;
             let deployment = &self.scenario.deployment;
-            let (plans, classes) = (deployment.plans.len(), deployment.classes.len());
-            let shards = self.scenario.cluster.shards;
-            let arrival = traffic.arrival(id, self.now, plans, classes, shards, &mut self.random);
-            self.receive(arrival, inputs);
-            self.unsent -= 1;
-        }
-        if self.unsent == 0 {
-            self.end = self.now + EPILOGUE;
+            let (plan_count, class_count) = (deployment.plans.len(), deployment.classes.len());
+            let shard_count = self.scenario.cluster.shard_count;
+            let request = traffic.new_request(
+                id,
+                self.now,
+                plan_count,
+                class_count,
+                shard_count,
+                &mut self.rng,
+            );
+            self.send_request(request, inputs);
+            self.unsent_requests -= 1;
+        }
+        if self.unsent_requests == 0 {
+            self.ends_at = self.now + TIME_AFTER_LAST_REQUEST;
             return;
         }
-        let mut gap = self.random.between(0, 2 * traffic.mean_gap);
-        let third = (traffic.requests / 3).max(1);
-        if self.unsent / third != (self.unsent + size) / third {
-            gap += traffic.pause;
+        let mut delay = self.rng.in_range(0, 2 * traffic.mean_burst_interval);
+        let third = (traffic.request_count / 3).max(1);
+        if self.unsent_requests / third != (self.unsent_requests + burst_size) / third {
+            delay += traffic.pause;
         }
-        self.schedule(gap, Happening::Burst);
+        self.schedule(delay, SimulationEvent::ClientBurst);
     }
 
-    /// A request reaches the host.
-    fn receive(&mut self, arrival: Arrival, inputs: &mut Vec<Input>) {
-        let arrival = Arrival {
-            id: self.record.requests,
-            ..arrival
+    /// Sends a request with the next id, and decides whether and when its client disconnects.
+    fn send_request(&mut self, request: ClientRequest, inputs: &mut Vec<Input>) {
+        let request = ClientRequest {
+            id: self.summary.requests_received,
+            ..request
         };
-        self.record.requests += 1;
-        inputs.push(Input::Arrival(arrival));
+        self.summary.requests_received += 1;
+        inputs.push(Input::RequestReceived(request));
         self.clients.insert(
-            arrival.id,
-            Client {
-                arrival,
+            request.id,
+            ClientState {
+                request,
                 attempts: 0,
-                open: true,
+                is_open: true,
             },
         );
-        let client_timeout = (arrival.deadline - self.now).max(0);
-        if self.random.chance(self.scenario.traffic.disconnects) {
-            let after = self.random.between(0, client_timeout.min(SECOND) + 1);
-            self.schedule(after, Happening::Disconnect(arrival.id));
-        } else if self.random.chance(800) {
+        let client_timeout = (request.deadline - self.now).max(0);
+        if self
+            .rng
+            .chance_per_mille(self.scenario.traffic.disconnects_per_mille)
+        {
+            let after = self.rng.in_range(0, client_timeout.min(SECOND) + 1);
+            self.schedule(after, SimulationEvent::ClientDisconnects(request.id));
+        } else if self.rng.chance_per_mille(800) {
             self.schedule(
                 client_timeout + 5 * MILLISECOND,
-                Happening::Disconnect(arrival.id),
+                SimulationEvent::ClientDisconnects(request.id),
             );
         }
     }
 
-    /// A client disconnects, perhaps only after its response; some report it for ids never sent.
-    fn disconnect(&mut self, request: u64, inputs: &mut Vec<Input>) {
-        let was_open = self.clients[&request].open;
-        if was_open || self.random.chance(100) {
-            inputs.push(Input::Disconnected(request));
-        }
-        if self.random.chance(30) {
-            inputs.push(Input::Disconnected(1_000_000 + request));
+    /// Disconnects a client, sometimes after its response. Sometimes adds inputs with request ids
+    /// that were never sent, which the scheduler must ignore.
+    fn disconnect_client(&mut self, request: u64, inputs: &mut Vec<Input>) {
+        let was_open = self.clients[&request].is_open;
+        if was_open || self.rng.chance_per_mille(100) {
+            inputs.push(Input::ClientDisconnected(request));
+        }
+        if self.rng.chance_per_mille(30) {
+            inputs.push(Input::ClientDisconnected(1_000_000 + request));
             inputs.push(Input::ResponseStarted(2_000_000 + request));
         }
-        self.close(request);
+        self.close_request(request);
         if was_open {
-            self.send_again(request, 0);
+            self.maybe_retry(request, 0);
         }
     }
 
-    /// Some clients send a request again that was not served.
-    fn send_again(&mut self, request: u64, after: Time) {
-        if !self.random.chance(self.scenario.traffic.sent_again) {
+    /// Decides whether the client retries a request that was not served, and schedules the retry.
+    fn maybe_retry(&mut self, request: u64, after: Micros) {
+        if !self
+            .rng
+            .chance_per_mille(self.scenario.traffic.client_retries_per_mille)
+        {
             return;
         }
-        let arrival = self.clients[&request].arrival;
-        let mean_client_timeout = 2 * self.scenario.traffic.min_client_timeout;
-        let after = after + self.random.between(0, 300 * MILLISECOND);
-        let deadline = self.now + after + self.random.between(MILLISECOND, mean_client_timeout);
+        let request = self.clients[&request].request;
+        let max_retry_timeout = 2 * self.scenario.traffic.min_client_timeout;
+        let after = after + self.rng.in_range(0, 300 * MILLISECOND);
+        let deadline = self.now + after + self.rng.in_range(MILLISECOND, max_retry_timeout);
         self.schedule(
             after,
-            Happening::Again(Arrival {
+            SimulationEvent::ClientRetry(ClientRequest {
                 deadline,
-                ..arrival
+                ..request
             }),
         );
     }
 
-    fn close(&mut self, request: u64) {
+    /// Records that the client no longer waits for a response.
+    fn close_request(&mut self, request: u64) {
         if let Some(client) = self.clients.get_mut(&request) {
-            client.open = false;
+            client.is_open = false;
         }
     }
 
-    /// Reports the end of an attempt that has not ended yet, sometimes with unknown ones beside it.
-    fn end_attempt(&mut self, request: u64, number: u32, ending: Ending, inputs: &mut Vec<Input>) {
+    /// Completes an attempt, unless it has ended already. Sometimes adds completions of an unknown
+    /// attempt and an unknown request, which the scheduler must ignore.
+    fn complete_attempt(
+        &mut self,
+        request: u64,
+        number: u32,
+        outcome: AttemptOutcome,
+        inputs: &mut Vec<Input>,
+    ) {
         let Some(attempt) = self.attempts.remove(&(request, number)) else {
             return;
         };
         if let Some(node) = self.nodes.get_mut(&attempt.node) {
-            node.load = node.load.saturating_sub(1);
-        }
-        let served = ending == Ending::Served;
-        self.record.served += u64::from(served);
-        if served || self.random.chance(self.scenario.traffic.closing_ends) {
-            self.close(request);
-        }
-        // The report of an end and the closing of its request may cross.
-        let is_unaware = self.random.chance(200);
-        let completion = Completion {
+            node.attempts_in_flight = node.attempts_in_flight.saturating_sub(1);
+        }
+        let served = outcome == AttemptOutcome::Served;
+        self.summary.served_attempts += u64::from(served);
+        if served
+            || self
+                .rng
+                .chance_per_mille(self.scenario.traffic.closing_failures_per_mille)
+        {
+            self.close_request(request);
+        }
+        // An attempt may be reported as completed before the closing of its request is known.
+        let missed_closing = self.rng.chance_per_mille(200);
+        let completion = AttemptCompletion {
             request,
             number,
             node: attempt.node,
-            ending,
-            closed: !self.clients[&request].open && !is_unaware,
+            outcome,
+            request_closed: !self.clients[&request].is_open && !missed_closing,
             elapsed: self.now - attempt.dispatched_at,
-            remote_units: self.remote_units(ending),
-            utilization: self.utilization(ending),
+            remote_units: self.remote_units(outcome),
+            utilization: self.utilization(outcome),
         };
-        inputs.push(Input::Completed(completion));
-        if self.random.chance(20) {
-            let unknown = Completion {
+        inputs.push(Input::AttemptCompleted(completion));
+        if self.rng.chance_per_mille(20) {
+            let unknown = AttemptCompletion {
                 number: number + 5,
                 ..completion
             };
-            inputs.push(Input::Completed(unknown));
-            inputs.push(Input::Completed(Completion {
+            inputs.push(Input::AttemptCompleted(unknown));
+            inputs.push(Input::AttemptCompleted(AttemptCompletion {
                 request: 3_000_000,
                 ..completion
             }));
         }
     }
 
-    /// Units that a response reports for other hosts.
-    fn remote_units(&mut self, ending: Ending) -> f64 {
-        let is_response = matches!(ending, Ending::Served | Ending::Error);
+    /// Returns the units that a response reports as served through other hosts.
+    fn remote_units(&mut self, outcome: AttemptOutcome) -> f64 {
+        let is_response = matches!(outcome, AttemptOutcome::Served | AttemptOutcome::Error);
         if self.scenario.deployment.reports_remote_units && is_response {
-            return self.random.pick(&[0.0, 0.0, 1.0, 2.5, 12.0]);
+            return self.rng.choose(&[0.0, 0.0, 1.0, 2.5, 12.0]);
         }
         0.0
     }
 
-    /// The usage report of a response: one about each period, some of them late.
-    fn utilization(&mut self, ending: Ending) -> Option<f64> {
+    /// Returns the usage report of a response, if it carries one. A report is due an eighth of the
+    /// report period after the previous one; a fifth of the responses skip it.
+    fn utilization(&mut self, outcome: AttemptOutcome) -> Option<f64> {
         let period = self.scenario.deployment.usage_report_period;
-        let is_response = matches!(ending, Ending::Served | Ending::Error);
+        let is_response = matches!(outcome, AttemptOutcome::Served | AttemptOutcome::Error);
         let is_due = self.now - self.usage_reported_at >= period / 8;
-        if period == 0 || !is_response || !is_due || self.random.chance(200) {
+        if period == 0 || !is_response || !is_due || self.rng.chance_per_mille(200) {
             return None;
         }
         self.usage_reported_at = self.now;
-        Some(self.random.pick(&[0.0, 0.3, 0.8, 1.0, 1.7, 4.0]))
+        Some(self.rng.choose(&[0.0, 0.3, 0.8, 1.0, 1.7, 4.0]))
     }
 
-    fn carry_out(&mut self, decision: &Decision) {
+    /// Executes a decision of the scheduler.
+    fn execute(&mut self, decision: &Decision) {
         match *decision {
             Decision::Dispatch {
                 request,
                 node,
-                deadline,
+                times_out_at,
             } => {
-                self.start_attempt(request, node, deadline);
+                self.start_attempt(request, node, times_out_at);
             }
             Decision::Reject {
                 request,
                 retry_after,
             } => {
-                self.close(request);
-                self.send_again(request, retry_after);
+                self.close_request(request);
+                self.maybe_retry(request, retry_after);
             }
             Decision::Fail(request) => {
-                self.close(request);
-                self.send_again(request, 0);
+                self.close_request(request);
+                self.maybe_retry(request, 0);
             }
             Decision::Cancel { request, attempt } => {
-                let after = self.random.between(0, 3 * MILLISECOND);
-                let cancelled = Happening::AttemptEnds(request, attempt, Ending::Cancelled);
-                self.schedule(after, cancelled);
+                let after = self.rng.in_range(0, 3 * MILLISECOND);
+                let cancellation =
+                    SimulationEvent::AttemptEnds(request, attempt, AttemptOutcome::Cancelled);
+                self.schedule(after, cancellation);
             }
-            Decision::OpenWatch => self.open_watch(),
+            Decision::OpenWatch => self.send_poll(),
             Decision::SetTimer(at) => {
-                let is_late = self.random.chance(self.scenario.late_timers);
+                let is_late = self
+                    .rng
+                    .chance_per_mille(self.scenario.late_timers_per_mille);
                 let delay = if is_late {
-                    self.random.between(0, 20 * MILLISECOND)
+                    self.rng.in_range(0, 20 * MILLISECOND)
                 } else {
                     0
                 };
-                self.feed(at - self.now + delay, Input::Timer);
+                self.schedule_input(at - self.now + delay, Input::TimerFired);
             }
         }
     }
 
-    /// Starts an attempt and decides its fate.
-    fn start_attempt(&mut self, request: u64, node: u64, deadline: Time) {
+    /// Starts an attempt and schedules its end.
+    fn start_attempt(&mut self, request: u64, node: u64, times_out_at: Micros) {
         let scenario = self.scenario;
         let client = self
             .clients
@@ -420,118 +469,136 @@
             .expect("a dispatched request was sent");
         let number = client.attempts;
         client.attempts += 1;
-        self.record.retries += u64::from(number > 0);
+        self.summary.retries_dispatched += u64::from(number > 0);
         let mean_units = scenario.deployment.mean_units.max(1.0);
-        let size = client.arrival.units / mean_units;
-        let model = self.nodes.get(&node);
-        let model = model.filter(|model| model.line.status != Status::Removed);
-        let time_left = (deadline - self.now).max(0);
-        let fate = scenario
-            .cluster
-            .fate(model, size, time_left, &mut self.random);
-        if let Some(model) = self.nodes.get_mut(&node) {
-            model.load += 1;
+        let relative_size = client.request.units / mean_units;
+        let target = self.nodes.get(&node);
+        let target = target.filter(|target| target.entry.status != NodeStatus::Removed);
+        let time_left = (times_out_at - self.now).max(0);
+        let attempt_end =
+            scenario
+                .cluster
+                .attempt_end(target, relative_size, time_left, &mut self.rng);
+        if let Some(target) = self.nodes.get_mut(&node) {
+            target.attempts_in_flight += 1;
         }
         self.attempts.insert(
             (request, number),
-            Attempt {
+            AttemptInFlight {
                 node,
                 dispatched_at: self.now,
             },
         );
-        let after = self.aligned(fate.after);
-        let answers = matches!(fate.ending, Ending::Served | Ending::Reset);
-        if answers && self.random.chance(scenario.traffic.early_responses) {
-            self.schedule(after * 2 / 3, Happening::StartResponse(request, number));
+        let after = self.align_delay(attempt_end.after);
+        let gets_response = matches!(
+            attempt_end.outcome,
+            AttemptOutcome::Served | AttemptOutcome::Reset
+        );
+        if gets_response
+            && self
+                .rng
+                .chance_per_mille(scenario.traffic.early_response_starts_per_mille)
+        {
+            self.schedule(
+                after * 2 / 3,
+                SimulationEvent::ResponseStarts(request, number),
+            );
         }
-        self.schedule(after, Happening::AttemptEnds(request, number, fate.ending));
+        self.schedule(
+            after,
+            SimulationEvent::AttemptEnds(request, number, attempt_end.outcome),
+        );
     }
 
-    /// Schedules the next change of the membership or of a condition.
+    /// Schedules the next change of the membership, of a node's condition, or of both.
     fn schedule_changes(&mut self, membership: bool, condition: bool) {
         let churn = &self.scenario.churn;
-        if self.unsent == 0 {
+        if self.unsent_requests == 0 {
             return;
         }
-        if membership && churn.membership_gap > 0 {
-            let after = self.random.between(0, 2 * churn.membership_gap);
-            self.schedule(after, Happening::Membership);
+        if membership && churn.mean_membership_interval > 0 {
+            let after = self.rng.in_range(0, 2 * churn.mean_membership_interval);
+            self.schedule(after, SimulationEvent::MembershipChange);
         }
-        if condition && churn.condition_gap > 0 {
-            let after = self.random.between(0, 2 * churn.condition_gap);
-            self.schedule(after, Happening::Condition);
+        if condition && churn.mean_condition_interval > 0 {
+            let after = self.rng.in_range(0, 2 * churn.mean_condition_interval);
+            self.schedule(after, SimulationEvent::ConditionChange);
         }
     }
 
-    /// Schedules what follows on a change and tells the host of it.
-    fn apply(&mut self, effect: Effect, inputs: &mut Vec<Input>) {
-        for (after, change) in effect.repairs {
-            self.schedule(after, Happening::Repair(change));
+    /// Schedules the follow-ups of a change and notifies the host if it receives updates.
+    fn apply_change(&mut self, change: ClusterChange, inputs: &mut Vec<Input>) {
+        for (after, follow_up) in change.follow_ups {
+            self.schedule(after, SimulationEvent::FollowUp(follow_up));
         }
-        let is_told = match self.scenario.discovery {
+        let host_is_notified = match self.scenario.discovery {
             Discovery::Pushed => true,
             Discovery::Polled { .. } | Discovery::Watched { .. } => self.watch_is_open,
         };
-        if effect.lines.is_empty() || !is_told {
+        if change.entries.is_empty() || !host_is_notified {
             return;
         }
-        if self.random.chance(250) {
-            let is_cached = self.random.chance(200);
+        if self.rng.chance_per_mille(250) {
+            let is_cached = self.rng.chance_per_mille(200);
             let kind = if is_cached {
-                ListKind::Cached
+                ListUpdateKind::Cached
             } else {
-                ListKind::Snapshot
+                ListUpdateKind::Snapshot
             };
-            inputs.push(Input::List(kind, self.listed()));
+            inputs.push(Input::EndpointList(kind, self.endpoint_list()));
         } else {
-            inputs.push(Input::List(ListKind::Delta, effect.lines));
+            inputs.push(Input::EndpointList(ListUpdateKind::Delta, change.entries));
         }
-        if self.scenario.discovery == Discovery::Pushed && self.random.chance(50) {
-            inputs.push(Input::List(ListKind::PollFailed, Vec::new()));
+        if self.scenario.discovery == Discovery::Pushed && self.rng.chance_per_mille(50) {
+            inputs.push(Input::EndpointList(ListUpdateKind::PollFailed, Vec::new()));
         }
     }
 
-    /// The complete endpoint list.
-    fn listed(&self) -> Vec<Line> {
-        let lines = self.nodes.values().map(|node| node.line);
-        lines
-            .filter(|line| line.status != Status::Removed)
+    /// Returns the complete endpoint list, without removed nodes.
+    fn endpoint_list(&self) -> Vec<EndpointEntry> {
+        let entries = self.nodes.values().map(|node| node.entry);
+        entries
+            .filter(|entry| entry.status != NodeStatus::Removed)
             .collect()
     }
 
-    /// A poll reaches the discovery service: it responds, fails, or is lost.
-    fn open_watch(&mut self) {
-        self.watch += 1;
-        if self.random.chance(100) {
+    /// Sends a poll to the discovery service. A tenth of the polls are lost and never complete.
+    fn send_poll(&mut self) {
+        self.last_poll += 1;
+        if self.rng.chance_per_mille(100) {
             return;
         }
-        let after = self.random.between(MILLISECOND, 80 * MILLISECOND);
-        self.schedule(after, Happening::PollEnds(self.watch));
+        let after = self.rng.in_range(MILLISECOND, 80 * MILLISECOND);
+        self.schedule(after, SimulationEvent::PollCompletes(self.last_poll));
     }
 
-    /// The current watch is lost, or the interval until the next poll is over.
-    fn end_watch(&mut self, watch: u64, inputs: &mut Vec<Input>) {
-        if watch == self.watch {
+    /// Ends the watch, or the interval until the next poll, unless a later poll has replaced it.
+    fn end_watch(&mut self, poll: u64, inputs: &mut Vec<Input>) {
+        if poll == self.last_poll {
             self.watch_is_open = false;
-            inputs.push(Input::List(ListKind::WatchLost, Vec::new()));
+            inputs.push(Input::EndpointList(ListUpdateKind::WatchLost, Vec::new()));
         }
     }
 
-    /// The discovery service responds to a poll; the watch ends after a while.
-    fn end_poll(&mut self, watch: u64, inputs: &mut Vec<Input>) {
-        if self.random.chance(200) {
-            inputs.push(Input::List(ListKind::PollFailed, Vec::new()));
+    /// Completes a poll with a failure or the endpoint list, and schedules the end of the watch or
+    /// of the poll interval.
+    fn complete_poll(&mut self, poll: u64, inputs: &mut Vec<Input>) {
+        if self.rng.chance_per_mille(200) {
+            inputs.push(Input::EndpointList(ListUpdateKind::PollFailed, Vec::new()));
             return;
         }
-        inputs.push(Input::List(ListKind::Snapshot, self.listed()));
+        inputs.push(Input::EndpointList(
+            ListUpdateKind::Snapshot,
+            self.endpoint_list(),
+        ));
         let after = match self.scenario.discovery {
             Discovery::Pushed => return,
             Discovery::Polled { interval } => interval,
             Discovery::Watched { mean } => {
                 self.watch_is_open = true;
-                self.random.between(0, 2 * mean)
+                self.rng.in_range(0, 2 * mean)
             }
         };
-        self.schedule(after, Happening::WatchEnds(watch));
+        self.schedule(after, SimulationEvent::WatchEnds(poll));
     }
 }
--- a/crates/scheduler/tests/characterization/main.rs
+++ b/crates/scheduler/tests/characterization/main.rs
@@ -1,65 +1,66 @@
-//! Characterization of the scheduler's decisions: a seeded simulation of clients, nodes and the
-//! discovery service plays some thousand requests for each of several deployments, and the stream
-//! of decisions is compared with a stored digest.
+//! Characterization tests of the scheduler's decisions: each scenario simulates clients, nodes and
+//! the discovery service for some thousand requests with a fixed seed, and compares a digest of the
+//! scheduler's decisions with the one in a snapshot file.
 //!
-//! A digest that differs says that some decision moved; the counts beside it say of which kind.
-//! Only `interface` names items of the crate, so a change of its API leaves all else untouched.
+//! A different digest means that at least one decision changed; the counts in the snapshot show
+//! which kind of decision. Only `scheduler_adapter` names items of the crate, so a change of the
+//! crate's API needs changes in that file alone.
 
 mod churn;
 mod cluster;
 mod driver;
-mod interface;
-mod plain;
-mod random;
-mod record;
+mod rng;
 mod scenarios;
+mod scheduler_adapter;
+mod summary;
 mod traffic;
+mod types;
 
 use scenarios::Scenario;
 
-/// Seeds with which each scenario is played.
+/// Seeds with which each scenario is run.
 const SEEDS: [u64; 2] = [1, 2];
 
-/// Plays a scenario with each seed and compares digests and counts with the stored ones.
-fn check(name: &str, scenario: &Scenario) {
+/// Runs a scenario with each seed and compares the digests and counts with the snapshot file.
+fn assert_matches_snapshot(name: &str, scenario: &Scenario) {
     let mut report = String::new();
     for seed in SEEDS {
-        report.push_str(&driver::play(scenario, seed).report(seed));
+        report.push_str(&driver::run(scenario, seed).report(seed));
     }
     insta::assert_snapshot!(name, report);
 }
 
-macro_rules! characterize {
+macro_rules! characterization_tests {
     ($($name:ident),* $(,)?) => {$(
         #[test]
         fn $name() {
-            check(stringify!($name), &scenarios::$name());
+            assert_matches_snapshot(stringify!($name), &scenarios::$name());
         }
     )*};
 }
 
-characterize!(
-    plain_service,
+characterization_tests!(
+    baseline,
     limits,
     reservations,
     slow_start,
     retry_budget,
     ordering,
     ordering_without_cancellation,
-    idempotency_key_at_all_nodes,
-    idempotency_key_in_a_zone,
-    idempotency_key_at_a_shard,
-    non_idempotent,
+    deduplication_at_all_nodes,
+    deduplication_within_a_zone,
+    deduplication_within_a_shard,
+    non_idempotent_requests,
     usage_reports,
     discovery_by_poll,
     discovery_by_watch,
-    discovery_by_many_hosts,
-    few_faulty_nodes,
-    many_faulty_nodes,
+    discovery_by_watch_with_many_hosts,
+    small_cluster_with_faults,
+    large_cluster_with_faults,
     single_node,
     zero_settings,
     sizes_and_priorities,
-    sluggish_nodes,
-    churn,
+    always_slow_nodes,
+    membership_churn,
     idle_volumes,
 );
--- a/crates/scheduler/tests/characterization/scenarios.rs
+++ b/crates/scheduler/tests/characterization/scenarios.rs
@@ -1,137 +1,148 @@
-//! The deployments, clusters and clients that are played.
+//! Scenarios of the characterization tests: settings, nodes and clients of each run.
 
 use crate::churn::Churn;
 use crate::cluster::{Cluster, Condition};
-use crate::plain::{Budget, Class, Deployment, Plan, Repeat, Scope, Time, Warmup};
-use crate::plain::{MILLISECOND, SECOND};
 use crate::traffic::Traffic;
+use crate::types::{
+    Class, DedupScope, Deployment, IdempotencyKind, Micros, Plan, RetryBudget, SlowStart,
+};
+use crate::types::{MILLISECOND, SECOND};
 
 /// How the host gets the endpoint list.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Discovery {
-    /// It is pushed without polls.
+    /// The discovery service pushes the list; the host sends no polls.
     Pushed,
-    /// Each poll gives one list, and the next one is due after an interval.
+    /// Each poll returns the list once, and the next poll is due after an interval.
     Polled {
-        /// That interval.
-        interval: Time,
+        /// Time from the response to a poll until the next poll is due.
+        interval: Micros,
     },
-    /// A poll opens a watch that is lost after some time.
+    /// A poll opens a watch, which is lost after a random time.
     Watched {
         /// Mean time until a watch is lost.
-        mean: Time,
+        mean: Micros,
     },
 }
 
-/// What a run consists of.
+/// Settings and environment of a run.
 #[derive(Clone)]
 pub struct Scenario {
-    /// The settings.
+    /// Settings of the scheduler.
     pub deployment: Deployment,
-    /// The nodes.
+    /// Nodes at the start of the run.
     pub cluster: Cluster,
-    /// Changes of the nodes.
+    /// Changes of the nodes during the run.
     pub churn: Churn,
-    /// The clients.
+    /// Requests of the clients.
     pub traffic: Traffic,
-    /// How the endpoint list arrives.
+    /// How the host gets the endpoint list.
     pub discovery: Discovery,
-    /// Attempts end at multiples of this, so that several end at once.
-    pub quantum: Time,
-    /// Timers that fire late, in a thousand.
-    pub late_timers: u64,
+    /// Attempts end at multiples of this time, so that several end at the same time.
+    pub completion_granularity: Micros,
+    /// Fraction of timers that fire late, in a thousand.
+    pub late_timers_per_mille: u64,
 }
 
-/// All conditions that nodes may fall into.
+/// Every condition in which attempts fail or are slow.
 const ALL_CONDITIONS: &[Condition] = &[
     Condition::Slow(4),
     Condition::Slow(40),
-    Condition::Silent,
+    Condition::Unresponsive,
     Condition::Unreachable,
-    Condition::Resetting,
-    Condition::Failing,
+    Condition::ResetsConnections,
+    Condition::ReturnsErrors,
     Condition::Lossy,
-    Condition::Full,
+    Condition::Overloaded,
 ];
 
-fn class(objective: Time, priority: f64, repeat: Repeat) -> Class {
+fn unordered_class(
+    latency_objective: Micros,
+    priority_weight: f64,
+    idempotency: IdempotencyKind,
+) -> Class {
     Class {
-        objective,
-        priority,
-        repeat,
+        latency_objective,
+        priority_weight,
+        idempotency,
         ordered: false,
     }
 }
 
-fn ordered(objective: Time, repeat: Repeat) -> Class {
+fn ordered_class(latency_objective: Micros, idempotency: IdempotencyKind) -> Class {
     Class {
         ordered: true,
-        ..class(objective, 1.0, repeat)
+        ..unordered_class(latency_objective, 1.0, idempotency)
     }
 }
 
-fn plan(reservation: f64, weight: f64, limit: f64, provisioned: f64) -> Plan {
+fn plan(reservation: f64, weight: f64, limit: f64, provisioned_rate: f64) -> Plan {
     Plan {
         reservation,
         weight,
         limit,
-        burst: limit * 0.6,
-        provisioned,
+        burst_capacity: limit * 0.6,
+        provisioned_rate,
     }
 }
 
-fn all_fates(latency: Time, shards: u64) -> Cluster {
+/// Nodes with faults of every kind.
+fn cluster_with_faults(idle_latency: Micros, shard_count: u64) -> Cluster {
     Cluster {
-        shards,
-        zones: 2,
-        latency,
-        capacity: 6,
-        lost: 20,
-        reset: 15,
-        connect_failed: 15,
-        error: 20,
-        cancelled: 5,
-        not_dispatched: 5,
-        known_starts: false,
+        shard_count,
+        zone_count: 2,
+        idle_latency,
+        max_attempts_in_flight: 6,
+        lost_per_mille: 20,
+        reset_per_mille: 15,
+        connect_failed_per_mille: 15,
+        error_per_mille: 20,
+        cancelled_per_mille: 5,
+        not_dispatched_per_mille: 5,
+        start_times_known: false,
     }
 }
 
-/// One host, healthy nodes with few losses, steady clients: what the other scenarios vary.
-pub fn plain_service() -> Scenario {
+/// One host, nodes with few faults and a constant load. The other scenarios vary this one.
+pub fn baseline() -> Scenario {
     Scenario {
-        deployment: plain_deployment(),
+        deployment: baseline_deployment(),
         cluster: Cluster {
-            capacity: 20,
-            reset: 2,
-            connect_failed: 2,
-            error: 3,
-            cancelled: 0,
-            not_dispatched: 1,
-            ..all_fates(12 * MILLISECOND, 12)
+            max_attempts_in_flight: 20,
+            reset_per_mille: 2,
+            connect_failed_per_mille: 2,
+            error_per_mille: 3,
+            cancelled_per_mille: 0,
+            not_dispatched_per_mille: 1,
+            ..cluster_with_faults(12 * MILLISECOND, 12)
         },
         churn: Churn {
-            membership_gap: 0,
-            condition_gap: 3 * SECOND,
-            conditions: &[Condition::Slow(4), Condition::Silent],
-            all_at_once: 0,
+            mean_membership_interval: 0,
+            mean_condition_interval: 3 * SECOND,
+            conditions: &[Condition::Slow(4), Condition::Unresponsive],
+            all_nodes_per_mille: 0,
         },
-        traffic: plain_traffic(),
+        traffic: baseline_traffic(),
         discovery: Discovery::Pushed,
-        quantum: 1,
-        late_timers: 50,
+        completion_granularity: 1,
+        late_timers_per_mille: 50,
     }
 }
 
-fn plain_deployment() -> Deployment {
+fn baseline_deployment() -> Deployment {
     Deployment {
-        classes: vec![class(500 * MILLISECOND, 1.0, Repeat::Safe)],
+        classes: vec![unordered_class(
+            500 * MILLISECOND,
+            1.0,
+            IdempotencyKind::Idempotent,
+        )],
         plans: vec![plan(0.0, 1.0, 0.0, 100.0), plan(0.0, 3.0, 0.0, 300.0)],
-        hosts: 1,
+        host_count: 1,
         max_attempts: 3,
         cancellation_allowed: true,
         discovery_clients: 0,
         max_poll_interval: 0,
-        warmup: Warmup {
+        slow_start: SlowStart {
             initial_capacity: 0.2,
             duration: 8 * SECOND,
             window: SECOND,
@@ -149,53 +160,53 @@
     }
 }
 
-fn plain_traffic() -> Traffic {
+fn baseline_traffic() -> Traffic {
     Traffic {
-        requests: 2_500,
-        mean_gap: 8 * MILLISECOND,
-        burst: 6,
-        volumes: 5,
-        hosts: &[1.0],
-        keys: 40,
-        with_object_key: 300,
-        new_objects: 250,
-        units: &[1.0, 2.0, 2.0, 3.0],
+        request_count: 2_500,
+        mean_burst_interval: 8 * MILLISECOND,
+        max_burst: 6,
+        volume_count: 5,
+        host_counts: &[1.0],
+        key_count: 40,
+        with_key_per_mille: 300,
+        new_objects_per_mille: 250,
+        unit_sizes: &[1.0, 2.0, 2.0, 3.0],
         min_client_timeout: 300 * MILLISECOND,
         max_client_timeout: 3 * SECOND,
-        odd: 20,
-        plan_changes: 0,
-        sent_again: 300,
-        disconnects: 60,
-        early_responses: 50,
-        closing_ends: 10,
+        edge_cases_per_mille: 20,
+        plan_changes_per_mille: 0,
+        client_retries_per_mille: 300,
+        disconnects_per_mille: 60,
+        early_response_starts_per_mille: 50,
+        closing_failures_per_mille: 10,
         pause: 0,
     }
 }
 
-/// Plans with limits and bursts, and volumes that change plan and hosts.
+/// Plans with limits and bursts, and volumes whose plan and number of hosts change.
 pub fn limits() -> Scenario {
-    let mut scenario = plain_service();
+    let mut scenario = baseline();
     scenario.deployment.plans = vec![
         plan(0.0, 1.0, 120.0, 100.0),
         plan(0.0, 2.0, 40.0, 50.0),
         plan(15.0, 2.0, 60.0, 50.0),
         Plan {
-            burst: 2.5,
+            burst_capacity: 2.5,
             ..plan(0.0, 1.0, 90.0, 80.0)
         },
         plan(0.0, 0.5, 0.0, 30.0),
     ];
-    scenario.traffic.hosts = &[1.0, 3.0, 0.0, 2.0];
-    scenario.traffic.plan_changes = 40;
-    scenario.traffic.volumes = 10;
-    scenario.traffic.units = &[0.5, 1.0, 1.0, 4.0];
-    scenario.cluster.shards = 4;
+    scenario.traffic.host_counts = &[1.0, 3.0, 0.0, 2.0];
+    scenario.traffic.plan_changes_per_mille = 40;
+    scenario.traffic.volume_count = 10;
+    scenario.traffic.unit_sizes = &[0.5, 1.0, 1.0, 4.0];
+    scenario.cluster.shard_count = 4;
     scenario
 }
 
-/// Reservations and weights at few overloaded nodes, with service through other hosts reported.
+/// Reservations and weights at two overloaded nodes that report the units of other hosts.
 pub fn reservations() -> Scenario {
-    let mut scenario = plain_service();
+    let mut scenario = baseline();
     scenario.deployment.plans = vec![
         plan(60.0, 1.0, 0.0, 80.0),
         plan(0.0, 4.0, 0.0, 40.0),
@@ -204,46 +215,47 @@
     ];
     scenario.deployment.reports_remote_units = true;
     scenario.cluster = Cluster {
-        capacity: 8,
-        ..all_fates(14 * MILLISECOND, 2)
+        max_attempts_in_flight: 8,
+        ..cluster_with_faults(14 * MILLISECOND, 2)
     };
-    scenario.traffic.volumes = 7;
-    scenario.traffic.hosts = &[2.0, 1.0];
-    scenario.traffic.units = &[1.0, 2.0, 6.0];
-    scenario.traffic.mean_gap = 14 * MILLISECOND;
-    scenario.quantum = 2 * MILLISECOND;
+    scenario.traffic.volume_count = 7;
+    scenario.traffic.host_counts = &[2.0, 1.0];
+    scenario.traffic.unit_sizes = &[1.0, 2.0, 6.0];
+    scenario.traffic.mean_burst_interval = 14 * MILLISECOND;
+    scenario.completion_granularity = 2 * MILLISECOND;
     scenario
 }
 
-/// Nodes that restart often and warm up, with several hosts.
+/// Several hosts, and nodes that restart often and warm up.
 pub fn slow_start() -> Scenario {
-    let mut scenario = plain_service();
-    scenario.deployment.hosts = 4;
-    scenario
-        .deployment
-        .classes
-        .push(class(60 * MILLISECOND, 1.0, Repeat::Safe));
+    let mut scenario = baseline();
+    scenario.deployment.host_count = 4;
+    scenario.deployment.classes.push(unordered_class(
+        60 * MILLISECOND,
+        1.0,
+        IdempotencyKind::Idempotent,
+    ));
     scenario.deployment.plans = vec![
         plan(10.0, 1.0, 0.0, 40.0),
         plan(0.0, 2.0, 0.0, 5.0),
         plan(0.0, 1.0, 0.0, 200.0),
     ];
-    scenario.deployment.warmup.units = 30.0;
+    scenario.deployment.slow_start.units = 30.0;
     scenario.cluster = Cluster {
-        known_starts: true,
-        ..all_fates(10 * MILLISECOND, 5)
+        start_times_known: true,
+        ..cluster_with_faults(10 * MILLISECOND, 5)
     };
-    scenario.churn.membership_gap = 900 * MILLISECOND;
-    scenario.traffic.hosts = &[4.0, 2.0];
-    scenario.traffic.volumes = 8;
-    scenario.traffic.mean_gap = 20 * MILLISECOND;
+    scenario.churn.mean_membership_interval = 900 * MILLISECOND;
+    scenario.traffic.host_counts = &[4.0, 2.0];
+    scenario.traffic.volume_count = 8;
+    scenario.traffic.mean_burst_interval = 20 * MILLISECOND;
     scenario
 }
 
-/// A retry budget under many losses and failed connects.
+/// A retry budget, with many lost responses and failed connections.
 pub fn retry_budget() -> Scenario {
-    let mut scenario = plain_service();
-    let budget = Budget {
+    let mut scenario = baseline();
+    let budget = RetryBudget {
         window: 700 * MILLISECOND,
         allowance: 2.0,
         ratio: 0.1,
@@ -251,195 +263,208 @@
     scenario.deployment.retry_budget = Some(budget);
     scenario.deployment.max_attempts = 4;
     scenario.cluster = Cluster {
-        lost: 60,
-        connect_failed: 80,
-        ..all_fates(9 * MILLISECOND, 6)
+        lost_per_mille: 60,
+        connect_failed_per_mille: 80,
+        ..cluster_with_faults(9 * MILLISECOND, 6)
     };
-    scenario.churn.condition_gap = SECOND;
+    scenario.churn.mean_condition_interval = SECOND;
     scenario.churn.conditions = ALL_CONDITIONS;
-    scenario.quantum = 5 * MILLISECOND;
+    scenario.completion_granularity = 5 * MILLISECOND;
     scenario
 }
 
-/// Requests of one key in order, with a quiesce period.
+/// Ordered classes with a quiesce period.
 pub fn ordering() -> Scenario {
-    let mut scenario = plain_service();
+    let mut scenario = baseline();
     scenario.deployment.classes = vec![
-        ordered(300 * MILLISECOND, Repeat::WithKey(Scope::All, 2 * SECOND)),
-        ordered(100 * MILLISECOND, Repeat::Unsafe),
-        class(200 * MILLISECOND, 1.0, Repeat::Safe),
-        ordered(400 * MILLISECOND, Repeat::Safe),
+        ordered_class(
+            300 * MILLISECOND,
+            IdempotencyKind::WithKey(DedupScope::All, 2 * SECOND),
+        ),
+        ordered_class(100 * MILLISECOND, IdempotencyKind::NonIdempotent),
+        unordered_class(200 * MILLISECOND, 1.0, IdempotencyKind::Idempotent),
+        ordered_class(400 * MILLISECOND, IdempotencyKind::Idempotent),
     ];
     scenario.deployment.quiesce_period = 60 * MILLISECOND;
     scenario.cluster = Cluster {
-        reset: 120,
-        ..all_fates(25 * MILLISECOND, 6)
+        reset_per_mille: 120,
+        ..cluster_with_faults(25 * MILLISECOND, 6)
     };
-    scenario.churn.membership_gap = 4 * SECOND;
-    scenario.traffic.with_object_key = 800;
-    scenario.traffic.keys = 12;
-    scenario.traffic.new_objects = 100;
-    scenario.traffic.disconnects = 250;
-    scenario.quantum = MILLISECOND;
+    scenario.churn.mean_membership_interval = 4 * SECOND;
+    scenario.traffic.with_key_per_mille = 800;
+    scenario.traffic.key_count = 12;
+    scenario.traffic.new_objects_per_mille = 100;
+    scenario.traffic.disconnects_per_mille = 250;
+    scenario.completion_granularity = MILLISECOND;
     scenario.churn.conditions = ALL_CONDITIONS;
-    scenario.churn.condition_gap = 1_500 * MILLISECOND;
-    scenario.late_timers = 500;
+    scenario.churn.mean_condition_interval = 1_500 * MILLISECOND;
+    scenario.late_timers_per_mille = 500;
     scenario
 }
 
-/// As `ordering`, with attempts that can't be cancelled and without a quiesce period.
+/// Like `ordering`, but attempts cannot be cancelled and there is no quiesce period.
 pub fn ordering_without_cancellation() -> Scenario {
     let mut scenario = ordering();
     scenario.deployment.cancellation_allowed = false;
     scenario.deployment.quiesce_period = 0;
-    scenario.traffic.keys = 8;
-    scenario.traffic.disconnects = 200;
+    scenario.traffic.key_count = 8;
+    scenario.traffic.disconnects_per_mille = 200;
     scenario
 }
 
-/// Deduplication at every node, within a short window.
-pub fn idempotency_key_at_all_nodes() -> Scenario {
-    idempotency_key(Scope::All)
+/// Idempotency keys that every node recognizes.
+pub fn deduplication_at_all_nodes() -> Scenario {
+    deduplication(DedupScope::All)
 }
 
-/// Deduplication within a zone.
-pub fn idempotency_key_in_a_zone() -> Scenario {
-    idempotency_key(Scope::Zone)
+/// Idempotency keys that the nodes of a zone recognize.
+pub fn deduplication_within_a_zone() -> Scenario {
+    deduplication(DedupScope::Zone)
 }
 
-/// Deduplication at the nodes of a shard.
-pub fn idempotency_key_at_a_shard() -> Scenario {
-    idempotency_key(Scope::Shard)
+/// Idempotency keys that the nodes of a shard recognize.
+pub fn deduplication_within_a_shard() -> Scenario {
+    deduplication(DedupScope::Shard)
 }
 
-fn idempotency_key(scope: Scope) -> Scenario {
-    let mut scenario = plain_service();
+/// Idempotency keys with the given scope, and a short, a long and an empty deduplication window.
+fn deduplication(scope: DedupScope) -> Scenario {
+    let mut scenario = baseline();
     scenario.deployment.classes = vec![
-        class(
+        unordered_class(
             200 * MILLISECOND,
             1.0,
-            Repeat::WithKey(scope, 400 * MILLISECOND),
+            IdempotencyKind::WithKey(scope, 400 * MILLISECOND),
+        ),
+        unordered_class(
+            100 * MILLISECOND,
+            2.0,
+            IdempotencyKind::WithKey(scope, 10 * SECOND),
         ),
-        class(100 * MILLISECOND, 2.0, Repeat::WithKey(scope, 10 * SECOND)),
-        class(80 * MILLISECOND, 2.0, Repeat::WithKey(scope, 0)),
+        unordered_class(80 * MILLISECOND, 2.0, IdempotencyKind::WithKey(scope, 0)),
     ];
     scenario.deployment.max_attempts = 6;
     scenario.cluster = Cluster {
-        reset: 60,
-        error: 60,
-        ..all_fates(10 * MILLISECOND, 4)
+        reset_per_mille: 60,
+        error_per_mille: 60,
+        ..cluster_with_faults(10 * MILLISECOND, 4)
     };
-    scenario.churn.membership_gap = 800 * MILLISECOND;
-    scenario.churn.condition_gap = 1_500 * MILLISECOND;
+    scenario.churn.mean_membership_interval = 800 * MILLISECOND;
+    scenario.churn.mean_condition_interval = 1_500 * MILLISECOND;
     scenario.churn.conditions = ALL_CONDITIONS;
-    scenario.traffic.new_objects = 400;
+    scenario.traffic.new_objects_per_mille = 400;
     scenario
 }
 
-/// Requests that must not run twice.
-pub fn non_idempotent() -> Scenario {
-    let mut scenario = idempotency_key(Scope::All);
-    let slow = class(200 * MILLISECOND, 1.0, Repeat::Unsafe);
-    let quick = class(80 * MILLISECOND, 0.0, Repeat::Unsafe);
+/// Non-idempotent requests, which must not be executed twice.
+pub fn non_idempotent_requests() -> Scenario {
+    let mut scenario = deduplication(DedupScope::All);
+    let slow = unordered_class(200 * MILLISECOND, 1.0, IdempotencyKind::NonIdempotent);
+    let quick = unordered_class(80 * MILLISECOND, 0.0, IdempotencyKind::NonIdempotent);
     scenario.deployment.classes = vec![slow, quick];
     scenario
 }
 
-/// Usage reports, some of them late, and pauses in which none arrive.
+/// Usage reports, some of them late, and pauses without requests or reports.
 pub fn usage_reports() -> Scenario {
-    let mut scenario = plain_service();
+    let mut scenario = baseline();
     scenario.deployment.usage_report_period = 500 * MILLISECOND;
     scenario.deployment.plans = vec![
         plan(30.0, 1.0, 0.0, 60.0),
         plan(0.0, 2.0, 90.0, 60.0),
         plan(10.0, 0.5, 0.0, 20.0),
     ];
-    scenario.traffic.volumes = 5;
-    scenario.traffic.hosts = &[3.0, 1.0];
+    scenario.traffic.volume_count = 5;
+    scenario.traffic.host_counts = &[3.0, 1.0];
     scenario.traffic.pause = 4 * SECOND;
-    scenario.cluster.shards = 2;
-    scenario.cluster.capacity = 8;
-    scenario.traffic.mean_gap = 14 * MILLISECOND;
-    scenario.quantum = 20 * MILLISECOND;
+    scenario.cluster.shard_count = 2;
+    scenario.cluster.max_attempts_in_flight = 8;
+    scenario.traffic.mean_burst_interval = 14 * MILLISECOND;
+    scenario.completion_granularity = 20 * MILLISECOND;
     scenario
 }
 
-/// A list polled by many hosts at an interval.
+/// Many hosts poll the endpoint list at an interval.
 pub fn discovery_by_poll() -> Scenario {
-    let mut scenario = plain_service();
+    let mut scenario = baseline();
     scenario.deployment.discovery_clients = 300;
     scenario.deployment.max_poll_interval = 2 * SECOND;
     scenario.discovery = Discovery::Polled {
         interval: 1_500 * MILLISECOND,
     };
-    scenario.churn.membership_gap = 2 * SECOND;
-    scenario.cluster = all_fates(12 * MILLISECOND, 8);
-    scenario.cluster.known_starts = true;
+    scenario.churn.mean_membership_interval = 2 * SECOND;
+    scenario.cluster = cluster_with_faults(12 * MILLISECOND, 8);
+    scenario.cluster.start_times_known = true;
     scenario
 }
 
-/// A list watched by few hosts.
+/// Few hosts watch the endpoint list.
 pub fn discovery_by_watch() -> Scenario {
     let mut scenario = discovery_by_poll();
     scenario.deployment.discovery_clients = 4;
     scenario.deployment.max_poll_interval = 0;
-    scenario.deployment.warmup.duration = 0;
+    scenario.deployment.slow_start.duration = 0;
     scenario.discovery = Discovery::Watched { mean: 3 * SECOND };
     scenario
 }
 
-/// A list watched by many hosts without a maximum interval.
-pub fn discovery_by_many_hosts() -> Scenario {
+/// Many hosts watch the endpoint list, without a maximum poll interval.
+pub fn discovery_by_watch_with_many_hosts() -> Scenario {
     let mut scenario = discovery_by_watch();
     scenario.deployment.discovery_clients = 300;
     scenario
 }
 
-/// Few nodes of which most fail at times.
-pub fn few_faulty_nodes() -> Scenario {
-    let mut scenario = plain_service();
+/// Four nodes, most or all of which are faulty at times.
+pub fn small_cluster_with_faults() -> Scenario {
+    let mut scenario = baseline();
     scenario.deployment.max_attempts = 5;
-    scenario
-        .deployment
-        .classes
-        .push(class(120 * MILLISECOND, 2.0, Repeat::Safe));
-    scenario.cluster = all_fates(10 * MILLISECOND, 4);
-    scenario.churn.condition_gap = 600 * MILLISECOND;
+    scenario.deployment.classes.push(unordered_class(
+        120 * MILLISECOND,
+        2.0,
+        IdempotencyKind::Idempotent,
+    ));
+    scenario.cluster = cluster_with_faults(10 * MILLISECOND, 4);
+    scenario.churn.mean_condition_interval = 600 * MILLISECOND;
     scenario.churn.conditions = ALL_CONDITIONS;
-    scenario.churn.all_at_once = 150;
-    scenario.traffic.mean_gap = 15 * MILLISECOND;
+    scenario.churn.all_nodes_per_mille = 150;
+    scenario.traffic.mean_burst_interval = 15 * MILLISECOND;
     scenario
 }
 
-/// Many nodes of which some fail.
-pub fn many_faulty_nodes() -> Scenario {
-    let mut scenario = few_faulty_nodes();
-    scenario.cluster.shards = 30;
-    scenario.churn.condition_gap = 400 * MILLISECOND;
-    scenario.churn.all_at_once = 0;
-    scenario.traffic.new_objects = 500;
-    scenario.quantum = 4 * MILLISECOND;
+/// Thirty nodes, some of which are faulty at any time.
+pub fn large_cluster_with_faults() -> Scenario {
+    let mut scenario = small_cluster_with_faults();
+    scenario.cluster.shard_count = 30;
+    scenario.churn.mean_condition_interval = 400 * MILLISECOND;
+    scenario.churn.all_nodes_per_mille = 0;
+    scenario.traffic.new_objects_per_mille = 500;
+    scenario.completion_granularity = 4 * MILLISECOND;
     scenario
 }
 
-/// A single node that is often gone, so that new objects have no node at all.
+/// A single node that is often removed, so that at times no node can take new objects.
 pub fn single_node() -> Scenario {
-    let mut scenario = churn();
-    scenario.cluster = all_fates(5 * MILLISECOND, 1);
+    let mut scenario = membership_churn();
+    scenario.cluster = cluster_with_faults(5 * MILLISECOND, 1);
     scenario.deployment.classes = vec![
-        class(150 * MILLISECOND, 1.0, Repeat::Safe),
-        ordered(90 * MILLISECOND, Repeat::WithKey(Scope::Zone, SECOND)),
+        unordered_class(150 * MILLISECOND, 1.0, IdempotencyKind::Idempotent),
+        ordered_class(
+            90 * MILLISECOND,
+            IdempotencyKind::WithKey(DedupScope::Zone, SECOND),
+        ),
     ];
-    scenario.deployment.warmup.duration = 300 * MILLISECOND;
-    scenario.churn.membership_gap = 700 * MILLISECOND;
-    scenario.traffic.new_objects = 700;
-    scenario.traffic.with_object_key = 500;
-    scenario.traffic.disconnects = 150;
+    scenario.deployment.slow_start.duration = 300 * MILLISECOND;
+    scenario.churn.mean_membership_interval = 700 * MILLISECOND;
+    scenario.traffic.new_objects_per_mille = 700;
+    scenario.traffic.with_key_per_mille = 500;
+    scenario.traffic.disconnects_per_mille = 150;
     scenario
 }
 
-/// Plans with a limit, with a reservation, and with neither; the other values are zero.
-fn plans_with_zeros() -> Vec<Plan> {
+/// Plans with neither limit nor reservation, with a limit, and with a reservation. All other values
+/// are zero, except the weight of the last plan.
+fn plans_with_zero_values() -> Vec<Plan> {
     vec![
         Plan::default(),
         Plan {
@@ -454,22 +479,25 @@
     ]
 }
 
-/// Settings of zero wherever they are allowed.
+/// Zero for every setting that may be zero.
 pub fn zero_settings() -> Scenario {
-    let mut scenario = plain_service();
+    let mut scenario = baseline();
     scenario.deployment = Deployment {
         classes: vec![
-            class(0, 0.0, Repeat::Safe),
-            ordered(50 * MILLISECOND, Repeat::WithKey(Scope::Zone, 0)),
-            class(90 * MILLISECOND, 1.0, Repeat::Safe),
+            unordered_class(0, 0.0, IdempotencyKind::Idempotent),
+            ordered_class(
+                50 * MILLISECOND,
+                IdempotencyKind::WithKey(DedupScope::Zone, 0),
+            ),
+            unordered_class(90 * MILLISECOND, 1.0, IdempotencyKind::Idempotent),
         ],
-        plans: plans_with_zeros(),
-        hosts: 0,
+        plans: plans_with_zero_values(),
+        host_count: 0,
         max_attempts: 0,
         cancellation_allowed: true,
         discovery_clients: 1,
         max_poll_interval: 0,
-        warmup: Warmup {
+        slow_start: SlowStart {
             initial_capacity: 0.0,
             duration: 3 * SECOND,
             window: 0,
@@ -477,7 +505,7 @@
             units: 0.0,
         },
         quiesce_period: 0,
-        retry_budget: Some(Budget {
+        retry_budget: Some(RetryBudget {
             window: 0,
             allowance: 0.0,
             ratio: 0.0,
@@ -491,92 +519,105 @@
     };
     scenario.discovery = Discovery::Watched { mean: 3 * SECOND };
     scenario.cluster = Cluster {
-        known_starts: true,
-        ..all_fates(10 * MILLISECOND, 5)
+        start_times_known: true,
+        ..cluster_with_faults(10 * MILLISECOND, 5)
     };
-    scenario.churn.membership_gap = 5 * SECOND;
-    scenario.traffic.hosts = &[0.0, 1.0];
-    scenario.traffic.units = &[0.0, 1.0, 2.0];
-    scenario.traffic.mean_gap = 40 * MILLISECOND;
+    scenario.churn.mean_membership_interval = 5 * SECOND;
+    scenario.traffic.host_counts = &[0.0, 1.0];
+    scenario.traffic.unit_sizes = &[0.0, 1.0, 2.0];
+    scenario.traffic.mean_burst_interval = 40 * MILLISECOND;
     scenario
 }
 
-/// Sizes and priority weights that differ much, and objectives that are hard to meet.
+/// Request sizes and priority weights of a wide range, and tight latency objectives.
 pub fn sizes_and_priorities() -> Scenario {
-    let mut scenario = plain_service();
+    let mut scenario = baseline();
     scenario.deployment.classes = vec![
-        class(40 * MILLISECOND, 1.0, Repeat::Safe),
-        class(120 * MILLISECOND, 5.0, Repeat::Safe),
-        class(800 * MILLISECOND, 0.3, Repeat::WithKey(Scope::All, SECOND)),
-        class(60 * MILLISECOND, 5.0, Repeat::Unsafe),
+        unordered_class(40 * MILLISECOND, 1.0, IdempotencyKind::Idempotent),
+        unordered_class(120 * MILLISECOND, 5.0, IdempotencyKind::Idempotent),
+        unordered_class(
+            800 * MILLISECOND,
+            0.3,
+            IdempotencyKind::WithKey(DedupScope::All, SECOND),
+        ),
+        unordered_class(60 * MILLISECOND, 5.0, IdempotencyKind::NonIdempotent),
     ];
     scenario.deployment.max_units = 30.0;
     scenario.deployment.mean_units = 4.0;
-    scenario.traffic.units = &[0.1, 1.0, 4.0, 12.0, 30.0];
-    scenario.traffic.burst = 12;
+    scenario.traffic.unit_sizes = &[0.1, 1.0, 4.0, 12.0, 30.0];
+    scenario.traffic.max_burst = 12;
     scenario.traffic.min_client_timeout = 100 * MILLISECOND;
     scenario.traffic.max_client_timeout = 900 * MILLISECOND;
     scenario.cluster = Cluster {
-        lost: 90,
-        ..all_fates(9 * MILLISECOND, 4)
+        lost_per_mille: 90,
+        ..cluster_with_faults(9 * MILLISECOND, 4)
     };
     scenario.churn.conditions = &[Condition::Slow(4), Condition::Slow(12), Condition::Lossy];
-    scenario.churn.condition_gap = SECOND;
-    scenario.traffic.mean_gap = 50 * MILLISECOND;
+    scenario.churn.mean_condition_interval = SECOND;
+    scenario.traffic.mean_burst_interval = 50 * MILLISECOND;
     scenario
 }
 
-/// Nodes that are always slow for what the classes expect.
-pub fn sluggish_nodes() -> Scenario {
-    let mut scenario = plain_service();
+/// Nodes that are always slow: their latency when idle, 14 ms, is above a quarter of every latency
+/// objective, and the host treats responses above that quarter as slow.
+pub fn always_slow_nodes() -> Scenario {
+    let mut scenario = baseline();
     scenario.deployment.classes = vec![
-        class(40 * MILLISECOND, 1.0, Repeat::Safe),
-        class(55 * MILLISECOND, 2.0, Repeat::WithKey(Scope::Shard, SECOND)),
+        unordered_class(40 * MILLISECOND, 1.0, IdempotencyKind::Idempotent),
+        unordered_class(
+            55 * MILLISECOND,
+            2.0,
+            IdempotencyKind::WithKey(DedupScope::Shard, SECOND),
+        ),
     ];
     scenario.deployment.plans.push(plan(20.0, 1.0, 80.0, 40.0));
-    scenario.cluster = all_fates(14 * MILLISECOND, 5);
-    scenario.churn.condition_gap = 2 * SECOND;
+    scenario.cluster = cluster_with_faults(14 * MILLISECOND, 5);
+    scenario.churn.mean_condition_interval = 2 * SECOND;
     scenario.churn.conditions = ALL_CONDITIONS;
-    scenario.traffic.mean_gap = 30 * MILLISECOND;
-    scenario.quantum = 2 * MILLISECOND;
+    scenario.traffic.mean_burst_interval = 30 * MILLISECOND;
+    scenario.completion_granularity = 2 * MILLISECOND;
     scenario
 }
 
-/// Nodes that drain, leave, return, move and are replaced all the time.
-pub fn churn() -> Scenario {
-    let mut scenario = plain_service();
+/// Nodes that drain, are removed, return, change zone and are replaced all the time.
+pub fn membership_churn() -> Scenario {
+    let mut scenario = baseline();
     let classes = &mut scenario.deployment.classes;
-    classes.push(class(100 * MILLISECOND, 1.0, Repeat::Unsafe));
-    classes.push(class(
+    classes.push(unordered_class(
+        100 * MILLISECOND,
+        1.0,
+        IdempotencyKind::NonIdempotent,
+    ));
+    classes.push(unordered_class(
         400 * MILLISECOND,
         1.0,
-        Repeat::WithKey(Scope::All, 5 * SECOND),
+        IdempotencyKind::WithKey(DedupScope::All, 5 * SECOND),
     ));
-    scenario.deployment.warmup.duration = SECOND;
+    scenario.deployment.slow_start.duration = SECOND;
     scenario.cluster = Cluster {
-        reset: 80,
-        ..all_fates(16 * MILLISECOND, 4)
+        reset_per_mille: 80,
+        ..cluster_with_faults(16 * MILLISECOND, 4)
     };
-    scenario.cluster.zones = 3;
-    scenario.churn.membership_gap = 250 * MILLISECOND;
+    scenario.cluster.zone_count = 3;
+    scenario.churn.mean_membership_interval = 250 * MILLISECOND;
     scenario.churn.conditions = ALL_CONDITIONS;
-    scenario.traffic.new_objects = 500;
-    scenario.quantum = 3 * MILLISECOND;
-    scenario.traffic.mean_gap = 30 * MILLISECOND;
-    scenario.churn.condition_gap = SECOND;
+    scenario.traffic.new_objects_per_mille = 500;
+    scenario.completion_granularity = 3 * MILLISECOND;
+    scenario.traffic.mean_burst_interval = 30 * MILLISECOND;
+    scenario.churn.mean_condition_interval = SECOND;
     scenario
 }
 
-/// Many volumes with limits and long pauses, after which the idle ones are removed.
+/// Many volumes with limits, and long pauses in which idle volumes are removed.
 pub fn idle_volumes() -> Scenario {
     let mut scenario = limits();
-    scenario.traffic.requests = 1_500;
-    scenario.traffic.volumes = 150;
+    scenario.traffic.request_count = 1_500;
+    scenario.traffic.volume_count = 150;
     scenario.traffic.pause = 100 * SECOND;
-    scenario.traffic.mean_gap = 40 * MILLISECOND;
-    scenario.churn.membership_gap = 5 * SECOND;
+    scenario.traffic.mean_burst_interval = 40 * MILLISECOND;
+    scenario.churn.mean_membership_interval = 5 * SECOND;
     scenario.deployment.plans.push(Plan {
-        burst: 900.0,
+        burst_capacity: 900.0,
         ..plan(0.0, 1.0, 4.0, 10.0)
     });
     scenario
--- a/crates/scheduler/tests/characterization/record.rs
+++ b/crates/scheduler/tests/characterization/summary.rs
@@ -1,6 +1,9 @@
-//! The record of a run: a digest over one line for each decision, and counts to read.
+//! Summary of a run: a digest of all decisions, and counts by kind.
+//!
+//! The digest is the FNV-1a hash of one line of text per decision and per change of the state
+//! sizes.
 
-use crate::plain::{Decision, Sizes, Time};
+use crate::types::{Decision, Micros, StateSizes};
 use std::fmt::Write;
 
 /// Offset basis of the 64-bit FNV-1a hash.
@@ -8,56 +11,56 @@
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// What a run decided.
-pub struct Record {
+/// Digest and counts of the decisions of a run.
+pub struct RunSummary {
     digest: u64,
     line: String,
-    /// Requests received.
-    pub requests: u64,
-    /// Attempts that were served.
-    pub served: u64,
-    /// Dispatches after a request's first.
-    pub retries: u64,
+    /// Number of requests received.
+    pub requests_received: u64,
+    /// Number of attempts that were served.
+    pub served_attempts: u64,
+    /// Number of dispatches other than the first of each request.
+    pub retries_dispatched: u64,
     dispatches: u64,
     rejections: u64,
     rejections_with_retry_after: u64,
     failures: u64,
     cancellations: u64,
-    watches: u64,
-    timers: u64,
-    sizes: Sizes,
+    watches_opened: u64,
+    timers_set: u64,
+    sizes: StateSizes,
 }
 
-impl Record {
-    /// An empty record.
+impl RunSummary {
+    /// Creates a summary without decisions.
     pub fn new() -> Self {
-        Record {
+        RunSummary {
             digest: FNV_OFFSET,
             line: String::new(),
-            requests: 0,
-            served: 0,
-            retries: 0,
+            requests_received: 0,
+            served_attempts: 0,
+            retries_dispatched: 0,
             dispatches: 0,
             rejections: 0,
             rejections_with_retry_after: 0,
             failures: 0,
             cancellations: 0,
-            watches: 0,
-            timers: 0,
-            sizes: Sizes::default(),
+            watches_opened: 0,
+            timers_set: 0,
+            sizes: StateSizes::default(),
         }
     }
 
-    /// Adds a decision made at a time.
-    pub fn add(&mut self, now: Time, decision: &Decision) {
+    /// Adds a decision that was made at `now`.
+    pub fn add_decision(&mut self, now: Micros, decision: &Decision) {
         let line = match *decision {
             Decision::Dispatch {
                 request,
                 node,
-                deadline,
+                times_out_at,
             } => {
                 self.dispatches += 1;
-                format!("{now} dispatch {request} {node} {deadline}")
+                format!("{now} dispatch {request} {node} {times_out_at}")
             }
             Decision::Reject {
                 request,
@@ -76,11 +79,11 @@
                 format!("{now} cancel {request} {attempt}")
             }
             Decision::OpenWatch => {
-                self.watches += 1;
+                self.watches_opened += 1;
                 format!("{now} watch")
             }
             Decision::SetTimer(at) => {
-                self.timers += 1;
+                self.timers_set += 1;
                 format!("{now} timer {at}")
             }
         };
@@ -88,13 +91,13 @@
         self.hash_line();
     }
 
-    /// Adds the sizes of the scheduler's state if they changed.
-    pub fn add_sizes(&mut self, now: Time, sizes: Sizes) {
+    /// Adds the sizes of the scheduler's state if they differ from the previous ones.
+    pub fn add_sizes(&mut self, now: Micros, sizes: StateSizes) {
         if sizes == self.sizes {
             return;
         }
         self.sizes = sizes;
-        let Sizes {
+        let StateSizes {
             nodes,
             volumes,
             shards,
@@ -103,20 +106,20 @@
         self.hash_line();
     }
 
-    /// Hashes the line and its end.
+    /// Adds the line and a line feed to the digest.
     fn hash_line(&mut self) {
         for byte in self.line.bytes().chain([b'\n']) {
             self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
         }
     }
 
-    /// The digest and the counts as text.
+    /// Formats the digest and the counts for the snapshot file.
     pub fn report(&self, seed: u64) -> String {
         let rows = [
-            ("requests", self.requests),
+            ("requests", self.requests_received),
             ("dispatches", self.dispatches),
-            ("retries dispatched", self.retries),
-            ("served", self.served),
+            ("retries dispatched", self.retries_dispatched),
+            ("served", self.served_attempts),
             ("rejections without retry-after", self.rejections),
             (
                 "rejections with retry-after",
@@ -124,8 +127,8 @@
             ),
             ("failures", self.failures),
             ("cancellations", self.cancellations),
-            ("watches", self.watches),
-            ("timers", self.timers),
+            ("watches", self.watches_opened),
+            ("timers", self.timers_set),
             ("final nodes", self.sizes.nodes as u64),
             ("final volumes", self.sizes.volumes as u64),
             ("final shards", self.sizes.shards as u64),
--- a/crates/scheduler/tests/characterization/traffic.rs
+++ b/crates/scheduler/tests/characterization/traffic.rs
@@ -1,153 +1,158 @@
-//! The model of the clients: what they send, and with which oddities.
+//! Model of the clients: the requests that they send, with values at the edge of the valid range or
+//! beyond it among them.
 
-use crate::plain::{Arrival, Time, MILLISECOND, SECOND};
-use crate::random::Random;
+use crate::rng::Rng;
+use crate::types::{ClientRequest, Micros, MILLISECOND, SECOND};
 
-/// A class index that no deployment has.
+/// Class index that no deployment has.
 const UNKNOWN_CLASS: usize = 99;
-/// A plan index that no deployment has.
+/// Plan index that no deployment has.
 const UNKNOWN_PLAN: usize = 98;
-/// A shard that no node holds.
+/// Shard that no node holds.
 const UNKNOWN_SHARD: u64 = 777;
 
-/// What clients send; chances are in a thousand.
+/// Requests that clients send. Fields that end in `per_mille` are fractions in a thousand.
 #[derive(Clone)]
 pub struct Traffic {
-    /// Requests that clients send first, without those that they send again.
-    pub requests: u64,
-    /// Mean time between two bursts.
-    pub mean_gap: Time,
-    /// Largest number of requests sent at once.
-    pub burst: u64,
-    /// Volumes, numbered from 0.
-    pub volumes: u64,
-    /// Hosts that receive a volume's requests: one of these.
-    pub hosts: &'static [f64],
-    /// Keys, numbered from 0.
-    pub keys: u64,
-    /// Requests that name a key.
-    pub with_object_key: u64,
-    /// Requests for new objects.
-    pub new_objects: u64,
-    /// Sizes, one of these.
-    pub units: &'static [f64],
-    /// Shortest time to the deadline.
-    pub min_client_timeout: Time,
-    /// Longest time to the deadline.
-    pub max_client_timeout: Time,
-    /// Requests with an invalid index, an unknown shard, or odd sizes or deadlines.
-    pub odd: u64,
-    /// Requests whose plan or number of hosts differs from the volume's last one.
-    pub plan_changes: u64,
-    /// Requests that are sent again after a rejection, a failure or a disconnection.
-    pub sent_again: u64,
-    /// Requests whose client disconnects early.
-    pub disconnects: u64,
-    /// Served attempts whose response starts before they complete.
-    pub early_responses: u64,
-    /// Unserved attempts that close their request.
-    pub closing_ends: u64,
-    /// Time without requests after each third of them.
-    pub pause: Time,
+    /// Number of requests, without the retries by clients.
+    pub request_count: u64,
+    /// Mean time between two bursts of requests.
+    pub mean_burst_interval: Micros,
+    /// Maximum number of requests in a burst.
+    pub max_burst: u64,
+    /// Number of volumes; their ids start at 0.
+    pub volume_count: u64,
+    /// Numbers of hosts that receive a volume's requests, assigned to the volumes in turn.
+    pub host_counts: &'static [f64],
+    /// Number of object keys; they start at 0.
+    pub key_count: u64,
+    /// Fraction of requests that name an object key.
+    pub with_key_per_mille: u64,
+    /// Fraction of requests for new objects.
+    pub new_objects_per_mille: u64,
+    /// Sizes of requests in units; each is equally likely.
+    pub unit_sizes: &'static [f64],
+    /// Minimum time from a request to its deadline.
+    pub min_client_timeout: Micros,
+    /// Maximum time from a request to its deadline.
+    pub max_client_timeout: Micros,
+    /// Fraction of requests with an invalid index, an unknown shard, or an extreme size or
+    /// deadline.
+    pub edge_cases_per_mille: u64,
+    /// Fraction of requests with a randomly chosen plan and number of hosts instead of the
+    /// volume's.
+    pub plan_changes_per_mille: u64,
+    /// Fraction of requests that the client retries after a rejection, a failure or a disconnect.
+    pub client_retries_per_mille: u64,
+    /// Fraction of requests whose client disconnects before the deadline.
+    pub disconnects_per_mille: u64,
+    /// Fraction of served or reset attempts whose response starts before the attempt ends.
+    pub early_response_starts_per_mille: u64,
+    /// Fraction of attempts that were not served, but close their request.
+    pub closing_failures_per_mille: u64,
+    /// Time without requests after each third of the requests.
+    pub pause: Micros,
 }
 
 impl Traffic {
-    /// A new request of a client.
-    pub fn arrival(
+    /// Creates a random request of a client.
+    pub fn new_request(
         &self,
         id: u64,
-        now: Time,
-        plans: usize,
-        classes: usize,
-        shards: u64,
-        random: &mut Random,
-    ) -> Arrival {
-        // Lower volumes send more.
-        let volume = random.below(self.volumes).min(random.below(self.volumes));
-        let change = random.chance(self.plan_changes);
-        let plan = if change {
-            random.below(plans as u64)
+        now: Micros,
+        plan_count: usize,
+        class_count: usize,
+        shard_count: u64,
+        rng: &mut Rng,
+    ) -> ClientRequest {
+        // Volumes with lower ids send more requests.
+        let volume = rng
+            .below(self.volume_count)
+            .min(rng.below(self.volume_count));
+        let changes_plan = rng.chance_per_mille(self.plan_changes_per_mille);
+        let plan = if changes_plan {
+            rng.below(plan_count as u64)
         } else {
-            volume % plans as u64
+            volume % plan_count as u64
         };
-        let hosts = if change {
-            random.pick(self.hosts)
+        let host_count = if changes_plan {
+            rng.choose(self.host_counts)
         } else {
-            self.usual_hosts(volume)
+            self.default_host_count(volume)
         };
-        let is_new = random.chance(self.new_objects);
-        let has_object_key = random.chance(self.with_object_key);
-        let key = random.below(self.keys);
+        let is_new = rng.chance_per_mille(self.new_objects_per_mille);
+        let has_object_key = rng.chance_per_mille(self.with_key_per_mille);
+        let key = rng.below(self.key_count);
         let shard = if has_object_key {
-            key % shards
+            key % shard_count
         } else {
-            random.below(shards)
+            rng.below(shard_count)
         };
-        let arrival = Arrival {
+        let request = ClientRequest {
             id,
             volume,
             plan: plan as usize,
-            class: random.below(classes as u64) as usize,
+            class: rng.below(class_count as u64) as usize,
             key: has_object_key.then_some(key),
             shard: (!is_new).then_some(shard),
-            units: random.pick(self.units),
-            hosts,
-            deadline: now + random.between(self.min_client_timeout, self.max_client_timeout),
+            units: rng.choose(self.unit_sizes),
+            host_count,
+            deadline: now + rng.in_range(self.min_client_timeout, self.max_client_timeout),
         };
-        if random.chance(self.odd) {
-            return odd(arrival, now, random);
+        if rng.chance_per_mille(self.edge_cases_per_mille) {
+            return edge_case(request, now, rng);
         }
-        arrival
+        request
     }
 
-    /// The number of hosts that a volume names unless it changes.
-    fn usual_hosts(&self, volume: u64) -> f64 {
-        self.hosts[volume as usize % self.hosts.len()]
+    /// Returns the number of hosts that receive a volume's requests by default.
+    fn default_host_count(&self, volume: u64) -> f64 {
+        self.host_counts[volume as usize % self.host_counts.len()]
     }
 }
 
-/// A request with one oddity.
-fn odd(arrival: Arrival, now: Time, random: &mut Random) -> Arrival {
-    match random.below(10) {
-        0 => Arrival {
+/// Replaces one value of the request by an invalid or extreme one.
+fn edge_case(request: ClientRequest, now: Micros, rng: &mut Rng) -> ClientRequest {
+    match rng.below(10) {
+        0 => ClientRequest {
             class: UNKNOWN_CLASS,
-            ..arrival
+            ..request
         },
-        1 => Arrival {
+        1 => ClientRequest {
             plan: UNKNOWN_PLAN,
-            ..arrival
+            ..request
         },
-        2 => Arrival {
+        2 => ClientRequest {
             shard: Some(UNKNOWN_SHARD),
-            ..arrival
+            ..request
         },
-        3 => Arrival {
+        3 => ClientRequest {
             units: 0.0,
-            ..arrival
+            ..request
         },
-        4 => Arrival {
+        4 => ClientRequest {
             units: -1.5,
-            ..arrival
+            ..request
         },
-        5 => Arrival {
+        5 => ClientRequest {
             units: 400.0,
-            ..arrival
+            ..request
         },
-        6 => Arrival {
+        6 => ClientRequest {
             deadline: now - 5 * MILLISECOND,
-            ..arrival
+            ..request
         },
-        7 => Arrival {
+        7 => ClientRequest {
             deadline: now + 900,
-            ..arrival
+            ..request
         },
-        8 => Arrival {
+        8 => ClientRequest {
             deadline: now,
-            ..arrival
+            ..request
         },
-        _ => Arrival {
+        _ => ClientRequest {
             deadline: now + 150 * SECOND,
-            ..arrival
+            ..request
         },
     }
 }
