--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Fixtures of the scheduler's tests: settings to change, a harness that feeds events on a clock of
-//! its own, and views of the actions.
-#![allow(dead_code)] // Each test program uses some of them.
+//! Fixtures of the scheduler's tests: default settings, a harness that passes events to a scheduler
+//! on a simulated clock, and functions that extract results from the returned actions.
+#![allow(dead_code)] // No test program uses all items.
 
 use io_scheduler::{
     Action, ClassIndex, CompletedAttempt, Endpoint, EndpointListEvent, EndpointStatus, Event,
@@ -11,7 +11,7 @@
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-/// A class with a latency objective of 500 ms.
+/// Returns an unordered class with a latency objective of 500 ms.
 pub fn request_class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: 500 * MILLISECOND,
@@ -21,7 +21,8 @@
     }
 }
 
-/// A plan whose token bucket holds one second of the limit.
+/// Returns a plan whose token bucket holds the units of one second at the limit, and whose
+/// provisioned rate is the reservation, but at least one unit per second.
 pub fn volume_plan(reservation: f64, weight: f64, limit: f64) -> VolumePlan {
     VolumePlan {
         reservation: UnitsPerSecond(reservation),
@@ -32,8 +33,9 @@
     }
 }
 
-/// One host, one idempotent class, and one plan without a reservation or a limit.
-pub fn settings() -> Settings {
+/// Returns settings with one host, one idempotent class, and one plan without a reservation or a
+/// limit.
+pub fn default_settings() -> Settings {
     Settings {
         classes: vec![request_class(Idempotency::Idempotent)],
         plans: vec![volume_plan(0.0, 1.0, 0.0)],
@@ -60,7 +62,7 @@
     }
 }
 
-/// A node that stores the shard of its own number.
+/// Returns the endpoint list entry of a node that holds the shard with the node's own id.
 pub fn endpoint(node: u64, status: EndpointStatus, started_at: Option<Micros>) -> Endpoint {
     Endpoint {
         node: NodeId(node),
@@ -71,17 +73,17 @@
     }
 }
 
-/// A complete endpoint list.
+/// Returns the event for a complete endpoint list.
 pub fn snapshot(endpoints: Vec<Endpoint>) -> Event {
     Event::EndpointList(EndpointListEvent::Snapshot, endpoints)
 }
 
-/// Changes of an endpoint list.
+/// Returns the event for changed entries of the endpoint list.
 pub fn delta(endpoints: Vec<Endpoint>) -> Event {
     Event::EndpointList(EndpointListEvent::Delta, endpoints)
 }
 
-/// The end of an attempt; a request that was served is closed with it.
+/// Returns the event for the end of an attempt, which closes the request if it was served.
 pub fn attempt_completed(
     request: u64,
     number: u32,
@@ -101,26 +103,27 @@
     })
 }
 
-/// The first attempt of a request at node 0 was served.
-pub fn served(request: u64, elapsed: Micros) -> Event {
+/// Returns the event that node 0 served the first attempt of a request.
+pub fn served_at_node_0(request: u64, elapsed: Micros) -> Event {
     attempt_completed(request, 0, 0, Outcome::Served, elapsed)
 }
 
-/// A scheduler on a clock that the test moves.
+/// A scheduler with a simulated clock that only the test advances.
 pub struct SchedulerHarness {
     scheduler: Scheduler,
-    /// Time of the next events.
+    /// Current time, at which the next events are handled.
     pub now: Micros,
     next_request: u64,
 }
 
 impl SchedulerHarness {
-    /// A scheduler that knows this many nodes, numbered from 0; none of them is warming up.
+    /// Creates a scheduler whose endpoint list has `nodes` nodes with ids from 0, none of them
+    /// warming up.
     pub fn new(settings: Settings, nodes: u64) -> Self {
         SchedulerHarness::with_seed(settings, nodes, 1)
     }
 
-    /// As [`SchedulerHarness::new`], with another sequence of random numbers.
+    /// Like [`SchedulerHarness::new`], with a given seed for the scheduler.
     pub fn with_seed(settings: Settings, nodes: u64, seed: u64) -> Self {
         let scheduler = Scheduler::new(settings, seed, 0);
         let mut harness = SchedulerHarness {
@@ -136,31 +139,31 @@
         harness
     }
 
-    /// Hands the scheduler events at the current time and returns its actions.
+    /// Passes events at the current time to the scheduler and returns its actions.
     pub fn handle(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.handle(self.now, events, &mut actions);
         actions
     }
 
-    /// Moves the clock, then hands the scheduler events.
+    /// Sets the clock, then passes events to the scheduler.
     pub fn handle_at(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         self.now = now;
         self.handle(events)
     }
 
-    /// Moves the clock, then fires the timer.
+    /// Sets the clock, then fires the timer.
     pub fn fire_timer_at(&mut self, now: Micros) -> Vec<Action> {
         self.handle_at(now, &[Event::TimerFired])
     }
 
-    /// Hands the scheduler one request at the current time.
+    /// Passes one request at the current time to the scheduler.
     pub fn receive(&mut self, request: Request) -> Vec<Action> {
         self.handle(&[Event::RequestReceived(request)])
     }
 
-    /// A request with the next id for a shard, or for a new object: volume 0, plan 0, class 0, one
-    /// unit, a deadline in two seconds.
+    /// Creates a request with the next id for a shard, or for a new object if `shard` is `None`. It
+    /// has volume 0, plan 0, class 0, one unit, and a deadline in two seconds.
     pub fn request(&mut self, shard: Option<u64>) -> Request {
         let id = RequestId(self.next_request);
         self.next_request += 1;
@@ -177,7 +180,7 @@
         }
     }
 
-    /// A request for the shard of node 0 from a volume, with a deadline at this time.
+    /// Creates a request of a volume for the shard of node 0.
     pub fn request_of_volume(&mut self, volume: u64, plan: usize, deadline: Micros) -> Request {
         Request {
             volume: VolumeId(volume),
@@ -187,9 +190,9 @@
         }
     }
 
-    /// Has a node serve a request at once, with a response that is said to have taken this long.
-    /// Returns the request's id.
-    pub fn serve(&mut self, node: u64, elapsed: Micros) -> u64 {
+    /// Sends a request to a node and completes it as served without advancing the clock; the
+    /// reported latency is `elapsed`. Returns the request's id.
+    pub fn serve_request(&mut self, node: u64, elapsed: Micros) -> u64 {
         let request = self.request(Some(node));
         let id = request.id.0;
         self.receive(request);
@@ -197,8 +200,8 @@
         id
     }
 
-    /// Has an attempt at a node end badly after a millisecond; its client disconnects before a
-    /// retry.
+    /// Sends a request to a node and ends the attempt with this outcome and a reported latency of
+    /// one millisecond. The client disconnects at the same time, so that there is no retry.
     pub fn fail_without_retry(&mut self, node: u64, outcome: Outcome) {
         let request = self.request(Some(node));
         let id = request.id.0;
@@ -209,9 +212,9 @@
         ]);
     }
 
-    /// Has a node serve requests quickly until its concurrency limit is at its maximum. They take
-    /// no ids from the test's own requests.
-    pub fn warm_up(&mut self, node: u64) {
+    /// Raises the concurrency limit of a node to its maximum with 40 fast responses. The ids and
+    /// the volume of these requests differ from those of the test's own requests.
+    pub fn raise_concurrency_limit(&mut self, node: u64) {
         const FIRST_ID: u64 = 1_000_000;
         const VOLUME: u64 = 1_000_000;
         for id in FIRST_ID..FIRST_ID + 40 {
@@ -226,9 +229,9 @@
         }
     }
 
-    /// Fills node 0 with requests of a volume of their own, so that what follows waits; returns the
-    /// ids of those that were dispatched.
-    pub fn occupy_node(&mut self, requests: u64) -> Vec<u64> {
+    /// Sends requests of a separate volume to node 0, so that later requests have to wait. Returns
+    /// the ids of the requests that were dispatched.
+    pub fn occupy_node_0(&mut self, requests: u64) -> Vec<u64> {
         const VOLUME: u64 = 99;
         let mut events = vec![];
         for _ in 0..requests {
@@ -246,17 +249,17 @@
 pub struct DispatchedAttempt {
     /// Id of the request.
     pub request: u64,
-    /// Id of the node it went to.
+    /// Id of the node that it was dispatched to.
     pub node: u64,
 }
 
-/// An attempt of a request at a node.
+/// Returns an attempt of a request at a node, for comparisons.
 pub fn attempt(request: u64, node: u64) -> DispatchedAttempt {
     DispatchedAttempt { request, node }
 }
 
-/// The dispatched attempts, in order.
-pub fn dispatched(actions: &[Action]) -> Vec<DispatchedAttempt> {
+/// Returns the dispatched attempts, in order.
+pub fn dispatched_attempts(actions: &[Action]) -> Vec<DispatchedAttempt> {
     let mut attempts = Vec::new();
     for action in actions {
         if let Action::Dispatch { request, node, .. } = action {
@@ -266,14 +269,14 @@
     attempts
 }
 
-/// The requests of the dispatched attempts, in order.
+/// Returns the request ids of the dispatched attempts, in order.
 pub fn dispatched_requests(actions: &[Action]) -> Vec<u64> {
-    let attempts = dispatched(actions).into_iter();
+    let attempts = dispatched_attempts(actions).into_iter();
     attempts.map(|attempt| attempt.request).collect()
 }
 
-/// The rejected requests, in order.
-pub fn rejected(actions: &[Action]) -> Vec<u64> {
+/// Returns the ids of the rejected requests, in order.
+pub fn rejected_requests(actions: &[Action]) -> Vec<u64> {
     let mut requests = Vec::new();
     for action in actions {
         if let Action::Reject { request, .. } = action {
@@ -283,8 +286,8 @@
     requests
 }
 
-/// The failed requests, in order.
-pub fn failed(actions: &[Action]) -> Vec<u64> {
+/// Returns the ids of the failed requests, in order.
+pub fn failed_requests(actions: &[Action]) -> Vec<u64> {
     let mut requests = Vec::new();
     for action in actions {
         if let Action::Fail(request) = action {
--- a/crates/scheduler/tests/deadlines.rs
+++ b/crates/scheduler/tests/deadlines.rs
@@ -1,31 +1,35 @@
-//! Deadlines of clients: the final response, and what can still finish in time.
+//! Deadlines of requests: the final response, and requests that cannot complete in time.
 
 mod common;
 
 use common::{
-    attempt, attempt_completed, dispatched, failed, rejected, served, settings, volume_plan,
-    SchedulerHarness, MILLISECOND, SECOND,
+    attempt, attempt_completed, default_settings, dispatched_attempts, failed_requests,
+    rejected_requests, served_at_node_0, volume_plan, SchedulerHarness, MILLISECOND, SECOND,
 };
 use io_scheduler::{Action, Event, ObjectKey, Outcome};
 
 #[test]
-fn a_request_gets_one_final_response_at_its_deadline_and_nothing_after_it() {
-    let mut harness = SchedulerHarness::new(settings(), 1);
+fn request_is_rejected_once_at_its_deadline() {
+    let mut harness = SchedulerHarness::new(default_settings(), 1);
     let request = harness.request(Some(0));
-    assert_eq!(dispatched(&harness.receive(request)), [attempt(0, 0)]);
-    assert!(rejected(&harness.fire_timer_at(2 * SECOND - 1)).is_empty());
-    assert_eq!(rejected(&harness.fire_timer_at(2 * SECOND)), [0]);
+    assert_eq!(
+        dispatched_attempts(&harness.receive(request)),
+        [attempt(0, 0)]
+    );
+    assert!(rejected_requests(&harness.fire_timer_at(2 * SECOND - 1)).is_empty());
+    assert_eq!(rejected_requests(&harness.fire_timer_at(2 * SECOND)), [0]);
     let timed_out = attempt_completed(0, 0, 0, Outcome::TimedOut, 2 * SECOND);
     let actions = harness.handle_at(2 * SECOND + MILLISECOND, &[timed_out]);
     assert!(
-        dispatched(&actions).is_empty()
-            && rejected(&actions).is_empty()
-            && failed(&actions).is_empty()
+        dispatched_attempts(&actions).is_empty()
+            && rejected_requests(&actions).is_empty()
+            && failed_requests(&actions).is_empty()
     );
 }
 
-/// The rejected requests, each with whether the client is advised when to retry.
-fn rejected_with_advice(actions: &[Action]) -> Vec<(u64, bool)> {
+/// Returns the ids of the rejected requests, each with whether the rejection has a Retry-After
+/// value.
+fn rejections_with_retry_after(actions: &[Action]) -> Vec<(u64, bool)> {
     let mut requests = Vec::new();
     for action in actions {
         if let Action::Reject {
@@ -40,53 +44,56 @@
 }
 
 #[test]
-fn a_request_that_cannot_finish_before_its_deadline_takes_no_capacity() {
+fn request_that_cannot_complete_before_its_deadline_is_not_dispatched() {
     // The node responds in 100 ms, well within the latency objective of 500 ms.
-    let mut settings = settings();
+    let mut settings = default_settings();
     settings.plans[0] = volume_plan(100.0, 1.0, 0.0);
     let mut harness = SchedulerHarness::new(settings, 1);
     for id in 0..10 {
         let request = harness.request(Some(0));
-        assert_eq!(dispatched(&harness.receive(request)), [attempt(id, 0)]);
+        assert_eq!(
+            dispatched_attempts(&harness.receive(request)),
+            [attempt(id, 0)]
+        );
         harness.handle_at(
             harness.now + 100 * MILLISECOND,
-            &[served(id, 100 * MILLISECOND)],
+            &[served_at_node_0(id, 100 * MILLISECOND)],
         );
     }
-    for (remaining, attempts) in [(60 * MILLISECOND, 0), (400 * MILLISECOND, 1)] {
+    for (remaining, expected_attempts) in [(60 * MILLISECOND, 0), (400 * MILLISECOND, 1)] {
         let mut request = harness.request(Some(0));
         request.deadline = harness.now + remaining;
         let id = request.id.0;
         assert_eq!(
-            dispatched(&harness.receive(request)).len(),
-            attempts,
-            "{remaining} remaining"
+            dispatched_attempts(&harness.receive(request)).len(),
+            expected_attempts,
+            "{remaining} us to the deadline"
         );
-        // A request that was not dispatched in half of its time is rejected then, with advice when
-        // to retry: kept until its deadline it would most likely be rejected all the same, after a
-        // longer wait.
+        // A request that was not dispatched in the first half of the time to its deadline is
+        // rejected with a Retry-After value. If it were kept until its deadline, it would most
+        // likely be rejected all the same, after a longer wait.
         let half_time = harness.now + remaining / 2;
         assert_eq!(
-            rejected(&harness.fire_timer_at(half_time - MILLISECOND)),
+            rejected_requests(&harness.fire_timer_at(half_time - MILLISECOND)),
             [] as [u64; 0]
         );
         let actions = harness.fire_timer_at(half_time);
-        let expected = if attempts == 0 {
+        let expected = if expected_attempts == 0 {
             vec![(id, true)]
         } else {
             vec![]
         };
-        assert_eq!(rejected_with_advice(&actions), expected);
+        assert_eq!(rejections_with_retry_after(&actions), expected);
     }
 }
 
 #[test]
-fn a_client_s_retry_keeps_the_latency_objective_of_its_first_attempt() {
-    // Treated as new, retries of clients that gave up early took the capacity of requests still in
-    // time.
-    let mut harness = SchedulerHarness::new(settings(), 1);
-    harness.warm_up(0);
-    harness.occupy_node(5);
+fn client_retry_keeps_the_latency_objective_of_the_first_request() {
+    // Guards against clients that give up early and retry: if their retries were treated as new
+    // requests, they would take the capacity of requests that can still meet their objective.
+    let mut harness = SchedulerHarness::new(default_settings(), 1);
+    harness.raise_concurrency_limit(0);
+    harness.occupy_node_0(5);
     let request_for_key = |harness: &mut SchedulerHarness, key: u64| {
         let mut request = harness.request_of_volume(0, 0, harness.now + 300 * MILLISECOND);
         request.key = Some(ObjectKey(key));
@@ -94,11 +101,14 @@
     };
     let first = request_for_key(&mut harness, 1);
     harness.handle(&[first]);
-    assert_eq!(rejected(&harness.fire_timer_at(300 * MILLISECOND)), [5]);
+    assert_eq!(
+        rejected_requests(&harness.fire_timer_at(300 * MILLISECOND)),
+        [5]
+    );
     harness.now = 600 * MILLISECOND;
     let retry = request_for_key(&mut harness, 1);
     let new_request = request_for_key(&mut harness, 2);
     harness.handle(&[retry, new_request]);
-    let actions = harness.handle_at(601 * MILLISECOND, &[served(0, MILLISECOND)]);
-    assert_eq!(dispatched(&actions), [attempt(7, 0)]);
+    let actions = harness.handle_at(601 * MILLISECOND, &[served_at_node_0(0, MILLISECOND)]);
+    assert_eq!(dispatched_attempts(&actions), [attempt(7, 0)]);
 }
--- a/crates/scheduler/tests/decision_files.rs
+++ b/crates/scheduler/tests/decision_files.rs
@@ -1,36 +1,36 @@
-//! Which files hold decisions, and their size: `policy` in the deploy file names every one of them,
-//! and each can be read in one sitting.
+//! Files with decision logic: the `policy` list in `deploy/balancer.toml` must name every one of
+//! them, and their size is limited, so that each can be read in one sitting.
 
 use std::path::{Path, PathBuf};
 
-/// Longest decision file, in lines that are not blank.
+/// Maximum length of a decision file, in non-blank lines.
 const MAX_FILE_LINES: usize = 250;
-/// Longest function of a decision file, from its signature to its closing brace, in lines that are
-/// not blank.
+/// Maximum length of a function in a decision file, from its signature to its closing brace, in
+/// non-blank lines.
 const MAX_FUNCTION_LINES: usize = 30;
-/// Widest line, in characters; comments are lines, too.
+/// Maximum width of a line in a decision file, in characters; applies to comments, too.
 const MAX_LINE_WIDTH: usize = 100;
-/// Files and folders below `src` without any decision: the interface, containers, a hash, units of
-/// time, and the overview of the crate.
-const WITHOUT_DECISIONS: [&str; 5] = ["api/", "collections/", "hash.rs", "lib.rs", "time.rs"];
-/// What a rule is made of. Files without decisions have neither.
-const CONSTANT_PREFIXES: [&str; 3] = ["const ", "pub const ", "pub(crate) const "];
+/// Files and folders in `src` without decision logic: the API, containers, a hash, units of time,
+/// and the crate's root module.
+const PATHS_WITHOUT_DECISIONS: [&str; 5] = ["api/", "collections/", "hash.rs", "lib.rs", "time.rs"];
+/// Beginnings of constant declarations, which files without decisions must not contain.
+const CONSTANT_DECLARATION_PREFIXES: [&str; 3] = ["const ", "pub const ", "pub(crate) const "];
 
 fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../..")
         .canonicalize()
-        .expect("the root of the repository")
+        .expect("the root of the repository exists")
 }
 
-/// The strings of the array `policy = [...]` of the deploy file; comments are left out.
+/// Returns the strings in the array `policy = [...]` of the deploy file, without those in comments.
 fn policy_files() -> Vec<String> {
     let deploy = read("deploy/balancer.toml");
-    let uncommented: Vec<&str> = deploy
+    let lines_without_comments: Vec<&str> = deploy
         .lines()
         .map(|line| line.split('#').next().unwrap_or(""))
         .collect();
-    let text = uncommented.join("\n");
+    let text = lines_without_comments.join("\n");
     let (_, value) = text
         .split_once("\npolicy = [")
         .expect("the deploy file has the key `policy`");
@@ -48,11 +48,11 @@
         .unwrap_or_else(|error| panic!("{file}: {error}"))
 }
 
-/// All Rust source files below a folder.
+/// Returns all Rust source files in a folder and its subfolders.
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("a folder of sources") {
-        let path = entry.expect("an entry of the folder").path();
+    for entry in std::fs::read_dir(folder).expect("the folder is readable") {
+        let path = entry.expect("the folder entry is readable").path();
         if path.is_dir() {
             files.extend(source_files(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
@@ -62,36 +62,39 @@
     files
 }
 
-/// Paths of the crate's source files, relative to the root of the repository, and relative to
-/// `src`.
+/// Returns the path of each source file of the crate, relative to the root of the repository and
+/// relative to `src`.
 fn sources() -> Vec<(String, String)> {
     let root = repository_root();
     let folder = root.join("crates/scheduler/src");
     let mut sources = Vec::new();
     for path in source_files(&folder) {
-        let below_root = path.strip_prefix(&root).expect("a file of the repository");
-        let below_sources = path.strip_prefix(&folder).expect("a file of the crate");
+        let path_in_repository = path
+            .strip_prefix(&root)
+            .expect("the file is in the repository");
+        let path_in_src = path.strip_prefix(&folder).expect("the file is in `src`");
         sources.push((
-            below_root.display().to_string(),
-            below_sources.display().to_string(),
+            path_in_repository.display().to_string(),
+            path_in_src.display().to_string(),
         ));
     }
-    assert!(sources.len() > WITHOUT_DECISIONS.len());
+    assert!(sources.len() > PATHS_WITHOUT_DECISIONS.len());
     sources
 }
 
-fn is_without_decisions(file: &str) -> bool {
-    WITHOUT_DECISIONS
+fn has_no_decisions(file: &str) -> bool {
+    PATHS_WITHOUT_DECISIONS
         .iter()
-        .any(|exempt| file == *exempt || (exempt.ends_with('/') && file.starts_with(exempt)))
+        .any(|path| file == *path || (path.ends_with('/') && file.starts_with(path)))
 }
 
-fn lines_not_blank(text: &str) -> usize {
+fn count_non_blank_lines(text: &str) -> usize {
     text.lines().filter(|line| !line.trim().is_empty()).count()
 }
 
-/// Name and length of each function of a source file that the formatter has laid out: a function
-/// ends at the first brace with the indentation of its signature.
+/// Returns the first line and the length of each function in a source file. The file must be
+/// formatted by rustfmt: a function ends at the first closing brace with the indentation of its
+/// signature.
 fn function_lengths(text: &str) -> Vec<(String, usize)> {
     let lines: Vec<&str> = text.lines().collect();
     let mut functions = Vec::new();
@@ -106,51 +109,54 @@
         let indentation = &line[..line.len() - code.len()];
         let end = format!("{indentation}}}");
         let declaration_end = format!("{indentation}    ;");
-        let body = lines[start..]
+        let line_count = lines[start..]
             .iter()
             .take_while(|line| **line != end && **line != declaration_end)
             .filter(|line| !line.trim().is_empty())
             .count();
         let is_one_line = code.ends_with('}') || code.ends_with(';');
-        let length = if is_one_line { 1 } else { body + 1 };
+        let length = if is_one_line { 1 } else { line_count + 1 };
         functions.push((code.to_owned(), length));
     }
     functions
 }
 
 #[test]
-fn every_file_with_decisions_is_in_policy() {
+fn policy_lists_exactly_the_files_with_decisions() {
     let policy = policy_files();
-    for (file, below_sources) in sources() {
+    for (file, path_in_src) in sources() {
         assert_eq!(
             policy.contains(&file),
-            !is_without_decisions(&below_sources),
-            "{file}: `policy` names it if and only if it decides"
+            !has_no_decisions(&path_in_src),
+            "{file}: `policy` must list exactly the files with decisions"
         );
     }
     for file in &policy {
-        assert!(repository_root().join(file).is_file(), "{file}: exists");
+        assert!(
+            repository_root().join(file).is_file(),
+            "{file}: listed in `policy`, but does not exist"
+        );
     }
 }
 
 #[test]
-fn exemptions_name_files_and_folders_that_exist() {
+fn files_and_folders_without_decisions_exist() {
     let sources = sources();
-    for exempt in WITHOUT_DECISIONS {
+    for path in PATHS_WITHOUT_DECISIONS {
         let exists = sources
             .iter()
-            .any(|(_, file)| file == exempt || file.starts_with(exempt));
-        assert!(exists, "{exempt}");
+            .any(|(_, file)| file == path || file.starts_with(path));
+        assert!(exists, "{path}: does not exist");
     }
 }
 
 #[test]
-fn decision_files_keep_to_their_length_and_width() {
+fn decision_files_do_not_exceed_the_maximum_length_and_width() {
     for file in policy_files() {
         let text = read(&file);
-        let lines = lines_not_blank(&text);
-        assert!(lines > 0, "{file}: is not empty");
-        assert!(lines <= MAX_FILE_LINES, "{file}: {lines} lines");
+        let lines = count_non_blank_lines(&text);
+        assert!(lines > 0, "{file}: is empty");
+        assert!(lines <= MAX_FILE_LINES, "{file}: {lines} non-blank lines");
         for (index, line) in text.lines().enumerate() {
             let width = line.chars().count();
             assert!(
@@ -163,22 +169,22 @@
 }
 
 #[test]
-fn functions_of_decision_files_are_short() {
+fn functions_of_decision_files_do_not_exceed_the_maximum_length() {
     let mut functions = 0;
     for file in policy_files() {
         for (signature, length) in function_lengths(&read(&file)) {
             functions += 1;
             assert!(
                 length <= MAX_FUNCTION_LINES,
-                "{file}: {length} lines: {signature}"
+                "{file}: function of {length} lines: {signature}"
             );
         }
     }
-    assert!(functions > policy_files().len(), "functions were found");
+    assert!(functions > policy_files().len(), "no functions were found");
 }
 
 #[test]
-fn the_length_of_a_function_is_counted_from_signature_to_brace() {
+fn function_length_is_counted_from_signature_to_closing_brace() {
     let text = "impl A {\n    fn b() {\n        c();\n\n        d();\n    }\n}\nfn e() {}\n";
     assert_eq!(
         function_lengths(text),
@@ -187,28 +193,30 @@
 }
 
 #[test]
-fn opening_of_the_scheduler_names_its_interface() {
+fn module_documentation_of_the_scheduler_refers_to_the_api() {
     let text = read("crates/scheduler/src/scheduler.rs");
-    let opening = text.lines().take_while(|line| line.starts_with("//!"));
-    assert!(opening.into_iter().any(|line| line.contains("src/api")));
+    let module_documentation = text.lines().take_while(|line| line.starts_with("//!"));
+    assert!(module_documentation
+        .into_iter()
+        .any(|line| line.contains("src/api")));
 }
 
 #[test]
 fn files_without_decisions_read_no_settings_and_define_no_constants() {
-    for (file, below_sources) in sources() {
-        let is_interface = below_sources.starts_with("api/") || below_sources == "lib.rs";
-        if !is_without_decisions(&below_sources) || is_interface {
+    for (file, path_in_src) in sources() {
+        let is_interface = path_in_src.starts_with("api/") || path_in_src == "lib.rs";
+        if !has_no_decisions(&path_in_src) || is_interface {
             continue;
         }
         for line in read(&file).lines() {
             let code = line.split("//").next().unwrap_or("");
-            let is_constant = CONSTANT_PREFIXES
+            let is_constant = CONSTANT_DECLARATION_PREFIXES
                 .iter()
                 .any(|prefix| code.starts_with(prefix));
             let reads_settings = code.contains("Settings") || code.contains("settings");
             assert!(
                 !is_constant && !reads_settings,
-                "{file}: belongs to a file of `policy`: {line}"
+                "{file}: has no decisions, but reads settings or defines a constant: {line}"
             );
         }
     }
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -1,26 +1,26 @@
-//! Polling of the discovery service, by one host and by a whole fleet at once.
+//! Polling of the discovery service, by a single host and by a fleet of hosts.
 
 mod common;
 
-use common::{settings, SchedulerHarness, MILLISECOND, SECOND};
+use common::{default_settings, SchedulerHarness, MILLISECOND, SECOND};
 use io_scheduler::{Action, EndpointListEvent, Event, Micros, Scheduler, Settings};
 use std::ops::Range;
 
-/// A poll fails if the service has not begun to serve it after this time.
+/// A poll fails if the service has not started to handle it after this time.
 const POLL_TIMEOUT: Micros = 2 * SECOND;
 
-/// A discovery service that a whole fleet polls. It serves the polls one after another. A poll that
-/// waits longer than its timeout fails, but takes as much of the service's time.
+/// Simulated discovery service, which handles polls one after another. A poll that waits longer
+/// than its timeout fails, but takes as much of the service's time as any other.
 struct DiscoveryService {
-    /// Time that one poll takes.
+    /// Time that the service takes to handle one poll.
     service_time: Micros,
-    /// While it is down, polls fail after their timeout.
+    /// Time during which the service is down; polls sent in this time fail after their timeout.
     down: Range<Micros>,
-    /// When it has served all polls so far.
-    idle_from: Micros,
+    /// Time until which the service is busy with the polls received so far.
+    busy_until: Micros,
 }
 
-/// A poll that has been sent.
+/// A poll that was sent and has not completed.
 struct PendingPoll {
     completes_at: Micros,
     result: EndpointListEvent,
@@ -31,7 +31,7 @@
         DiscoveryService {
             service_time,
             down: 0..0,
-            idle_from: 0,
+            busy_until: 0,
         }
     }
 
@@ -43,23 +43,23 @@
         if self.down.contains(&now) {
             return timed_out;
         }
-        let begins_at = now.max(self.idle_from);
-        self.idle_from = begins_at + self.service_time;
-        if begins_at - now > POLL_TIMEOUT {
+        let starts_at = now.max(self.busy_until);
+        self.busy_until = starts_at + self.service_time;
+        if starts_at - now > POLL_TIMEOUT {
             return timed_out;
         }
         PendingPoll {
-            completes_at: begins_at + self.service_time,
+            completes_at: starts_at + self.service_time,
             result: EndpointListEvent::Delta,
         }
     }
 }
 
-/// A host that polls the service.
+/// A host that polls the discovery service.
 struct PollingHost {
     scheduler: Scheduler,
     pending: Option<PendingPoll>,
-    /// When it last got the endpoint list, unless it has lost its watch since.
+    /// Time at which the host last got the endpoint list; `None` if it has lost its watch since.
     updated_at: Option<Micros>,
 }
 
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Handles what is due at this time; returns whether the host sends a poll.
+    /// Fires the timer, completes the pending poll if it is due, and ends the watch if
+    /// `watch_lost`. Returns whether the host sends a poll.
     fn step(&mut self, now: Micros, watch_lost: bool) -> bool {
         let mut events = vec![Event::TimerFired];
         if let Some(poll) = self.pending.take_if(|poll| poll.completes_at <= now) {
@@ -92,34 +93,34 @@
     }
 }
 
-/// What the hosts of a fleet did.
-struct FleetPolls {
-    /// When each poll was sent.
+/// Polls and updates of all hosts during a run.
+struct PollingResult {
+    /// Times at which polls were sent.
     sent_at: Vec<Micros>,
-    /// When each host last got the endpoint list.
+    /// Time at which each host last got the endpoint list.
     updated_at: Vec<Option<Micros>>,
 }
 
-impl FleetPolls {
-    /// When the last host got the endpoint list.
+impl PollingResult {
+    /// Returns the time at which the last host got the endpoint list.
     fn last_update(&self) -> Micros {
         let updates = self
             .updated_at
             .iter()
-            .map(|at| at.expect("every host has the endpoint list"));
+            .map(|at| at.expect("every host got the endpoint list"));
         updates.max().unwrap_or_default()
     }
 }
 
-/// Runs a fleet against a discovery service; at `watches_lost_at`, if given, all hosts lose their
-/// watch.
-fn run_fleet(
+/// Simulates hosts that start together and poll a discovery service. All hosts lose their watch at
+/// `watches_lost_at`, if it is given.
+fn poll_from_all_hosts(
     host_count: u32,
     mut discovery: DiscoveryService,
     watches_lost_at: Option<Micros>,
     duration: Micros,
-) -> FleetPolls {
-    let mut settings = settings();
+) -> PollingResult {
+    let mut settings = default_settings();
     settings.hosts = host_count;
     settings.discovery_clients = host_count;
     let mut hosts = Vec::new();
@@ -130,25 +131,28 @@
     for now in (0..duration).step_by(10 * MILLISECOND as usize) {
         for host in &mut hosts {
             if host.step(now, watches_lost_at == Some(now)) {
-                assert!(host.pending.is_none(), "one poll at a time");
+                assert!(
+                    host.pending.is_none(),
+                    "a host sends a poll while another one is pending"
+                );
                 sent_at.push(now);
                 host.pending = Some(discovery.poll(now));
             }
         }
     }
-    FleetPolls {
+    PollingResult {
         sent_at,
         updated_at: hosts.iter().map(|host| host.updated_at).collect(),
     }
 }
 
 #[test]
-fn the_endpoint_list_is_watched_from_the_start_and_again_after_a_failed_poll() {
-    let mut without_discovery = SchedulerHarness::new(settings(), 1);
+fn one_watch_is_opened_after_a_failed_poll_and_none_without_discovery_clients() {
+    let mut without_discovery = SchedulerHarness::new(default_settings(), 1);
     assert!(!without_discovery
         .fire_timer_at(SECOND)
         .contains(&Action::OpenWatch));
-    let mut settings = settings();
+    let mut settings = default_settings();
     settings.discovery_clients = 1;
     let mut harness = SchedulerHarness::new(settings, 1);
     let mut watches = 0;
@@ -167,8 +171,8 @@
 }
 
 #[test]
-fn hosts_that_start_together_spread_their_polls() {
-    let fleet = run_fleet(
+fn hosts_started_at_the_same_time_spread_their_polls() {
+    let fleet = poll_from_all_hosts(
         100,
         DiscoveryService::always_up(MILLISECOND),
         None,
@@ -179,22 +183,24 @@
         let polls = fleet.sent_at.iter().filter(|at| span.contains(*at)).count();
         assert!(
             (15..55).contains(&polls),
-            "{polls} of 100 hosts poll within a second"
+            "{polls} of 100 hosts sent polls within a second"
         );
     }
-    // A host that is alone polls at once, and a few hosts poll soon.
-    let alone = run_fleet(1, DiscoveryService::always_up(MILLISECOND), None, SECOND);
-    assert_eq!(alone.sent_at, [0]);
-    let four_hosts = run_fleet(4, DiscoveryService::always_up(MILLISECOND), None, SECOND);
+    // A single host polls at once, and four hosts poll within 150 ms.
+    let single_host =
+        poll_from_all_hosts(1, DiscoveryService::always_up(MILLISECOND), None, SECOND);
+    assert_eq!(single_host.sent_at, [0]);
+    let four_hosts = poll_from_all_hosts(4, DiscoveryService::always_up(MILLISECOND), None, SECOND);
     assert!(four_hosts.sent_at.iter().all(|at| *at <= 150 * MILLISECOND));
 }
 
 #[test]
-fn a_whole_fleet_gets_the_endpoint_list_within_six_seconds() {
+fn all_hosts_get_the_endpoint_list_within_six_seconds() {
     let max_delay = 6 * SECOND - 250 * MILLISECOND;
-    // After its start, also where discovery serves hardly more polls than the fleet needs.
+    // After the start of the hosts. With the longest service time, the service can handle hardly
+    // more polls than the hosts need.
     for service_time in [MILLISECOND, 10 * MILLISECOND, 16 * MILLISECOND] {
-        let fleet = run_fleet(
+        let fleet = poll_from_all_hosts(
             300,
             DiscoveryService::always_up(service_time),
             None,
@@ -202,39 +208,39 @@
         );
         assert!(
             fleet.last_update() <= max_delay,
-            "service time {service_time}"
+            "service time {service_time} us"
         );
     }
-    // All watches are lost at once, and discovery is up.
+    // All watches are lost at once while the service is up.
     let lost_at = 10 * SECOND;
     let discovery = DiscoveryService::always_up(10 * MILLISECOND);
-    let fleet = run_fleet(300, discovery, Some(lost_at), 20 * SECOND);
+    let fleet = poll_from_all_hosts(300, discovery, Some(lost_at), 20 * SECOND);
     assert!(fleet.last_update() - lost_at <= max_delay);
-    // They are lost because discovery goes down, for a shorter or a longer time. The delay counts
-    // from its return.
+    // All watches are lost because the service goes down. The delay is measured from the time at
+    // which the service is up again.
     for down_ms in (1_000..9_000).step_by(890) {
         let up_again_at = lost_at + down_ms * MILLISECOND;
         let discovery = DiscoveryService {
             service_time: 8 * MILLISECOND,
             down: lost_at..up_again_at,
-            idle_from: 0,
+            busy_until: 0,
         };
-        let fleet = run_fleet(300, discovery, Some(lost_at), up_again_at + 8 * SECOND);
+        let fleet = poll_from_all_hosts(300, discovery, Some(lost_at), up_again_at + 8 * SECOND);
         assert!(
             fleet.last_update() - up_again_at <= max_delay,
-            "down for {down_ms} ms"
+            "service down for {down_ms} ms"
         );
     }
 }
 
-/// If all hosts repeated failed polls at a constant interval, they could keep discovery overloaded
-/// forever: every poll would time out.
+/// Guards against a retry storm: if all hosts repeated failed polls at a constant interval, they
+/// could keep the discovery service overloaded forever, and every poll would time out.
 #[test]
-fn an_overloaded_discovery_service_serves_the_whole_fleet_in_the_end() {
+fn backoff_lets_an_overloaded_discovery_service_recover() {
     let discovery = DiscoveryService {
         service_time: 10 * MILLISECOND,
         down: 0..0,
-        idle_from: 6 * SECOND,
+        busy_until: 6 * SECOND,
     };
-    assert!(run_fleet(300, discovery, None, 40 * SECOND).last_update() <= 30 * SECOND);
+    assert!(poll_from_all_hosts(300, discovery, None, 40 * SECOND).last_update() <= 30 * SECOND);
 }
--- a/crates/scheduler/tests/dmclock.rs
+++ b/crates/scheduler/tests/dmclock.rs
@@ -1,33 +1,34 @@
-//! The dmClock tags, on examples worked out by hand: reservations, weights, limits and remote
-//! units.
+//! dmClock tags, with examples calculated by hand: reservations, weights, limits and remote units.
 
 mod common;
 
 use common::{
-    dispatched_requests, served, settings, volume_plan, SchedulerHarness, MILLISECOND, SECOND,
+    default_settings, dispatched_requests, served_at_node_0, volume_plan, SchedulerHarness,
+    MILLISECOND, SECOND,
 };
 use io_scheduler::{Event, Micros, Settings, Units};
 
-/// Settings whose latency objective plays no part, so that the tags alone decide.
-fn settings_of_tags() -> Settings {
-    let mut settings = settings();
+/// Returns settings with a latency objective that no request misses, so that only the tags
+/// determine the order of dispatches.
+fn settings_with_long_latency_objective() -> Settings {
+    let mut settings = default_settings();
     settings.classes[0].latency_objective = 30 * SECOND;
     settings
 }
 
-/// Completes the attempts in flight one after another, with a pause before each, until this many
-/// further ones were dispatched; returns their requests in order.
+/// Completes the attempts in flight one after another, with `interval` before each, until `count`
+/// further attempts were dispatched. Returns their request ids in order.
 fn dispatch_order(
     harness: &mut SchedulerHarness,
     mut in_flight: Vec<u64>,
     count: usize,
-    pause: Micros,
+    interval: Micros,
 ) -> Vec<u64> {
     let mut order = vec![];
     while order.len() < count && !in_flight.is_empty() {
         let completed = in_flight.remove(0);
-        let now = harness.now + pause;
-        let actions = harness.handle_at(now, &[served(completed, MILLISECOND)]);
+        let now = harness.now + interval;
+        let actions = harness.handle_at(now, &[served_at_node_0(completed, MILLISECOND)]);
         for request in dispatched_requests(&actions) {
             in_flight.push(request);
             order.push(request);
@@ -37,12 +38,12 @@
 }
 
 #[test]
-fn weights_divide_a_node_in_proportion() {
-    let mut settings = settings_of_tags();
+fn dispatches_are_divided_in_proportion_to_weights() {
+    let mut settings = settings_with_long_latency_objective();
     settings.plans = vec![volume_plan(0.0, 1.0, 0.0), volume_plan(0.0, 3.0, 0.0)];
     let mut harness = SchedulerHarness::new(settings, 1);
-    harness.warm_up(0);
-    let in_flight = harness.occupy_node(5);
+    harness.raise_concurrency_limit(0);
+    let in_flight = harness.occupy_node_0(5);
     let mut heavy_requests = vec![];
     let mut events = vec![];
     for _ in 0..12 {
@@ -51,28 +52,28 @@
             0,
             60 * SECOND,
         )));
-        let heavy = harness.request_of_volume(1, 1, 60 * SECOND);
-        heavy_requests.push(heavy.id.0);
-        events.push(Event::RequestReceived(heavy));
+        let heavy_request = harness.request_of_volume(1, 1, 60 * SECOND);
+        heavy_requests.push(heavy_request.id.0);
+        events.push(Event::RequestReceived(heavy_request));
     }
     harness.handle(&events);
     let order = dispatch_order(&mut harness, in_flight, 12, MILLISECOND);
-    let heavy = order
+    let heavy_count = order
         .iter()
         .filter(|id| heavy_requests.contains(id))
         .count();
     assert!(
-        (8..=10).contains(&heavy),
-        "three of four for weight 3 against 1: {heavy} of 12"
+        (8..=10).contains(&heavy_count),
+        "volume with weight 3 against 1 got {heavy_count} of 12 dispatches"
     );
 }
 
 #[test]
-fn a_due_reservation_is_dispatched_before_any_weight() {
-    let mut settings = settings_of_tags();
+fn request_with_a_due_reservation_tag_is_dispatched_before_others() {
+    let mut settings = settings_with_long_latency_objective();
     settings.plans = vec![volume_plan(10.0, 1.0, 0.0), volume_plan(0.0, 1.0, 0.0)];
     let mut harness = SchedulerHarness::new(settings, 1);
-    harness.warm_up(0);
+    harness.raise_concurrency_limit(0);
     let mut events = vec![];
     for _ in 0..5 {
         events.push(Event::RequestReceived(harness.request_of_volume(
@@ -91,31 +92,34 @@
         )));
     }
     harness.handle(&events);
-    // Reservation tags of the reserved volume (requests 5 to 7): 0.0, 0.1 and 0.2 s. An attempt
+    // The reservation tags of volume 1 (requests 5 to 7) are 0, 100 and 200 ms. An attempt
     // completes every 60 ms.
     let order = dispatch_order(&mut harness, in_flight, 6, 60 * MILLISECOND);
-    // The other volume became active last and has the smallest share tag. 60 ms: 5 is due; 120: 6;
-    // 180: none, so 8 by weight; 240: 7 is due; then 9 and 10 by weight.
+    // Volume 2 (requests 8 to 10) became active last and has the smallest share tag. Dispatched
+    // are: at 60 ms request 5 and at 120 ms request 6, whose reservation tags are due; at 180 ms
+    // request 8 by weight, because no reservation tag is due; at 240 ms request 7, whose
+    // reservation tag is due; then requests 9 and 10 by weight.
     assert_eq!(order, [5, 6, 8, 7, 9, 10]);
 }
 
-/// The first attempt of a request at node 0 was served, and the node reports units of other hosts.
+/// Returns the event that node 0 served the first attempt of a request and reported remote units.
 fn served_with_remote_units(request: u64, remote_units: f64) -> Event {
-    let mut end = served(request, MILLISECOND);
-    if let Event::AttemptCompleted(attempt) = &mut end {
+    let mut completion = served_at_node_0(request, MILLISECOND);
+    if let Event::AttemptCompleted(attempt) = &mut completion {
         attempt.remote_units = Units(remote_units);
     }
-    end
+    completion
 }
 
 #[test]
-fn remote_units_delay_a_volume() {
-    let mut settings = settings_of_tags();
+fn remote_units_delay_the_requests_of_the_volume() {
+    let mut settings = settings_with_long_latency_objective();
     settings.reports_remote_units = true;
     let mut harness = SchedulerHarness::new(settings, 1);
-    harness.warm_up(0);
-    let in_flight = harness.occupy_node(5);
-    // Volume 1 is served once with eight remote units reported, volume 2 once with none.
+    harness.raise_concurrency_limit(0);
+    let in_flight = harness.occupy_node_0(5);
+    // One request of each volume is served. The response to volume 1 reports eight remote units,
+    // the one to volume 2 reports none.
     let first = harness.request_of_volume(1, 0, 60 * SECOND);
     let second = harness.request_of_volume(2, 0, 60 * SECOND);
     harness.handle(&[
@@ -125,16 +129,19 @@
     harness.handle_at(
         MILLISECOND,
         &[
-            served(in_flight[0], MILLISECOND),
-            served(in_flight[1], MILLISECOND),
+            served_at_node_0(in_flight[0], MILLISECOND),
+            served_at_node_0(in_flight[1], MILLISECOND),
         ],
     );
     harness.handle_at(
         2 * MILLISECOND,
-        &[served_with_remote_units(5, 8.0), served(6, MILLISECOND)],
+        &[
+            served_with_remote_units(5, 8.0),
+            served_at_node_0(6, MILLISECOND),
+        ],
     );
-    let refill = harness.occupy_node(2);
-    assert_eq!(refill.len(), 2);
+    let additional = harness.occupy_node_0(2);
+    assert_eq!(additional.len(), 2);
     let mut second_volume = vec![];
     let mut events = vec![];
     for _ in 0..4 {
@@ -149,21 +156,22 @@
     }
     harness.handle(&events);
     let mut in_flight = in_flight[2..].to_vec();
-    in_flight.extend(refill);
+    in_flight.extend(additional);
     let order = dispatch_order(&mut harness, in_flight, 4, MILLISECOND);
     assert!(
         order.iter().all(|id| second_volume.contains(id)),
-        "volume 2 catches up first: {order:?}"
+        "requests of volume 2 are dispatched first: {order:?}"
     );
 }
 
 #[test]
-fn a_host_spends_only_its_part_of_a_limit_and_starts_with_an_empty_token_bucket() {
-    let mut settings = settings();
+fn limit_is_divided_by_the_host_count_and_the_token_bucket_starts_empty() {
+    let mut settings = default_settings();
     settings.plans[0] = volume_plan(0.0, 1.0, 10.0);
     let mut harness = SchedulerHarness::new(settings, 1);
-    let mut spent = 0.0;
-    // Two hosts: five units a second and no more than five at once, none of them at the start.
+    let mut dispatched_units = 0.0;
+    // The limit of ten units per second is divided by two hosts, and so is the burst capacity of
+    // ten units: this host may dispatch five units per second, and none at the start.
     for elapsed_ms in 0..4_000 {
         harness.now = elapsed_ms * MILLISECOND;
         let mut events = vec![Event::TimerFired];
@@ -174,13 +182,13 @@
             events.push(Event::RequestReceived(request));
         }
         for id in dispatched_requests(&harness.handle(&events)) {
-            spent += 1.0;
-            harness.handle(&[served(id, MILLISECOND)]);
+            dispatched_units += 1.0;
+            harness.handle(&[served_at_node_0(id, MILLISECOND)]);
         }
         assert!(
-            spent <= 5.0 * elapsed_ms as f64 / 1e3 + 1e-6,
-            "{spent} at {elapsed_ms} ms"
+            dispatched_units <= 5.0 * elapsed_ms as f64 / 1e3 + 1e-6,
+            "{dispatched_units} units after {elapsed_ms} ms"
         );
     }
-    assert!(spent >= 18.0, "{spent}");
+    assert!(dispatched_units >= 18.0, "{dispatched_units} units in 4 s");
 }
--- a/crates/scheduler/tests/endpoints.rs
+++ b/crates/scheduler/tests/endpoints.rs
@@ -1,58 +1,58 @@
-//! Dispatching follows the endpoint list.
+//! The endpoint list determines to which nodes attempts are dispatched.
 
 mod common;
 
 use common::{
-    attempt, attempt_completed, delta, dispatched, endpoint, rejected, settings, snapshot,
-    SchedulerHarness, MILLISECOND, SECOND,
+    attempt, attempt_completed, default_settings, delta, dispatched_attempts, endpoint,
+    rejected_requests, snapshot, SchedulerHarness, MILLISECOND, SECOND,
 };
 use io_scheduler::{EndpointStatus, Event, Outcome, Shard};
 
 #[test]
-fn a_request_for_an_unlisted_node_is_pending_until_the_node_is_listed_or_the_deadline_passes() {
-    let mut harness = SchedulerHarness::new(settings(), 1);
+fn request_for_an_unlisted_node_is_pending_until_the_node_is_listed_or_the_deadline_passes() {
+    let mut harness = SchedulerHarness::new(default_settings(), 1);
     let request = harness.request(Some(9));
-    assert!(dispatched(&harness.receive(request)).is_empty());
-    let listed = delta(vec![endpoint(9, EndpointStatus::InService, None)]);
+    assert!(dispatched_attempts(&harness.receive(request)).is_empty());
+    let node_added = delta(vec![endpoint(9, EndpointStatus::InService, None)]);
     assert_eq!(
-        dispatched(&harness.handle_at(400 * MILLISECOND, &[listed])),
+        dispatched_attempts(&harness.handle_at(400 * MILLISECOND, &[node_added])),
         [attempt(0, 9)]
     );
     let request = harness.request(Some(8));
     harness.receive(request);
-    let end = attempt_completed(0, 0, 9, Outcome::Served, 10 * MILLISECOND);
-    harness.handle_at(410 * MILLISECOND, &[end]);
-    assert_eq!(rejected(&harness.fire_timer_at(3 * SECOND)), [1]);
+    let completion = attempt_completed(0, 0, 9, Outcome::Served, 10 * MILLISECOND);
+    harness.handle_at(410 * MILLISECOND, &[completion]);
+    assert_eq!(rejected_requests(&harness.fire_timer_at(3 * SECOND)), [1]);
 }
 
 #[test]
-fn nothing_is_dispatched_to_a_draining_or_removed_node() {
+fn no_attempt_is_dispatched_to_a_draining_or_removed_node() {
     for status in [EndpointStatus::Draining, EndpointStatus::Removed] {
-        let mut harness = SchedulerHarness::new(settings(), 1);
+        let mut harness = SchedulerHarness::new(default_settings(), 1);
         harness.handle(&[delta(vec![endpoint(0, status, None)])]);
         let request = harness.request(Some(0));
         let actions = harness.handle_at(SECOND, &[Event::RequestReceived(request)]);
-        assert!(dispatched(&actions).is_empty());
+        assert!(dispatched_attempts(&actions).is_empty());
     }
-    let mut harness = SchedulerHarness::new(settings(), 1);
+    let mut harness = SchedulerHarness::new(default_settings(), 1);
     harness.handle(&[snapshot(vec![endpoint(5, EndpointStatus::InService, None)])]);
     let request = harness.request(Some(0));
     assert!(
-        dispatched(&harness.receive(request)).is_empty(),
-        "not part of a complete list"
+        dispatched_attempts(&harness.receive(request)).is_empty(),
+        "a node that a complete list lacks is removed"
     );
 }
 
 #[test]
-fn a_successor_takes_over_the_pending_requests_of_its_shard() {
-    let mut harness = SchedulerHarness::new(settings(), 1);
+fn pending_requests_are_dispatched_to_the_successor_of_a_draining_node() {
+    let mut harness = SchedulerHarness::new(default_settings(), 1);
     harness.handle(&[delta(vec![endpoint(0, EndpointStatus::Draining, None)])]);
     let request = harness.request(Some(0));
-    assert!(dispatched(&harness.receive(request)).is_empty());
+    assert!(dispatched_attempts(&harness.receive(request)).is_empty());
     let mut successor = endpoint(7, EndpointStatus::InService, None);
     successor.shard = Shard(0);
     assert_eq!(
-        dispatched(&harness.handle(&[delta(vec![successor])])),
+        dispatched_attempts(&harness.handle(&[delta(vec![successor])])),
         [attempt(0, 7)]
     );
 }
--- a/crates/scheduler/tests/ordering.rs
+++ b/crates/scheduler/tests/ordering.rs
@@ -1,20 +1,20 @@
-//! Ordered classes: requests for one object key run one after another.
+//! Ordered classes: requests with the same object key are executed one after another.
 
 mod common;
 
 use common::{
-    attempt, attempt_completed, dispatched, dispatched_requests, rejected, settings,
-    SchedulerHarness, MILLISECOND,
+    attempt, attempt_completed, default_settings, dispatched_attempts, dispatched_requests,
+    rejected_requests, SchedulerHarness, MILLISECOND,
 };
 use io_scheduler::{Event, ObjectKey, Outcome, Request};
 
 #[test]
-fn requests_of_a_key_run_in_order_and_pause_after_an_uncertain_outcome() {
-    let mut settings = settings();
+fn ordered_requests_wait_for_the_previous_attempt_and_the_quiesce_period() {
+    let mut settings = default_settings();
     settings.classes[0].ordered = true;
     settings.quiesce_period = 100 * MILLISECOND;
     let mut harness = SchedulerHarness::new(settings, 1);
-    harness.warm_up(0);
+    harness.raise_concurrency_limit(0);
     let mut requests: Vec<Request> = (0..3).map(|_| harness.request(Some(0))).collect();
     requests[0].key = Some(ObjectKey(4));
     requests[0].deadline = 300 * MILLISECOND;
@@ -24,19 +24,24 @@
     let actions = harness.handle(&events);
     let mut first_dispatched = dispatched_requests(&actions);
     first_dispatched.sort_unstable();
-    assert_eq!(first_dispatched, [0, 2], "another key does not wait");
-    // The first request is closed at its deadline, but its attempt has no outcome: the key still
-    // waits.
+    assert_eq!(
+        first_dispatched,
+        [0, 2],
+        "a request with another key does not wait"
+    );
+    // The first request is closed at its deadline, but its attempt is still in flight, so the next
+    // request with the same key continues to wait.
     let actions = harness.fire_timer_at(300 * MILLISECOND);
     assert_eq!(
-        (rejected(&actions), dispatched(&actions)),
+        (rejected_requests(&actions), dispatched_attempts(&actions)),
         (vec![0], vec![])
     );
     let timed_out = attempt_completed(0, 0, 0, Outcome::TimedOut, 304 * MILLISECOND);
-    assert!(dispatched(&harness.handle_at(304 * MILLISECOND, &[timed_out])).is_empty());
-    assert!(dispatched(&harness.fire_timer_at(404 * MILLISECOND - 1)).is_empty());
+    assert!(dispatched_attempts(&harness.handle_at(304 * MILLISECOND, &[timed_out])).is_empty());
+    // The attempt ended after 304 ms; the quiesce period of 100 ms ends at 404 ms.
+    assert!(dispatched_attempts(&harness.fire_timer_at(404 * MILLISECOND - 1)).is_empty());
     assert_eq!(
-        dispatched(&harness.fire_timer_at(404 * MILLISECOND)),
+        dispatched_attempts(&harness.fire_timer_at(404 * MILLISECOND)),
         [attempt(1, 0)]
     );
 }
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -1,16 +1,17 @@
-//! To which node a new object goes.
+//! Placement: the choice of the node for a new object.
 
 mod common;
 
 use common::{
-    attempt, attempt_completed, delta, dispatched, endpoint, failed, settings, SchedulerHarness,
+    attempt, attempt_completed, default_settings, delta, dispatched_attempts, endpoint,
+    failed_requests, SchedulerHarness,
 };
 use common::{MILLISECOND, SECOND};
 use io_scheduler::{DeduplicationScope, EndpointStatus, Idempotency, Outcome};
 
 #[test]
-fn a_new_object_goes_to_the_node_with_the_fastest_responses() {
-    let mut settings = settings();
+fn new_object_is_placed_on_the_node_with_the_lowest_latency() {
+    let mut settings = default_settings();
     settings.classes[0].latency_objective = 10 * SECOND;
     let mut harness = SchedulerHarness::new(settings, 3);
     for (node, elapsed) in [
@@ -18,39 +19,47 @@
         (1, 20 * MILLISECOND),
         (2, 200 * MILLISECOND),
     ] {
-        harness.serve(node, elapsed);
+        harness.serve_request(node, elapsed);
     }
     harness.now += SECOND;
     let new_object = harness.request(None);
-    assert_eq!(dispatched(&harness.receive(new_object)), [attempt(3, 1)]);
+    assert_eq!(
+        dispatched_attempts(&harness.receive(new_object)),
+        [attempt(3, 1)]
+    );
 }
 
 #[test]
-fn a_node_that_fails_fast_gets_no_new_object() {
-    // Node 0 looks idle and fast; only its error rate tells that it is faulty.
-    let mut harness = SchedulerHarness::new(settings(), 2);
+fn new_object_is_not_placed_on_a_node_with_a_high_error_rate() {
+    // Node 0 is idle and fast. Only its error rate shows that it is faulty.
+    let mut harness = SchedulerHarness::new(default_settings(), 2);
     for _ in 0..4 {
         harness.fail_without_retry(0, Outcome::Error);
     }
-    harness.serve(0, MILLISECOND);
-    harness.serve(1, 50 * MILLISECOND);
+    harness.serve_request(0, MILLISECOND);
+    harness.serve_request(1, 50 * MILLISECOND);
     harness.now += SECOND;
     let new_object = harness.request(None);
     let id = new_object.id.0;
-    assert_eq!(dispatched(&harness.receive(new_object)), [attempt(id, 1)]);
+    assert_eq!(
+        dispatched_attempts(&harness.receive(new_object)),
+        [attempt(id, 1)]
+    );
 }
 
 #[test]
-fn a_new_object_moves_to_another_node_only_if_its_attempt_never_ran() {
-    for (outcome, moves) in [(Outcome::ConnectFailed, true), (Outcome::Error, false)] {
-        let mut settings = settings();
+fn new_object_is_retried_at_another_node_only_if_it_was_not_executed() {
+    for (outcome, expected_at_another_node) in
+        [(Outcome::ConnectFailed, true), (Outcome::Error, false)]
+    {
+        let mut settings = default_settings();
         settings.classes[0].idempotency = Idempotency::WithKey {
             scope: DeduplicationScope::Shard,
             window: 5 * SECOND,
         };
         let mut harness = SchedulerHarness::new(settings, 2);
         let new_object = harness.request(None);
-        let first_node = dispatched(&harness.receive(new_object))[0].node;
+        let first_node = dispatched_attempts(&harness.receive(new_object))[0].node;
         harness.handle(&[delta(vec![endpoint(
             first_node,
             EndpointStatus::Draining,
@@ -61,37 +70,45 @@
             &[attempt_completed(0, 0, first_node, outcome, MILLISECOND)],
         );
         actions.extend(harness.fire_timer_at(SECOND));
-        let moved = dispatched(&actions)
+        let is_at_another_node = dispatched_attempts(&actions)
             .iter()
             .any(|attempt| attempt.node != first_node);
-        assert_eq!(moved, moves, "{outcome:?}");
+        assert_eq!(is_at_another_node, expected_at_another_node, "{outcome:?}");
         assert_eq!(
-            failed(&actions),
-            if moves { vec![] } else { vec![0] },
+            failed_requests(&actions),
+            if expected_at_another_node {
+                vec![]
+            } else {
+                vec![0]
+            },
             "{outcome:?}"
         );
     }
 }
 
 #[test]
-fn a_new_object_avoids_a_node_with_a_lowered_concurrency_limit() {
-    // Node 0 was slow several times and then fast: its mean latency is the lower one again, but
-    // hosts that measured it as slow have lowered their concurrency limits there. Node 1 answers
-    // evenly, within a quarter of the latency objective.
-    let mut harness = SchedulerHarness::new(settings(), 2);
-    let mut serve_and_pause = |node, elapsed| {
-        let id = harness.serve(node, elapsed);
+fn new_object_is_not_placed_on_a_node_with_a_lowered_concurrency_limit() {
+    // Node 0 responded slowly several times and then faster. Its mean latency is lower than that of
+    // node 1 again, but its concurrency limit was lowered by responses that took more than a
+    // quarter of the latency objective (125 ms). All responses of node 1 took slightly less than
+    // that.
+    let mut harness = SchedulerHarness::new(default_settings(), 2);
+    let mut serve_then_wait = |node, elapsed| {
+        let id = harness.serve_request(node, elapsed);
         harness.now += 5 * SECOND;
         id
     };
     for _ in 0..6 {
-        serve_and_pause(0, 126 * MILLISECOND);
-        serve_and_pause(1, 124 * MILLISECOND);
+        serve_then_wait(0, 126 * MILLISECOND);
+        serve_then_wait(1, 124 * MILLISECOND);
     }
     for _ in 0..2 {
-        serve_and_pause(0, 100 * MILLISECOND);
+        serve_then_wait(0, 100 * MILLISECOND);
     }
-    let id = serve_and_pause(1, 124 * MILLISECOND) + 1;
+    let id = serve_then_wait(1, 124 * MILLISECOND) + 1;
     let new_object = harness.request(None);
-    assert_eq!(dispatched(&harness.receive(new_object)), [attempt(id, 1)]);
+    assert_eq!(
+        dispatched_attempts(&harness.receive(new_object)),
+        [attempt(id, 1)]
+    );
 }
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -1,10 +1,10 @@
-//! Admission to nodes that warm up, by one host and by a whole fleet.
+//! Slow start: dispatches to nodes that are warming up, by a single host and by a fleet of hosts.
 
 mod common;
 
 use common::{
-    delta, dispatched, dispatched_requests, endpoint, served, settings, snapshot, volume_plan,
-    SchedulerHarness, MILLISECOND, SECOND,
+    default_settings, delta, dispatched_attempts, dispatched_requests, endpoint, served_at_node_0,
+    snapshot, volume_plan, SchedulerHarness, MILLISECOND, SECOND,
 };
 use io_scheduler::{
     EndpointStatus, Event, Micros, PlanIndex, Request, RequestId, Settings, Units, UnitsPerSecond,
@@ -12,48 +12,48 @@
 };
 
 const NODE_STARTED_AT: Micros = 100 * SECOND;
-/// Duration of the slow start.
-const SLOW_START: Micros = 10 * SECOND;
-/// Fraction of its full capacity that the node has at its start.
+/// Time from the start of the node until it has its full capacity.
+const SLOW_START_DURATION: Micros = 10 * SECOND;
+/// Capacity of the node at its start, as a fraction of its full capacity.
 const INITIAL_CAPACITY: f64 = 0.2;
-/// What the node can serve when it has warmed up, in units a second.
+/// Full capacity of the node, in units per second.
 const FULL_CAPACITY: f64 = 40.0;
 const UNITS_PER_REQUEST: f64 = 2.0;
 const VOLUMES: u64 = 12;
 const HOSTS_PER_VOLUME: u64 = 3;
 
-/// A fleet of hosts, and the load that their volumes put on one node that has just started.
+/// Number of hosts in a fleet, and the load of their volumes on one node that has just started.
 #[derive(Clone, Copy)]
 struct FleetLoad {
     hosts: u32,
     seed: u64,
-    /// Fraction of the node's full capacity that the volumes together are provisioned for.
+    /// Provisioned rate of all volumes together, as a fraction of the node's full capacity.
     provisioned_fraction: f64,
-    /// What the volumes request, as a multiple of what they are provisioned for.
+    /// Rate that the volumes request, as a multiple of their provisioned rate.
     demand_factor: f64,
     response_time: Micros,
 }
 
 impl FleetLoad {
-    /// The rate that one volume is provisioned for.
+    /// Returns the provisioned rate of one volume, in units per second.
     fn provisioned_rate(&self) -> f64 {
         FULL_CAPACITY * self.provisioned_fraction / VOLUMES as f64
     }
 
-    /// Units a second that the volumes together request.
+    /// Returns the rate that all volumes together request, in units per second.
     fn demand(&self) -> f64 {
         FULL_CAPACITY * self.provisioned_fraction * self.demand_factor
     }
 
-    /// Time between two requests of a volume.
+    /// Returns the time between two requests of a volume.
     fn request_interval(&self) -> Micros {
         (UNITS_PER_REQUEST * 1e6 / (self.provisioned_rate() * self.demand_factor)) as Micros
     }
 
     fn settings(&self) -> Settings {
-        let mut settings = settings();
+        let mut settings = default_settings();
         settings.hosts = self.hosts;
-        settings.slow_start.duration = SLOW_START;
+        settings.slow_start.duration = SLOW_START_DURATION;
         settings.slow_start.initial_capacity = INITIAL_CAPACITY;
         settings.slow_start.burst_factor = 3.0;
         settings.slow_start.units =
@@ -66,18 +66,18 @@
         settings
     }
 
-    /// Runs the fleet during the slow start of the node.
-    fn run(self) -> WarmingNode {
+    /// Simulates the fleet during the slow start of the node.
+    fn run(self) -> SlowStartRun {
         let settings = self.settings();
         let mut fleet = Fleet::new(self, &settings);
-        let end = NODE_STARTED_AT + SLOW_START;
+        let end = NODE_STARTED_AT + SLOW_START_DURATION;
         for now in (NODE_STARTED_AT..end).step_by(MILLISECOND as usize) {
             fleet.send_requests(now);
             if now % (5 * MILLISECOND) == 0 {
                 fleet.complete_attempts(now);
             }
         }
-        WarmingNode {
+        SlowStartRun {
             load: self,
             dispatched_at: fleet.dispatched_at,
             slow_start_units: settings.slow_start.units.0,
@@ -95,7 +95,7 @@
     load: FleetLoad,
     hosts: Vec<SchedulerHarness>,
     in_flight: Vec<InFlightAttempt>,
-    /// When attempts were dispatched.
+    /// Times at which attempts were dispatched, by any host.
     dispatched_at: Vec<Micros>,
 }
 
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Sends a request of each volume whose interval is over, through the volume's hosts in turn.
+    /// Sends the requests that are due. Each volume sends one request per interval, to its hosts in
+    /// turn.
     fn send_requests(&mut self, now: Micros) {
         let interval = self.load.request_interval();
         for volume in 0..VOLUMES {
@@ -150,14 +151,14 @@
         }
     }
 
-    /// Completes the attempts that are due and fires the timers of all hosts.
+    /// Completes the attempts that are due and fires the timer of every host.
     fn complete_attempts(&mut self, now: Micros) {
         for host in 0..self.hosts.len() {
             let is_due =
                 |attempt: &InFlightAttempt| attempt.completes_at <= now && attempt.host == host;
             let mut events = Vec::new();
             for attempt in self.in_flight.iter().filter(|attempt| is_due(attempt)) {
-                events.push(served(attempt.request, self.load.response_time));
+                events.push(served_at_node_0(attempt.request, self.load.response_time));
             }
             self.in_flight.retain(|attempt| !is_due(attempt));
             events.push(Event::TimerFired);
@@ -179,24 +180,25 @@
     }
 }
 
-/// What a node got during its slow start.
-struct WarmingNode {
+/// Dispatches to a node during its slow start.
+struct SlowStartRun {
     load: FleetLoad,
-    /// When requests were dispatched to it, all of the same size.
+    /// Times at which requests were dispatched to it, all of the same size.
     dispatched_at: Vec<Micros>,
     slow_start_units: f64,
 }
 
-impl WarmingNode {
-    /// Fraction of its full capacity that the node has at this time.
+impl SlowStartRun {
+    /// Returns the capacity of the node at this time, as a fraction of its full capacity.
     fn capacity(now: Micros) -> f64 {
         INITIAL_CAPACITY
-            + (1.0 - INITIAL_CAPACITY) * (now - NODE_STARTED_AT) as f64 / SLOW_START as f64
+            + (1.0 - INITIAL_CAPACITY) * (now - NODE_STARTED_AT) as f64 / SLOW_START_DURATION as f64
     }
 
-    /// By how many requests the fullest window exceeded what the node can take then, beyond what
-    /// chance explains.
-    fn max_excess(&self) -> f64 {
+    /// Returns by how many requests the window of one second with the largest excess exceeded what
+    /// the node can serve in it. The random variation of the hosts' quotas is not counted as
+    /// excess.
+    fn max_excess_requests(&self) -> f64 {
         let excess_until = |now: Micros| {
             let window = now - SECOND..=now;
             let received = self
@@ -205,7 +207,7 @@
                 .filter(|at| window.contains(*at))
                 .count() as f64;
             let initial_requests = self.slow_start_units / UNITS_PER_REQUEST;
-            let allowed = initial_requests * WarmingNode::capacity(now) / INITIAL_CAPACITY;
+            let allowed = initial_requests * SlowStartRun::capacity(now) / INITIAL_CAPACITY;
             received - (allowed + 2.0 * allowed.sqrt() + 2.0)
         };
         self.dispatched_at
@@ -214,12 +216,12 @@
             .fold(f64::MIN, f64::max)
     }
 
-    /// The units received in a span after its start, as a fraction of what the node could serve or
-    /// what was requested of it.
+    /// Returns the units received in a time span after the start of the node, as a fraction of what
+    /// the node could serve or of what was requested, whichever is less.
     fn utilization(&self, from: Micros, to: Micros) -> f64 {
         let mut possible_units = 0.0;
         for elapsed in (from..to).step_by(100 * MILLISECOND as usize) {
-            let capacity = FULL_CAPACITY * WarmingNode::capacity(NODE_STARTED_AT + elapsed);
+            let capacity = FULL_CAPACITY * SlowStartRun::capacity(NODE_STARTED_AT + elapsed);
             possible_units += capacity.min(self.load.demand()) / 10.0;
         }
         let span = NODE_STARTED_AT + from..NODE_STARTED_AT + to;
@@ -233,7 +235,7 @@
 }
 
 #[test]
-fn the_slow_start_of_a_node_holds_for_the_whole_fleet() {
+fn fleet_does_not_exceed_the_capacity_of_a_node_during_slow_start() {
     for (hosts, provisioned_fraction, demand_factor) in [
         (1, 1.0, 3.0),
         (4, 0.7, 3.0),
@@ -250,18 +252,18 @@
                 demand_factor,
                 response_time,
             };
-            let excess = load.run().max_excess();
+            let excess = load.run().max_excess_requests();
             assert!(
                 excess <= 0.0,
                 "{hosts} hosts, provisioned {provisioned_fraction}, demand {demand_factor}: \
-                 {excess} too many"
+                 {excess} requests too many"
             );
         }
     }
 }
 
 #[test]
-fn a_warming_node_does_not_idle_beside_many_hosts() {
+fn fleet_uses_the_capacity_of_a_node_during_slow_start() {
     for (hosts, demand_factor) in [(4, 1.0), (30, 1.0), (30, 3.0), (300, 1.0), (300, 3.0)] {
         let load = FleetLoad {
             hosts,
@@ -275,13 +277,17 @@
         let late = node.utilization(4 * SECOND, 10 * SECOND);
         assert!(
             early >= 0.9 && late >= 0.9,
-            "{hosts} hosts, demand {demand_factor}: {early} early, {late} later"
+            "{hosts} hosts, demand {demand_factor}: utilization {early}, then {late}"
         );
     }
 }
 
-/// Sends 60 requests of a volume, one each millisecond; returns how many were dispatched.
-fn dispatched_of_surge(harness: &mut SchedulerHarness, plan: usize, volume: u64) -> u32 {
+/// Sends 60 requests of a volume, one per millisecond, and returns how many were dispatched.
+fn count_dispatched_of_60_requests(
+    harness: &mut SchedulerHarness,
+    plan: usize,
+    volume: u64,
+) -> u32 {
     let mut count = 0;
     for _ in 0..60 {
         let request = Request {
@@ -290,25 +296,24 @@
             ..harness.request(Some(0))
         };
         let id = request.id.0;
-        let is_dispatched = !dispatched(&harness.receive(request)).is_empty();
+        let is_dispatched = !dispatched_attempts(&harness.receive(request)).is_empty();
         count += u32::from(is_dispatched);
         harness.now += MILLISECOND;
-        let end = if is_dispatched {
-            served(id, MILLISECOND)
+        let completion = if is_dispatched {
+            served_at_node_0(id, MILLISECOND)
         } else {
             Event::ClientDisconnected(RequestId(id))
         };
-        harness.handle(&[end]);
+        harness.handle(&[completion]);
     }
     count
 }
 
 #[test]
-fn a_surging_volume_leaves_half_of_a_warming_node_s_units_to_the_others() {
-    // A single host may send all of the 20 units in a window, except those that are divided by
-    // provisioned rate. A volume that exceeds its provisioned rate gets half of the host's part;
-    // the requests of another volume get the other half.
-    let mut settings = settings();
+fn surplus_requests_use_at_most_half_of_the_slow_start_quota() {
+    // A single host's quota is all 20 units of a window. A volume that exceeds its provisioned rate
+    // may use half of the quota; the requests of another volume get the rest.
+    let mut settings = default_settings();
     settings.plans = vec![
         VolumePlan {
             provisioned_rate: UnitsPerSecond(1.0),
@@ -326,18 +331,25 @@
         EndpointStatus::InService,
         Some(NODE_STARTED_AT),
     )])]);
-    let surge = dispatched_of_surge(&mut harness, 0, 1);
-    let reserved = dispatched_of_surge(&mut harness, 1, 2);
-    assert!((1..=11).contains(&surge), "{surge} of a surge");
+    let surplus_count = count_dispatched_of_60_requests(&mut harness, 0, 1);
+    let reserved_count = count_dispatched_of_60_requests(&mut harness, 1, 2);
     assert!(
-        (8..=21).contains(&reserved) && surge + reserved <= 21,
-        "{reserved} reserved after {surge}"
+        (1..=11).contains(&surplus_count),
+        "{surplus_count} surplus requests were dispatched"
+    );
+    assert!(
+        (8..=21).contains(&reserved_count) && surplus_count + reserved_count <= 21,
+        "{reserved_count} reserved requests after {surplus_count} surplus requests"
     );
 }
 
-/// Sends requests of two and a half units, one each millisecond from `start` on, and serves those
-/// that are dispatched; returns their number.
-fn dispatched_of_large(harness: &mut SchedulerHarness, start: Micros, requests: Micros) -> usize {
+/// Sends requests of 2.5 units, one per millisecond from `start`, and serves those that are
+/// dispatched. Returns their number.
+fn count_dispatched_large_requests(
+    harness: &mut SchedulerHarness,
+    start: Micros,
+    requests: Micros,
+) -> usize {
     let mut dispatched = 0;
     for number in 0..requests {
         let request = Request {
@@ -348,18 +360,19 @@
         let actions = harness.handle_at(now, &[Event::RequestReceived(request)]);
         for id in dispatched_requests(&actions) {
             dispatched += 1;
-            harness.handle(&[served(id, MILLISECOND)]);
+            harness.handle(&[served_at_node_0(id, MILLISECOND)]);
         }
     }
     dispatched
 }
 
 #[test]
-fn a_host_sends_a_warming_node_its_part_of_the_units_in_any_window() {
-    // Of 20 units an even part for each of four hosts is 5; by the provisioned rate of its volume
-    // this host's part is 3. It gets the mean of both: four units, in requests of two and a half.
+fn host_keeps_to_its_slow_start_quota_in_every_window() {
+    // The 20 units of a window, split evenly among four hosts, are 5 per host. By the provisioned
+    // rate of its volume, this host's part is 3 units. Its quota is the mean of both, 4 units, so
+    // that it dispatches 1.6 requests of 2.5 units per window on average.
     const REQUESTS_PER_WINDOW: Micros = 6;
-    let mut settings = settings();
+    let mut settings = default_settings();
     settings.hosts = 4;
     settings.plans[0].provisioned_rate = UnitsPerSecond(4.0);
     let mut in_first_window = 0;
@@ -373,16 +386,18 @@
             Some(NODE_STARTED_AT),
         )])]);
         let first_window = NODE_STARTED_AT;
-        let in_first = dispatched_of_large(&mut harness, first_window, REQUESTS_PER_WINDOW);
+        let in_first =
+            count_dispatched_large_requests(&mut harness, first_window, REQUESTS_PER_WINDOW);
         let second_window =
             NODE_STARTED_AT + REQUESTS_PER_WINDOW * MILLISECOND + SECOND + 20 * MILLISECOND;
-        let in_second = dispatched_of_large(&mut harness, second_window, REQUESTS_PER_WINDOW);
+        let in_second =
+            count_dispatched_large_requests(&mut harness, second_window, REQUESTS_PER_WINDOW);
         in_first_window += in_first;
         in_second_window += in_second;
         let in_both_windows = in_first + in_second;
         assert!(
             (2..=4).contains(&in_both_windows),
-            "{in_both_windows} in two windows"
+            "{in_both_windows} requests in two windows"
         );
     }
     assert!(
@@ -391,6 +406,6 @@
     );
     assert!(
         (150..=170).contains(&in_second_window),
-        "{in_second_window} in the next"
+        "{in_second_window} requests of 100 hosts in the next window"
     );
 }
--- a/crates/scheduler/tests/degenerate_settings.rs
+++ b/crates/scheduler/tests/zero_values.rs
@@ -1,13 +1,16 @@
-//! Settings and events with values at the end of their range.
+//! Settings and events whose values are zero.
 
 mod common;
 
-use common::{attempt, dispatched, served, settings, volume_plan, SchedulerHarness, MILLISECOND};
+use common::{
+    attempt, default_settings, dispatched_attempts, served_at_node_0, volume_plan,
+    SchedulerHarness, MILLISECOND,
+};
 use io_scheduler::{Event, Request, Units};
 
 #[test]
-fn rates_units_and_periods_of_zero_still_let_every_request_through() {
-    let mut settings = settings();
+fn requests_are_dispatched_if_rates_units_and_periods_are_zero() {
+    let mut settings = default_settings();
     settings.plans = vec![volume_plan(0.0, 0.0, 0.0)];
     settings.mean_units = Units::ZERO;
     settings.max_units = Units::ZERO;
@@ -25,11 +28,11 @@
         let id = request.id.0;
         let now = harness.now + MILLISECOND;
         let actions = harness.handle_at(now, &[Event::RequestReceived(request)]);
-        assert_eq!(dispatched(&actions), [attempt(id, 0)]);
-        let mut end = served(id, 0);
-        if let Event::AttemptCompleted(attempt) = &mut end {
+        assert_eq!(dispatched_attempts(&actions), [attempt(id, 0)]);
+        let mut completion = served_at_node_0(id, 0);
+        if let Event::AttemptCompleted(attempt) = &mut completion {
             attempt.utilization = Some(0.0);
         }
-        harness.handle(&[end]);
+        harness.handle(&[completion]);
     }
 }
