--- a/crates/scheduler/tests/characterization/driver.rs
+++ b/crates/scheduler/tests/characterization/driver.rs
@@ -17,7 +17,8 @@
 
 /// Time from the last request to the end of the run, long enough for the removal of idle volumes.
 const TIME_AFTER_LAST_REQUEST: Micros = 140 * SECOND;
-/// Interval of the timer events that the scheduler receives in addition to the timers that it set.
+/// Interval of timer inputs in addition to the timers that the scheduler sets; they keep the
+/// scheduler running while nothing else happens.
 const PERIODIC_TIMER_INTERVAL: Micros = 3 * SECOND;
 
 /// An event of the simulation.
@@ -263,8 +264,10 @@
             return;
         }
         let mut delay = self.rng.in_range(0, 2 * traffic.mean_burst_interval);
-        let third = (traffic.request_count / 3).max(1);
-        if self.unsent_requests / third != (self.unsent_requests + burst_size) / third {
+        let requests_per_third = (traffic.request_count / 3).max(1);
+        if self.unsent_requests / requests_per_third
+            != (self.unsent_requests + burst_size) / requests_per_third
+        {
             delay += traffic.pause;
         }
         self.schedule(delay, SimulationEvent::ClientBurst);
@@ -406,7 +409,8 @@
     }
 
     /// Returns the usage report of a response, if it carries one. A report is due an eighth of the
-    /// report period after the previous one; a fifth of the responses skip it.
+    /// report period after the previous one; a fifth of the responses skip it, so that some reports
+    /// are late.
     fn utilization(&mut self, outcome: AttemptOutcome) -> Option<f64> {
         let period = self.scenario.deployment.usage_report_period;
         let is_response = matches!(outcome, AttemptOutcome::Served | AttemptOutcome::Error);
@@ -475,10 +479,9 @@
         let target = self.nodes.get(&node);
         let target = target.filter(|target| target.entry.status != NodeStatus::Removed);
         let time_left = (times_out_at - self.now).max(0);
-        let attempt_end =
-            scenario
-                .cluster
-                .attempt_end(target, relative_size, time_left, &mut self.rng);
+        let end = scenario
+            .cluster
+            .attempt_end(target, relative_size, time_left, &mut self.rng);
         if let Some(target) = self.nodes.get_mut(&node) {
             target.attempts_in_flight += 1;
         }
@@ -489,15 +492,12 @@
                 dispatched_at: self.now,
             },
         );
-        let after = self.align_delay(attempt_end.after);
-        let gets_response = matches!(
-            attempt_end.outcome,
-            AttemptOutcome::Served | AttemptOutcome::Reset
-        );
+        let after = self.align_delay(end.after);
+        let gets_response = matches!(end.outcome, AttemptOutcome::Served | AttemptOutcome::Reset);
         if gets_response
             && self
                 .rng
-                .chance_per_mille(scenario.traffic.early_response_starts_per_mille)
+                .chance_per_mille(scenario.traffic.early_responses_per_mille)
         {
             self.schedule(
                 after * 2 / 3,
@@ -506,7 +506,7 @@
         }
         self.schedule(
             after,
-            SimulationEvent::AttemptEnds(request, number, attempt_end.outcome),
+            SimulationEvent::AttemptEnds(request, number, end.outcome),
         );
     }
 
--- a/crates/scheduler/tests/characterization/scenarios.rs
+++ b/crates/scheduler/tests/characterization/scenarios.rs
@@ -4,7 +4,7 @@
 use crate::cluster::{Cluster, Condition};
 use crate::traffic::Traffic;
 use crate::types::{
-    Class, DedupScope, Deployment, IdempotencyKind, Micros, Plan, RetryBudget, SlowStart,
+    Class, DedupScope, Deployment, Idempotency, Micros, Plan, RetryBudget, SlowStart,
 };
 use crate::types::{MILLISECOND, SECOND};
 
@@ -20,7 +20,7 @@
     },
     /// A poll opens a watch, which is lost after a random time.
     Watched {
-        /// Mean time until a watch is lost.
+        /// Mean time from the start of a watch until it is lost.
         mean: Micros,
     },
 }
@@ -59,7 +59,7 @@
 fn unordered_class(
     latency_objective: Micros,
     priority_weight: f64,
-    idempotency: IdempotencyKind,
+    idempotency: Idempotency,
 ) -> Class {
     Class {
         latency_objective,
@@ -69,7 +69,7 @@
     }
 }
 
-fn ordered_class(latency_objective: Micros, idempotency: IdempotencyKind) -> Class {
+fn ordered_class(latency_objective: Micros, idempotency: Idempotency) -> Class {
     Class {
         ordered: true,
         ..unordered_class(latency_objective, 1.0, idempotency)
@@ -134,7 +134,7 @@
         classes: vec![unordered_class(
             500 * MILLISECOND,
             1.0,
-            IdempotencyKind::Idempotent,
+            Idempotency::Idempotent,
         )],
         plans: vec![plan(0.0, 1.0, 0.0, 100.0), plan(0.0, 3.0, 0.0, 300.0)],
         host_count: 1,
@@ -177,7 +177,7 @@
         plan_changes_per_mille: 0,
         client_retries_per_mille: 300,
         disconnects_per_mille: 60,
-        early_response_starts_per_mille: 50,
+        early_responses_per_mille: 50,
         closing_failures_per_mille: 10,
         pause: 0,
     }
@@ -233,7 +233,7 @@
     scenario.deployment.classes.push(unordered_class(
         60 * MILLISECOND,
         1.0,
-        IdempotencyKind::Idempotent,
+        Idempotency::Idempotent,
     ));
     scenario.deployment.plans = vec![
         plan(10.0, 1.0, 0.0, 40.0),
@@ -279,11 +279,11 @@
     scenario.deployment.classes = vec![
         ordered_class(
             300 * MILLISECOND,
-            IdempotencyKind::WithKey(DedupScope::All, 2 * SECOND),
+            Idempotency::WithKey(DedupScope::All, 2 * SECOND),
         ),
-        ordered_class(100 * MILLISECOND, IdempotencyKind::NonIdempotent),
-        unordered_class(200 * MILLISECOND, 1.0, IdempotencyKind::Idempotent),
-        ordered_class(400 * MILLISECOND, IdempotencyKind::Idempotent),
+        ordered_class(100 * MILLISECOND, Idempotency::NonIdempotent),
+        unordered_class(200 * MILLISECOND, 1.0, Idempotency::Idempotent),
+        ordered_class(400 * MILLISECOND, Idempotency::Idempotent),
     ];
     scenario.deployment.quiesce_period = 60 * MILLISECOND;
     scenario.cluster = Cluster {
@@ -334,14 +334,14 @@
         unordered_class(
             200 * MILLISECOND,
             1.0,
-            IdempotencyKind::WithKey(scope, 400 * MILLISECOND),
+            Idempotency::WithKey(scope, 400 * MILLISECOND),
         ),
         unordered_class(
             100 * MILLISECOND,
             2.0,
-            IdempotencyKind::WithKey(scope, 10 * SECOND),
+            Idempotency::WithKey(scope, 10 * SECOND),
         ),
-        unordered_class(80 * MILLISECOND, 2.0, IdempotencyKind::WithKey(scope, 0)),
+        unordered_class(80 * MILLISECOND, 2.0, Idempotency::WithKey(scope, 0)),
     ];
     scenario.deployment.max_attempts = 6;
     scenario.cluster = Cluster {
@@ -359,8 +359,8 @@
 /// Non-idempotent requests, which must not be executed twice.
 pub fn non_idempotent_requests() -> Scenario {
     let mut scenario = deduplication(DedupScope::All);
-    let slow = unordered_class(200 * MILLISECOND, 1.0, IdempotencyKind::NonIdempotent);
-    let quick = unordered_class(80 * MILLISECOND, 0.0, IdempotencyKind::NonIdempotent);
+    let slow = unordered_class(200 * MILLISECOND, 1.0, Idempotency::NonIdempotent);
+    let quick = unordered_class(80 * MILLISECOND, 0.0, Idempotency::NonIdempotent);
     scenario.deployment.classes = vec![slow, quick];
     scenario
 }
@@ -422,7 +422,7 @@
     scenario.deployment.classes.push(unordered_class(
         120 * MILLISECOND,
         2.0,
-        IdempotencyKind::Idempotent,
+        Idempotency::Idempotent,
     ));
     scenario.cluster = cluster_with_faults(10 * MILLISECOND, 4);
     scenario.churn.mean_condition_interval = 600 * MILLISECOND;
@@ -448,10 +448,10 @@
     let mut scenario = membership_churn();
     scenario.cluster = cluster_with_faults(5 * MILLISECOND, 1);
     scenario.deployment.classes = vec![
-        unordered_class(150 * MILLISECOND, 1.0, IdempotencyKind::Idempotent),
+        unordered_class(150 * MILLISECOND, 1.0, Idempotency::Idempotent),
         ordered_class(
             90 * MILLISECOND,
-            IdempotencyKind::WithKey(DedupScope::Zone, SECOND),
+            Idempotency::WithKey(DedupScope::Zone, SECOND),
         ),
     ];
     scenario.deployment.slow_start.duration = 300 * MILLISECOND;
@@ -484,12 +484,9 @@
     let mut scenario = baseline();
     scenario.deployment = Deployment {
         classes: vec![
-            unordered_class(0, 0.0, IdempotencyKind::Idempotent),
-            ordered_class(
-                50 * MILLISECOND,
-                IdempotencyKind::WithKey(DedupScope::Zone, 0),
-            ),
-            unordered_class(90 * MILLISECOND, 1.0, IdempotencyKind::Idempotent),
+            unordered_class(0, 0.0, Idempotency::Idempotent),
+            ordered_class(50 * MILLISECOND, Idempotency::WithKey(DedupScope::Zone, 0)),
+            unordered_class(90 * MILLISECOND, 1.0, Idempotency::Idempotent),
         ],
         plans: plans_with_zero_values(),
         host_count: 0,
@@ -533,14 +530,14 @@
 pub fn sizes_and_priorities() -> Scenario {
     let mut scenario = baseline();
     scenario.deployment.classes = vec![
-        unordered_class(40 * MILLISECOND, 1.0, IdempotencyKind::Idempotent),
-        unordered_class(120 * MILLISECOND, 5.0, IdempotencyKind::Idempotent),
+        unordered_class(40 * MILLISECOND, 1.0, Idempotency::Idempotent),
+        unordered_class(120 * MILLISECOND, 5.0, Idempotency::Idempotent),
         unordered_class(
             800 * MILLISECOND,
             0.3,
-            IdempotencyKind::WithKey(DedupScope::All, SECOND),
+            Idempotency::WithKey(DedupScope::All, SECOND),
         ),
-        unordered_class(60 * MILLISECOND, 5.0, IdempotencyKind::NonIdempotent),
+        unordered_class(60 * MILLISECOND, 5.0, Idempotency::NonIdempotent),
     ];
     scenario.deployment.max_units = 30.0;
     scenario.deployment.mean_units = 4.0;
@@ -563,11 +560,11 @@
 pub fn always_slow_nodes() -> Scenario {
     let mut scenario = baseline();
     scenario.deployment.classes = vec![
-        unordered_class(40 * MILLISECOND, 1.0, IdempotencyKind::Idempotent),
+        unordered_class(40 * MILLISECOND, 1.0, Idempotency::Idempotent),
         unordered_class(
             55 * MILLISECOND,
             2.0,
-            IdempotencyKind::WithKey(DedupScope::Shard, SECOND),
+            Idempotency::WithKey(DedupScope::Shard, SECOND),
         ),
     ];
     scenario.deployment.plans.push(plan(20.0, 1.0, 80.0, 40.0));
@@ -586,12 +583,12 @@
     classes.push(unordered_class(
         100 * MILLISECOND,
         1.0,
-        IdempotencyKind::NonIdempotent,
+        Idempotency::NonIdempotent,
     ));
     classes.push(unordered_class(
         400 * MILLISECOND,
         1.0,
-        IdempotencyKind::WithKey(DedupScope::All, 5 * SECOND),
+        Idempotency::WithKey(DedupScope::All, 5 * SECOND),
     ));
     scenario.deployment.slow_start.duration = SECOND;
     scenario.cluster = Cluster {
--- a/crates/scheduler/tests/characterization/scheduler_adapter.rs
+++ b/crates/scheduler/tests/characterization/scheduler_adapter.rs
@@ -7,13 +7,12 @@
     AttemptCompletion, AttemptOutcome, Class, ClientRequest, Decision, Deployment, EndpointEntry,
     Input,
 };
-use crate::types::{
-    DedupScope, IdempotencyKind, ListUpdateKind, Micros, NodeStatus, Plan, StateSizes,
-};
+use crate::types::{DedupScope, Idempotency, ListUpdateKind, Micros, NodeStatus, Plan, StateSizes};
 use io_scheduler::{Action, CompletedAttempt, Event, Outcome, Request, Scheduler};
 use io_scheduler::{ClassIndex, PlanIndex, Units, UnitsPerSecond};
 use io_scheduler::{
-    DeduplicationScope, Idempotency, RequestClass, RetryBudget, Settings, SlowStart,
+    DeduplicationScope, Idempotency as SchedulerIdempotency, RequestClass, RetryBudget, Settings,
+    SlowStart,
 };
 use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, VolumePlan};
 use io_scheduler::{NodeId, ObjectKey, RequestId, Shard, VolumeId, Zone};
@@ -86,21 +85,21 @@
         latency_objective: class.latency_objective,
         priority_weight: class.priority_weight,
         idempotency: match class.idempotency {
-            IdempotencyKind::Idempotent => Idempotency::Idempotent,
-            IdempotencyKind::WithKey(scope, window) => with_key(scope, window),
-            IdempotencyKind::NonIdempotent => Idempotency::NonIdempotent,
+            Idempotency::Idempotent => SchedulerIdempotency::Idempotent,
+            Idempotency::WithKey(scope, window) => with_key(scope, window),
+            Idempotency::NonIdempotent => SchedulerIdempotency::NonIdempotent,
         },
         ordered: class.ordered,
     }
 }
 
-fn with_key(scope: DedupScope, window: Micros) -> Idempotency {
+fn with_key(scope: DedupScope, window: Micros) -> SchedulerIdempotency {
     let scope = match scope {
         DedupScope::All => DeduplicationScope::All,
         DedupScope::Zone => DeduplicationScope::Zone,
         DedupScope::Shard => DeduplicationScope::Shard,
     };
-    Idempotency::WithKey { scope, window }
+    SchedulerIdempotency::WithKey { scope, window }
 }
 
 fn volume_plan(plan: &Plan) -> VolumePlan {
--- a/crates/scheduler/tests/characterization/traffic.rs
+++ b/crates/scheduler/tests/characterization/traffic.rs
@@ -47,7 +47,7 @@
     /// Fraction of requests whose client disconnects before the deadline.
     pub disconnects_per_mille: u64,
     /// Fraction of served or reset attempts whose response starts before the attempt ends.
-    pub early_response_starts_per_mille: u64,
+    pub early_responses_per_mille: u64,
     /// Fraction of attempts that were not served, but close their request.
     pub closing_failures_per_mille: u64,
     /// Time without requests after each third of the requests.
--- a/crates/scheduler/tests/characterization/types.rs
+++ b/crates/scheduler/tests/characterization/types.rs
@@ -13,7 +13,7 @@
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy)]
-pub enum IdempotencyKind {
+pub enum Idempotency {
     /// The request can safely be executed again.
     Idempotent,
     /// The request carries an idempotency key: the nodes of the scope drop duplicates for this time
@@ -42,7 +42,7 @@
     /// Priority weight relative to other classes.
     pub priority_weight: f64,
     /// Whether its requests may be executed more than once.
-    pub idempotency: IdempotencyKind,
+    pub idempotency: Idempotency,
     /// Whether requests with the same key are executed one after another.
     pub ordered: bool,
 }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -104,7 +104,7 @@
 }
 
 /// Returns the event that node 0 served the first attempt of a request.
-pub fn served_at_node_0(request: u64, elapsed: Micros) -> Event {
+pub fn served(request: u64, elapsed: Micros) -> Event {
     attempt_completed(request, 0, 0, Outcome::Served, elapsed)
 }
 
--- a/crates/scheduler/tests/concurrency_limit.rs
+++ b/crates/scheduler/tests/concurrency_limit.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    attempt, default_settings, dispatched_attempts, dispatched_requests, served_at_node_0,
-    volume_plan, SchedulerHarness, MILLISECOND, SECOND,
+    attempt, default_settings, dispatched_attempts, dispatched_requests, served, volume_plan,
+    SchedulerHarness, MILLISECOND, SECOND,
 };
 use io_scheduler::{Event, Micros, Request, Units, UnitsPerSecond, VolumeId};
 
@@ -32,11 +32,8 @@
     }
 }
 
-fn all_served_at_node_0(requests: &[u64], latency: Micros) -> Vec<Event> {
-    requests
-        .iter()
-        .map(|id| served_at_node_0(*id, latency))
-        .collect()
+fn all_served(requests: &[u64], latency: Micros) -> Vec<Event> {
+    requests.iter().map(|id| served(*id, latency)).collect()
 }
 
 /// Sends requests in 40 rounds, in which node 0 responds with this latency. Returns how many
@@ -47,10 +44,9 @@
         let attempts = harness.occupy_node_0(6);
         in_flight = attempts.len();
         harness.now += 2 * SECOND;
-        let following =
-            dispatched_requests(&harness.handle(&all_served_at_node_0(&attempts, latency)));
+        let following = dispatched_requests(&harness.handle(&all_served(&attempts, latency)));
         harness.now += 59 * SECOND;
-        harness.handle(&all_served_at_node_0(&following, latency));
+        harness.handle(&all_served(&following, latency));
         harness.now += 2 * SECOND;
         harness.fire_timer_at(harness.now);
     }
@@ -73,7 +69,7 @@
     let mut harness = SchedulerHarness::new(settings, 1);
     let request = harness.request(Some(0));
     harness.receive(request);
-    harness.handle_at(SECOND, &[served_at_node_0(0, SECOND)]);
+    harness.handle_at(SECOND, &[served(0, SECOND)]);
     let request = harness.request(Some(0));
     let actions = harness.handle_at(SECOND + MILLISECOND, &[Event::RequestReceived(request)]);
     assert!(
@@ -106,12 +102,12 @@
                 dispatched_attempts(&harness.receive(request)),
                 [attempt(id, 0)]
             );
-            harness.handle_at(harness.now + latency, &[served_at_node_0(id, latency)]);
+            harness.handle_at(harness.now + latency, &[served(id, latency)]);
             harness.now += 2 * SECOND;
         }
         let request = harness.request(Some(0));
         harness.receive(request);
-        harness.handle_at(harness.now + latency, &[served_at_node_0(4, latency)]);
+        harness.handle_at(harness.now + latency, &[served(4, latency)]);
         harness.now += 700 * MILLISECOND;
         let request = harness.request_of_volume(1, 1, harness.now + 20 * SECOND);
         let attempts = dispatched_attempts(&harness.receive(request));
@@ -143,7 +139,7 @@
         }
     }
     let waited = harness.now - received_at;
-    harness.handle_at(harness.now + LATENCY, &[served_at_node_0(id, LATENCY)]);
+    harness.handle_at(harness.now + LATENCY, &[served(id, LATENCY)]);
     waited
 }
 
--- a/crates/scheduler/tests/deadlines.rs
+++ b/crates/scheduler/tests/deadlines.rs
@@ -4,7 +4,7 @@
 
 use common::{
     attempt, attempt_completed, default_settings, dispatched_attempts, failed_requests,
-    rejected_requests, served_at_node_0, volume_plan, SchedulerHarness, MILLISECOND, SECOND,
+    rejected_requests, served, volume_plan, SchedulerHarness, MILLISECOND, SECOND,
 };
 use io_scheduler::{Action, Event, ObjectKey, Outcome};
 
@@ -57,7 +57,7 @@
         );
         harness.handle_at(
             harness.now + 100 * MILLISECOND,
-            &[served_at_node_0(id, 100 * MILLISECOND)],
+            &[served(id, 100 * MILLISECOND)],
         );
     }
     for (remaining, expected_attempts) in [(60 * MILLISECOND, 0), (400 * MILLISECOND, 1)] {
@@ -109,6 +109,6 @@
     let retry = request_for_key(&mut harness, 1);
     let new_request = request_for_key(&mut harness, 2);
     harness.handle(&[retry, new_request]);
-    let actions = harness.handle_at(601 * MILLISECOND, &[served_at_node_0(0, MILLISECOND)]);
+    let actions = harness.handle_at(601 * MILLISECOND, &[served(0, MILLISECOND)]);
     assert_eq!(dispatched_attempts(&actions), [attempt(7, 0)]);
 }
--- a/crates/scheduler/tests/dmclock.rs
+++ b/crates/scheduler/tests/dmclock.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    default_settings, dispatched_requests, served_at_node_0, volume_plan, SchedulerHarness,
-    MILLISECOND, SECOND,
+    default_settings, dispatched_requests, served, volume_plan, SchedulerHarness, MILLISECOND,
+    SECOND,
 };
 use io_scheduler::{Event, Micros, Settings, Units};
 
@@ -28,7 +28,7 @@
     while order.len() < count && !in_flight.is_empty() {
         let completed = in_flight.remove(0);
         let now = harness.now + interval;
-        let actions = harness.handle_at(now, &[served_at_node_0(completed, MILLISECOND)]);
+        let actions = harness.handle_at(now, &[served(completed, MILLISECOND)]);
         for request in dispatched_requests(&actions) {
             in_flight.push(request);
             order.push(request);
@@ -64,7 +64,7 @@
         .count();
     assert!(
         (8..=10).contains(&heavy_count),
-        "volume with weight 3 against 1 got {heavy_count} of 12 dispatches"
+        "volume with weight 3 against 1 got {heavy_count} of 12 dispatches, not about 9"
     );
 }
 
@@ -104,7 +104,7 @@
 
 /// Returns the event that node 0 served the first attempt of a request and reported remote units.
 fn served_with_remote_units(request: u64, remote_units: f64) -> Event {
-    let mut completion = served_at_node_0(request, MILLISECOND);
+    let mut completion = served(request, MILLISECOND);
     if let Event::AttemptCompleted(attempt) = &mut completion {
         attempt.remote_units = Units(remote_units);
     }
@@ -129,16 +129,13 @@
     harness.handle_at(
         MILLISECOND,
         &[
-            served_at_node_0(in_flight[0], MILLISECOND),
-            served_at_node_0(in_flight[1], MILLISECOND),
+            served(in_flight[0], MILLISECOND),
+            served(in_flight[1], MILLISECOND),
         ],
     );
     harness.handle_at(
         2 * MILLISECOND,
-        &[
-            served_with_remote_units(5, 8.0),
-            served_at_node_0(6, MILLISECOND),
-        ],
+        &[served_with_remote_units(5, 8.0), served(6, MILLISECOND)],
     );
     let additional = harness.occupy_node_0(2);
     assert_eq!(additional.len(), 2);
@@ -183,7 +180,7 @@
         }
         for id in dispatched_requests(&harness.handle(&events)) {
             dispatched_units += 1.0;
-            harness.handle(&[served_at_node_0(id, MILLISECOND)]);
+            harness.handle(&[served(id, MILLISECOND)]);
         }
         assert!(
             dispatched_units <= 5.0 * elapsed_ms as f64 / 1e3 + 1e-6,
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    default_settings, delta, dispatched_attempts, dispatched_requests, endpoint, served_at_node_0,
-    snapshot, volume_plan, SchedulerHarness, MILLISECOND, SECOND,
+    default_settings, delta, dispatched_attempts, dispatched_requests, endpoint, served, snapshot,
+    volume_plan, SchedulerHarness, MILLISECOND, SECOND,
 };
 use io_scheduler::{
     EndpointStatus, Event, Micros, PlanIndex, Request, RequestId, Settings, Units, UnitsPerSecond,
@@ -158,7 +158,7 @@
                 |attempt: &InFlightAttempt| attempt.completes_at <= now && attempt.host == host;
             let mut events = Vec::new();
             for attempt in self.in_flight.iter().filter(|attempt| is_due(attempt)) {
-                events.push(served_at_node_0(attempt.request, self.load.response_time));
+                events.push(served(attempt.request, self.load.response_time));
             }
             self.in_flight.retain(|attempt| !is_due(attempt));
             events.push(Event::TimerFired);
@@ -300,7 +300,7 @@
         count += u32::from(is_dispatched);
         harness.now += MILLISECOND;
         let completion = if is_dispatched {
-            served_at_node_0(id, MILLISECOND)
+            served(id, MILLISECOND)
         } else {
             Event::ClientDisconnected(RequestId(id))
         };
@@ -360,7 +360,7 @@
         let actions = harness.handle_at(now, &[Event::RequestReceived(request)]);
         for id in dispatched_requests(&actions) {
             dispatched += 1;
-            harness.handle(&[served_at_node_0(id, MILLISECOND)]);
+            harness.handle(&[served(id, MILLISECOND)]);
         }
     }
     dispatched
--- a/crates/scheduler/tests/zero_values.rs
+++ b/crates/scheduler/tests/zero_values.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    attempt, default_settings, dispatched_attempts, served_at_node_0, volume_plan,
-    SchedulerHarness, MILLISECOND,
+    attempt, default_settings, dispatched_attempts, served, volume_plan, SchedulerHarness,
+    MILLISECOND,
 };
 use io_scheduler::{Event, Request, Units};
 
@@ -29,7 +29,7 @@
         let now = harness.now + MILLISECOND;
         let actions = harness.handle_at(now, &[Event::RequestReceived(request)]);
         assert_eq!(dispatched_attempts(&actions), [attempt(id, 0)]);
-        let mut completion = served_at_node_0(id, 0);
+        let mut completion = served(id, 0);
         if let Event::AttemptCompleted(attempt) = &mut completion {
             attempt.utilization = Some(0.0);
         }
