--- a/crates/scheduler/tests/characterization/scenarios.rs
+++ b/crates/scheduler/tests/characterization/scenarios.rs
@@ -147,7 +147,7 @@
             duration: 8 * SECOND,
             window: SECOND,
             burst_factor: 3.0,
-            units: 20.0,
+            initial_units_per_window: 20.0,
         },
         quiesce_period: 0,
         retry_budget: None,
@@ -155,7 +155,7 @@
         max_units: 6.0,
         usage_report_period: 0,
         reports_remote_units: false,
-        within_share_value: 0.35,
+        provisioned_value: 0.35,
         surplus_value: 0.1,
     }
 }
@@ -240,7 +240,7 @@
         plan(0.0, 2.0, 0.0, 5.0),
         plan(0.0, 1.0, 0.0, 200.0),
     ];
-    scenario.deployment.slow_start.units = 30.0;
+    scenario.deployment.slow_start.initial_units_per_window = 30.0;
     scenario.cluster = Cluster {
         start_times_known: true,
         ..cluster_with_faults(10 * MILLISECOND, 5)
@@ -499,7 +499,7 @@
             duration: 3 * SECOND,
             window: 0,
             burst_factor: 0.0,
-            units: 0.0,
+            initial_units_per_window: 0.0,
         },
         quiesce_period: 0,
         retry_budget: Some(RetryBudget {
@@ -511,7 +511,7 @@
         max_units: 0.0,
         usage_report_period: 0,
         reports_remote_units: false,
-        within_share_value: 0.0,
+        provisioned_value: 0.0,
         surplus_value: 0.0,
     };
     scenario.discovery = Discovery::Watched { mean: 3 * SECOND };
--- a/crates/scheduler/tests/characterization/scheduler_adapter.rs
+++ b/crates/scheduler/tests/characterization/scheduler_adapter.rs
@@ -53,7 +53,7 @@
     Settings {
         classes: deployment.classes.iter().map(request_class).collect(),
         plans: deployment.plans.iter().map(volume_plan).collect(),
-        hosts: deployment.host_count,
+        host_count: deployment.host_count,
         max_attempts: deployment.max_attempts,
         cancellation_allowed: deployment.cancellation_allowed,
         discovery_clients: deployment.discovery_clients,
@@ -63,7 +63,7 @@
             duration: deployment.slow_start.duration,
             window: deployment.slow_start.window,
             burst_factor: deployment.slow_start.burst_factor,
-            units: Units(deployment.slow_start.units),
+            initial_units_per_window: Units(deployment.slow_start.initial_units_per_window),
         },
         quiesce_period: deployment.quiesce_period,
         retry_budget: deployment.retry_budget.map(|budget| RetryBudget {
@@ -75,7 +75,7 @@
         max_units: Units(deployment.max_units),
         usage_report_period: deployment.usage_report_period,
         reports_remote_units: deployment.reports_remote_units,
-        within_share_value: deployment.within_share_value,
+        provisioned_value: deployment.provisioned_value,
         surplus_value: deployment.surplus_value,
     }
 }
@@ -158,7 +158,7 @@
         key: client_request.key.map(ObjectKey),
         shard: client_request.shard.map(Shard),
         units: Units(client_request.units),
-        hosts: client_request.host_count,
+        host_count: client_request.host_count,
         deadline: client_request.deadline,
     }
 }
--- a/crates/scheduler/tests/characterization/types.rs
+++ b/crates/scheduler/tests/characterization/types.rs
@@ -85,7 +85,7 @@
     /// Burst that a node can handle within a window, as a multiple of its capacity.
     pub burst_factor: f64,
     /// Units that a node can serve within a window when its process starts.
-    pub units: f64,
+    pub initial_units_per_window: f64,
 }
 
 /// Settings of a deployment.
@@ -120,7 +120,7 @@
     /// Whether responses report the units served through other hosts.
     pub reports_remote_units: bool,
     /// Value of units within the provisioned rate, relative to reserved units.
-    pub within_share_value: f64,
+    pub provisioned_value: f64,
     /// Value of units beyond the provisioned rate, relative to reserved units.
     pub surplus_value: f64,
 }
--- a/crates/scheduler/tests/concurrency_limit.rs
+++ b/crates/scheduler/tests/concurrency_limit.rs
@@ -11,11 +11,11 @@
 
 #[test]
 fn concurrency_limit_starts_at_one_and_rises_with_fast_responses() {
-    for (hosts, has_fast_responses, expected_in_flight) in
+    for (host_count, has_fast_responses, expected_in_flight) in
         [(3, false, 1), (200, false, 1), (3, true, 5), (200, true, 5)]
     {
         let mut settings = default_settings();
-        settings.hosts = hosts;
+        settings.host_count = host_count;
         let mut harness = SchedulerHarness::new(settings, 1);
         if has_fast_responses {
             harness.raise_concurrency_limit(0);
@@ -27,7 +27,7 @@
         let attempts = dispatched_attempts(&harness.handle(&events)).len();
         assert_eq!(
             attempts, expected_in_flight,
-            "{hosts} hosts, fast responses: {has_fast_responses}"
+            "{host_count} hosts, fast responses: {has_fast_responses}"
         );
     }
 }
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -121,7 +121,7 @@
     duration: Micros,
 ) -> PollingResult {
     let mut settings = default_settings();
-    settings.hosts = host_count;
+    settings.host_count = host_count;
     settings.discovery_clients = host_count;
     let mut hosts = Vec::new();
     for seed in 1..=u64::from(host_count) {
--- a/crates/scheduler/tests/dmclock.rs
+++ b/crates/scheduler/tests/dmclock.rs
@@ -174,7 +174,7 @@
         let mut events = vec![Event::TimerFired];
         if elapsed_ms % 20 == 0 {
             let mut request = harness.request(Some(0));
-            request.hosts = 2.0;
+            request.host_count = 2.0;
             request.deadline = harness.now + 60 * SECOND;
             events.push(Event::RequestReceived(request));
         }
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -25,7 +25,7 @@
 /// Number of hosts in a fleet, and the load of their volumes on one node that has just started.
 #[derive(Clone, Copy)]
 struct FleetLoad {
-    hosts: u32,
+    host_count: u32,
     seed: u64,
     /// Provisioned rate of all volumes together, as a fraction of the node's full capacity.
     provisioned_fraction: f64,
@@ -52,11 +52,11 @@
 
     fn settings(&self) -> Settings {
         let mut settings = default_settings();
-        settings.hosts = self.hosts;
+        settings.host_count = self.host_count;
         settings.slow_start.duration = SLOW_START_DURATION;
         settings.slow_start.initial_capacity = INITIAL_CAPACITY;
         settings.slow_start.burst_factor = 3.0;
-        settings.slow_start.units =
+        settings.slow_start.initial_units_per_window =
             Units(FULL_CAPACITY * INITIAL_CAPACITY * settings.slow_start.burst_factor);
         let provisioned_rate = self.provisioned_rate();
         settings.plans = vec![VolumePlan {
@@ -80,7 +80,7 @@
         SlowStartRun {
             load: self,
             dispatched_at: fleet.dispatched_at,
-            slow_start_units: settings.slow_start.units.0,
+            initial_units_per_window: settings.slow_start.initial_units_per_window.0,
         }
     }
 }
@@ -102,7 +102,7 @@
 impl Fleet {
     fn new(load: FleetLoad, settings: &Settings) -> Fleet {
         let mut hosts = Vec::new();
-        for number in 0..u64::from(load.hosts) {
+        for number in 0..u64::from(load.host_count) {
             let mut host =
                 SchedulerHarness::with_seed(settings.clone(), 0, load.seed * 1_000 + number);
             host.now = NODE_STARTED_AT;
@@ -144,7 +144,7 @@
         Request {
             id: RequestId(request.id.0 * VOLUMES + volume),
             volume: VolumeId(volume),
-            hosts: HOSTS_PER_VOLUME as f64,
+            host_count: HOSTS_PER_VOLUME as f64,
             units: Units(UNITS_PER_REQUEST),
             deadline: now + 2 * SECOND,
             ..request
@@ -185,7 +185,7 @@
     load: FleetLoad,
     /// Times at which requests were dispatched to it, all of the same size.
     dispatched_at: Vec<Micros>,
-    slow_start_units: f64,
+    initial_units_per_window: f64,
 }
 
 impl SlowStartRun {
@@ -206,7 +206,7 @@
                 .iter()
                 .filter(|at| window.contains(*at))
                 .count() as f64;
-            let initial_requests = self.slow_start_units / UNITS_PER_REQUEST;
+            let initial_requests = self.initial_units_per_window / UNITS_PER_REQUEST;
             let allowed = initial_requests * SlowStartRun::capacity(now) / INITIAL_CAPACITY;
             received - (allowed + 2.0 * allowed.sqrt() + 2.0)
         };
@@ -236,7 +236,7 @@
 
 #[test]
 fn fleet_does_not_exceed_the_capacity_of_a_node_during_slow_start() {
-    for (hosts, provisioned_fraction, demand_factor) in [
+    for (host_count, provisioned_fraction, demand_factor) in [
         (1, 1.0, 3.0),
         (4, 0.7, 3.0),
         (30, 1.0, 1.0),
@@ -246,7 +246,7 @@
     ] {
         for (seed, response_time) in [(1, 5 * MILLISECOND), (2, 60 * MILLISECOND)] {
             let load = FleetLoad {
-                hosts,
+                host_count,
                 seed,
                 provisioned_fraction,
                 demand_factor,
@@ -255,7 +255,7 @@
             let excess = load.run().max_excess_requests();
             assert!(
                 excess <= 0.0,
-                "{hosts} hosts, provisioned {provisioned_fraction}, demand {demand_factor}: \
+                "{host_count} hosts, provisioned {provisioned_fraction}, demand {demand_factor}: \
                  {excess} requests too many"
             );
         }
@@ -264,9 +264,9 @@
 
 #[test]
 fn fleet_uses_the_capacity_of_a_node_during_slow_start() {
-    for (hosts, demand_factor) in [(4, 1.0), (30, 1.0), (30, 3.0), (300, 1.0), (300, 3.0)] {
+    for (host_count, demand_factor) in [(4, 1.0), (30, 1.0), (30, 3.0), (300, 1.0), (300, 3.0)] {
         let load = FleetLoad {
-            hosts,
+            host_count,
             seed: 1,
             provisioned_fraction: 0.7,
             demand_factor,
@@ -277,7 +277,7 @@
         let late = node.utilization(4 * SECOND, 10 * SECOND);
         assert!(
             early >= 0.9 && late >= 0.9,
-            "{hosts} hosts, demand {demand_factor}: utilization {early}, then {late}"
+            "{host_count} hosts, demand {demand_factor}: utilization {early}, then {late}"
         );
     }
 }
@@ -373,7 +373,7 @@
     // that it dispatches 1.6 requests of 2.5 units per window on average.
     const REQUESTS_PER_WINDOW: Micros = 6;
     let mut settings = default_settings();
-    settings.hosts = 4;
+    settings.host_count = 4;
     settings.plans[0].provisioned_rate = UnitsPerSecond(4.0);
     let mut in_first_window = 0;
     let mut in_second_window = 0;
--- a/crates/scheduler/tests/zero_values.rs
+++ b/crates/scheduler/tests/zero_values.rs
@@ -16,13 +16,13 @@
     settings.max_units = Units::ZERO;
     settings.slow_start.initial_capacity = 0.0;
     settings.slow_start.duration = 0;
-    settings.slow_start.units = Units::ZERO;
-    settings.hosts = 0;
+    settings.slow_start.initial_units_per_window = Units::ZERO;
+    settings.host_count = 0;
     let mut harness = SchedulerHarness::new(settings, 1);
     for _ in 0..20 {
         let request = Request {
             units: Units::ZERO,
-            hosts: 0.0,
+            host_count: 0.0,
             ..harness.request(Some(0))
         };
         let id = request.id.0;
