--- a/crates/scheduler/tests/characterization/churn.rs
+++ b/crates/scheduler/tests/characterization/churn.rs
@@ -203,7 +203,7 @@
 
 /// Sets the status of a node and returns its entry.
 fn set_status(nodes: &mut Nodes, id: u64, status: NodeStatus) -> EndpointEntry {
-    let node = nodes.get_mut(&id).expect("nodes stay in the model");
+    let node = nodes.get_mut(&id).expect("removed nodes stay in the map");
     node.entry.status = status;
     node.entry
 }
--- a/crates/scheduler/tests/characterization/cluster.rs
+++ b/crates/scheduler/tests/characterization/cluster.rs
@@ -85,7 +85,7 @@
 
 impl Cluster {
     /// Creates the nodes at the start of a run, one for each shard.
-    pub fn nodes(&self, now: Micros) -> Nodes {
+    pub fn initial_nodes(&self, now: Micros) -> Nodes {
         let mut nodes = Nodes::new();
         for id in 0..self.shard_count {
             let started_at = self
--- a/crates/scheduler/tests/characterization/driver.rs
+++ b/crates/scheduler/tests/characterization/driver.rs
@@ -104,7 +104,7 @@
         ends_at: Micros::MAX,
         pending_events: BTreeMap::new(),
         scheduled_count: 0,
-        nodes: scenario.cluster.nodes(start),
+        nodes: scenario.cluster.initial_nodes(start),
         clients: BTreeMap::new(),
         attempts: BTreeMap::new(),
         unsent_requests: scenario.traffic.request_count,
@@ -183,8 +183,8 @@
         self.schedule(after, SimulationEvent::SchedulerInput(input));
     }
 
-    /// Extends the delay until the end of an attempt to the next multiple of the scenario's
-    /// completion granularity, so that several attempts end at the same time.
+    /// Extends the delay until the end of an attempt, so that the attempt ends at a multiple of the
+    /// scenario's completion granularity and several attempts end at the same time.
     fn align_delay(&self, after: Micros) -> Micros {
         let granularity = self.scenario.completion_granularity.max(1);
         let at = self.now + after.max(0);
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -49,9 +49,7 @@
 
 #[test]
 fn new_object_is_retried_at_another_node_only_if_it_was_not_executed() {
-    for (outcome, expected_at_another_node) in
-        [(Outcome::ConnectFailed, true), (Outcome::Error, false)]
-    {
+    for (outcome, expects_other_node) in [(Outcome::ConnectFailed, true), (Outcome::Error, false)] {
         let mut settings = default_settings();
         settings.classes[0].idempotency = Idempotency::WithKey {
             scope: DeduplicationScope::Shard,
@@ -70,17 +68,13 @@
             &[attempt_completed(0, 0, first_node, outcome, MILLISECOND)],
         );
         actions.extend(harness.fire_timer_at(SECOND));
-        let is_at_another_node = dispatched_attempts(&actions)
+        let used_other_node = dispatched_attempts(&actions)
             .iter()
             .any(|attempt| attempt.node != first_node);
-        assert_eq!(is_at_another_node, expected_at_another_node, "{outcome:?}");
+        assert_eq!(used_other_node, expects_other_node, "{outcome:?}");
         assert_eq!(
             failed_requests(&actions),
-            if expected_at_another_node {
-                vec![]
-            } else {
-                vec![0]
-            },
+            if expects_other_node { vec![] } else { vec![0] },
             "{outcome:?}"
         );
     }
