--- a/crates/gateway/tests/gateway_process/harness/cluster.rs
+++ b/crates/gateway/tests/gateway_process/harness/cluster.rs
@@ -1,21 +1,22 @@
-//! The setting of most tests: two storage nodes, discovery with an open watch, and a gateway.
+//! The test environment of most tests: two fake storage nodes, a fake discovery service with an
+//! open watch, and a gateway.
 
 use super::connection::Connection;
-use super::discovery::{delta_chunk, DiscoveryService};
+use super::discovery::{delta_chunk, FakeDiscovery};
 use super::gateway::Gateway;
 use super::log_lines;
-use super::node::StorageNode;
-use super::requests::{read_request, write_request};
+use super::node::FakeStorageNode;
+use super::requests::{encode_read_request, encode_write_request};
 
-/// Two nodes, of shards 0 and 1, and a gateway that has received the list of both.
+/// A gateway that has received an endpoint list of two nodes, one for shard 0 and one for shard 1.
 pub struct TestCluster {
-    /// The node of shard 0.
-    pub node_a: StorageNode,
-    /// The node of shard 1.
-    pub node_b: StorageNode,
-    /// The discovery service that the gateway was started with.
-    pub discovery: DiscoveryService,
-    /// The open watch; its last event had index 2.
+    /// The node that stores shard 0.
+    pub node_a: FakeStorageNode,
+    /// The node that stores shard 1.
+    pub node_b: FakeStorageNode,
+    /// The discovery service that the gateway was configured with at its start.
+    pub discovery: FakeDiscovery,
+    /// The open watch; its last message had index 2.
     pub watch: Connection,
     /// The gateway under test.
     pub gateway: Gateway,
@@ -23,33 +24,34 @@
 
 /// A read that the gateway has forwarded to node A.
 ///
-/// A gateway sends one request at a time to a node of which it has measured nothing yet: a further
-/// request for node A waits until this one is answered.
-pub struct InFlightRead {
-    /// The client's end of its connection.
+/// The gateway sends one request at a time to a node that it has not measured yet: further requests
+/// for node A wait until the node has responded to this one.
+pub struct ForwardedRead {
+    /// The client's connection to the gateway.
     pub client: Connection,
-    /// The node's end of the connection that carries the read.
+    /// The gateway's connection to node A on which the read was sent.
     pub node: Connection,
 }
 
-impl InFlightRead {
-    /// The node responds, and the client gets its value.
+impl ForwardedRead {
+    /// Responds as the node, and checks that the client receives the value.
     #[track_caller]
     pub fn complete(&mut self, value: &str) {
         self.node.respond(value);
         self.client.expect_value(value);
     }
 
-    /// The node responds, the client gets its value, and the gateway closes the client's
-    /// connection.
+    /// Responds as the node, and checks that the client receives the value and that the gateway
+    /// then closes the client's connection.
     #[track_caller]
-    pub fn complete_and_expect_close(&mut self, value: &str) {
+    pub fn complete_and_expect_client_close(&mut self, value: &str) {
         self.node.respond(value);
-        self.client.expect_last_value(value);
+        self.client.expect_value_and_close(value);
     }
 }
 
-/// The node receives the client's request next, and responds; the client gets the value.
+/// Checks that the node's next request is the one with this id, responds to it, and checks that the
+/// client receives the value.
 #[track_caller]
 pub fn serve_request(node: &mut Connection, client: &mut Connection, id: &str, value: &str) {
     node.expect_request(id);
@@ -58,26 +60,27 @@
 }
 
 impl TestCluster {
-    /// Starts the gateway on the default settings.
+    /// Starts a cluster with the default configuration.
     pub fn start() -> Self {
         Self::start_with(str::to_owned)
     }
 
-    /// Starts the gateway on settings that `edit_config` changes.
+    /// Starts a cluster whose gateway configuration is changed by `edit_config`.
     pub fn start_with(edit_config: impl Fn(&str) -> String) -> Self {
-        let node_a = StorageNode::new("a", 0);
-        let node_b = StorageNode::new("b", 1);
-        let discovery = DiscoveryService::new();
+        let node_a = FakeStorageNode::new("a", 0);
+        let node_b = FakeStorageNode::new("b", 1);
+        let discovery = FakeDiscovery::new();
         let gateway = Gateway::start(&[&node_a, &node_b], &discovery, edit_config);
         let list = [node_a.in_service(), node_b.in_service()];
-        Self::with_list(node_a, node_b, discovery, gateway, &list)
+        Self::with_initial_list(node_a, node_b, discovery, gateway, &list)
     }
 
-    /// Sends the gateway its first list on a watch, and waits until it has received it.
-    fn with_list(
-        node_a: StorageNode,
-        node_b: StorageNode,
-        discovery: DiscoveryService,
+    /// Accepts the first watch, sends the endpoint list on it and waits until the gateway has
+    /// received it.
+    fn with_initial_list(
+        node_a: FakeStorageNode,
+        node_b: FakeStorageNode,
+        discovery: FakeDiscovery,
         gateway: Gateway,
         list: &[String; 2],
     ) -> Self {
@@ -88,72 +91,75 @@
             discovery,
             gateway,
         };
-        cluster.wait_for_list_of_both_nodes();
+        cluster.wait_for_update_of_two_endpoints();
         cluster
     }
 
-    /// Starts the gateway on cached endpoints while discovery refuses connections, lets
-    /// `meanwhile` happen, and brings discovery back with a list in which node B drains.
-    pub fn start_before_discovery<T>(
+    /// Starts the gateway with cached endpoints while discovery refuses connections, and calls
+    /// `while_down`. Discovery then listens again and sends a list in which node B is draining.
+    pub fn start_while_discovery_is_down<T>(
         edit_config: impl Fn(&str) -> String,
-        meanwhile: impl FnOnce(&Gateway) -> T,
+        while_down: impl FnOnce(&Gateway) -> T,
     ) -> (Self, T) {
-        let node_a = StorageNode::new("a", 0);
-        let node_b = StorageNode::new("b", 1);
-        let mut discovery = DiscoveryService::new_stopped();
+        let node_a = FakeStorageNode::new("a", 0);
+        let node_b = FakeStorageNode::new("b", 1);
+        let mut discovery = FakeDiscovery::new_stopped();
         let mut gateway = Gateway::start(&[&node_a, &node_b], &discovery, edit_config);
         gateway.wait_for_log(log_lines::CONNECTION_REFUSED);
-        let result = meanwhile(&gateway);
+        let result = while_down(&gateway);
         discovery.listen_again();
         let list = [node_a.in_service(), node_b.terminating()];
-        let cluster = Self::with_list(node_a, node_b, discovery, gateway, &list);
+        let cluster = Self::with_initial_list(node_a, node_b, discovery, gateway, &list);
         (cluster, result)
     }
 
-    /// List entries of both nodes in service.
-    pub fn both_in_service(&self) -> [String; 2] {
+    /// Endpoint list entries with both nodes in service.
+    pub fn both_nodes_in_service(&self) -> [String; 2] {
         [self.node_a.in_service(), self.node_b.in_service()]
     }
 
-    /// List entries of node A in service and node B draining.
-    pub fn node_b_draining(&self) -> [String; 2] {
+    /// Endpoint list entries with node A in service and node B draining.
+    pub fn entries_with_node_b_draining(&self) -> [String; 2] {
         [self.node_a.in_service(), self.node_b.terminating()]
     }
 
-    /// Waits until the gateway has received a list or a change of two endpoints.
+    /// Waits until the gateway has logged a snapshot or a delta with two endpoints.
     #[track_caller]
-    pub fn wait_for_list_of_both_nodes(&mut self) {
+    pub fn wait_for_update_of_two_endpoints(&mut self) {
         self.gateway.wait_for_log(log_lines::RECEIVED_TWO_ENDPOINTS);
     }
 
-    /// A client sends a read, and the gateway forwards it to node A.
+    /// Sends a read from a new client, and waits until the gateway has forwarded it to node A.
     #[track_caller]
-    pub fn start_read(&self, id: &str) -> InFlightRead {
-        let client = self.gateway.connect_and_send(read_request(id));
+    pub fn start_read(&self, id: &str) -> ForwardedRead {
+        let client = self.gateway.connect_and_send(encode_read_request(id));
         let node = self.node_a.accept_request(id);
-        InFlightRead { client, node }
+        ForwardedRead { client, node }
     }
 
-    /// Sends a change on the open watch and waits until the gateway has processed it.
+    /// Sends a delta on the open watch and waits until the gateway has processed it.
     pub fn send_delta(&mut self, index: u64, entries: &[String]) {
         self.watch.send(delta_chunk(index, entries));
         self.gateway.wait_until_input_is_processed();
     }
 
-    /// Discovery says that node B drains, and the gateway has processed it.
+    /// Reports node B as draining and waits until the gateway has processed it.
     pub fn drain_node_b(&mut self) {
         self.send_delta(3, &[self.node_b.terminating()]);
     }
 
-    /// Writes a new object while node A is busy with the read. The gateway would choose the idle
-    /// node B; if that one drains, the write waits for node A. Completes both requests.
+    /// Writes a new object while node A is still processing `read`, and checks that the write waits
+    /// for node A. Any node may store a new object: if node B were not draining, the gateway would
+    /// send the write to it, because it is idle. Completes both requests.
     #[track_caller]
-    pub fn expect_new_object_avoids_node_b(&self, read: InFlightRead) {
-        let InFlightRead {
+    pub fn expect_write_goes_to_node_a(&self, read: ForwardedRead) {
+        let ForwardedRead {
             client: mut reader,
             mut node,
         } = read;
-        let mut writer = self.gateway.connect_and_send_at_once(write_request("w1"));
+        let mut writer = self
+            .gateway
+            .connect_and_send_in_one_iteration(encode_write_request("w1"));
         self.gateway.wait_until_input_is_processed();
         node.respond("read");
         reader.expect_value("read");
@@ -161,11 +167,11 @@
         self.node_b.expect_no_further_connection();
     }
 
-    /// A new read is forwarded to node A, and the write of a new object avoids node B, which
-    /// drains.
+    /// Sends a read, which goes to node A, and checks that a new object is not written to node B,
+    /// which is draining.
     #[track_caller]
-    pub fn expect_node_b_drains(&self) {
+    pub fn expect_new_read_and_write_go_to_node_a(&self) {
         let read = self.start_read("a1");
-        self.expect_new_object_avoids_node_b(read);
+        self.expect_write_goes_to_node_a(read);
     }
 }
--- a/crates/gateway/tests/gateway_process/harness/config.rs
+++ b/crates/gateway/tests/gateway_process/harness/config.rs
@@ -3,10 +3,11 @@
 use super::discovery::{endpoint_list, UpdateKind};
 use std::net::SocketAddr;
 
-/// The deployment settings that all tests start from.
+/// The deployment settings of all tests; a test replaces single values.
 pub const SETTINGS: &str = include_str!("../../settings.json");
 
-/// The configuration of a gateway on the platform, with the endpoint list that it has cached.
+/// The configuration file of a gateway on the platform. It contains the cached endpoint list, which
+/// the gateway uses until discovery has sent one.
 pub fn platform_config(discovery: SocketAddr, cached_entries: &[String]) -> String {
     let cached_list = endpoint_list(1, UpdateKind::Snapshot, cached_entries);
     format!(
@@ -22,19 +23,22 @@
     )
 }
 
-/// Replaces a part of a configuration, which must be there.
+/// Replaces text in a configuration; panics if `from` does not occur in it.
 #[track_caller]
 pub fn replace_setting(config: &str, from: &str, to: &str) -> String {
-    assert!(config.contains(from), "the configuration has no {from}");
+    assert!(
+        config.contains(from),
+        "the configuration does not contain {from}"
+    );
     config.replace(from, to)
 }
 
-/// Attempts can't be cancelled once they are at a node.
+/// Disables the cancellation of attempts that a node has received.
 pub fn without_cancellation(config: &str) -> String {
     replace_setting(config, "\"may_cancel\": true", "\"may_cancel\": false")
 }
 
-/// Connections to nodes may take long to be established.
+/// Raises the connect timeout for node connections from 1 s to 8 s.
 pub fn with_long_connect_timeout(config: &str) -> String {
     replace_setting(
         config,
@@ -43,22 +47,23 @@
     )
 }
 
-/// Of the file descriptors, clients may hold 24.
+/// Limits the gateway to 64 sockets, of which clients may hold 24.
 pub fn with_few_sockets(config: &str) -> String {
     replace_setting(config, "\"sockets\":256", "\"sockets\":64")
 }
 
-/// Of the file descriptors, clients may hold 600.
+/// Limits the gateway to 1024 sockets, of which clients may hold 600.
 pub fn with_many_sockets(config: &str) -> String {
     replace_setting(config, "\"sockets\":256", "\"sockets\":1024")
 }
 
-/// The gateway writes its debug log.
+/// Sets the log level to `debug`.
 pub fn with_debug_log(config: &str) -> String {
     replace_setting(config, "\"seed\"", "\"log\":\"debug\",\"seed\"")
 }
 
-/// A node that drains may be sent to for a shorter time.
+/// Shortens the drain grace period, in which the gateway may still send to a draining node, from
+/// 500 ms to 100 ms.
 pub fn with_short_drain_grace(config: &str) -> String {
     replace_setting(
         config,
@@ -67,7 +72,8 @@
     )
 }
 
-/// An agent pushes endpoint lists.
+/// Disables polling of the discovery service: the service sends endpoint lists to the discovery
+/// agent, and the gateway polls the agent.
 pub fn with_pushed_lists(config: &str) -> String {
     replace_setting(config, "subscribe", "automatic")
 }
--- a/crates/gateway/tests/gateway_process/harness/connection.rs
+++ b/crates/gateway/tests/gateway_process/harness/connection.rs
@@ -1,7 +1,7 @@
-//! One end of a TCP connection, held by a test.
+//! A TCP connection between a test and the gateway.
 
-use super::gateway_process::without_spawning;
-use super::requests::value_response;
+use super::gateway_process::with_spawn_lock;
+use super::requests::encode_value_response;
 use super::resp::{decode_value, encode_command};
 use super::TEST_TIMEOUT;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -9,35 +9,39 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// How the other side ended a connection.
+/// How the gateway ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// In order, with a FIN.
+    /// Closed in order, with a FIN.
     Closed,
-    /// With a reset.
+    /// Reset, with an RST.
     Reset,
 }
 
-/// A connection, with the bytes that were received on it and not examined yet.
+/// The test's end of a connection, with the received bytes that are not decoded yet.
 pub struct Connection {
     stream: TcpStream,
     input: Vec<u8>,
 }
 
 impl Connection {
-    /// Connects to a listener.
+    /// Connects to a listening address.
     pub fn connect(address: SocketAddr) -> Self {
-        Self::new(TcpStream::connect(address).expect("the other side listens"))
+        Self::new(TcpStream::connect(address).expect("a listening address"))
     }
 
-    /// Accepts the next connection, which must come in time.
+    /// Accepts the next connection; panics if there is none within [`TEST_TIMEOUT`].
     pub fn accept(listener: &TcpListener) -> Self {
         let mut ready = [PollFd::new(listener, PollFlags::IN)];
         let timeout = Timespec {
             tv_sec: TEST_TIMEOUT.as_secs().cast_signed(),
             tv_nsec: 0,
         };
-        assert_eq!(poll(&mut ready, Some(&timeout)), Ok(1), "nobody connects");
+        assert_eq!(
+            poll(&mut ready, Some(&timeout)),
+            Ok(1),
+            "no connection was opened in time"
+        );
         Self::new(listener.accept().expect("a connection").0)
     }
 
@@ -52,29 +56,29 @@
         }
     }
 
-    /// Sends bytes.
+    /// Sends bytes; panics if the write fails.
     pub fn send(&mut self, bytes: impl AsRef<[u8]>) {
         self.stream
             .write_all(bytes.as_ref())
-            .expect("the other side is connected");
+            .expect("an open connection");
     }
 
-    /// Sends bytes to a side that may have closed the connection.
+    /// Sends bytes, and ignores the error if the gateway has closed the connection.
     pub fn send_after_close(&mut self, bytes: impl AsRef<[u8]>) {
         let _ = self.stream.write_all(bytes.as_ref());
     }
 
-    /// As a client: sends `PING`, which the gateway answers itself.
+    /// As a client: sends `PING`, which the gateway answers without a node.
     pub fn send_ping(&mut self) {
         self.send(encode_command("PING"));
     }
 
-    /// As a node: sends a response with a value.
+    /// As a node: sends a successful response with a value.
     pub fn respond(&mut self, value: &str) {
-        self.send(value_response(value));
+        self.send(encode_value_response(value));
     }
 
-    /// Reads once; says how the connection ended, if it has.
+    /// Reads once; returns how the connection ended, or `None` if bytes were received.
     fn read_once(&mut self) -> Option<ConnectionEnd> {
         let mut bytes = [0; 64 << 10];
         match self.stream.read(&mut bytes) {
@@ -88,18 +92,18 @@
         }
     }
 
-    /// Reads more, which must come.
+    /// Reads at least one byte; panics if the connection has ended.
     fn read_more(&mut self) {
         let end = self.read_once();
         assert_eq!(
             end,
             None,
-            "the connection ended with {}",
+            "the connection ended; undecoded input: {}",
             self.input.escape_ascii()
         );
     }
 
-    /// Waits for one RESP value (see [`decode_value`] for its form).
+    /// Waits for one complete RESP2 value and returns it as text (see [`decode_value`]).
     pub fn receive_value(&mut self) -> String {
         loop {
             let mut position = 0;
@@ -111,58 +115,58 @@
         }
     }
 
-    /// Waits for the head of an HTTP request; returns its first line.
+    /// Waits for the head of an HTTP request and returns the request line.
     pub fn receive_request_line(&mut self) -> String {
         loop {
             if let Some(end) = self.input.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
                 let head: Vec<u8> = self.input.drain(..end + 4).collect();
-                let head = String::from_utf8(head).expect("text");
+                let head = String::from_utf8(head).expect("a request in UTF-8");
                 return head.lines().next().unwrap_or_default().to_owned();
             }
             self.read_more();
         }
     }
 
-    /// As a client: the next value is this one.
+    /// As a client: checks that the next value is this one.
     #[track_caller]
     pub fn expect_value(&mut self, value: &str) {
         assert_eq!(self.receive_value(), value);
     }
 
-    /// As a client: the next value is the answer to `PING`.
+    /// As a client: checks that the next value is the answer to `PING`.
     #[track_caller]
     pub fn expect_pong(&mut self) {
         self.expect_value("+PONG");
     }
 
-    /// As a client: the request is rejected.
+    /// As a client: checks that the request is rejected with a `BUSY` error.
     #[track_caller]
     pub fn expect_busy(&mut self) {
         let value = self.receive_value();
         assert!(
             value.starts_with("-BUSY"),
-            "the request is rejected: {value}"
+            "expected a BUSY error, received: {value}"
         );
     }
 
-    /// As a node: the next request is the client's with this id.
+    /// As a node: checks that the next request has this id, and returns it.
     #[track_caller]
     pub fn expect_request(&mut self, id: &str) -> String {
         let request = self.receive_value();
         assert!(
             request.contains(&format!(" {id} ")),
-            "the request {id} is forwarded next: {request}"
+            "expected the request {id}, received: {request}"
         );
         request
     }
 
-    /// Waits for the end of the connection, before which nothing more may be received; returns how
-    /// it ended.
-    pub fn wait_for_end(&mut self) -> ConnectionEnd {
+    /// Waits until the gateway ends the connection and returns how. Panics if anything is received
+    /// before that.
+    pub fn wait_for_close(&mut self) -> ConnectionEnd {
         loop {
             assert!(
                 self.input.is_empty(),
-                "received: {}",
+                "received before the end of the connection: {}",
                 self.input.escape_ascii()
             );
             if let Some(end) = self.read_once() {
@@ -171,28 +175,30 @@
         }
     }
 
-    /// The other side closes the connection in order and sends nothing more before.
+    /// Checks that the gateway closes the connection with a FIN and sends nothing before it.
     #[track_caller]
     pub fn expect_closed(&mut self) {
-        assert_eq!(self.wait_for_end(), ConnectionEnd::Closed);
+        assert_eq!(self.wait_for_close(), ConnectionEnd::Closed);
     }
 
-    /// As a client: the next value is this one, and the gateway closes the connection after it.
+    /// As a client: checks that the next value is this one and that the gateway then closes the
+    /// connection.
     #[track_caller]
-    pub fn expect_last_value(&mut self, value: &str) {
+    pub fn expect_value_and_close(&mut self, value: &str) {
         self.expect_value(value);
         self.expect_closed();
     }
 
-    /// Closes the connection in order.
+    /// Closes the connection with a FIN.
     pub fn close(self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Ends the connection with a reset, which has been sent when this returns.
+    /// Resets the connection. The RST has been sent when this returns, because no child process
+    /// holds a copy of the socket.
     pub fn reset(self) {
         rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO))
             .expect("a socket option");
-        without_spawning(|| drop(self));
+        with_spawn_lock(|| drop(self));
     }
 }
--- a/crates/gateway/tests/gateway_process/harness/discovery.rs
+++ b/crates/gateway/tests/gateway_process/harness/discovery.rs
@@ -1,29 +1,29 @@
-//! A stand-in discovery service, and the messages that it sends.
+//! A fake discovery service, and the encoding of its messages.
 
 use super::connection::Connection;
 use std::net::{SocketAddr, TcpListener};
 
-/// The head of a response to a watch.
+/// The head of the HTTP response to a watch request.
 pub const CHUNKED_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// One chunk of a response in chunked transfer encoding.
+/// Encodes text as one chunk of a response with chunked transfer encoding.
 pub fn encode_chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// What an endpoint list says of one storage node.
+/// The entry of one storage node in an endpoint list.
 pub struct EndpointEntry<'a> {
     /// The node's name.
     pub name: &'a str,
-    /// Where it listens.
+    /// The address on which the node listens.
     pub address: SocketAddr,
-    /// The shard that it stores.
+    /// The shard that the node stores.
     pub shard: u64,
     /// `in_service`, `terminating` or `terminated`.
     pub status: &'a str,
 }
 
-/// An entry as JSON.
+/// Encodes an entry as JSON.
 pub fn endpoint_entry(entry: &EndpointEntry) -> String {
     let EndpointEntry {
         name,
@@ -31,21 +31,21 @@
         shard,
         status,
     } = entry;
-    // A message of a watch is one line, so an entry has no line break.
+    // A watch message is a single line, so an entry contains no line break.
     let place = format!(r#""address":"{address}","zone":"a","group":{shard}"#);
     format!(r#"{{"name":"{name}",{place},"status":"{status}","since_ms":0}}"#)
 }
 
-/// Whether a message carries all endpoints or only changed ones.
+/// The kind of a watch message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// The whole list.
+    /// All endpoints.
     Snapshot,
-    /// The entries that changed.
+    /// Only the changed endpoints.
     Delta,
 }
 
-/// An endpoint list, or changes to one, as JSON.
+/// Encodes a snapshot or a delta of the endpoint list as JSON.
 pub fn endpoint_list(index: u64, kind: UpdateKind, entries: &[String]) -> String {
     let snapshot = kind == UpdateKind::Snapshot;
     format!(
@@ -54,67 +54,68 @@
     )
 }
 
-/// A message of a watch: a list or a change as one line.
+/// Encodes a watch message: a snapshot or a delta as one line.
 pub fn watch_event(index: u64, kind: UpdateKind, entries: &[String]) -> String {
     endpoint_list(index, kind, entries) + "\n"
 }
 
-/// A change as it is sent on an open watch.
+/// Encodes a delta as a chunk of an open watch.
 pub fn delta_chunk(index: u64, entries: &[String]) -> String {
     encode_chunk(&watch_event(index, UpdateKind::Delta, entries))
 }
 
-/// A watch that the gateway has just opened.
+/// A watch that the test has accepted from the gateway.
 pub struct OpenedWatch {
-    /// Its connection.
+    /// The connection of the watch.
     pub connection: Connection,
-    /// The first line of its request.
+    /// The request line of the watch request.
     pub request_line: String,
 }
 
-/// A discovery service, which listens except between [`Self::stop_listening`] and
-/// [`Self::listen_again`].
-pub struct DiscoveryService {
+/// A fake discovery service. Between [`Self::stop_listening`] and [`Self::listen_again`] it refuses
+/// connections.
+pub struct FakeDiscovery {
     listener: Option<TcpListener>,
     address: SocketAddr,
 }
 
-impl DiscoveryService {
-    /// Listens at a free port.
+impl FakeDiscovery {
+    /// Starts a service that listens on a free port.
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("it listens");
+        let address = listener.local_addr().expect("a listening service");
         Self {
             listener: Some(listener),
             address,
         }
     }
 
-    /// A service that refuses connections until [`Self::listen_again`].
+    /// Creates a service that refuses connections until [`Self::listen_again`].
     pub fn new_stopped() -> Self {
         let mut service = Self::new();
         service.stop_listening();
         service
     }
 
-    /// Where it listens.
+    /// The address on which the service listens; it stays the same while it refuses connections.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Refuses connections from now on.
+    /// Closes the listener: new connections are refused.
     pub fn stop_listening(&mut self) {
         self.listener = None;
     }
 
-    /// Accepts connections again, at the same address.
+    /// Listens again on the same address.
     pub fn listen_again(&mut self) {
-        self.listener = Some(TcpListener::bind(self.address).expect("its own port"));
+        self.listener = Some(TcpListener::bind(self.address).expect("the former port is free"));
     }
 
-    /// Accepts the next watch.
+    /// Accepts the next watch and reads its request.
     pub fn accept_watch(&self) -> OpenedWatch {
-        let mut connection = Connection::accept(self.listener.as_ref().expect("it listens"));
+        let mut connection =
+            Connection::accept(self.listener.as_ref().expect("a listening service"));
         let request_line = connection.receive_request_line();
         OpenedWatch {
             connection,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Accepts the next watch, which must ask for the events after this index.
+    /// Accepts the next watch and checks that it asks for the messages after this index.
     #[track_caller]
     pub fn accept_watch_from(&self, index: u64) -> Connection {
         let OpenedWatch {
@@ -134,7 +135,7 @@
         connection
     }
 
-    /// Accepts the next watch and sends the whole list on it.
+    /// Accepts the next watch and sends a snapshot on it.
     pub fn accept_watch_and_send(&self, index: u64, entries: &[String]) -> Connection {
         let mut connection = self.accept_watch().connection;
         let list = watch_event(index, UpdateKind::Snapshot, entries);
--- a/crates/gateway/tests/gateway_process/harness/gateway.rs
+++ b/crates/gateway/tests/gateway_process/harness/gateway.rs
@@ -1,31 +1,31 @@
-//! A gateway on the platform's configuration, with what tests do to it.
+//! A gateway process with a platform configuration, and its connections, signals and reloads.
 
 use super::config::{platform_config, replace_setting};
 use super::connection::Connection;
-use super::discovery::DiscoveryService;
+use super::discovery::FakeDiscovery;
 use super::gateway_process::{GatewayProcess, GATEWAY_PROGRAM};
 use super::log_lines;
-use super::node::StorageNode;
+use super::node::FakeStorageNode;
 use super::resp::encode_command;
 use super::test_directory::TestDirectory;
 use rustix::process::Signal;
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
 
-/// The gateway reads this many bytes at once from a socket.
-pub const READ_SIZE: usize = 16 << 10;
-/// The configuration file in the gateway's directory.
+/// The gateway reads at most this many bytes from a socket at once.
+pub const READ_CHUNK_BYTES: usize = 16 << 10;
+/// The name of the configuration file.
 const CONFIG_FILE: &str = "config.json";
-/// Clients that fill one iteration of the event loop if all of them have sent something: it
-/// handles 256 ready connections, and some more make sure that none of the first overtakes the
-/// last.
-const CLIENTS_OF_A_FULL_ITERATION: usize = 256 + 64;
-/// The gateway accepts this many connections in one iteration.
-const MAX_ACCEPTED_PER_ITERATION: usize = 64;
-
-/// A gateway whose configuration the test can change.
+/// With input from this many clients, one iteration of the event loop is full: it handles at most
+/// 256 ready connections. The additional 64 make sure that a connection that becomes ready after
+/// them is not handled in the same iteration.
+const FULL_ITERATION_CLIENT_COUNT: usize = 256 + 64;
+/// The gateway accepts at most this many connections in one iteration of the event loop.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
+
+/// A running gateway whose configuration file the test can change.
 pub struct Gateway {
-    // Declared before the directory: the process ends before its files are removed.
+    // Declared before `directory`, so that the process is killed before its files are removed.
     process: GatewayProcess,
     directory: TestDirectory,
     address: SocketAddr,
@@ -34,11 +34,11 @@
 }
 
 impl Gateway {
-    /// Starts a gateway that has cached the nodes' entries; `edit_config` changes its
-    /// configuration.
+    /// Starts a gateway and waits until it accepts RESP2 clients. Its configuration contains the
+    /// nodes as cached endpoints; `edit_config` changes the configuration before the start.
     pub fn start(
-        nodes: &[&StorageNode],
-        discovery: &DiscoveryService,
+        nodes: &[&FakeStorageNode],
+        discovery: &FakeDiscovery,
         edit_config: impl Fn(&str) -> String,
     ) -> Self {
         let cached_entries: Vec<String> = nodes.iter().map(|node| node.in_service()).collect();
@@ -67,36 +67,37 @@
         self.process.wait_for_log(text);
     }
 
-    /// Connects a client.
+    /// Connects a RESP2 client.
     pub fn connect(&self) -> Connection {
         Connection::connect(self.address)
     }
 
-    /// Connects a client that sends these bytes, without waiting until the gateway has read them.
+    /// Connects a client and sends bytes, without waiting until the gateway has read them.
     pub fn connect_and_send(&self, bytes: impl AsRef<[u8]>) -> Connection {
         let mut client = self.connect();
         client.send(bytes);
         client
     }
 
-    /// Connects a client whose connection and first bytes are ready in one iteration of the event
-    /// loop: a gateway that drains waits for neither for long.
-    pub fn connect_and_send_at_once(&self, bytes: impl AsRef<[u8]>) -> Connection {
+    /// Connects a client and sends bytes while the gateway is paused, so that the connection and
+    /// the bytes are ready in the same iteration of its event loop. A gateway that is shutting down
+    /// waits only briefly for a new connection and for its first bytes.
+    pub fn connect_and_send_in_one_iteration(&self, bytes: impl AsRef<[u8]>) -> Connection {
         self.pause();
         let client = self.connect_and_send(bytes);
         self.resume();
         client
     }
 
-    /// Connects a client and sends the first half of a request, which the gateway has read on
-    /// return.
+    /// Connects a client, sends the first half of a request and waits until the gateway has read
+    /// it.
     pub fn connect_with_partial_request(&self, first_half: &str) -> Connection {
         let client = self.connect_and_send(first_half);
         self.wait_until_input_is_processed();
         client
     }
 
-    /// Connects a client that has had an answer, and has no request in flight.
+    /// Connects a client that has received an answer and has no request in flight.
     pub fn connect_idle_client(&self) -> Connection {
         let mut client = self.connect();
         client.send_ping();
@@ -104,82 +105,81 @@
         client
     }
 
-    /// Connects clients that fill one iteration of the event loop once all of them have sent a
-    /// `PING` to the paused gateway: what becomes ready after that is handled in the next
-    /// iteration. Needs a gateway with many sockets.
-    pub fn connect_clients_for_a_full_iteration(&self) -> Vec<Connection> {
-        (0..CLIENTS_OF_A_FULL_ITERATION)
+    /// Connects [`FULL_ITERATION_CLIENT_COUNT`] clients that have no request in flight. If all of
+    /// them send a `PING` to the paused gateway, they fill one iteration of its event loop: input
+    /// that arrives later is handled in the next one. Needs
+    /// [`with_many_sockets`](super::config::with_many_sockets).
+    pub fn connect_full_iteration_of_idle_clients(&self) -> Vec<Connection> {
+        (0..FULL_ITERATION_CLIENT_COUNT)
             .map(|_| self.connect_idle_client())
             .collect()
     }
 
-    /// As [`Self::connect_clients_for_a_full_iteration`], with clients that have sent the first
-    /// half of a request: a gateway that drains does not close their connections.
-    pub fn connect_unfinished_clients_for_a_full_iteration(
-        &self,
-        first_half: &str,
-    ) -> Vec<Connection> {
+    /// As [`Self::connect_full_iteration_of_idle_clients`], with clients that have sent the first
+    /// half of a request: a gateway that is shutting down does not close these connections.
+    pub fn connect_full_iteration_of_partial_requests(&self, first_half: &str) -> Vec<Connection> {
         let mut clients = Vec::new();
-        while clients.len() < CLIENTS_OF_A_FULL_ITERATION {
+        while clients.len() < FULL_ITERATION_CLIENT_COUNT {
             self.pause();
             clients
-                .extend((0..MAX_ACCEPTED_PER_ITERATION).map(|_| self.connect_and_send(first_half)));
+                .extend((0..MAX_ACCEPTS_PER_ITERATION).map(|_| self.connect_and_send(first_half)));
             self.resume();
             self.wait_until_input_is_processed();
         }
         clients
     }
 
-    /// Returns once the gateway has processed everything that was ready on its sockets before the
-    /// call.
+    /// Waits until the gateway has processed all input that was ready on its sockets before the
+    /// call: a new client sends a `PING` and waits for the answer.
     pub fn wait_until_input_is_processed(&self) {
-        let mut client = self.connect_and_send_at_once(encode_command("PING"));
+        let mut client = self.connect_and_send_in_one_iteration(encode_command("PING"));
         client.receive_value();
     }
 
-    /// Stops the process where it is: what happens until [`Self::resume`] is ready in one
+    /// Pauses the process with SIGSTOP: all input until [`Self::resume`] is ready in the same
     /// iteration of its event loop.
     pub fn pause(&self) {
         self.process.pause();
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process.
     pub fn resume(&self) {
         self.process.resume();
     }
 
-    /// Sends SIGTERM and doesn't wait for an effect; also to a paused gateway.
+    /// Sends SIGTERM and returns at once; the gateway may be paused.
     pub fn send_sigterm(&self) {
         self.process.send_signal(Signal::TERM);
     }
 
-    /// Sends SIGHUP and doesn't wait for an effect; also to a paused gateway.
+    /// Sends SIGHUP and returns at once; the gateway may be paused.
     pub fn send_sighup(&self) {
         self.process.send_signal(Signal::HUP);
     }
 
-    /// Sends SIGTERM and waits until it is handled.
+    /// Sends SIGTERM and waits until the gateway has handled it.
     pub fn request_shutdown(&mut self) {
         self.send_sigterm();
         self.wait_for_log(log_lines::SHUTDOWN_REQUESTED);
     }
 
-    /// Sends SIGTERM and waits until the gateway drains, after the grace period in which
-    /// everything goes on unchanged: an idle client connection is closed then.
+    /// Sends SIGTERM and waits until the gateway drains its connections. It does so after a grace
+    /// period in which it works as before. It then closes idle client connections, and this
+    /// function waits until one of them is closed.
     pub fn begin_draining(&mut self) {
         let mut idle = self.connect_idle_client();
         self.request_shutdown();
         idle.expect_closed();
     }
 
-    /// Waits for the end of a graceful shutdown.
+    /// Waits until the graceful shutdown is complete and checks that the exit status is 0.
     pub fn expect_clean_exit(&mut self) {
         self.wait_for_log(log_lines::SHUTDOWN_COMPLETE);
         assert!(self.process.wait_for_exit().success());
     }
 
-    /// Writes another address of discovery into the configuration file.
-    pub fn write_discovery_address(&mut self, discovery: &DiscoveryService) {
+    /// Replaces the address of discovery in the configuration file.
+    pub fn write_config_with_discovery(&mut self, discovery: &FakeDiscovery) {
         let address = discovery.address();
         self.config = replace_setting(
             &self.config,
@@ -190,9 +190,10 @@
         self.directory.write(CONFIG_FILE, &self.config);
     }
 
-    /// Reloads the configuration with another address of discovery, and waits until that is done.
-    pub fn reload_with_discovery(&mut self, discovery: &DiscoveryService) {
-        self.write_discovery_address(discovery);
+    /// Replaces the address of discovery in the configuration file, sends SIGHUP and waits until
+    /// the gateway has reloaded its configuration.
+    pub fn reload_with_discovery(&mut self, discovery: &FakeDiscovery) {
+        self.write_config_with_discovery(discovery);
         self.send_sighup();
         self.wait_for_log(log_lines::CONFIG_RELOADED);
     }
--- a/crates/gateway/tests/gateway_process/harness/gateway_process.rs
+++ b/crates/gateway/tests/gateway_process/harness/gateway_process.rs
@@ -1,4 +1,4 @@
-//! A gateway as a child process: its log, its signals and its end.
+//! A gateway as a child process: its log, signals and exit status.
 
 use super::{log_lines, TEST_TIMEOUT};
 use rustix::process::{kill_process, waitpid, Pid, Signal, WaitOptions};
@@ -12,17 +12,18 @@
 /// The path of the program under test.
 pub const GATEWAY_PROGRAM: &str = env!("CARGO_BIN_EXE_storage-gateway");
 
-/// Held while a child process is started. Until the child executes its program, it has copies of
-/// all descriptors of this process, and a connection that another test closes meanwhile stays open.
+/// Held while a child process is started. Between fork and exec, the child has copies of all file
+/// descriptors of this process: a connection that another test closes in that time stays open.
 static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-/// Does something while no child process has copies of this process's descriptors.
-pub fn without_spawning<T>(action: impl FnOnce() -> T) -> T {
+/// Calls `action` with [`SPAWN_LOCK`] held, so that no child process has copies of this process's
+/// file descriptors.
+pub fn with_spawn_lock<T>(action: impl FnOnce() -> T) -> T {
     let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     action()
 }
 
-/// A gateway process, which is killed when the test ends before it.
+/// A gateway process. It is killed when this value is dropped.
 pub struct GatewayProcess {
     child: Child,
     pid: Pid,
@@ -30,11 +31,11 @@
 }
 
 impl GatewayProcess {
-    /// Starts the process and a thread that reads its log from the standard error stream.
+    /// Starts the process, and a thread that reads its log from standard error.
     pub fn spawn(command: &mut Command) -> Self {
         command.stderr(Stdio::piped());
-        // `spawn` returns once the child executes its program.
-        let mut child = without_spawning(|| command.spawn()).expect("the gateway starts");
+        // `spawn` returns after the exec.
+        let mut child = with_spawn_lock(|| command.spawn()).expect("the gateway starts");
         let lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         let (sender, log) = channel();
         std::thread::spawn(move || {
@@ -46,17 +47,17 @@
         Self { child, pid, log }
     }
 
-    /// Its standard input, where it is piped.
+    /// Takes the standard input of the process, which must be piped.
     pub fn take_stdin(&mut self) -> ChildStdin {
         self.child.stdin.take().expect("stdin is piped")
     }
 
-    /// Its standard output, where it is piped.
+    /// Takes the standard output of the process, which must be piped.
     pub fn take_stdout(&mut self) -> ChildStdout {
         self.child.stdout.take().expect("stdout is piped")
     }
 
-    /// Waits for a log line that contains the text; skips others.
+    /// Waits for a log line that contains the text, skips all lines before it and returns it.
     #[track_caller]
     pub fn wait_for_log(&mut self, text: &str) -> String {
         let started = Instant::now();
@@ -64,50 +65,50 @@
             let remaining = TEST_TIMEOUT.saturating_sub(started.elapsed());
             let line = self.log.recv_timeout(remaining);
             let line =
-                line.unwrap_or_else(|error| panic!("the log has no line with {text:?}: {error}"));
+                line.unwrap_or_else(|error| panic!("no log line contains {text:?}: {error}"));
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Waits until the gateway accepts RESP2 clients, and says where.
+    /// Waits until the gateway accepts RESP2 clients and returns its address.
     pub fn wait_for_resp_listener(&mut self) -> SocketAddr {
         self.wait_for_listener(log_lines::LISTENING_FOR_RESP)
     }
 
-    /// Waits until the gateway accepts SFTP clients, and says where.
+    /// Waits until the gateway accepts SFTP clients and returns its address.
     pub fn wait_for_sftp_listener(&mut self) -> SocketAddr {
         self.wait_for_listener(log_lines::LISTENING_FOR_SFTP)
     }
 
     fn wait_for_listener(&mut self, log_line: &str) -> SocketAddr {
         let line = self.wait_for_log(log_line);
-        let address = line.rsplit(' ').next().expect("a line has a last word");
-        address.parse().expect("the line ends with an address")
+        let address = line.rsplit(' ').next().expect("a non-empty line");
+        address.parse().expect("an address at the end of the line")
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn send_signal(&self, signal: Signal) {
-        kill_process(self.pid, signal).expect("the process runs");
+        kill_process(self.pid, signal).expect("a running process");
     }
 
-    /// Stops the process where it is (SIGSTOP) until [`Self::resume`].
+    /// Pauses the process with SIGSTOP until [`Self::resume`], and waits until it is stopped.
     pub fn pause(&self) {
         self.send_signal(Signal::STOP);
         let stopped = waitpid(Some(self.pid), WaitOptions::UNTRACED).expect("a child process");
         assert!(
             stopped.is_some_and(|(_, status)| status.stopped()),
-            "the process still runs"
+            "the process was not stopped"
         );
     }
 
-    /// Lets a paused process go on (SIGCONT).
+    /// Resumes a paused process with SIGCONT.
     pub fn resume(&self) {
         self.send_signal(Signal::CONT);
     }
 
-    /// Waits until the process has ended: its log ends with it.
+    /// Waits until the process has exited, which closes its log, and returns its exit status.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let started = Instant::now();
         loop {
@@ -115,7 +116,7 @@
             match self.log.recv_timeout(remaining) {
                 Ok(_) => {}
                 Err(RecvTimeoutError::Disconnected) => break,
-                Err(RecvTimeoutError::Timeout) => panic!("the gateway does not end"),
+                Err(RecvTimeoutError::Timeout) => panic!("the gateway did not exit in time"),
             }
         }
         self.child.wait().expect("a child process")
--- a/crates/gateway/tests/gateway_process/harness/log_lines.rs
+++ b/crates/gateway/tests/gateway_process/harness/log_lines.rs
@@ -1,20 +1,20 @@
-//! Parts of the gateway's log lines that tests wait for.
+//! Substrings of the gateway's log lines that tests wait for.
 
 /// The gateway accepts RESP2 clients; the address ends the line.
 pub const LISTENING_FOR_RESP: &str = "listening for RESP2 on";
 /// The gateway accepts SFTP clients; the address ends the line.
 pub const LISTENING_FOR_SFTP: &str = "listening for SFTP on";
-/// A message of two endpoints arrived from discovery.
+/// The gateway received a snapshot or a delta with two endpoints.
 pub const RECEIVED_TWO_ENDPOINTS: &str = "discovery: received 2 endpoints";
-/// A message of one endpoint arrived from discovery.
+/// The gateway received a snapshot or a delta with one endpoint.
 pub const RECEIVED_ONE_ENDPOINT: &str = "discovery: received 1 endpoints";
-/// Discovery refused the connection.
+/// The connection to discovery was refused.
 pub const CONNECTION_REFUSED: &str = "refused";
-/// SIGHUP was handled.
+/// The gateway has handled SIGHUP.
 pub const CONFIG_RELOADED: &str = "configuration reloaded";
-/// SIGTERM was handled.
+/// The gateway has handled SIGTERM.
 pub const SHUTDOWN_REQUESTED: &str = "shutdown requested";
 /// The graceful shutdown is complete.
 pub const SHUTDOWN_COMPLETE: &str = "shutdown complete";
-/// An idle connection is closed because clients hold too many.
+/// The gateway evicts an idle client connection because clients hold too many.
 pub const IDLE_CONNECTION_EVICTED: &str = "closing an idle client connection: too many";
--- a/crates/gateway/tests/gateway_process/harness/mod.rs
+++ b/crates/gateway/tests/gateway_process/harness/mod.rs
@@ -1,10 +1,10 @@
-//! What the socket tests share: a gateway process, and stand-ins for clients, storage nodes and
-//! discovery.
+//! Test harness: runs a gateway process, and provides test clients, fake storage nodes and a fake
+//! discovery service.
 //!
-//! A stand-in sends nothing until the test makes it do so, and a paused gateway
-//! ([`Gateway::pause`]) does nothing until it is resumed: whatever happened meanwhile is ready in
-//! one iteration of its event loop. Nothing sleeps; the only time measured is the one after which
-//! a test gives up.
+//! Clients and fakes send only what the test tells them to send. A test can pause the gateway
+//! process ([`Gateway::pause`]): all input that arrives before it is resumed is ready in the same
+//! iteration of its event loop, so a test decides which events coincide. The harness never sleeps;
+//! the only timer is [`TEST_TIMEOUT`].
 
 pub mod cluster;
 pub mod config;
@@ -20,5 +20,5 @@
 
 use std::time::Duration;
 
-/// How long a test waits for something that must happen before it fails.
+/// A test fails if an expected event does not happen within this time.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(12);
--- a/crates/gateway/tests/gateway_process/harness/node.rs
+++ b/crates/gateway/tests/gateway_process/harness/node.rs
@@ -1,4 +1,4 @@
-//! Stand-in storage nodes.
+//! Fake storage nodes.
 
 use super::connection::Connection;
 use super::discovery::{endpoint_entry, EndpointEntry};
@@ -6,18 +6,18 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A storage node that listens; the test accepts its connections and answers on them.
-pub struct StorageNode {
+/// A listening storage node. The test accepts the gateway's connections and responds on them.
+pub struct FakeStorageNode {
     name: &'static str,
     shard: u64,
     listener: TcpListener,
 }
 
-/// The connections that fill a node's accept queue (see [`StorageNode::fill_accept_queue`]).
+/// The connections that fill a node's accept queue (see [`FakeStorageNode::fill_accept_queue`]).
 pub struct FilledAcceptQueue(Vec<TcpStream>);
 
-impl StorageNode {
-    /// Listens at a free port.
+impl FakeStorageNode {
+    /// Starts a node that listens on a free port.
     pub fn new(name: &'static str, shard: u64) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         Self {
@@ -28,7 +28,7 @@
     }
 
     fn address(&self) -> SocketAddr {
-        self.listener.local_addr().expect("the node listens")
+        self.listener.local_addr().expect("a listening node")
     }
 
     /// Accepts the gateway's next connection.
@@ -36,7 +36,7 @@
         Connection::accept(&self.listener)
     }
 
-    /// Accepts the gateway's next connection, on which the request with this id must come first.
+    /// Accepts the gateway's next connection and checks that its first request has this id.
     #[track_caller]
     pub fn accept_request(&self, id: &str) -> Connection {
         let mut connection = self.accept();
@@ -44,7 +44,7 @@
         connection
     }
 
-    /// The gateway has opened no connection but those accepted.
+    /// Checks that the gateway has opened no connection that the test has not accepted.
     #[track_caller]
     pub fn expect_no_further_connection(&self) {
         self.listener
@@ -57,26 +57,26 @@
         let none = accepted.is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
         assert!(
             none,
-            "node {} has a connection that the test did not expect",
+            "the gateway opened an unexpected connection to node {}",
             self.name
         );
     }
 
-    /// Keeps every new connection from being established, also one that has already been started,
-    /// until the queue is emptied; the system then tries again.
+    /// Fills the accept queue. Until [`Self::empty_accept_queue`], no connection to the node is
+    /// established, not even one that the gateway is already opening; the system retries it later.
     pub fn fill_accept_queue(&self) -> FilledAcceptQueue {
         rustix::net::listen(&self.listener, 0).expect("a listening socket");
         let address = self.address();
         let mut queued =
-            vec![TcpStream::connect(address).expect("an empty queue takes one connection")];
-        // A queue of length zero takes one connection; if the system grants more, fill these too.
+            vec![TcpStream::connect(address).expect("the first connection fits into the queue")];
+        // A queue with a backlog of 0 holds one connection. If the system allows more, use them up.
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
             queued.push(stream);
         }
         FilledAcceptQueue(queued)
     }
 
-    /// Removes the connections that filled the queue, and takes new ones again.
+    /// Accepts the connections that filled the queue, so that new ones are established again.
     pub fn empty_accept_queue(&self, queue: &FilledAcceptQueue) {
         let queued: Vec<SocketAddr> = queue
             .0
@@ -84,7 +84,7 @@
             .map(|stream| stream.local_addr().expect("a connected socket"))
             .collect();
         for _ in &queued {
-            let (_, peer) = self.listener.accept().expect("a connection of the queue");
+            let (_, peer) = self.listener.accept().expect("a queued connection");
             assert!(queued.contains(&peer), "the queue was not full");
         }
         rustix::net::listen(&self.listener, 16).expect("a listening socket");
@@ -100,17 +100,17 @@
         })
     }
 
-    /// Its entry when it serves.
+    /// The node's entry when it is in service.
     pub fn in_service(&self) -> String {
         self.entry("in_service")
     }
 
-    /// Its entry when it drains.
+    /// The node's entry when it is draining.
     pub fn terminating(&self) -> String {
         self.entry("terminating")
     }
 
-    /// Its entry when it has been removed.
+    /// The node's entry when it has been removed.
     pub fn terminated(&self) -> String {
         self.entry("terminated")
     }
--- a/crates/gateway/tests/gateway_process/harness/requests.rs
+++ b/crates/gateway/tests/gateway_process/harness/requests.rs
@@ -1,12 +1,12 @@
-//! The storage requests that the tests send, and the nodes' responses to them.
+//! Encodes the storage requests of test clients and the responses of fake nodes.
 
 use super::resp::encode_command;
 
-/// The bytes of a request, in two parts.
+/// The bytes of a request, split into two parts that are sent separately.
 pub struct SplitRequest {
     /// The first half, which is not a complete command.
     pub first_half: String,
-    /// The rest.
+    /// The rest of the request.
     pub second_half: String,
 }
 
@@ -21,39 +21,39 @@
     }
 }
 
-/// A read from shard 0 with a deadline of five seconds.
-pub fn read_request(id: &str) -> String {
-    read_request_with_deadline(id, 5_000)
+/// A read from shard 0 with a deadline of 5 s.
+pub fn encode_read_request(id: &str) -> String {
+    encode_read_request_with_deadline(id, 5_000)
 }
 
-/// A read from shard 0 whose client waits for so many milliseconds.
-pub fn read_request_with_deadline(id: &str, deadline_ms: u32) -> String {
+/// A read from shard 0 with the given deadline in milliseconds.
+pub fn encode_read_request_with_deadline(id: &str, deadline_ms: u32) -> String {
     encode_command(&format!(
         "IO.IN 7f3a9c21e0b4d655 {id} \
          c=read,t=gold,d={deadline_ms},volume=00000000000000a1,units=2,shard=0,hosts=1"
     ))
 }
 
-/// A read from shard 0 of another object than [`read_request`]'s, so that it does not count as its
-/// repeat.
-pub fn read_request_of_another_object(id: &str) -> String {
-    read_request(id).replace("7f3a9c21e0b4d655", "7f3a9c21e0b4d657")
+/// A read from shard 0 of a different object than that of [`encode_read_request`], so that the
+/// gateway does not count it as a repeat of that read.
+pub fn encode_read_request_for_another_object(id: &str) -> String {
+    encode_read_request(id).replace("7f3a9c21e0b4d655", "7f3a9c21e0b4d657")
 }
 
-/// A write of a new object, which any node may store.
-pub fn write_request(id: &str) -> String {
+/// A write of a new object, which any node may store (`shard=-1`).
+pub fn encode_write_request(id: &str) -> String {
     encode_command(&format!(
         "IO.OUT 7f3a9c21e0b4d656 {id} \
          c=write,t=gold,d=5000,volume=00000000000000a1,units=2,shard=-1,hosts=1 note"
     ))
 }
 
-/// A node's response with a value, without a cost and a load report.
-pub fn value_response(value: &str) -> String {
+/// A node's successful response with a value, without cost and load report.
+pub fn encode_value_response(value: &str) -> String {
     format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len())
 }
 
-/// The milliseconds that a forwarded request leaves its node.
+/// The deadline in milliseconds of a request that the gateway has forwarded to a node.
 pub fn forwarded_deadline_ms(request: &str) -> u128 {
     let (_, options) = request
         .split_once(",d=")
@@ -61,6 +61,6 @@
     let deadline = options
         .split(',')
         .next()
-        .expect("split gives at least one part");
-    deadline.parse().expect("milliseconds")
+        .expect("`split` returns at least one item");
+    deadline.parse().expect("a deadline in whole milliseconds")
 }
--- a/crates/gateway/tests/gateway_process/harness/resp.rs
+++ b/crates/gateway/tests/gateway_process/harness/resp.rs
@@ -1,6 +1,6 @@
-//! RESP2 on the wire, as far as the tests need it.
+//! The subset of RESP2 that the tests need.
 
-/// An array of bulk strings.
+/// Encodes an array of bulk strings.
 pub fn encode_array(words: &[&str]) -> String {
     let bulk_strings: String = words
         .iter()
@@ -9,15 +9,15 @@
     format!("*{}\r\n{bulk_strings}", words.len())
 }
 
-/// A command whose arguments are separated by single spaces.
+/// Encodes a command whose arguments are separated by single spaces.
 pub fn encode_command(command: &str) -> String {
     let words: Vec<&str> = command.split(' ').collect();
     encode_array(&words)
 }
 
-/// Decodes one value from `position` on and moves `position` behind it: a string's content, an
-/// array's elements joined by spaces, or the whole line of any other type. `None` until the value
-/// is complete.
+/// Decodes the value at `position` and advances `position` past it. Returns the content of a bulk
+/// string, the elements of an array joined by spaces, or the complete line of any other type.
+/// Returns `None` if the value is incomplete.
 pub fn decode_value(input: &[u8], position: &mut usize) -> Option<String> {
     let line_end = *position
         + input
--- a/crates/gateway/tests/gateway_process/harness/test_directory.rs
+++ b/crates/gateway/tests/gateway_process/harness/test_directory.rs
@@ -1,37 +1,37 @@
-//! Temporary directories.
+//! Temporary directories for the files of a test.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// An own directory for the files of one gateway, removed at the end.
+/// The directory for the files of one gateway. It is removed when this value is dropped.
 pub struct TestDirectory(PathBuf);
 
 impl TestDirectory {
-    /// Creates an empty directory.
+    /// Creates an empty directory with a unique name.
     pub fn new() -> Self {
         static CREATED: AtomicU32 = AtomicU32::new(0);
         let number = CREATED.fetch_add(1, Ordering::Relaxed);
         let name = format!("storage-gateway-{}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&path).expect("a writable directory for temporary files");
+        std::fs::create_dir_all(&path).expect("a writable temporary directory");
         Self(path)
     }
 
-    /// The path of a file in it.
+    /// The path of a file in the directory.
     pub fn path(&self, file_name: &str) -> PathBuf {
         self.0.join(file_name)
     }
 
-    /// Writes a file.
+    /// Writes a file and returns its path.
     pub fn write(&self, file_name: &str, content: &str) -> PathBuf {
         let path = self.path(file_name);
         std::fs::write(&path, content).expect("a writable file");
         path
     }
 
-    /// Reads a file.
+    /// Reads a file as text.
     pub fn read(&self, file_name: &str) -> String {
-        std::fs::read_to_string(self.path(file_name)).expect("a file that was written")
+        std::fs::read_to_string(self.path(file_name)).expect("a readable file")
     }
 }
 
--- a/crates/gateway/tests/gateway_process/main.rs
+++ b/crates/gateway/tests/gateway_process/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the program as a child process, on real sockets.
+//! Integration tests: run the gateway program as a child process and talk to it over TCP sockets.
 
 mod harness;
 mod races;
--- a/crates/gateway/tests/gateway_process/races/client_close.rs
+++ b/crates/gateway/tests/gateway_process/races/client_close.rs
@@ -1,50 +1,56 @@
-//! A client closes its connection while its request is read, pending or in flight.
+//! Races between the close of a client connection and the reading, queueing and dispatching of its
+//! requests.
 
 use crate::harness::cluster::{serve_request, TestCluster};
 use crate::harness::config::{with_long_connect_timeout, with_many_sockets, without_cancellation};
-use crate::harness::node::StorageNode;
-use crate::harness::requests::read_request;
+use crate::harness::node::FakeStorageNode;
+use crate::harness::requests::encode_read_request;
 
-/// The connection, its request and its close are all ready in one iteration of the event loop.
+/// The connection, a complete or partial request and the close of the connection are all ready in
+/// the same iteration of the event loop. Forwarding the request would waste a node on a response
+/// that nobody receives.
 #[test]
-fn request_received_together_with_the_close_is_not_forwarded() {
+fn request_received_together_with_the_client_close_is_not_forwarded() {
     let cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
 
     cluster.gateway.pause();
-    let complete_request = read_request("a2");
-    let partial_request = &read_request("a3")[..40];
+    let complete_request = encode_read_request("a2");
+    let partial_request = &encode_read_request("a3")[..40];
     for request in [complete_request.as_str(), partial_request] {
         cluster.gateway.connect_and_send(request).close();
     }
-    let mut last = cluster.gateway.connect_and_send(read_request("a4"));
+    let mut next_client = cluster.gateway.connect_and_send(encode_read_request("a4"));
     cluster.gateway.resume();
     cluster.gateway.wait_until_input_is_processed();
 
     read.complete("one");
-    serve_request(&mut read.node, &mut last, "a4", "four");
+    serve_request(&mut read.node, &mut next_client, "a4", "four");
 }
 
-/// The close follows more bytes than the gateway reads while requests are in flight.
+/// The client sends more bytes than the gateway reads while a request is in flight, and closes its
+/// connection. The gateway must detect the close although it has not read all bytes before it, and
+/// forward none of the requests.
 #[test]
-fn close_behind_unread_requests_is_noticed() {
+fn close_after_unread_requests_is_detected() {
     let cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
     let requests: String = (0..700)
-        .map(|number| read_request(&format!("g{number}")))
+        .map(|number| encode_read_request(&format!("g{number}")))
         .collect();
-    let closing = cluster.gateway.connect_and_send(requests);
+    let closing_client = cluster.gateway.connect_and_send(requests);
     cluster.gateway.wait_until_input_is_processed();
 
-    closing.close();
+    closing_client.close();
     cluster.gateway.wait_until_input_is_processed();
 
-    let mut last = cluster.gateway.connect_and_send(read_request("a2"));
+    let mut next_client = cluster.gateway.connect_and_send(encode_read_request("a2"));
     cluster.gateway.wait_until_input_is_processed();
     read.complete("one");
-    serve_request(&mut read.node, &mut last, "a2", "two");
+    serve_request(&mut read.node, &mut next_client, "a2", "two");
 }
 
+/// Cancellation is disabled, so the attempt stays at the node after the client has closed.
 #[test]
 fn attempt_of_a_closed_client_is_not_retried_after_a_node_reset() {
     let cluster = TestCluster::start_with(without_cancellation);
@@ -54,96 +60,104 @@
     cluster.gateway.wait_until_input_is_processed();
     read.node.reset();
 
-    let mut last = cluster.gateway.connect_and_send(read_request("a2"));
+    let mut next_client = cluster.gateway.connect_and_send(encode_read_request("a2"));
     let mut node = cluster.node_a.accept();
-    serve_request(&mut node, &mut last, "a2", "two");
+    serve_request(&mut node, &mut next_client, "a2", "two");
     cluster.node_a.expect_no_further_connection();
 }
 
+/// Cancellation is disabled, so the node still responds to the request of the closed client. The
+/// next request uses the same node connection and must not receive that response.
 #[test]
-fn response_for_a_closed_client_is_not_given_to_the_next_request() {
+fn response_for_a_closed_client_is_not_sent_to_the_next_client() {
     let cluster = TestCluster::start_with(without_cancellation);
     let mut read = cluster.start_read("a1");
 
     read.client.close();
-    let mut last = cluster.gateway.connect_and_send(read_request("a2"));
+    let mut next_client = cluster.gateway.connect_and_send(encode_read_request("a2"));
     cluster.gateway.wait_until_input_is_processed();
     read.node.respond("one");
 
-    serve_request(&mut read.node, &mut last, "a2", "two");
+    serve_request(&mut read.node, &mut next_client, "a2", "two");
 }
 
-/// The client leaves while its attempt waits for a connection to be established: the late
-/// connection carries only the next client's request.
-fn expect_late_connection_serves_the_next_client(edit_config: impl Fn(&str) -> String) {
+/// The client closes while its attempt waits for a node connection to be established. Checks that
+/// the connection, once established, carries only the request of the next client.
+fn expect_late_connection_carries_the_next_request(edit_config: impl Fn(&str) -> String) {
     let cluster = TestCluster::start_with(edit_config);
     let queue = cluster.node_a.fill_accept_queue();
-    let closing = cluster.gateway.connect_and_send(read_request("a1"));
+    let closing_client = cluster.gateway.connect_and_send(encode_read_request("a1"));
     cluster.gateway.wait_until_input_is_processed();
 
-    closing.close();
+    closing_client.close();
     cluster.gateway.wait_until_input_is_processed();
-    let mut last = cluster.gateway.connect_and_send(read_request("a2"));
+    let mut next_client = cluster.gateway.connect_and_send(encode_read_request("a2"));
     cluster.gateway.wait_until_input_is_processed();
     cluster.node_a.empty_accept_queue(&queue);
 
     let mut node = cluster.node_a.accept();
-    serve_request(&mut node, &mut last, "a2", "two");
+    serve_request(&mut node, &mut next_client, "a2", "two");
 }
 
 #[test]
-fn attempt_waiting_for_its_connection_is_cancelled() {
-    expect_late_connection_serves_the_next_client(with_long_connect_timeout);
+fn attempt_waiting_for_a_node_connection_is_cancelled_on_client_close() {
+    expect_late_connection_carries_the_next_request(with_long_connect_timeout);
 }
 
 #[test]
-fn attempt_waiting_for_its_connection_is_dropped_where_cancellation_is_off() {
-    expect_late_connection_serves_the_next_client(|config| {
+fn attempt_waiting_for_a_node_connection_is_dropped_if_cancellation_is_disabled() {
+    expect_late_connection_carries_the_next_request(|config| {
         with_long_connect_timeout(&without_cancellation(config))
     });
 }
 
-/// The request waits for the successor of a node that drains.
+/// The request waits for the successor of a draining node. The successor must not receive it after
+/// the client has closed.
 #[test]
-fn request_waiting_for_a_successor_is_dropped() {
+fn request_waiting_for_a_successor_is_dropped_on_client_close() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    let waiting = cluster.gateway.connect_and_send_at_once(read_request("a2"));
+    let waiting_client = cluster
+        .gateway
+        .connect_and_send_in_one_iteration(encode_read_request("a2"));
     cluster.gateway.wait_until_input_is_processed();
     cluster.send_delta(3, &[cluster.node_a.terminating()]);
 
-    waiting.close();
+    waiting_client.close();
     cluster.gateway.wait_until_input_is_processed();
-    let successor = StorageNode::new("c", 0);
+    let successor = FakeStorageNode::new("c", 0);
     cluster.send_delta(4, &[successor.in_service()]);
 
-    let mut last = cluster.gateway.connect_and_send_at_once(read_request("a3"));
+    let mut next_client = cluster
+        .gateway
+        .connect_and_send_in_one_iteration(encode_read_request("a3"));
     let mut successor_connection = successor.accept();
-    serve_request(&mut successor_connection, &mut last, "a3", "three");
+    serve_request(&mut successor_connection, &mut next_client, "a3", "three");
     read.complete("one");
 }
 
-/// The response to the first request frees the node for the second one, which is dispatched in
-/// that iteration. The client's reset becomes ready too late for the iteration: only sending the
-/// response reveals it.
+/// The response to the client's first request frees the node, and the gateway dispatches the
+/// client's second request in the same iteration of the event loop. The client's reset becomes
+/// ready too late for this iteration: the gateway detects it only when it sends the response. The
+/// second request must not be sent to the node.
 #[test]
-fn attempt_dispatched_in_the_iteration_that_reveals_the_close_is_not_started() {
+fn attempt_is_not_sent_if_the_client_reset_is_detected_in_the_same_iteration() {
     let cluster = TestCluster::start_with(with_many_sockets);
-    let closing = cluster
+    let closing_client = cluster
         .gateway
-        .connect_and_send(read_request("a1") + &read_request("a2"));
+        .connect_and_send(encode_read_request("a1") + &encode_read_request("a2"));
     let mut node = cluster.node_a.accept_request("a1");
-    let mut others = cluster.gateway.connect_clients_for_a_full_iteration();
+    let mut other_clients = cluster.gateway.connect_full_iteration_of_idle_clients();
 
     cluster.gateway.pause();
     node.respond("one");
-    for client in &mut others {
+    for client in &mut other_clients {
         client.send_ping();
     }
-    closing.reset();
+    closing_client.reset();
     cluster.gateway.resume();
     cluster.gateway.wait_until_input_is_processed();
 
-    let mut last = cluster.gateway.connect_and_send(read_request("a3"));
-    serve_request(&mut node, &mut last, "a3", "three");
+    let mut next_client = cluster.gateway.connect_and_send(encode_read_request("a3"));
+    serve_request(&mut node, &mut next_client, "a3", "three");
 }
--- a/crates/gateway/tests/gateway_process/races/discovery_watch.rs
+++ b/crates/gateway/tests/gateway_process/races/discovery_watch.rs
@@ -1,22 +1,23 @@
-//! The end of a watch, against the events that it carries.
+//! Races between the end of a discovery watch and the messages on it, and the encodings of these
+//! messages.
 
 use crate::harness::cluster::TestCluster;
 use crate::harness::config::with_pushed_lists;
 use crate::harness::discovery::{encode_chunk, watch_event, UpdateKind, CHUNKED_RESPONSE_HEAD};
-use crate::harness::gateway::READ_SIZE;
+use crate::harness::gateway::READ_CHUNK_BYTES;
 use crate::harness::log_lines;
 
-/// The drain and the watch's reset are ready in one iteration of the event loop; the drain came
-/// first.
+/// The message that reports a drain and the reset of the watch are ready in the same iteration of
+/// the event loop, the message first. The gateway must not drop it because of the reset.
 #[test]
 fn drain_received_before_a_reset_of_the_watch_is_applied() {
     let mut cluster = TestCluster::start();
     let read = cluster.start_read("a1");
-    // The event takes exactly one read: after it only the reset is left.
+    // The message fills exactly one read of the gateway, so that its next read returns the reset.
     let mut event = watch_event(3, UpdateKind::Delta, &[cluster.node_b.terminating()]);
-    let padded_length = READ_SIZE - "3ff6\r\n\r\n".len();
+    let padded_length = READ_CHUNK_BYTES - "3ff6\r\n\r\n".len();
     event += &" ".repeat(padded_length - event.len());
-    assert_eq!(encode_chunk(&event).len(), READ_SIZE);
+    assert_eq!(encode_chunk(&event).len(), READ_CHUNK_BYTES);
 
     cluster.gateway.pause();
     cluster.watch.send(encode_chunk(&event));
@@ -24,11 +25,11 @@
     cluster.gateway.resume();
 
     cluster.watch = cluster.discovery.accept_watch_from(3);
-    cluster.expect_new_object_avoids_node_b(read);
+    cluster.expect_write_goes_to_node_a(read);
 }
 
-/// The next watch asks for what follows the last complete event, and starts with none of the
-/// incomplete one.
+/// The next watch must ask for the messages after the last complete one, and the bytes of the
+/// incomplete message must not be prepended to its first message.
 #[test]
 fn incomplete_event_is_dropped_when_the_watch_ends() {
     let mut cluster = TestCluster::start();
@@ -48,34 +49,40 @@
         .gateway
         .wait_for_log(log_lines::RECEIVED_ONE_ENDPOINT);
 
-    cluster.expect_node_b_drains();
+    cluster.expect_new_read_and_write_go_to_node_a();
 }
 
+/// The response has neither chunked encoding nor a content length, the list contains line breaks,
+/// and the gateway receives 50 bytes at a time.
 #[test]
-fn list_is_received_in_pieces_and_without_a_length() {
+fn endpoint_list_without_a_content_length_is_accepted_in_pieces() {
     let mut cluster = TestCluster::start();
     cluster.watch.reset();
     cluster.watch = cluster.discovery.accept_watch().connection;
-    let list = watch_event(3, UpdateKind::Snapshot, &cluster.node_b_draining());
+    let list = watch_event(
+        3,
+        UpdateKind::Snapshot,
+        &cluster.entries_with_node_b_draining(),
+    );
     let response = format!("HTTP/1.1 200 OK\r\n\r\n{}", list.replace(',', ",\n  "));
 
     for piece in response.as_bytes().chunks(50) {
         cluster.watch.send(piece);
         cluster.gateway.wait_until_input_is_processed();
     }
-    cluster.wait_for_list_of_both_nodes();
+    cluster.wait_for_update_of_two_endpoints();
 
-    cluster.expect_node_b_drains();
+    cluster.expect_new_read_and_write_go_to_node_a();
 }
 
-/// Where lists are pushed, their agent is still polled, from the start on and when a connection to
-/// it ends.
+/// If the discovery service sends endpoint lists to a discovery agent, the gateway polls the agent:
+/// at its start, and again after the connection to the agent has ended.
 #[test]
-fn agent_that_pushes_lists_is_polled_again() {
+fn broken_watch_of_a_discovery_agent_is_reopened() {
     let mut cluster = TestCluster::start_with(with_pushed_lists);
-    let entries = cluster.node_b_draining();
+    let entries = cluster.entries_with_node_b_draining();
     cluster.watch.reset();
     cluster.watch = cluster.discovery.accept_watch_and_send(3, &entries);
-    cluster.wait_for_list_of_both_nodes();
-    cluster.expect_node_b_drains();
+    cluster.wait_for_update_of_two_endpoints();
+    cluster.expect_new_read_and_write_go_to_node_a();
 }
--- a/crates/gateway/tests/gateway_process/races/idle_close.rs
+++ b/crates/gateway/tests/gateway_process/races/idle_close.rs
@@ -1,59 +1,61 @@
-//! The gateway closes idle client connections to free descriptors, against what clients and
-//! discovery do.
+//! Races between the gateway's close of idle client connections, which frees file descriptors, and
+//! the input of clients and discovery.
 
 use crate::harness::cluster::{serve_request, TestCluster};
 use crate::harness::config::{with_debug_log, with_few_sockets};
 use crate::harness::connection::Connection;
 use crate::harness::log_lines;
-use crate::harness::requests::read_request;
+use crate::harness::requests::encode_read_request;
 
+/// The gateway has already closed the idle connection when the client sends a request on it.
 #[test]
-fn request_after_an_idle_close_is_not_forwarded() {
+fn request_sent_after_an_idle_close_is_not_forwarded() {
     let cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    let mut idle = cluster.gateway.connect_idle_client();
+    let mut idle_client = cluster.gateway.connect_idle_client();
     read.complete("one");
 
-    idle.expect_closed();
-    idle.send_after_close(read_request("a2"));
+    idle_client.expect_closed();
+    idle_client.send_after_close(encode_read_request("a2"));
 
-    let mut last = cluster.gateway.connect_and_send(read_request("a3"));
-    serve_request(&mut read.node, &mut last, "a3", "three");
+    let mut next_client = cluster.gateway.connect_and_send(encode_read_request("a3"));
+    serve_request(&mut read.node, &mut next_client, "a3", "three");
 }
 
-/// The request is ready in the iteration in which the gateway needs the descriptor for a new
-/// client.
+/// All client descriptors are in use. The request of the oldest idle client is ready in the same
+/// iteration of the event loop in which the gateway must evict an idle client for a new one.
 #[test]
-fn request_received_together_with_an_eviction_is_served() {
+fn client_with_a_received_request_is_not_evicted() {
     let cluster = TestCluster::start_with(with_few_sockets);
-    let mut oldest = cluster.gateway.connect_idle_client();
-    // With the oldest, these are all the clients that the gateway has descriptors for.
-    let _others: Vec<Connection> = (0..23)
+    let mut oldest_client = cluster.gateway.connect_idle_client();
+    // Together with the oldest client, these use all 24 client descriptors.
+    let _other_clients: Vec<Connection> = (0..23)
         .map(|_| cluster.gateway.connect_idle_client())
         .collect();
 
     cluster.gateway.pause();
-    let mut new = cluster.gateway.connect();
-    oldest.send(read_request("a1"));
-    new.send_ping();
+    let mut new_client = cluster.gateway.connect();
+    oldest_client.send(encode_read_request("a1"));
+    new_client.send_ping();
     cluster.gateway.resume();
 
     let mut node = cluster.node_a.accept();
-    serve_request(&mut node, &mut oldest, "a1", "one");
-    new.expect_pong();
+    serve_request(&mut node, &mut oldest_client, "a1", "one");
+    new_client.expect_pong();
 }
 
-/// Clients that send one request and keep their connection may use a third of all descriptors for
-/// it. They are evicted before that: once they hold more than a fourth, the first connection that
-/// becomes idle is closed, right after its response and while the others wait for theirs.
+/// Clients that send one request and keep their connection open may use a third of all descriptors.
+/// The gateway evicts them before they reach this limit: if they hold more than a fourth, it closes
+/// the first connection that becomes idle, directly after its response and while the other clients
+/// wait for theirs.
 #[test]
-fn idle_connection_is_evicted_before_requests_take_all_descriptors() {
+fn idle_connection_is_evicted_before_clients_hold_all_descriptors() {
     let mut cluster = TestCluster::start_with(|config| with_debug_log(&with_few_sockets(config)));
     let mut clients: Vec<Connection> = (0..17)
         .map(|number| {
             let client = cluster
                 .gateway
-                .connect_and_send(read_request(&format!("a{number}")));
+                .connect_and_send(encode_read_request(&format!("a{number}")));
             cluster.gateway.wait_until_input_is_processed();
             client
         })
@@ -66,7 +68,8 @@
         .wait_for_log(log_lines::IDLE_CONNECTION_EVICTED);
     clients[0].expect_closed();
 
-    // With one connection less they are within the limit: the next idle one is kept.
+    // With one connection less, the clients hold no more than a fourth of the descriptors: the next
+    // connection that becomes idle stays open.
     node.expect_request("a1");
     node.respond("v1");
     clients[1].send_ping();
@@ -74,13 +77,15 @@
     clients[1].expect_pong();
 }
 
-/// Idle clients hold all descriptors that clients may use while discovery is down.
+/// While discovery is down, idle clients take all descriptors that clients may use. The gateway
+/// must still have a descriptor for the watch when discovery is up again.
 #[test]
-fn watch_is_reopened_while_idle_clients_hold_their_descriptors() {
-    let (cluster, _idle) = TestCluster::start_before_discovery(with_few_sockets, |gateway| {
-        let idle: Vec<Connection> = (0..80).map(|_| gateway.connect()).collect();
-        gateway.wait_until_input_is_processed();
-        idle
-    });
-    cluster.expect_node_b_drains();
+fn watch_is_reopened_while_idle_clients_hold_all_client_descriptors() {
+    let (cluster, _idle_clients) =
+        TestCluster::start_while_discovery_is_down(with_few_sockets, |gateway| {
+            let idle_clients: Vec<Connection> = (0..80).map(|_| gateway.connect()).collect();
+            gateway.wait_until_input_is_processed();
+            idle_clients
+        });
+    cluster.expect_new_read_and_write_go_to_node_a();
 }
--- a/crates/gateway/tests/gateway_process/races/mod.rs
+++ b/crates/gateway/tests/gateway_process/races/mod.rs
@@ -1,4 +1,5 @@
-//! Pairs of events that race; `docs/races.md` lists all of them with their tests.
+//! Race conditions: each test makes two events coincide, or occur in a given order, and checks the
+//! result. `docs/races.md` lists all pairs of events with their tests.
 
 mod client_close;
 mod discovery_watch;
--- a/crates/gateway/tests/gateway_process/races/node_connections.rs
+++ b/crates/gateway/tests/gateway_process/races/node_connections.rs
@@ -1,27 +1,27 @@
-//! Responses, resets and late connections of nodes, against drains, deadlines and further
-//! requests.
+//! Races between node connections (responses, resets, late establishment) and drains, deadlines or
+//! further requests.
 
 use crate::harness::cluster::{serve_request, TestCluster};
 use crate::harness::config::{
     with_long_connect_timeout, with_many_sockets, with_short_drain_grace,
 };
 use crate::harness::discovery::delta_chunk;
-use crate::harness::gateway::READ_SIZE;
-use crate::harness::node::StorageNode;
+use crate::harness::gateway::READ_CHUNK_BYTES;
+use crate::harness::node::FakeStorageNode;
 use crate::harness::requests::{
-    read_request, read_request_of_another_object, read_request_with_deadline, value_response,
-    write_request, SplitRequest,
+    encode_read_request, encode_read_request_for_another_object, encode_read_request_with_deadline,
+    encode_value_response, encode_write_request, SplitRequest,
 };
 
-/// A complete response and a reset are ready in one iteration of the event loop; the response came
-/// first.
+/// A complete response and a reset of the connection are ready in the same iteration of the event
+/// loop, the response first. The gateway must not treat the attempt as failed and retry it.
 #[test]
-fn response_received_before_a_reset_is_passed_on() {
+fn response_received_before_a_node_reset_is_sent_to_the_client() {
     let cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    // The response takes exactly two reads: after them only the reset is left.
-    let value = "v".repeat(2 * READ_SIZE - value_response("").len() - 4);
-    assert_eq!(value_response(&value).len(), 2 * READ_SIZE);
+    // The response fills exactly two reads of the gateway, so that its next read returns the reset.
+    let value = "v".repeat(2 * READ_CHUNK_BYTES - encode_value_response("").len() - 4);
+    assert_eq!(encode_value_response(&value).len(), 2 * READ_CHUNK_BYTES);
 
     cluster.gateway.pause();
     read.node.respond(&value);
@@ -29,15 +29,17 @@
     cluster.gateway.resume();
 
     read.client.expect_value(&value);
-    // The read is not retried.
+    // The gateway has not retried the read.
     cluster.node_a.expect_no_further_connection();
 }
 
+/// The node is reported as draining, and then its connection is reset. The draining node must not
+/// receive the retry.
 #[test]
 fn retry_after_a_reset_goes_to_the_successor_of_a_draining_node() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    let successor = StorageNode::new("c", 0);
+    let successor = FakeStorageNode::new("c", 0);
 
     cluster.send_delta(3, &[cluster.node_a.terminating(), successor.in_service()]);
     read.node.reset();
@@ -47,12 +49,13 @@
     cluster.node_a.expect_no_further_connection();
 }
 
-/// A request is dispatched only after its last byte has arrived.
+/// The gateway chooses the node of a request after the last byte of the request has arrived, so it
+/// considers a drain that was reported after the first byte.
 #[test]
-fn request_completed_after_a_drain_avoids_the_draining_node() {
+fn request_completed_after_a_drain_is_not_sent_to_the_draining_node() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    let request = SplitRequest::new(&write_request("w1"));
+    let request = SplitRequest::new(&encode_write_request("w1"));
     let mut writer = cluster
         .gateway
         .connect_with_partial_request(&request.first_half);
@@ -66,9 +69,11 @@
     cluster.node_b.expect_no_further_connection();
 }
 
-/// Nothing further is sent on the connection: its node is gone.
+/// The response and the message that removes the node are ready in the same iteration of the event
+/// loop. The client receives the response; the gateway then closes the connection without sending
+/// anything more on it, because the node is removed.
 #[test]
-fn response_received_together_with_a_removal_is_passed_on() {
+fn response_received_together_with_the_node_removal_is_sent_to_the_client() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
 
@@ -83,31 +88,35 @@
     read.node.expect_closed();
 }
 
+/// The client gets a `BUSY` error at its deadline. The late response must not reach the client as
+/// the response to its next request.
 #[test]
 fn response_after_the_deadline_is_ignored() {
     let cluster = TestCluster::start();
     let mut client = cluster
         .gateway
-        .connect_and_send(read_request_with_deadline("a1", 400));
+        .connect_and_send(encode_read_request_with_deadline("a1", 400));
     let mut node = cluster.node_a.accept_request("a1");
 
     client.expect_busy();
     node.expect_closed();
-    node.send_after_close(value_response("one"));
+    node.send_after_close(encode_value_response("one"));
 
-    // A request for the same object would count as a repeat of the first one, which is late.
-    client.send(read_request_of_another_object("a2"));
+    // A read of the same object would count as a repeat of the first read, which is late.
+    client.send(encode_read_request_for_another_object("a2"));
     let mut node = cluster.node_a.accept();
     serve_request(&mut node, &mut client, "a2", "two");
 }
 
+/// The connection to a draining node is established only after the drain grace period, in which the
+/// gateway may still send to the node. The request must be rejected instead of sent.
 #[test]
-fn connection_established_after_the_drain_grace_carries_no_request() {
+fn no_request_is_sent_on_a_connection_established_after_the_drain_grace() {
     let mut cluster = TestCluster::start_with(|config| {
         with_long_connect_timeout(&with_short_drain_grace(config))
     });
     let queue = cluster.node_a.fill_accept_queue();
-    let mut client = cluster.gateway.connect_and_send(read_request("a1"));
+    let mut client = cluster.gateway.connect_and_send(encode_read_request("a1"));
     cluster.gateway.wait_until_input_is_processed();
 
     cluster.send_delta(3, &[cluster.node_a.terminating()]);
@@ -118,22 +127,24 @@
     cluster
         .watch
         .send(delta_chunk(4, &[cluster.node_a.terminated()]));
-    // Nothing was sent on it.
+    // Fails if the gateway has sent anything on the connection.
     node.expect_closed();
 }
 
-/// The request is dispatched in the iteration before the one in which the idle connection would be
-/// reported.
+/// A node sends a response on an idle connection. The gateway dispatches the next request in the
+/// iteration of the event loop before the one in which the unsolicited response is ready. It must
+/// not use that response for the request: it closes the connection and sends the request on a new
+/// one.
 #[test]
-fn unsolicited_response_on_an_idle_connection_is_not_taken_for_the_next_one() {
+fn unsolicited_response_is_not_used_for_the_next_request() {
     let cluster = TestCluster::start_with(with_many_sockets);
     let mut read = cluster.start_read("a1");
     read.complete("one");
-    let mut others = cluster.gateway.connect_clients_for_a_full_iteration();
+    let mut other_clients = cluster.gateway.connect_full_iteration_of_idle_clients();
 
     cluster.gateway.pause();
-    read.client.send(read_request("a2"));
-    for client in &mut others {
+    read.client.send(encode_read_request("a2"));
+    for client in &mut other_clients {
         client.send_ping();
     }
     read.node.respond("unsolicited");
--- a/crates/gateway/tests/gateway_process/races/reload.rs
+++ b/crates/gateway/tests/gateway_process/races/reload.rs
@@ -1,21 +1,23 @@
-//! SIGHUP with a new address of discovery, against events of clients, nodes and the old watch.
+//! Races between a reload (SIGHUP) that changes the address of discovery and events of clients,
+//! nodes and the old watch.
 
 use crate::harness::cluster::{serve_request, TestCluster};
-use crate::harness::discovery::{encode_chunk, watch_event, DiscoveryService, UpdateKind};
+use crate::harness::discovery::{encode_chunk, watch_event, FakeDiscovery, UpdateKind};
 use crate::harness::log_lines;
-use crate::harness::requests::{read_request, write_request, SplitRequest};
+use crate::harness::requests::{encode_read_request, encode_write_request, SplitRequest};
 
+/// The first half of the request arrives before the reload, the second half after it.
 #[test]
 fn partial_request_is_completed_and_served() {
     let mut cluster = TestCluster::start();
-    let request = SplitRequest::new(&read_request("a1"));
+    let request = SplitRequest::new(&encode_read_request("a1"));
     let mut client = cluster
         .gateway
         .connect_with_partial_request(&request.first_half);
 
-    let new_discovery = DiscoveryService::new();
+    let new_discovery = FakeDiscovery::new();
     cluster.gateway.reload_with_discovery(&new_discovery);
-    let _watch = new_discovery.accept_watch_and_send(1, &cluster.both_in_service());
+    let _watch = new_discovery.accept_watch_and_send(1, &cluster.both_nodes_in_service());
     client.send(request.second_half);
 
     let mut node = cluster.node_a.accept();
@@ -23,13 +25,15 @@
     cluster.watch.expect_closed();
 }
 
-/// The new discovery service may number its events differently: it is asked for the whole list.
+/// SIGHUP and the response are ready in the same iteration of the event loop. The gateway asks the
+/// new discovery service for a snapshot (index 0), because that service may number its messages
+/// differently.
 #[test]
-fn response_received_with_sighup_is_passed_on() {
+fn response_received_together_with_sighup_is_sent_to_the_client() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    let new_discovery = DiscoveryService::new();
-    cluster.gateway.write_discovery_address(&new_discovery);
+    let new_discovery = FakeDiscovery::new();
+    cluster.gateway.write_config_with_discovery(&new_discovery);
 
     cluster.gateway.pause();
     cluster.gateway.send_sighup();
@@ -41,20 +45,22 @@
 }
 
 #[test]
-fn node_that_drains_in_the_new_list_gets_no_new_object() {
+fn new_object_is_not_written_to_a_node_that_drains_in_the_new_list() {
     let mut cluster = TestCluster::start();
     let read = cluster.start_read("a1");
 
-    let new_discovery = DiscoveryService::new();
+    let new_discovery = FakeDiscovery::new();
     cluster.gateway.reload_with_discovery(&new_discovery);
-    cluster.watch = new_discovery.accept_watch_and_send(1, &cluster.node_b_draining());
+    cluster.watch = new_discovery.accept_watch_and_send(1, &cluster.entries_with_node_b_draining());
     cluster.gateway.wait_until_input_is_processed();
 
-    cluster.expect_new_object_avoids_node_b(read);
+    cluster.expect_write_goes_to_node_a(read);
 }
 
+/// The gateway receives the first half of a drain message before the reload. The second half, which
+/// arrives on the old watch after the reload, must not drain node B.
 #[test]
-fn rest_of_an_event_of_the_old_watch_is_ignored() {
+fn rest_of_an_event_on_the_old_watch_is_ignored() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
     let event = encode_chunk(&watch_event(
@@ -66,33 +72,34 @@
     cluster.watch.send(first_half);
     cluster.gateway.wait_until_input_is_processed();
 
-    let new_discovery = DiscoveryService::new();
+    let new_discovery = FakeDiscovery::new();
     cluster.gateway.reload_with_discovery(&new_discovery);
-    let _watch = new_discovery.accept_watch_and_send(1, &cluster.both_in_service());
-    cluster.wait_for_list_of_both_nodes();
+    let _watch = new_discovery.accept_watch_and_send(1, &cluster.both_nodes_in_service());
+    cluster.wait_for_update_of_two_endpoints();
     cluster.watch.send_after_close(second_half);
 
-    // Node B still serves.
+    // Node B is still in service.
     let mut writer = cluster
         .gateway
-        .connect_and_send_at_once(write_request("w1"));
+        .connect_and_send_in_one_iteration(encode_write_request("w1"));
     let mut node_b = cluster.node_b.accept();
     serve_request(&mut node_b, &mut writer, "w1", "written");
     read.complete("one");
 }
 
+/// The new discovery service refuses connections at first. The gateway closes the old watch anyway.
 #[test]
-fn new_discovery_is_polled_until_it_accepts_the_watch() {
+fn connection_to_the_new_discovery_is_retried_until_it_listens() {
     let mut cluster = TestCluster::start();
     let read = cluster.start_read("a1");
 
-    let mut new_discovery = DiscoveryService::new_stopped();
+    let mut new_discovery = FakeDiscovery::new_stopped();
     cluster.gateway.reload_with_discovery(&new_discovery);
     cluster.gateway.wait_for_log(log_lines::CONNECTION_REFUSED);
     cluster.watch.expect_closed();
     new_discovery.listen_again();
-    cluster.watch = new_discovery.accept_watch_and_send(1, &cluster.node_b_draining());
-    cluster.wait_for_list_of_both_nodes();
+    cluster.watch = new_discovery.accept_watch_and_send(1, &cluster.entries_with_node_b_draining());
+    cluster.wait_for_update_of_two_endpoints();
 
-    cluster.expect_new_object_avoids_node_b(read);
+    cluster.expect_write_goes_to_node_a(read);
 }
--- a/crates/gateway/tests/gateway_process/races/shutdown.rs
+++ b/crates/gateway/tests/gateway_process/races/shutdown.rs
@@ -1,35 +1,40 @@
-//! SIGTERM against events of clients, nodes and discovery.
+//! Races between a graceful shutdown (SIGTERM) and events of clients, nodes and discovery.
 
 use crate::harness::cluster::{serve_request, TestCluster};
 use crate::harness::config::with_many_sockets;
 use crate::harness::connection::Connection;
-use crate::harness::discovery::DiscoveryService;
+use crate::harness::discovery::FakeDiscovery;
 use crate::harness::requests::{
-    forwarded_deadline_ms, read_request, read_request_with_deadline, SplitRequest,
+    encode_read_request, encode_read_request_with_deadline, forwarded_deadline_ms, SplitRequest,
 };
 use std::time::Instant;
 
-/// As [`serve_request`]; the gateway then closes the client's connection.
+/// As [`serve_request`], and checks that the gateway then closes the client's connection.
 #[track_caller]
 fn serve_last_request(node: &mut Connection, client: &mut Connection, id: &str, value: &str) {
     serve_request(node, client, id, value);
     client.expect_closed();
 }
 
+/// A gateway that is shutting down still accepts clients while requests are in flight.
 #[test]
 fn client_accepted_after_sigterm_is_served() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
 
     cluster.gateway.begin_draining();
-    let mut second = cluster.gateway.connect_and_send_at_once(read_request("a2"));
+    let mut second_client = cluster
+        .gateway
+        .connect_and_send_in_one_iteration(encode_read_request("a2"));
     cluster.gateway.wait_until_input_is_processed();
 
-    read.complete_and_expect_close("one");
-    serve_last_request(&mut read.node, &mut second, "a2", "two");
+    read.complete_and_expect_client_close("one");
+    serve_last_request(&mut read.node, &mut second_client, "a2", "two");
     cluster.gateway.expect_clean_exit();
 }
 
+/// The new client and the response to the last request in flight are ready in the same iteration of
+/// the event loop. The gateway must not exit before it has served the new client.
 #[test]
 fn client_accepted_together_with_the_last_response_is_served() {
     let mut cluster = TestCluster::start();
@@ -38,36 +43,39 @@
 
     cluster.gateway.pause();
     read.node.respond("one");
-    let mut second = cluster.gateway.connect_and_send(read_request("a2"));
+    let mut second_client = cluster.gateway.connect_and_send(encode_read_request("a2"));
     cluster.gateway.resume();
 
-    read.client.expect_last_value("one");
-    serve_last_request(&mut read.node, &mut second, "a2", "two");
+    read.client.expect_value_and_close("one");
+    serve_last_request(&mut read.node, &mut second_client, "a2", "two");
     cluster.gateway.expect_clean_exit();
 }
 
+/// The first half of the request arrives before SIGTERM, the second half while connections are
+/// drained.
 #[test]
 fn partial_request_is_completed_and_served() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
 
-    let request = SplitRequest::new(&read_request("a2"));
-    let mut second = cluster
+    let request = SplitRequest::new(&encode_read_request("a2"));
+    let mut second_client = cluster
         .gateway
         .connect_with_partial_request(&request.first_half);
     cluster.gateway.begin_draining();
-    second.send(request.second_half);
+    second_client.send(request.second_half);
     cluster.gateway.wait_until_input_is_processed();
 
-    read.complete_and_expect_close("one");
-    serve_last_request(&mut read.node, &mut second, "a2", "two");
+    read.complete_and_expect_client_close("one");
+    serve_last_request(&mut read.node, &mut second_client, "a2", "two");
     cluster.gateway.expect_clean_exit();
 }
 
 #[test]
 fn pipelined_requests_are_served_before_the_close() {
     let mut cluster = TestCluster::start();
-    let pipeline = read_request("a1") + &read_request("a2") + &read_request("a3");
+    let pipeline =
+        encode_read_request("a1") + &encode_read_request("a2") + &encode_read_request("a3");
     let mut client = cluster.gateway.connect_and_send(pipeline);
     let mut node = cluster.node_a.accept_request("a1");
 
@@ -86,26 +94,30 @@
 }
 
 #[test]
-fn request_on_a_closed_idle_connection_is_not_forwarded() {
+fn request_sent_after_the_idle_connection_was_closed_is_not_forwarded() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    let mut idle = cluster.gateway.connect_idle_client();
+    let mut idle_client = cluster.gateway.connect_idle_client();
 
     cluster.gateway.request_shutdown();
-    idle.expect_closed();
-    idle.send_after_close(read_request("a2"));
-    let mut third = cluster.gateway.connect_and_send_at_once(read_request("a3"));
+    idle_client.expect_closed();
+    idle_client.send_after_close(encode_read_request("a2"));
+    let mut third_client = cluster
+        .gateway
+        .connect_and_send_in_one_iteration(encode_read_request("a3"));
     cluster.gateway.wait_until_input_is_processed();
 
     read.complete("one");
-    serve_request(&mut read.node, &mut third, "a3", "three");
+    serve_request(&mut read.node, &mut third_client, "a3", "three");
     cluster.gateway.expect_clean_exit();
     cluster.node_a.expect_no_further_connection();
 }
 
-/// A reset could destroy the response on its way.
+/// A `PING` is ready in the same iteration of the event loop as the last response. If the gateway
+/// closed the connection with unread bytes, the kernel would reset it, and the client could lose
+/// the response.
 #[test]
-fn bytes_received_during_the_close_do_not_reset_the_connection() {
+fn bytes_received_with_the_last_response_do_not_reset_the_connection() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
     cluster.gateway.begin_draining();
@@ -121,31 +133,32 @@
     cluster.gateway.expect_clean_exit();
 }
 
-/// The bytes become ready too late for the iteration in which the response is sent and the
-/// connection is closed: closing it with unread bytes would reset it.
+/// The bytes become ready too late for the iteration of the event loop in which the gateway sends
+/// the response and closes the connection. Closing it with unread bytes would reset it.
 #[test]
-fn bytes_left_unread_at_the_close_do_not_reset_the_connection() {
+fn unread_bytes_at_the_close_do_not_reset_the_connection() {
     let mut cluster = TestCluster::start_with(with_many_sockets);
     let mut read = cluster.start_read("a1");
     cluster.gateway.begin_draining();
-    let request = SplitRequest::new(&read_request("a2"));
-    let mut others = cluster
+    let request = SplitRequest::new(&encode_read_request("a2"));
+    let mut other_clients = cluster
         .gateway
-        .connect_unfinished_clients_for_a_full_iteration(&request.first_half);
+        .connect_full_iteration_of_partial_requests(&request.first_half);
 
     cluster.gateway.pause();
     read.node.respond("one");
-    for client in &mut others {
+    for client in &mut other_clients {
         client.send(&request.second_half[..1]);
     }
     read.client.send_ping();
     cluster.gateway.resume();
 
-    read.client.expect_last_value("one");
-    drop(others);
+    read.client.expect_value_and_close("one");
+    drop(other_clients);
     cluster.gateway.expect_clean_exit();
 }
 
+/// The attempt of the closed client is the only work left: the gateway cancels it and exits.
 #[test]
 fn client_close_cancels_the_attempt() {
     let mut cluster = TestCluster::start();
@@ -168,17 +181,19 @@
     read.node.reset();
 
     read.node = cluster.node_a.accept_request("a1");
-    read.complete_and_expect_close("one");
+    read.complete_and_expect_client_close("one");
     cluster.gateway.expect_clean_exit();
 }
 
+/// The retry must not forward the original deadline: the node would work on a request that the
+/// client no longer waits for.
 #[test]
 fn retry_forwards_the_remaining_deadline() {
     const DEADLINE_MS: u32 = 2_500;
     let mut cluster = TestCluster::start();
     let mut client = cluster
         .gateway
-        .connect_and_send(read_request_with_deadline("a1", DEADLINE_MS));
+        .connect_and_send(encode_read_request_with_deadline("a1", DEADLINE_MS));
     let sent = Instant::now();
     let mut node = cluster.node_a.accept();
     let first_deadline = forwarded_deadline_ms(&node.expect_request("a1"));
@@ -197,29 +212,30 @@
 }
 
 #[test]
-fn draining_node_gets_no_new_object() {
+fn new_object_is_not_written_to_a_draining_node() {
     let mut cluster = TestCluster::start();
     let read = cluster.start_read("a1");
 
     cluster.gateway.begin_draining();
     cluster.drain_node_b();
 
-    cluster.expect_new_object_avoids_node_b(read);
+    cluster.expect_write_goes_to_node_a(read);
     cluster.gateway.expect_clean_exit();
 }
 
+/// Until it exits, the gateway needs to know which nodes are draining.
 #[test]
 fn broken_watch_is_reopened() {
     let mut cluster = TestCluster::start();
     let read = cluster.start_read("a1");
 
     cluster.gateway.begin_draining();
-    let entries = cluster.node_b_draining();
+    let entries = cluster.entries_with_node_b_draining();
     cluster.watch.reset();
     cluster.watch = cluster.discovery.accept_watch_and_send(3, &entries);
-    cluster.wait_for_list_of_both_nodes();
+    cluster.wait_for_update_of_two_endpoints();
 
-    cluster.expect_new_object_avoids_node_b(read);
+    cluster.expect_write_goes_to_node_a(read);
     cluster.gateway.expect_clean_exit();
 }
 
@@ -227,8 +243,8 @@
 fn simultaneous_sigterm_and_sighup_are_both_handled() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    let new_discovery = DiscoveryService::new();
-    cluster.gateway.write_discovery_address(&new_discovery);
+    let new_discovery = FakeDiscovery::new();
+    cluster.gateway.write_config_with_discovery(&new_discovery);
 
     cluster.gateway.pause();
     cluster.gateway.send_sigterm();
@@ -236,6 +252,6 @@
     cluster.gateway.resume();
 
     let _watch = new_discovery.accept_watch_and_send(1, &[cluster.node_a.in_service()]);
-    read.complete_and_expect_close("one");
+    read.complete_and_expect_client_close("one");
     cluster.gateway.expect_clean_exit();
 }
--- a/crates/gateway/tests/gateway_process/scenario_runner/connections.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of one peer, each read by a thread of its own.
+//! The connections of one peer. A thread per connection reads complete messages from it.
 
 use super::message::{decode_message, Message, Protocol};
 use crate::harness::connection::ConnectionEnd;
@@ -7,18 +7,18 @@
 use std::sync::mpsc::Sender;
 use std::sync::{Arc, Mutex};
 
-/// How many bytes a thread reads at once.
+/// A thread reads at most this many bytes at once.
 const READ_BYTES: usize = 4096;
 
-/// What a thread saw on a connection.
+/// An event that a reading thread reports.
 pub struct ConnectionEvent {
-    /// The number of the connection among its peer's.
+    /// The index of the connection among the connections of its peer.
     pub connection: usize,
-    /// What happened on it.
+    /// The kind of the event.
     pub kind: ConnectionEventKind,
 }
 
-/// What happened on a connection.
+/// The kind of an event on a connection.
 pub enum ConnectionEventKind {
     /// A complete message was received.
     Received(Message),
@@ -26,42 +26,54 @@
     Ended(ConnectionEnd),
 }
 
-/// The connections of one peer, in the order in which they were opened.
+/// The connections of one peer, in the order in which they were established.
 #[derive(Clone, Default)]
 pub struct Connections(Arc<Mutex<Vec<TcpStream>>>);
 
 impl Connections {
-    /// Adds a connection and starts a thread that reads complete messages from it.
+    /// Adds a connection and starts the thread that reads from it.
     pub fn add(&self, stream: TcpStream, protocol: Protocol, events: Sender<ConnectionEvent>) {
-        let mut streams = self.0.lock().expect("no thread panics with the lock");
+        let mut streams = self
+            .0
+            .lock()
+            .expect("no thread panics while it holds the lock");
         let connection = streams.len();
-        streams.push(stream.try_clone().expect("a descriptor"));
+        streams.push(stream.try_clone().expect("a free file descriptor"));
         std::thread::spawn(move || read_messages(connection, stream, protocol, &events));
     }
 
-    /// How many connections were opened.
+    /// The number of connections so far; closed ones are included.
     pub fn count(&self) -> usize {
-        self.0.lock().expect("no thread panics with the lock").len()
+        self.0
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .len()
     }
 
-    /// Sends bytes on one of the connections.
+    /// Sends bytes on the connection with this index.
     pub fn send(&self, connection: usize, bytes: &[u8]) {
-        let mut streams = self.0.lock().expect("no thread panics with the lock");
+        let mut streams = self
+            .0
+            .lock()
+            .expect("no thread panics while it holds the lock");
         streams[connection]
             .write_all(bytes)
-            .expect("the gateway reads");
+            .expect("an open connection");
     }
 
-    /// Closes all connections in order.
+    /// Closes all connections with a FIN.
     pub fn close_all(&self) {
-        let streams = self.0.lock().expect("no thread panics with the lock");
+        let streams = self
+            .0
+            .lock()
+            .expect("no thread panics while it holds the lock");
         for stream in streams.iter() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-/// Reads from a connection until it ends, and reports its messages and its end.
+/// Reads from a connection until it ends, and reports its messages and how it ended.
 fn read_messages(
     connection: usize,
     mut stream: TcpStream,
--- a/crates/gateway/tests/gateway_process/scenario_runner/deployment.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/deployment.rs
@@ -1,18 +1,19 @@
-//! What a gateway is deployed with: its configuration, its nodes and discovery.
+//! Scenario statements that declare nodes, start the gateway and change its configuration, its
+//! inventory or its discovery service.
 
 use super::error::ScenarioError;
 use super::launch::{
-    inventory, operator_config, InventoryEntry, Launch, CONFIG_FILE, INVENTORY_FILE,
+    inventory, operator_config, GatewayConfig, InventoryEntry, CONFIG_FILE, INVENTORY_FILE,
 };
 use super::message::Protocol;
 use super::peer::Peer;
-use super::scenario::{Node, Scenario, CONSOLE, DISCOVERY, FORMER_DISCOVERY};
+use super::scenario::{DeclaredNode, Scenario, CONSOLE, DISCOVERY, OLD_DISCOVERY};
 use crate::harness::config::{platform_config, replace_setting};
 use crate::harness::discovery::{endpoint_entry, EndpointEntry};
 use std::time::SystemTime;
 
 impl Scenario {
-    /// Declares a node, which listens from now on.
+    /// Declares a fake node and starts its listener.
     pub fn declare_node(&mut self, name: &str, arguments: &[&str]) -> Result<(), ScenarioError> {
         let protocol = if arguments.get(1) == Some(&"sftp") {
             Protocol::Sftp
@@ -22,52 +23,52 @@
         let shard = arguments.first().and_then(|shard| shard.parse().ok());
         let shard = shard.ok_or(ScenarioError::MissingShard)?;
         self.peers.insert(name.to_owned(), Peer::listen(protocol));
-        self.nodes.push(Node {
+        self.nodes.push(DeclaredNode {
             name: name.to_owned(),
             shard,
         });
         Ok(())
     }
 
-    /// Starts the gateway on a configuration of this kind, `platform` or `operator`.
+    /// Starts the gateway with a configuration of this kind: `platform` or `operator`.
     pub fn start_gateway(&mut self, kind: &str, max_descriptors: Option<&str>) {
-        let launch = if kind == "operator" {
-            self.operator_launch()
+        let config = if kind == "operator" {
+            self.operator_gateway_config()
         } else {
-            self.platform_launch()
+            self.platform_gateway_config()
         };
-        let mut gateway = launch.start(&self.directory, max_descriptors);
+        let mut gateway = config.start(&self.directory, max_descriptors);
         let console = Peer::console(gateway.process.take_stdout());
         self.peers.insert(CONSOLE.to_owned(), console);
         self.gateway = Some(gateway);
     }
 
-    /// The launch on an operator's file, with an inventory of all nodes.
-    fn operator_launch(&self) -> Launch {
+    /// An operator's configuration. Writes an inventory of all nodes.
+    fn operator_gateway_config(&self) -> GatewayConfig {
         self.write_inventory();
-        Launch::Operator {
+        GatewayConfig::Operator {
             config: operator_config(self.nodes.len()),
         }
     }
 
-    /// The launch on the platform's configuration, with a cached list of all nodes.
-    fn platform_launch(&self) -> Launch {
+    /// A platform configuration, with all nodes in its cached endpoint list.
+    fn platform_gateway_config(&self) -> GatewayConfig {
         let discovery = self.peers[DISCOVERY].address();
-        Launch::Platform {
-            config: platform_config(discovery, &self.in_service_entries()),
+        GatewayConfig::Platform {
+            config: platform_config(discovery, &self.all_nodes_in_service()),
             discovery,
         }
     }
 
-    /// The entries of all nodes in an endpoint list where all are in service.
-    pub fn in_service_entries(&self) -> Vec<String> {
+    /// Endpoint list entries with all nodes in service.
+    pub fn all_nodes_in_service(&self) -> Vec<String> {
         self.nodes
             .iter()
             .map(|node| self.endpoint_entry(&node.name, &node.name, "in_service"))
             .collect()
     }
 
-    /// The entry of a node at the address where a peer listens.
+    /// The endpoint list entry of a node, with the address of `listening_peer`.
     pub fn endpoint_entry(&self, name: &str, listening_peer: &str, status: &str) -> String {
         let node = self
             .nodes
@@ -83,14 +84,14 @@
         })
     }
 
-    /// Writes the inventory again, with a node that has just started.
-    pub fn restart_node(&mut self, name: &str) {
+    /// Writes the inventory again, in which this node has been in service only since now.
+    pub fn mark_node_restarted(&mut self, name: &str) {
         self.restarted_node = Some(name.to_owned());
         self.write_inventory();
-        self.record(&format!("{name} has just started"));
+        self.record(&format!("inventory: {name} has just started"));
     }
 
-    /// Writes the inventory of all nodes.
+    /// Writes the inventory file with all nodes.
     fn write_inventory(&self) {
         let entries: Vec<InventoryEntry> = self
             .nodes
@@ -100,8 +101,8 @@
         self.directory.write(INVENTORY_FILE, &inventory(&entries));
     }
 
-    /// A node's entry in the inventory.
-    fn inventory_entry<'a>(&self, node: &'a Node) -> InventoryEntry<'a> {
+    /// The inventory entry of a node.
+    fn inventory_entry<'a>(&self, node: &'a DeclaredNode) -> InventoryEntry<'a> {
         let peer = &self.peers[&node.name];
         let just_started = self.restarted_node.as_ref() == Some(&node.name);
         InventoryEntry {
@@ -117,12 +118,10 @@
         }
     }
 
-    /// Lets discovery listen at a new address, which the configuration names from now on.
+    /// Starts a new discovery service on another address and writes that address to the
+    /// configuration file. The old service becomes the peer [`OLD_DISCOVERY`].
     pub fn move_discovery(&mut self) {
-        let former = self
-            .peers
-            .remove(DISCOVERY)
-            .expect("there is one discovery");
+        let former = self.peers.remove(DISCOVERY).expect("the discovery peer");
         let new = Peer::listen(Protocol::Http);
         let config = self.directory.read(CONFIG_FILE);
         let config = replace_setting(
@@ -132,18 +131,18 @@
         );
         self.directory.write(CONFIG_FILE, &config);
         self.peers.insert(DISCOVERY.to_owned(), new);
-        self.peers.insert(FORMER_DISCOVERY.to_owned(), former);
-        self.record("discovery moves");
+        self.peers.insert(OLD_DISCOVERY.to_owned(), former);
+        self.record("discovery listens at a new address");
     }
 
-    /// Makes the configuration file unreadable for the gateway.
-    pub fn invalidate_config(&mut self) {
+    /// Overwrites the configuration file with incomplete JSON.
+    pub fn write_invalid_config(&mut self) {
         self.directory.write(CONFIG_FILE, "{\"discovery\":");
-        self.record("the configuration is invalid");
+        self.record("configuration file is invalid");
     }
 }
 
-/// The time since 1970 in milliseconds.
+/// The current Unix time in milliseconds.
 fn now_ms() -> u128 {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since_epoch.expect("the clock is after 1970").as_millis()
--- a/crates/gateway/tests/gateway_process/scenario_runner/error.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/error.rs
@@ -1,23 +1,23 @@
-//! Why a scenario fails.
+//! Errors of scenarios.
 
 use thiserror::Error;
 
-/// Why a line of a scenario fails.
+/// Why a statement of a scenario failed.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
-    /// The line begins with no known verb.
-    #[error("no such verb: {0}")]
-    UnknownVerb(String),
-    /// A node is declared without the number of its shard.
-    #[error("the node has no shard")]
+    /// The line does not begin with a known statement.
+    #[error("unknown statement: {0}")]
+    UnknownStatement(String),
+    /// A node was declared without a valid shard number.
+    #[error("node without a valid shard number")]
     MissingShard,
-    /// Nothing was received in time.
-    #[error("nothing was received")]
+    /// The peer received nothing within the timeout.
+    #[error("no message or connection end within the timeout")]
     NothingReceived,
-    /// Another message was received, or one where the end of the connection was due.
-    #[error("received: {0}")]
+    /// A different message was received, or a message instead of the end of the connection.
+    #[error("unexpected message: {0}")]
     UnexpectedMessage(String),
-    /// The connection ended where a message was due.
-    #[error("the connection was closed")]
+    /// The connection ended while the scenario expected a message.
+    #[error("the connection ended; expected a message")]
     ConnectionClosed,
 }
--- a/crates/gateway/tests/gateway_process/scenario_runner/launch.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/launch.rs
@@ -1,4 +1,4 @@
-//! Starts the gateway of a scenario, on the platform's or on an operator's configuration.
+//! Starts the gateway of a scenario with a platform configuration or an operator's configuration.
 
 use crate::harness::config::{replace_setting, SETTINGS};
 use crate::harness::gateway_process::{GatewayProcess, GATEWAY_PROGRAM};
@@ -7,48 +7,49 @@
 use std::net::SocketAddr;
 use std::process::{ChildStdin, Command, Stdio};
 
-/// The configuration file in the scenario's directory.
+/// The name of the configuration file in the directory of the scenario.
 pub const CONFIG_FILE: &str = "config.json";
-/// An operator's inventory in the same directory.
+/// The name of the operator's inventory in the same directory.
 pub const INVENTORY_FILE: &str = "nodes.csv";
 
-/// A gateway with its console and its listeners.
-pub struct RunningGateway {
-    /// The process.
+/// A running gateway, with its console input and the addresses of its listeners.
+pub struct StartedGateway {
+    /// The gateway process.
     pub process: GatewayProcess,
-    /// The console's input.
+    /// The input of the gateway's console.
     pub console_input: ChildStdin,
-    /// Where it accepts RESP2 clients.
+    /// The address on which it accepts RESP2 clients.
     pub resp_address: SocketAddr,
-    /// Where it accepts SFTP clients, if it does.
+    /// The address on which it accepts SFTP clients; `None` for a platform configuration.
     pub sftp_address: Option<SocketAddr>,
 }
 
-/// The configuration that a gateway starts with.
-pub enum Launch {
-    /// The configuration that `ROUTER_CONFIG` names, with the address of discovery in the
-    /// environment too.
+/// The configuration with which a gateway is started.
+pub enum GatewayConfig {
+    /// The platform passes the path of the file in `ROUTER_CONFIG` and the address of discovery in
+    /// `ROUTER_DISCOVERY`.
     Platform {
         /// The content of the configuration file.
         config: String,
-        /// Where discovery listens.
+        /// The address of the discovery service.
         discovery: SocketAddr,
     },
-    /// An operator's file, with an inventory beside it and a listener for SFTP.
+    /// An operator passes the path of the file in `--config`. The file names an inventory and an
+    /// SFTP listener.
     Operator {
         /// The content of the configuration file.
         config: String,
     },
 }
 
-impl Launch {
-    /// Starts the gateway. With fewer file descriptors than its configuration says, accepting and
-    /// connecting must fail at times.
+impl GatewayConfig {
+    /// Starts the gateway and waits until it listens. If `max_descriptors` is below the limit in
+    /// the configuration, the gateway sometimes fails to accept or open a connection.
     pub fn start(
         &self,
         directory: &TestDirectory,
         max_descriptors: Option<&str>,
-    ) -> RunningGateway {
+    ) -> StartedGateway {
         let mut command = gateway_command(max_descriptors);
         self.configure(&mut command, directory);
         let mut process = GatewayProcess::spawn(&mut command);
@@ -58,7 +59,7 @@
             Self::Operator { .. } => Some(process.wait_for_sftp_listener()),
         };
         let console_input = process.take_stdin();
-        RunningGateway {
+        StartedGateway {
             process,
             console_input,
             resp_address,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Writes the configuration file and names it to the gateway.
+    /// Writes the configuration file and passes its path to the gateway.
     fn configure(&self, command: &mut Command, directory: &TestDirectory) {
         match self {
             Self::Platform { config, discovery } => {
@@ -83,7 +84,8 @@
     }
 }
 
-/// The command that runs the gateway, with a console and at most so many file descriptors.
+/// The command that runs the gateway with a piped console and with at most `max_descriptors` file
+/// descriptors.
 fn gateway_command(max_descriptors: Option<&str>) -> Command {
     let limit = max_descriptors.map_or_else(String::new, |count| format!("ulimit -n {count}; "));
     let mut command = Command::new("/bin/sh");
@@ -96,7 +98,7 @@
     command
 }
 
-/// An operator's configuration for this number of shards.
+/// An operator's configuration file for this number of shards.
 pub fn operator_config(shard_count: usize) -> String {
     let volumes = r#"[{"name":"notes","id":"00000000000000a1","plan":"gold"}]"#;
     let sftp = format!(
@@ -126,21 +128,22 @@
     )
 }
 
-/// A node of an inventory.
+/// A row of an inventory.
 pub struct InventoryEntry<'a> {
     /// The node's name.
     pub name: &'a str,
-    /// Where it listens.
+    /// The address on which the node listens.
     pub address: SocketAddr,
-    /// The shard that it stores.
+    /// The shard that the node stores.
     pub shard: u64,
     /// `resp2` or `sftp`.
     pub protocol: &'a str,
-    /// Since when it has been in service, in milliseconds since 1970; 0 for long since.
+    /// The Unix time in milliseconds since which the node has been in service. The gateway applies
+    /// slow start to a node that has just started; 0 prevents that.
     pub since_ms: u128,
 }
 
-/// An inventory as CSV.
+/// Encodes an inventory as CSV.
 pub fn inventory(entries: &[InventoryEntry<'_>]) -> String {
     let mut csv = "name,address,zone,shard,protocol,since_ms\n".to_owned();
     for InventoryEntry {
--- a/crates/gateway/tests/gateway_process/scenario_runner/masking.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/masking.rs
@@ -1,7 +1,7 @@
-//! Masks what differs from run to run: times, and ids that the gateway generates.
+//! Replaces values that differ between runs: times, and ids that the gateway generates.
 
-/// A message with its variable words replaced.
-pub fn mask_variable_words(message: &str) -> String {
+/// Replaces the varying words of a message by placeholders.
+pub fn mask_varying_words(message: &str) -> String {
     let words: Vec<String> = message.split(' ').map(mask_word).collect();
     match words.as_slice() {
         [status, _retry_after] if status == "-BUSY" => "-BUSY MS".to_owned(),
@@ -23,8 +23,8 @@
     word.to_owned()
 }
 
-/// Generated request ids begin with the clock's leading digits; in the console's tables, volumes
-/// are as long.
+/// Whether a word is a request id that the gateway has generated, which begins with the leading
+/// digits of the clock, or a volume id in a console table, which has the same length.
 fn is_generated_id(word: &str) -> bool {
     word.len() == 16 && (word.starts_with("0006") || word.starts_with("00000000000000a"))
 }
--- a/crates/gateway/tests/gateway_process/scenario_runner/message.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/message.rs
@@ -1,4 +1,4 @@
-//! Splits the bytes that a peer receives into messages and shows each as text.
+//! Splits the bytes that a peer receives into messages and formats each as text.
 
 use super::sftp_message;
 use crate::harness::resp;
@@ -6,34 +6,34 @@
 /// The protocol between a peer and the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
-    /// RESP2: commands, responses.
+    /// RESP2 commands and responses.
     Resp,
-    /// The SSH File Transfer Protocol without SSH.
+    /// The packets of the SSH File Transfer Protocol, without SSH.
     Sftp,
-    /// HTTP requests, of which only the first line counts.
+    /// HTTP requests, of which only the request line is compared.
     Http,
-    /// Lines of text.
+    /// Lines of text, for the console.
     Lines,
 }
 
 /// A complete message.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The message as words.
+    /// The message as words separated by spaces.
     pub text: String,
-    /// The id that its response carries; 0 where the protocol has none.
+    /// The id that the response must carry; 0 if the protocol has no request ids.
     pub request_id: u32,
 }
 
-/// A message at the beginning of an input.
+/// A message decoded from the beginning of an input.
 pub struct DecodedMessage {
-    /// The message.
+    /// The decoded message.
     pub message: Message,
-    /// How many bytes it took.
+    /// The length of the encoded message in bytes.
     pub length: usize,
 }
 
-/// Decodes the first message; `None` until it is complete.
+/// Decodes the first message of the input. Returns `None` if it is incomplete.
 pub fn decode_message(input: &[u8], protocol: Protocol) -> Option<DecodedMessage> {
     match protocol {
         Protocol::Sftp => sftp_message::decode(input),
@@ -54,7 +54,7 @@
 }
 
 fn decode_first_line(input: &[u8], terminator: &str) -> Option<DecodedMessage> {
-    let input = std::str::from_utf8(input).expect("text");
+    let input = std::str::from_utf8(input).expect("a message in UTF-8");
     let length = input.find(terminator)? + terminator.len();
     let text = input.lines().next()?.to_owned();
     Some(DecodedMessage {
--- a/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
@@ -1,38 +1,41 @@
-//! Scenarios: a gateway process with clients, stand-in nodes and a stand-in discovery, run from a
-//! text file.
+//! Runs scenarios. A scenario is a text file with statements for a gateway process, its clients,
+//! fake storage nodes and a fake discovery service.
 //!
-//! A line is one of these:
+//! Each line is one statement. Empty lines and lines that begin with `#` are ignored.
 //!
-//! - `node NAME SHARD [sftp]`: declares a stand-in node, which listens from now on.
-//! - `start platform [DESCRIPTORS]`: starts the gateway on `ROUTER_CONFIG`, with at most so many
-//!   file descriptors.
-//! - `start operator [DESCRIPTORS]`: starts it on an operator's file and an inventory.
-//! - `node_restarted NODE`: writes the inventory again, with a node that has just started.
-//! - `send PEER WORDS`: the peer sends a message; a peer not seen yet is a client that
-//!   connects.
-//! - `open PEER`: a client connects and sends nothing.
-//! - `expect PEER [WORDS]`: waits for the next message to the peer, which must be WORDS if they
-//!   are given.
-//! - `move_discovery`: discovery listens at a new address, which the configuration names from now
-//!   on; the peer at the former address is `old`.
-//! - `invalidate_config`: the configuration file can't be parsed any more.
+//! - `node NAME SHARD [sftp]`: declares a fake node, which listens from now on. It uses RESP2, or
+//!   SFTP if given.
+//! - `start platform [DESCRIPTORS]`: starts the gateway with a platform configuration
+//!   (`ROUTER_CONFIG`) and at most DESCRIPTORS file descriptors.
+//! - `start operator [DESCRIPTORS]`: starts it with an operator's configuration file and an
+//!   inventory.
+//! - `mark_restarted NODE`: writes the inventory again, in which NODE has just started.
+//! - `connect PEER`: connects a client, which sends nothing.
+//! - `send PEER WORDS`: sends a message as the peer. If there is no peer of this name, a client is
+//!   connected first.
+//! - `expect PEER [WORDS]`: waits for the next message to the peer. If WORDS are given, the message
+//!   must equal them.
+//! - `move_discovery`: starts a new discovery service on another address and writes that address to
+//!   the configuration file. The old service becomes the peer `old_discovery`.
+//! - `write_invalid_config`: overwrites the configuration file with incomplete JSON.
 //! - `close PEER`: closes all connections of the peer.
-//! - `wait PEER`: waits until the gateway closes a connection to the peer, or, for `gateway`,
-//!   until it has ended.
+//! - `wait_for_close PEER`: waits until the gateway closes a connection of the peer.
+//! - `wait_for_exit gateway`: waits until the gateway process has exited.
 //!
-//! What a peer sends depends on its protocol:
+//! What a peer sends depends on its kind:
 //!
-//! - A client whose name begins with `s` sends an SFTP packet (see [`sftp_message`]); any other
-//!   sends a RESP2 command, or after `raw` one line as it stands.
-//! - A node sends a packet, or in RESP2 `value TEXT`, `twice TEXT` (the same response two times)
-//!   or `raw LINE`, always as the response to its oldest request. `more TEXT` is a response to no
-//!   request.
-//! - `discovery` sends `list` or a change: `STATUS NODE [ADDRESS-OF]`.
+//! - A client whose name begins with `s` sends an SFTP packet (see [`sftp_message`]). Any other
+//!   client sends a RESP2 command, or the line LINE without any encoding for `raw LINE`.
+//! - A node responds to its oldest request without a response. An SFTP node sends a packet, a RESP2
+//!   node sends `value TEXT`, `value_twice TEXT` (the same response two times) or `raw LINE`.
+//!   `unsolicited TEXT` is a response without a request.
+//! - `discovery` sends `list` (a snapshot) or the delta `STATUS NODE [PEER]`. If PEER is given, the
+//!   delta has the address of PEER instead of that of NODE.
 //! - `console` sends a line to the gateway's console.
-//! - `gateway` is sent a signal: `HUP` or `TERM`.
+//! - `gateway` receives the signal `HUP` or `TERM`.
 //!
-//! Nothing sleeps: threads read the sockets and hand over complete messages. The transcript of all
-//! messages is what a test compares.
+//! The runner never sleeps: threads read the sockets and pass on complete messages. The result is a
+//! transcript of all messages, which the test compares with a snapshot.
 
 mod connections;
 mod deployment;
--- a/crates/gateway/tests/gateway_process/scenario_runner/peer.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/peer.rs
@@ -1,9 +1,9 @@
-//! The gateway's peers in a scenario, which exchange messages with it: clients, stand-in nodes,
-//! discovery and the console.
+//! The peers that exchange messages with the gateway in a scenario: clients, fake nodes, discovery
+//! and the console.
 
 use super::connections::{ConnectionEvent, ConnectionEventKind, Connections};
 use super::error::ScenarioError;
-use super::masking::mask_variable_words;
+use super::masking::mask_varying_words;
 use super::message::{Message, Protocol};
 use crate::harness::connection::ConnectionEnd;
 use std::collections::VecDeque;
@@ -13,43 +13,43 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// How long a scenario waits for the next message or the end of a connection.
+/// A statement fails if the expected message or connection end does not occur within this time.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A request that a node has received and not answered.
-struct PendingRequest {
+/// A request to which a fake node has not responded.
+struct UnansweredRequest {
     connection: usize,
     request_id: u32,
 }
 
-/// Where a peer's next message goes.
-pub struct ReplyAddress {
-    /// The number of the connection among the peer's.
+/// The connection and the request id for a message that a peer sends.
+pub struct SendTarget {
+    /// The index of the connection among the connections of the peer.
     pub connection: usize,
-    /// The id that the message carries, where the protocol has one.
+    /// The request id of the message; ignored if the protocol has none.
     pub request_id: u32,
 }
 
-/// On which side of a connection the peer stands.
+/// Which side opens the connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
-    /// It has one connection, which it opened.
+    /// The peer has opened its only connection.
     Client,
-    /// It listens; the gateway connects.
+    /// The peer listens, and the gateway connects to it.
     Server { address: SocketAddr },
 }
 
 /// A peer that exchanges messages with the gateway.
 pub struct Peer {
-    /// What it speaks.
+    /// The protocol of its connections.
     pub protocol: Protocol,
     role: Role,
     events: Receiver<ConnectionEvent>,
-    /// Messages that were received while the test waited for the end of a connection: the threads
-    /// that read two connections report in any order.
+    /// Messages that were received during [`Self::wait_for_close`]. The threads of different
+    /// connections report in any order, so a message of one may precede the end of another.
     deferred: VecDeque<ConnectionEvent>,
     connections: Connections,
-    pending_requests: VecDeque<PendingRequest>,
+    unanswered_requests: VecDeque<UnansweredRequest>,
     last_request_id: u32,
 }
 
@@ -66,15 +66,15 @@
             events,
             deferred: VecDeque::new(),
             connections,
-            pending_requests: VecDeque::new(),
+            unanswered_requests: VecDeque::new(),
             last_request_id: 1,
         }
     }
 
-    /// A peer that listens at a free port.
+    /// Starts a peer that listens on a free port and accepts all connections.
     pub fn listen(protocol: Protocol) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("it listens");
+        let address = listener.local_addr().expect("a listening peer");
         let (sender, events) = channel();
         let connections = Connections::default();
         let accepted = connections.clone();
@@ -86,7 +86,7 @@
         Self::new(protocol, Role::Server { address }, events, connections)
     }
 
-    /// A client that connects to the gateway.
+    /// Connects a client to the gateway.
     pub fn connect(protocol: Protocol, gateway: SocketAddr) -> Self {
         let (sender, events) = channel();
         let connections = Connections::default();
@@ -95,7 +95,7 @@
         Self::new(protocol, Role::Client, events, connections)
     }
 
-    /// The reader of the gateway's console.
+    /// Creates the peer that reads the output of the gateway's console.
     pub fn console(output: ChildStdout) -> Self {
         let (sender, events) = channel();
         std::thread::spawn(move || {
@@ -119,7 +119,7 @@
         )
     }
 
-    /// Where a peer that listens does so.
+    /// The address of a listening peer; panics for a client.
     pub fn address(&self) -> SocketAddr {
         match self.role {
             Role::Server { address } => address,
@@ -133,7 +133,7 @@
             .map_err(|_| ScenarioError::NothingReceived)
     }
 
-    /// Waits for the next message. Ends of a listening peer's connections are skipped.
+    /// Waits for the next message. If the peer listens, skips ends of its connections.
     pub fn receive(&mut self) -> Result<String, ScenarioError> {
         loop {
             let event = match self.deferred.pop_front() {
@@ -144,12 +144,12 @@
                 ConnectionEventKind::Received(message) => {
                     if self.role != Role::Client {
                         let request_id = message.request_id;
-                        self.pending_requests.push_back(PendingRequest {
+                        self.unanswered_requests.push_back(UnansweredRequest {
                             connection: event.connection,
                             request_id,
                         });
                     }
-                    return Ok(mask_variable_words(&message.text));
+                    return Ok(mask_varying_words(&message.text));
                 }
                 ConnectionEventKind::Ended(_) if self.role == Role::Client => {
                     return Err(ScenarioError::ConnectionClosed)
@@ -159,17 +159,17 @@
         }
     }
 
-    /// Waits for the end of a connection. A listening peer may receive messages before, which
-    /// stay for [`Self::receive`]; how its connection ends makes no difference.
-    pub fn wait_for_end(&mut self) -> Result<ConnectionEnd, ScenarioError> {
+    /// Waits for the end of a connection. For a listening peer, keeps messages received before it
+    /// for [`Self::receive`], and reports a reset as [`ConnectionEnd::Closed`].
+    pub fn wait_for_close(&mut self) -> Result<ConnectionEnd, ScenarioError> {
         loop {
             let event = self.next_event()?;
             match event.kind {
                 ConnectionEventKind::Ended(end) => {
-                    self.pending_requests
+                    self.unanswered_requests
                         .retain(|request| request.connection != event.connection);
                     return match self.role {
-                        // What a reset overtakes is lost to a client that reads late.
+                        // A client can lose a response because of a reset, so resets are reported.
                         Role::Client => Ok(end),
                         Role::Server { .. } => Ok(ConnectionEnd::Closed),
                     };
@@ -182,48 +182,48 @@
         }
     }
 
-    /// As a node: takes the oldest request that has not been answered.
-    pub fn take_pending_request(&mut self) -> ReplyAddress {
+    /// As a node: removes the oldest request without a response and returns where to respond.
+    pub fn take_oldest_request(&mut self) -> SendTarget {
         let request = self
-            .pending_requests
+            .unanswered_requests
             .pop_front()
-            .expect("a request to answer");
-        ReplyAddress {
+            .expect("a request without a response");
+        SendTarget {
             connection: request.connection,
             request_id: request.request_id,
         }
     }
 
-    /// As a node: the connection opened last, for a response to no request.
-    pub fn last_connection(&self) -> ReplyAddress {
+    /// The connection that was established last, for a message that answers no request.
+    pub fn newest_connection(&self) -> SendTarget {
         let connection = self
             .connections
             .count()
             .checked_sub(1)
-            .expect("a connection");
-        ReplyAddress {
+            .expect("an established connection");
+        SendTarget {
             connection,
             request_id: 0,
         }
     }
 
-    /// As a client: its connection, with an id for the next request.
-    pub fn next_request(&mut self) -> ReplyAddress {
+    /// As a client: its connection, with a new request id.
+    pub fn new_request(&mut self) -> SendTarget {
         self.last_request_id += 1;
-        ReplyAddress {
+        SendTarget {
             connection: 0,
             request_id: self.last_request_id,
         }
     }
 
-    /// Sends bytes on one of its connections.
+    /// Sends bytes on the connection with this index.
     pub fn send(&self, connection: usize, bytes: &[u8]) {
         self.connections.send(connection, bytes);
     }
 
-    /// Closes all its connections; what it has not answered stays so.
+    /// Closes all connections and discards the requests without a response.
     pub fn close_connections(&mut self) {
-        self.pending_requests.clear();
+        self.unanswered_requests.clear();
         self.connections.close_all();
     }
 }
--- a/crates/gateway/tests/gateway_process/scenario_runner/scenario.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/scenario.rs
@@ -1,51 +1,51 @@
-//! The state of a running scenario: its peers, the gateway and the transcript.
+//! The state of a running scenario: the gateway, its peers and the transcript.
 
-use super::launch::RunningGateway;
+use super::launch::StartedGateway;
 use super::message::Protocol;
 use super::peer::Peer;
 use crate::harness::test_directory::TestDirectory;
 use std::collections::BTreeMap;
 
-/// The name of the peer that stands for discovery.
+/// The name of the fake discovery service.
 pub const DISCOVERY: &str = "discovery";
-/// The name of the peer at discovery's former address.
-pub const FORMER_DISCOVERY: &str = "old";
-/// The name of the peer that uses the gateway's console.
+/// The name of the discovery service at the address before the last `move_discovery`.
+pub const OLD_DISCOVERY: &str = "old_discovery";
+/// The name of the peer that writes to and reads from the gateway's console.
 pub const CONSOLE: &str = "console";
-/// The name of the gateway itself, which is sent signals.
+/// The name of the gateway process, which receives signals.
 pub const GATEWAY: &str = "gateway";
-/// The index of the endpoint list that the gateway has cached at its start.
+/// The index of the cached endpoint list with which the gateway starts.
 const CACHED_LIST_INDEX: u64 = 1;
 
-/// A stand-in node; the peer of its name listens for it.
-pub struct Node {
+/// A declared fake node. The peer of the same name holds its connections.
+pub struct DeclaredNode {
     /// The node's name.
     pub name: String,
-    /// The shard that it stores.
+    /// The shard that the node stores.
     pub shard: u64,
 }
 
 /// A running scenario.
 pub struct Scenario {
-    /// Everyone who exchanges messages with the gateway, by name.
+    /// The peers by name.
     pub peers: BTreeMap<String, Peer>,
-    /// The nodes that were declared.
-    pub nodes: Vec<Node>,
-    // Declared before the directory: the process ends before its files are removed.
-    /// The gateway, once it has been started.
-    pub gateway: Option<RunningGateway>,
-    /// The directory of the gateway's files.
+    /// The declared nodes, in the order of declaration.
+    pub nodes: Vec<DeclaredNode>,
+    // Declared before `directory`, so that the process is killed before its files are removed.
+    /// The gateway; `None` until the `start` statement.
+    pub gateway: Option<StartedGateway>,
+    /// The directory for the gateway's files.
     pub directory: TestDirectory,
-    /// The index of discovery's last message.
+    /// The index of the last message of discovery.
     pub list_index: u64,
-    /// The node that the inventory says has just started.
+    /// The node that has just started according to the inventory.
     pub restarted_node: Option<String>,
-    /// What has happened so far, a line for each message.
+    /// One line for each message and other event so far.
     pub transcript: String,
 }
 
 impl Scenario {
-    /// A scenario in which only discovery exists.
+    /// Creates a scenario with a discovery service, without nodes and gateway.
     pub fn new() -> Self {
         let discovery = Peer::listen(Protocol::Http);
         Self {
@@ -65,21 +65,23 @@
         self.transcript.push('\n');
     }
 
-    /// The gateway, which must have been started.
-    pub fn gateway(&mut self) -> &mut RunningGateway {
-        self.gateway.as_mut().expect("the gateway has been started")
+    /// The running gateway; panics before the `start` statement.
+    pub fn gateway(&mut self) -> &mut StartedGateway {
+        self.gateway.as_mut().expect("a started gateway")
     }
 
-    /// The peer of this name; a new one is a client, which connects.
+    /// The peer of this name. If there is none, connects a client of this name.
     pub fn peer(&mut self, name: &str) -> &mut Peer {
         if !self.peers.contains_key(name) {
             let client = self.connect_client(name);
             self.peers.insert(name.to_owned(), client);
         }
-        self.peers.get_mut(name).expect("it has just been inserted")
+        self.peers
+            .get_mut(name)
+            .expect("the peer exists or has been inserted")
     }
 
-    /// Connects a client, whose name says what it speaks.
+    /// Connects a client: an SFTP client if its name begins with `s`, else a RESP2 client.
     fn connect_client(&mut self, name: &str) -> Peer {
         let gateway = self.gateway();
         if name.starts_with('s') {
--- a/crates/gateway/tests/gateway_process/scenario_runner/sending.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/sending.rs
@@ -1,4 +1,4 @@
-//! What the peers of a scenario send.
+//! The `send` statement: encodes and sends the messages of each kind of peer.
 
 use super::message::Protocol;
 use super::scenario::{Scenario, CONSOLE, DISCOVERY, GATEWAY};
@@ -9,7 +9,7 @@
 use std::io::Write;
 
 impl Scenario {
-    /// Sends a message as the peer of this name.
+    /// Sends a message as this peer, or a signal to the gateway.
     pub fn send(&mut self, name: &str, words: &[&str]) {
         self.record(&format!("{name} > {}", words.join(" ")));
         match name {
@@ -26,7 +26,7 @@
         let signal = match name {
             "HUP" => Signal::HUP,
             "TERM" => Signal::TERM,
-            other => panic!("no signal is called {other}"),
+            other => panic!("unknown signal: {other}"),
         };
         self.gateway().process.send_signal(signal);
     }
@@ -37,10 +37,10 @@
         writeln!(input, "{}", words.join(" ")).expect("the gateway reads its console");
     }
 
-    /// Sends a command, on the one connection of the client.
+    /// Sends a command or a packet on the connection of the client.
     fn send_as_client(&mut self, name: &str, words: &[&str]) {
         let peer = self.peer(name);
-        let address = peer.next_request();
+        let address = peer.new_request();
         let bytes = match (peer.protocol, words) {
             (Protocol::Sftp, _) => sftp_message::encode(words, address.request_id),
             (_, ["raw", line @ ..]) => encode_line(line),
@@ -49,12 +49,13 @@
         peer.send(address.connection, &bytes);
     }
 
-    /// Sends a response, on the connection of the request that it answers.
+    /// Sends a response on the connection of its request, or an unsolicited one on the newest
+    /// connection.
     fn send_as_node(&mut self, name: &str, words: &[&str]) {
         let peer = self.peer(name);
         let address = match words[0] {
-            "more" => peer.last_connection(),
-            _ => peer.take_pending_request(),
+            "unsolicited" => peer.newest_connection(),
+            _ => peer.take_oldest_request(),
         };
         let bytes = match peer.protocol {
             Protocol::Sftp => sftp_message::encode(words, address.request_id),
@@ -63,45 +64,45 @@
         peer.send(address.connection, &bytes);
     }
 
-    /// Discovery sends `list`, or a change: `STATUS NODE`, or `STATUS NODE OTHER` for a node that
-    /// now listens where another does.
+    /// Sends a watch message: a snapshot (`list`) or a delta (`STATUS NODE [PEER]`). PEER is the
+    /// peer whose address the node gets.
     fn send_watch_event(&mut self, words: &[&str]) {
         self.list_index += 1;
         let bytes = match words {
             ["list"] => {
-                let entries = self.in_service_entries();
+                let entries = self.all_nodes_in_service();
                 let list = watch_event(self.list_index, UpdateKind::Snapshot, &entries);
                 CHUNKED_RESPONSE_HEAD.to_owned() + &encode_chunk(&list)
             }
             [status, node] => self.encode_delta(node, node, status),
             [status, node, other] => self.encode_delta(node, other, status),
-            _ => panic!("discovery sends no such message"),
+            _ => panic!("unknown discovery message: expected `list` or `STATUS NODE [PEER]`"),
         };
         let discovery = self.peer(DISCOVERY);
-        discovery.send(discovery.last_connection().connection, bytes.as_bytes());
+        discovery.send(discovery.newest_connection().connection, bytes.as_bytes());
     }
 
-    /// Encodes a change of one node, which listens where another peer does.
+    /// Encodes a delta with one node, which gets the address of `listening_peer`.
     fn encode_delta(&self, node: &str, listening_peer: &str, status: &str) -> String {
         let entry = self.endpoint_entry(node, listening_peer, status);
         encode_chunk(&watch_event(self.list_index, UpdateKind::Delta, &[entry]))
     }
 }
 
-/// A node's response in RESP2: with a value and its cost, or one line as it stands.
+/// Encodes a RESP2 response with a value and a cost of 4 units, or a line without any encoding.
 fn encode_node_response(words: &[&str]) -> Vec<u8> {
-    let (kind, rest) = words.split_first().expect("a response");
+    let (kind, rest) = words.split_first().expect("the words of a response");
     let text = rest.join(" ");
     let response = format!("*3\r\n${}\r\n{text}\r\n$6\r\ncost=4\r\n$-1\r\n", text.len());
     match *kind {
-        "value" | "more" => response.into_bytes(),
-        "twice" => response.repeat(2).into_bytes(),
+        "value" | "unsolicited" => response.into_bytes(),
+        "value_twice" => response.repeat(2).into_bytes(),
         "raw" => encode_line(rest),
-        other => panic!("no response is called {other}"),
+        other => panic!("unknown response: {other}"),
     }
 }
 
-/// A line of RESP2 as it stands.
+/// Encodes words as a line that ends with CR LF.
 fn encode_line(words: &[&str]) -> Vec<u8> {
     format!("{}\r\n", words.join(" ")).into_bytes()
 }
--- a/crates/gateway/tests/gateway_process/scenario_runner/sftp_message.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/sftp_message.rs
@@ -1,4 +1,5 @@
-//! SFTP packets as words of a scenario, such as `open /notes/monday 26` or `status 2`.
+//! Converts SFTP packets from and to the words of a scenario, such as `open /notes/monday 26` or
+//! `status 2`.
 
 use super::message::{DecodedMessage, Message};
 use std::fmt::Write as _;
@@ -6,20 +7,20 @@
     decode_packet, Fields, FileAttributes, Packet, PacketType, RequestId,
 };
 
-/// The first bytes of a packet that is never completed.
+/// The first bytes of a packet of 9 bytes, of which the rest is never sent.
 const INCOMPLETE_PACKET: [u8; 5] = [0, 0, 0, 9, 1];
 
-/// Decodes the first packet; `None` until it is complete.
+/// Decodes the first packet of the input. Returns `None` if it is incomplete.
 pub fn decode(input: &[u8]) -> Option<DecodedMessage> {
     let mut length = 0;
     let packet = decode_packet(input, &mut length).expect("a well-formed packet")?;
-    let message = describe(packet.packet_type, packet.fields);
+    let message = format_packet(packet.packet_type, packet.fields);
     Some(DecodedMessage { message, length })
 }
 
-fn describe(packet_type: PacketType, mut fields: Fields<'_>) -> Message {
-    // INIT and VERSION carry the version in the place of an id.
-    let request_id = fields.u32().expect("an id or a version");
+fn format_packet(packet_type: PacketType, mut fields: Fields<'_>) -> Message {
+    // INIT and VERSION have the protocol version in place of a request id.
+    let request_id = fields.u32().expect("a request id or a version");
     let fields = &mut fields;
     let text = match packet_type {
         PacketType::INIT => format!("init {request_id}"),
@@ -49,13 +50,13 @@
         PacketType::HANDLE => format!("handle {}", take_handle(fields)),
         PacketType::DATA => format!("data {}", take_text(fields)),
         PacketType::ATTRS => format!("attrs {:?}", take_size(fields)),
-        PacketType::NAME => describe_names(fields),
+        PacketType::NAME => format_names(fields),
         PacketType(other) => format!("type {other}"),
     };
     Message { text, request_id }
 }
 
-fn describe_names(fields: &mut Fields<'_>) -> String {
+fn format_names(fields: &mut Fields<'_>) -> String {
     let mut text = "name".to_owned();
     for _ in 0..take_u32(fields) {
         let name = take_text(fields);
@@ -82,7 +83,7 @@
     fields.attributes().expect("attributes")
 }
 
-/// The gateway's handles are numbers in four bytes; those of stand-in nodes are text.
+/// The gateway's handles are 4-byte numbers; the handles of fake nodes are text.
 fn take_handle(fields: &mut Fields<'_>) -> String {
     let bytes = fields.string().expect("a handle");
     match <[u8; 4]>::try_from(bytes) {
@@ -91,56 +92,56 @@
     }
 }
 
-/// Encodes the packet that words of a scenario stand for.
+/// Encodes the packet that the words describe: its type, then its fields.
 pub fn encode(words: &[&str], request_id: u32) -> Vec<u8> {
     let arguments = Arguments(&words[1..]);
-    let start = |packet_type| Packet::with_id(packet_type, RequestId(request_id));
+    let new_packet = |packet_type| Packet::with_id(packet_type, RequestId(request_id));
     let packet = match words[0] {
-        "half" => return INCOMPLETE_PACKET.to_vec(),
+        "incomplete_packet" => return INCOMPLETE_PACKET.to_vec(),
         "init" => Packet::new(PacketType::INIT).u32(3),
         "version" => Packet::new(PacketType::VERSION).u32(3),
-        "open" => start(PacketType::OPEN)
+        "open" => new_packet(PacketType::OPEN)
             .string(arguments.text(0))
             .u32(arguments.number(1))
             .u32(0),
-        "close" => arguments.append_handle(start(PacketType::CLOSE)),
+        "close" => arguments.append_handle(new_packet(PacketType::CLOSE)),
         "read" => {
-            let packet = arguments.append_handle(start(PacketType::READ));
+            let packet = arguments.append_handle(new_packet(PacketType::READ));
             packet
                 .u64(u64::from(arguments.number(1)))
                 .u32(arguments.number(2))
         }
         "write" => {
-            let packet = arguments.append_handle(start(PacketType::WRITE));
+            let packet = arguments.append_handle(new_packet(PacketType::WRITE));
             packet
                 .u64(u64::from(arguments.number(1)))
                 .string(arguments.joined_from(2))
         }
-        "fstat" => arguments.append_handle(start(PacketType::FSTAT)),
-        "stat" => start(PacketType::STAT).string(arguments.text(0)),
-        "lstat" => start(PacketType::LSTAT).string(arguments.text(0)),
-        "opendir" => start(PacketType::OPENDIR).string(arguments.text(0)),
-        "readdir" => arguments.append_handle(start(PacketType::READDIR)),
-        "realpath" => start(PacketType::REALPATH).string(arguments.text(0)),
-        "status" => start(PacketType::STATUS)
+        "fstat" => arguments.append_handle(new_packet(PacketType::FSTAT)),
+        "stat" => new_packet(PacketType::STAT).string(arguments.text(0)),
+        "lstat" => new_packet(PacketType::LSTAT).string(arguments.text(0)),
+        "opendir" => new_packet(PacketType::OPENDIR).string(arguments.text(0)),
+        "readdir" => arguments.append_handle(new_packet(PacketType::READDIR)),
+        "realpath" => new_packet(PacketType::REALPATH).string(arguments.text(0)),
+        "status" => new_packet(PacketType::STATUS)
             .u32(arguments.number(0))
             .string("")
             .string(""),
-        "handle" => arguments.append_handle(start(PacketType::HANDLE)),
-        "data" => start(PacketType::DATA).string(arguments.joined_from(0)),
-        "attrs" => start(PacketType::ATTRS).attributes(FileAttributes::RegularFile {
+        "handle" => arguments.append_handle(new_packet(PacketType::HANDLE)),
+        "data" => new_packet(PacketType::DATA).string(arguments.joined_from(0)),
+        "attrs" => new_packet(PacketType::ATTRS).attributes(FileAttributes::RegularFile {
             size: u64::from(arguments.number(0)),
         }),
-        "type" => start(PacketType(
+        "type" => new_packet(PacketType(
             u8::try_from(arguments.number(0)).expect("a packet type"),
         )),
-        "name" => arguments.append_names(start(PacketType::NAME)),
-        other => panic!("no packet is called {other}"),
+        "name" => arguments.append_names(new_packet(PacketType::NAME)),
+        other => panic!("unknown packet type: {other}"),
     };
     packet.finish()
 }
 
-/// The words after a packet's name.
+/// The fields of a packet: the words after its type.
 struct Arguments<'a>(&'a [&'a str]);
 
 impl Arguments<'_> {
@@ -156,7 +157,7 @@
         self.0[index..].join(" ")
     }
 
-    /// The first argument as a handle (see [`take_handle`]).
+    /// Appends the first argument as a handle (see [`take_handle`]).
     fn append_handle(&self, packet: Packet) -> Packet {
         match self.text(0).parse::<u32>() {
             Ok(number) => packet.string(number.to_be_bytes()),
@@ -164,12 +165,15 @@
         }
     }
 
-    /// All arguments, each `NAME:SIZE`, as the entries of a folder.
+    /// Appends all arguments, each `NAME:SIZE`, as directory entries. Without a numeric size, the
+    /// entry is a directory.
     fn append_names(&self, packet: Packet) -> Packet {
-        let count = u32::try_from(self.0.len()).expect("few names");
+        let count = u32::try_from(self.0.len()).expect("a count that fits in 32 bits");
         let mut packet = packet.u32(count);
         for entry in self.0 {
-            let (name, size) = entry.split_once(':').expect("NAME:SIZE");
+            let (name, size) = entry
+                .split_once(':')
+                .expect("an entry of the form NAME:SIZE");
             let attributes = match size.parse() {
                 Ok(size) => FileAttributes::RegularFile { size },
                 Err(_) => FileAttributes::Directory,
