--- a/crates/gateway/tests/gateway_process/races/node_connections.rs
+++ b/crates/gateway/tests/gateway_process/races/node_connections.rs
@@ -102,7 +102,7 @@
     node.expect_closed();
     node.send_after_close(encode_value_response("one"));
 
-    // A read of the same object would count as a repeat of the first read, which is late.
+    // A read of the same object would count as a repeat of the first read, whose deadline passed.
     client.send(encode_read_request_for_another_object("a2"));
     let mut node = cluster.node_a.accept();
     serve_request(&mut node, &mut client, "a2", "two");
