--- a/crates/gateway/tests/gateway_process/harness/cluster.rs
+++ b/crates/gateway/tests/gateway_process/harness/cluster.rs
@@ -2,7 +2,7 @@
 //! open watch, and a gateway.
 
 use super::connection::Connection;
-use super::discovery::{delta_chunk, FakeDiscovery};
+use super::discovery::{encode_delta_chunk, FakeDiscovery};
 use super::gateway::Gateway;
 use super::log_lines;
 use super::node::FakeStorageNode;
@@ -16,7 +16,7 @@
     pub node_b: FakeStorageNode,
     /// The discovery service that the gateway was configured with at its start.
     pub discovery: FakeDiscovery,
-    /// The open watch; its last message had index 2.
+    /// The open watch; its last update had index 2.
     pub watch: Connection,
     /// The gateway under test.
     pub gateway: Gateway,
@@ -139,7 +139,7 @@
 
     /// Sends a delta on the open watch and waits until the gateway has processed it.
     pub fn send_delta(&mut self, index: u64, entries: &[String]) {
-        self.watch.send(delta_chunk(index, entries));
+        self.watch.send(encode_delta_chunk(index, entries));
         self.gateway.wait_until_input_is_processed();
     }
 
--- a/crates/gateway/tests/gateway_process/harness/config.rs
+++ b/crates/gateway/tests/gateway_process/harness/config.rs
@@ -1,6 +1,6 @@
 //! Configuration files for gateways under test.
 
-use super::discovery::{endpoint_list, UpdateKind};
+use super::discovery::{encode_update, UpdateKind};
 use std::net::SocketAddr;
 
 /// The deployment settings of all tests; a test replaces single values.
@@ -9,7 +9,7 @@
 /// The configuration file of a gateway on the platform. It contains the cached endpoint list, which
 /// the gateway uses until discovery has sent one.
 pub fn platform_config(discovery: SocketAddr, cached_entries: &[String]) -> String {
-    let cached_list = endpoint_list(1, UpdateKind::Snapshot, cached_entries);
+    let cached_list = encode_update(1, UpdateKind::Snapshot, cached_entries);
     format!(
         r#"{{
             "name":"n0",
--- a/crates/gateway/tests/gateway_process/harness/discovery.rs
+++ b/crates/gateway/tests/gateway_process/harness/discovery.rs
@@ -1,4 +1,4 @@
-//! A fake discovery service, and the encoding of its messages.
+//! A fake discovery service, and the encoding of its updates of the endpoint list.
 
 use super::connection::Connection;
 use std::net::{SocketAddr, TcpListener};
@@ -24,19 +24,19 @@
 }
 
 /// Encodes an entry as JSON.
-pub fn endpoint_entry(entry: &EndpointEntry) -> String {
+pub fn encode_endpoint_entry(entry: &EndpointEntry) -> String {
     let EndpointEntry {
         name,
         address,
         shard,
         status,
     } = entry;
-    // A watch message is a single line, so an entry contains no line break.
+    // An update on a watch is a single line, so an entry contains no line break.
     let place = format!(r#""address":"{address}","zone":"a","group":{shard}"#);
     format!(r#"{{"name":"{name}",{place},"status":"{status}","since_ms":0}}"#)
 }
 
-/// The kind of a watch message.
+/// The kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
     /// All endpoints.
@@ -45,8 +45,8 @@
     Delta,
 }
 
-/// Encodes a snapshot or a delta of the endpoint list as JSON.
-pub fn endpoint_list(index: u64, kind: UpdateKind, entries: &[String]) -> String {
+/// Encodes an update of the endpoint list as JSON.
+pub fn encode_update(index: u64, kind: UpdateKind, entries: &[String]) -> String {
     let snapshot = kind == UpdateKind::Snapshot;
     format!(
         r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
@@ -54,14 +54,14 @@
     )
 }
 
-/// Encodes a watch message: a snapshot or a delta as one line.
-pub fn watch_event(index: u64, kind: UpdateKind, entries: &[String]) -> String {
-    endpoint_list(index, kind, entries) + "\n"
+/// Encodes an update as one line, as it is sent on a watch.
+pub fn encode_update_line(index: u64, kind: UpdateKind, entries: &[String]) -> String {
+    encode_update(index, kind, entries) + "\n"
 }
 
-/// Encodes a delta as a chunk of an open watch.
-pub fn delta_chunk(index: u64, entries: &[String]) -> String {
-    encode_chunk(&watch_event(index, UpdateKind::Delta, entries))
+/// Encodes a delta as one chunk of the response to a watch.
+pub fn encode_delta_chunk(index: u64, entries: &[String]) -> String {
+    encode_chunk(&encode_update_line(index, UpdateKind::Delta, entries))
 }
 
 /// A watch that the test has accepted from the gateway.
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Accepts the next watch and checks that it asks for the messages after this index.
+    /// Accepts the next watch and checks that it asks for the updates after this index.
     #[track_caller]
     pub fn accept_watch_from(&self, index: u64) -> Connection {
         let OpenedWatch {
@@ -138,7 +138,7 @@
     /// Accepts the next watch and sends a snapshot on it.
     pub fn accept_watch_and_send(&self, index: u64, entries: &[String]) -> Connection {
         let mut connection = self.accept_watch().connection;
-        let list = watch_event(index, UpdateKind::Snapshot, entries);
+        let list = encode_update_line(index, UpdateKind::Snapshot, entries);
         connection.send(CHUNKED_RESPONSE_HEAD.to_owned() + &encode_chunk(&list));
         connection
     }
--- a/crates/gateway/tests/gateway_process/harness/node.rs
+++ b/crates/gateway/tests/gateway_process/harness/node.rs
@@ -1,7 +1,7 @@
 //! Fake storage nodes.
 
 use super::connection::Connection;
-use super::discovery::{endpoint_entry, EndpointEntry};
+use super::discovery::{encode_endpoint_entry, EndpointEntry};
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
@@ -92,7 +92,7 @@
 
     /// The node's entry in an endpoint list.
     pub fn entry(&self, status: &str) -> String {
-        endpoint_entry(&EndpointEntry {
+        encode_endpoint_entry(&EndpointEntry {
             name: self.name,
             address: self.address(),
             shard: self.shard,
--- a/crates/gateway/tests/gateway_process/races/discovery_watch.rs
+++ b/crates/gateway/tests/gateway_process/races/discovery_watch.rs
@@ -1,26 +1,28 @@
-//! Races between the end of a discovery watch and the messages on it, and the encodings of these
-//! messages.
+//! Races between the end of a discovery watch and the updates on it, and the encodings of these
+//! updates.
 
 use crate::harness::cluster::TestCluster;
 use crate::harness::config::with_pushed_lists;
-use crate::harness::discovery::{encode_chunk, watch_event, UpdateKind, CHUNKED_RESPONSE_HEAD};
+use crate::harness::discovery::{
+    encode_chunk, encode_update_line, UpdateKind, CHUNKED_RESPONSE_HEAD,
+};
 use crate::harness::gateway::READ_CHUNK_BYTES;
 use crate::harness::log_lines;
 
-/// The message that reports a drain and the reset of the watch are ready in the same iteration of
-/// the event loop, the message first. The gateway must not drop it because of the reset.
+/// The update that reports a drain and the reset of the watch are ready in the same iteration of
+/// the event loop, the update first. The gateway must not drop it because of the reset.
 #[test]
 fn drain_received_before_a_reset_of_the_watch_is_applied() {
     let mut cluster = TestCluster::start();
     let read = cluster.start_read("a1");
-    // The message fills exactly one read of the gateway, so that its next read returns the reset.
-    let mut event = watch_event(3, UpdateKind::Delta, &[cluster.node_b.terminating()]);
+    // The update fills exactly one read of the gateway, so that its next read returns the reset.
+    let mut update = encode_update_line(3, UpdateKind::Delta, &[cluster.node_b.terminating()]);
     let padded_length = READ_CHUNK_BYTES - "3ff6\r\n\r\n".len();
-    event += &" ".repeat(padded_length - event.len());
-    assert_eq!(encode_chunk(&event).len(), READ_CHUNK_BYTES);
+    update += &" ".repeat(padded_length - update.len());
+    assert_eq!(encode_chunk(&update).len(), READ_CHUNK_BYTES);
 
     cluster.gateway.pause();
-    cluster.watch.send(encode_chunk(&event));
+    cluster.watch.send(encode_chunk(&update));
     cluster.watch.reset();
     cluster.gateway.resume();
 
@@ -28,23 +30,23 @@
     cluster.expect_write_goes_to_node_a(read);
 }
 
-/// The next watch must ask for the messages after the last complete one, and the bytes of the
-/// incomplete message must not be prepended to its first message.
+/// The next watch must ask for the updates after the last complete one, and the bytes of the
+/// incomplete update must not be prepended to its first update.
 #[test]
-fn incomplete_event_is_dropped_when_the_watch_ends() {
+fn incomplete_update_is_dropped_when_the_watch_ends() {
     let mut cluster = TestCluster::start();
-    let event = watch_event(3, UpdateKind::Delta, &[cluster.node_b.terminating()]);
-    let incomplete = &event[..event.len() / 2];
+    let update = encode_update_line(3, UpdateKind::Delta, &[cluster.node_b.terminating()]);
+    let incomplete = &update[..update.len() / 2];
     cluster
         .watch
-        .send(format!("{:x}\r\n{incomplete}", event.len()));
+        .send(format!("{:x}\r\n{incomplete}", update.len()));
     cluster.gateway.wait_until_input_is_processed();
 
     cluster.watch.close();
     cluster.watch = cluster.discovery.accept_watch_from(2);
     cluster
         .watch
-        .send(CHUNKED_RESPONSE_HEAD.to_owned() + &encode_chunk(&event));
+        .send(CHUNKED_RESPONSE_HEAD.to_owned() + &encode_chunk(&update));
     cluster
         .gateway
         .wait_for_log(log_lines::RECEIVED_ONE_ENDPOINT);
@@ -59,7 +61,7 @@
     let mut cluster = TestCluster::start();
     cluster.watch.reset();
     cluster.watch = cluster.discovery.accept_watch().connection;
-    let list = watch_event(
+    let list = encode_update_line(
         3,
         UpdateKind::Snapshot,
         &cluster.entries_with_node_b_draining(),
--- a/crates/gateway/tests/gateway_process/races/node_connections.rs
+++ b/crates/gateway/tests/gateway_process/races/node_connections.rs
@@ -5,7 +5,7 @@
 use crate::harness::config::{
     with_long_connect_timeout, with_many_sockets, with_short_drain_grace,
 };
-use crate::harness::discovery::delta_chunk;
+use crate::harness::discovery::encode_delta_chunk;
 use crate::harness::gateway::READ_CHUNK_BYTES;
 use crate::harness::node::FakeStorageNode;
 use crate::harness::requests::{
@@ -69,7 +69,7 @@
     cluster.node_b.expect_no_further_connection();
 }
 
-/// The response and the message that removes the node are ready in the same iteration of the event
+/// The response and the update that removes the node are ready in the same iteration of the event
 /// loop. The client receives the response; the gateway then closes the connection without sending
 /// anything more on it, because the node is removed.
 #[test]
@@ -80,7 +80,7 @@
     cluster.gateway.pause();
     cluster
         .watch
-        .send(delta_chunk(3, &[cluster.node_a.terminated()]));
+        .send(encode_delta_chunk(3, &[cluster.node_a.terminated()]));
     read.node.respond("one");
     cluster.gateway.resume();
 
@@ -126,7 +126,7 @@
     client.expect_busy();
     cluster
         .watch
-        .send(delta_chunk(4, &[cluster.node_a.terminated()]));
+        .send(encode_delta_chunk(4, &[cluster.node_a.terminated()]));
     // Fails if the gateway has sent anything on the connection.
     node.expect_closed();
 }
--- a/crates/gateway/tests/gateway_process/races/reload.rs
+++ b/crates/gateway/tests/gateway_process/races/reload.rs
@@ -2,7 +2,7 @@
 //! nodes and the old watch.
 
 use crate::harness::cluster::{serve_request, TestCluster};
-use crate::harness::discovery::{encode_chunk, watch_event, FakeDiscovery, UpdateKind};
+use crate::harness::discovery::{encode_chunk, encode_update_line, FakeDiscovery, UpdateKind};
 use crate::harness::log_lines;
 use crate::harness::requests::{encode_read_request, encode_write_request, SplitRequest};
 
@@ -26,7 +26,7 @@
 }
 
 /// SIGHUP and the response are ready in the same iteration of the event loop. The gateway asks the
-/// new discovery service for a snapshot (index 0), because that service may number its messages
+/// new discovery service for a snapshot (index 0), because that service may number its updates
 /// differently.
 #[test]
 fn response_received_together_with_sighup_is_sent_to_the_client() {
@@ -57,18 +57,18 @@
     cluster.expect_write_goes_to_node_a(read);
 }
 
-/// The gateway receives the first half of a drain message before the reload. The second half, which
-/// arrives on the old watch after the reload, must not drain node B.
+/// The gateway receives the first half of an update that drains node B before the reload. The
+/// second half, which arrives on the old watch after the reload, must not drain node B.
 #[test]
-fn rest_of_an_event_on_the_old_watch_is_ignored() {
+fn rest_of_an_update_on_the_old_watch_is_ignored() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    let event = encode_chunk(&watch_event(
+    let update = encode_chunk(&encode_update_line(
         3,
         UpdateKind::Delta,
         &[cluster.node_b.terminating()],
     ));
-    let (first_half, second_half) = event.split_at(event.len() / 2);
+    let (first_half, second_half) = update.split_at(update.len() / 2);
     cluster.watch.send(first_half);
     cluster.gateway.wait_until_input_is_processed();
 
--- a/crates/gateway/tests/gateway_process/scenario_runner/deployment.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/deployment.rs
@@ -9,7 +9,7 @@
 use super::peer::Peer;
 use super::scenario::{DeclaredNode, Scenario, CONSOLE, DISCOVERY, OLD_DISCOVERY};
 use crate::harness::config::{platform_config, replace_setting};
-use crate::harness::discovery::{endpoint_entry, EndpointEntry};
+use crate::harness::discovery::{encode_endpoint_entry, EndpointEntry};
 use std::time::SystemTime;
 
 impl Scenario {
@@ -76,7 +76,7 @@
             .find(|node| node.name == name)
             .expect("a declared node");
         let address = self.peers[listening_peer].address();
-        endpoint_entry(&EndpointEntry {
+        encode_endpoint_entry(&EndpointEntry {
             name,
             address,
             shard: node.shard,
--- a/crates/gateway/tests/gateway_process/scenario_runner/scenario.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/scenario.rs
@@ -36,7 +36,7 @@
     pub gateway: Option<StartedGateway>,
     /// The directory for the gateway's files.
     pub directory: TestDirectory,
-    /// The index of the last message of discovery.
+    /// The index of the last update that discovery has sent.
     pub list_index: u64,
     /// The node that has just started according to the inventory.
     pub restarted_node: Option<String>,
--- a/crates/gateway/tests/gateway_process/scenario_runner/sending.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/sending.rs
@@ -3,7 +3,9 @@
 use super::message::Protocol;
 use super::scenario::{Scenario, CONSOLE, DISCOVERY, GATEWAY};
 use super::sftp_message;
-use crate::harness::discovery::{encode_chunk, watch_event, UpdateKind, CHUNKED_RESPONSE_HEAD};
+use crate::harness::discovery::{
+    encode_chunk, encode_update_line, UpdateKind, CHUNKED_RESPONSE_HEAD,
+};
 use crate::harness::resp::encode_array;
 use rustix::process::Signal;
 use std::io::Write;
@@ -15,7 +17,7 @@
         match name {
             GATEWAY => self.send_signal(words[0]),
             CONSOLE => self.send_console_line(words),
-            DISCOVERY => self.send_watch_event(words),
+            DISCOVERY => self.send_update(words),
             _ if self.nodes.iter().any(|node| node.name == name) => self.send_as_node(name, words),
             _ => self.send_as_client(name, words),
         }
@@ -64,19 +66,19 @@
         peer.send(address.connection, &bytes);
     }
 
-    /// Sends a watch message: a snapshot (`list`) or a delta (`STATUS NODE [PEER]`). PEER is the
+    /// Sends an update: a snapshot (`list`) or a delta (`STATUS NODE [PEER]`). PEER is the
     /// peer whose address the node gets.
-    fn send_watch_event(&mut self, words: &[&str]) {
+    fn send_update(&mut self, words: &[&str]) {
         self.list_index += 1;
         let bytes = match words {
             ["list"] => {
                 let entries = self.all_nodes_in_service();
-                let list = watch_event(self.list_index, UpdateKind::Snapshot, &entries);
+                let list = encode_update_line(self.list_index, UpdateKind::Snapshot, &entries);
                 CHUNKED_RESPONSE_HEAD.to_owned() + &encode_chunk(&list)
             }
             [status, node] => self.encode_delta(node, node, status),
             [status, node, other] => self.encode_delta(node, other, status),
-            _ => panic!("unknown discovery message: expected `list` or `STATUS NODE [PEER]`"),
+            _ => panic!("unknown update: expected `list` or `STATUS NODE [PEER]`"),
         };
         let discovery = self.peer(DISCOVERY);
         discovery.send(discovery.newest_connection().connection, bytes.as_bytes());
@@ -85,7 +87,11 @@
     /// Encodes a delta with one node, which gets the address of `listening_peer`.
     fn encode_delta(&self, node: &str, listening_peer: &str, status: &str) -> String {
         let entry = self.endpoint_entry(node, listening_peer, status);
-        encode_chunk(&watch_event(self.list_index, UpdateKind::Delta, &[entry]))
+        encode_chunk(&encode_update_line(
+            self.list_index,
+            UpdateKind::Delta,
+            &[entry],
+        ))
     }
 }
 
