--- a/crates/gateway/src/config/validate.rs
+++ b/crates/gateway/src/config/validate.rs
@@ -41,7 +41,7 @@
     for (index, class) in settings.classes.iter().enumerate() {
         check_class(index, class, deadline_rule)?;
     }
-    if settings.permissions.max_attempts == 0 {
+    if settings.features_and_limits.max_attempts == 0 {
         let source = InvalidValue::BelowMinimum { value: 0, min: 1 };
         return Err(ConfigError::invalid_value(keys::MAX_ATTEMPTS, source));
     }
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -117,6 +117,10 @@
 
 /// Returns the connect timeout in microseconds.
 fn connect_timeout(context: &Context) -> Micros {
-    let permissions = &context.config.settings.permissions;
-    micros(permissions.connect_timeout_ms.max(MIN_CONNECT_TIMEOUT_MS))
+    let features_and_limits = &context.config.settings.features_and_limits;
+    micros(
+        features_and_limits
+            .connect_timeout_ms
+            .max(MIN_CONNECT_TIMEOUT_MS),
+    )
 }
--- a/crates/gateway/src/connections/node/pool.rs
+++ b/crates/gateway/src/connections/node/pool.rs
@@ -40,7 +40,7 @@
 impl ConnectionPool {
     /// Creates an empty pool without an address.
     pub(super) fn new(settings: &DeploymentSettings) -> ConnectionPool {
-        let stated_ms = settings.permissions.conn_idle_ms;
+        let stated_ms = settings.features_and_limits.conn_idle_ms;
         let max_idle = if stated_ms > 0.0 {
             micros(stated_ms * IDLE_TIMEOUT_FRACTION)
         } else {
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -137,7 +137,7 @@
             return;
         }
         let unexecuted = unfinished.unexecuted_attempts();
-        self.events.push(Event::ClientDisconnected(id));
+        self.events.push(Event::ResponseNotNeeded(id));
         for number in unexecuted {
             let attempt = AttemptId {
                 request: id,
--- a/crates/gateway/src/dispatcher/responses.rs
+++ b/crates/gateway/src/dispatcher/responses.rs
@@ -40,7 +40,7 @@
         self.respond(id, Response::TimedOut);
         // This event tells the scheduler that no response is needed any more, which ends the
         // request.
-        self.events.push(Event::ClientDisconnected(id));
+        self.events.push(Event::ResponseNotNeeded(id));
     }
 
     /// Sends the final response, and removes the request unless the result of an attempt is
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -50,7 +50,7 @@
         // The request of a disconnected client must stay in the table until the scheduler has
         // handled the event.
         for event in events {
-            if let Event::ClientDisconnected(id) = event {
+            if let Event::ResponseNotNeeded(id) = event {
                 self.remove_if_finished(id, timers);
             }
         }
--- a/crates/gateway/tests/in_process/dispatcher/attempts.rs
+++ b/crates/gateway/tests/in_process/dispatcher/attempts.rs
@@ -8,7 +8,7 @@
 #[test]
 fn an_aborted_write_is_rejected_before_its_first_byte_and_failed_after_it() {
     for (written, expect_rejected) in [(false, true), (true, false)] {
-        let settings = settings_with(|settings| settings.permissions.max_attempts = 1);
+        let settings = settings_with(|settings| settings.features_and_limits.max_attempts = 1);
         let mut harness = Harness::new(&settings, &[in_service("n", 0)]);
         harness.submit(Operation::Write, Some(0));
         harness.run_turn();
--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -14,7 +14,7 @@
         /// Time at which the attempt times out; never later than the deadline of the request.
         times_out_at: Micros,
     },
-    /// Send the final response that the request is rejected. The client may safely retry.
+    /// Reject the request: send the client its final response. The client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
@@ -22,7 +22,7 @@
         /// given.
         retry_after: Micros,
     },
-    /// Send the final response that the request failed. The request may have been executed.
+    /// Fail the request: send the client its final response. The request may have been executed.
     Fail(RequestId),
     /// Cancel an attempt in flight.
     Cancel {
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -62,7 +62,8 @@
     pub shard: Option<Shard>,
     /// Size of the request.
     pub units: Units,
-    /// Number of hosts that receive the volume's requests.
+    /// Number of hosts that receive the volume's requests, as stated by the client. It may be
+    /// fractional; a number below 1 counts as 1.
     pub host_count: f64,
     /// Time at which the client stops waiting.
     pub deadline: Micros,
@@ -85,7 +86,8 @@
     Reset,
     /// The attempt was cancelled. The request may have been executed or may still be executing.
     Cancelled,
-    /// The caller could not send the request to the node. The request was not executed.
+    /// The caller did not send the request to the node, because it could not or because the attempt
+    /// was cancelled first. The request was not executed.
     NotDispatched,
 }
 
@@ -100,12 +102,13 @@
     pub node: NodeId,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Whether the request already has its final response.
+    /// Whether the request no longer needs a response: it has its final response, or its client has
+    /// disconnected.
     pub request_closed: bool,
     /// Time since the dispatch, in microseconds.
     pub elapsed: Micros,
-    /// Units that the node served for the volume through other hosts since its last response; 0 if
-    /// the node does not report them.
+    /// Units that the node served for requests of the volume from other hosts since the node's
+    /// previous response to this host; 0 if the node does not report them.
     pub remote_units: Units,
     /// Usage report, if the response carries one: the volume's service at all nodes in a past
     /// period, as a fraction of its provisioned rate.
@@ -123,8 +126,9 @@
     TimerFired,
     /// The response to an attempt has started and is being forwarded to the client.
     ResponseStarted(RequestId),
-    /// The client has disconnected, or the request was closed.
-    ClientDisconnected(RequestId),
+    /// No further response is needed: the client has disconnected, or the caller has already
+    /// responded.
+    ResponseNotNeeded(RequestId),
     /// An attempt completed.
     AttemptCompleted(CompletedAttempt),
 }
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -33,9 +33,11 @@
 /// A class of request.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Latency objective in microseconds. A response within this time has its full value.
+    /// Latency objective: time in microseconds after its receipt within which a request should be
+    /// served.
     pub latency_objective: Micros,
-    /// Value of a request of mean size, relative to other classes.
+    /// Priority of the class: the value of a request of mean size, relative to other classes.
+    /// Within a flow, requests with a higher weight come first.
     pub priority_weight: f64,
     /// Whether a request may be executed again.
     pub idempotency: Idempotency,
@@ -84,7 +86,9 @@
     /// Length in microseconds of the window within which the units dispatched to the node are
     /// limited.
     pub window: Micros,
-    /// Burst that a node can handle within a window, as a multiple of its capacity at that time.
+    /// Burst that nodes can handle, as the factor by which the units dispatched to a node in one
+    /// window may exceed the units provisioned for the window. The product is scaled to the node's
+    /// current capacity.
     pub burst_factor: f64,
     /// Units that a node can serve within a window when its process starts, for all hosts together.
     pub initial_units_per_window: Units,
@@ -126,10 +130,11 @@
     pub usage_report_period: Micros,
     /// Whether responses report the units that the node served for the volume through other hosts.
     pub reports_remote_units: bool,
-    /// Value of units that are within the volume's provisioned rate but beyond its reservation, as
-    /// a fraction of the value of reserved units.
+    /// Value of units within the volume's provisioned rate but beyond its reservation, as a
+    /// fraction from 0 to 1 of the value of reserved units. It lowers a node's concurrency limit
+    /// for such requests: the smaller it is, the lower the limit; 1 leaves the limit as it is.
     pub provisioned_value: f64,
-    /// Value of units beyond the volume's provisioned rate, as a fraction of the value of reserved
-    /// units.
+    /// Value of units beyond the volume's provisioned rate, as a fraction from 0 to 1 of the value
+    /// of reserved units. It lowers a node's concurrency limit in the same way.
     pub surplus_value: f64,
 }
--- a/crates/scheduler/src/collections/deadline_queue.rs
+++ b/crates/scheduler/src/collections/deadline_queue.rs
@@ -1,48 +1,49 @@
-//! A queue of entries ordered by deadline.
+//! A queue of entries ordered by time.
 
 use crate::api::Micros;
 use std::collections::BTreeSet;
 
-/// Entries ordered by deadline; entries with the same deadline are ordered by `Ord`.
-pub struct DeadlineQueue<T> {
-    /// The entries with their deadlines.
+/// Entries ordered by time, for example a deadline; entries with the same time are ordered by
+/// `Ord`.
+pub struct TimeOrderedQueue<T> {
+    /// The entries with their times.
     entries: BTreeSet<(Micros, T)>,
 }
 
-impl<T> Default for DeadlineQueue<T> {
+impl<T> Default for TimeOrderedQueue<T> {
     fn default() -> Self {
-        DeadlineQueue {
+        TimeOrderedQueue {
             entries: BTreeSet::new(),
         }
     }
 }
 
-impl<T: Copy + Ord> DeadlineQueue<T> {
+impl<T: Copy + Ord> TimeOrderedQueue<T> {
     /// Adds an entry.
-    pub fn insert(&mut self, deadline: Micros, entry: T) {
-        self.entries.insert((deadline, entry));
+    pub fn insert(&mut self, at: Micros, entry: T) {
+        self.entries.insert((at, entry));
     }
 
     /// Removes an entry; returns whether it was present.
-    pub fn remove(&mut self, deadline: Micros, entry: T) -> bool {
-        self.entries.remove(&(deadline, entry))
+    pub fn remove(&mut self, at: Micros, entry: T) -> bool {
+        self.entries.remove(&(at, entry))
     }
 
-    /// Removes and returns the entry with the earliest deadline, if that has passed.
+    /// Removes and returns the entry with the earliest time, if that has passed.
     pub fn pop_expired(&mut self, now: Micros) -> Option<T> {
-        let (deadline, _) = self.entries.first()?;
-        if *deadline > now {
+        let (at, _) = self.entries.first()?;
+        if *at > now {
             return None;
         }
         self.entries.pop_first().map(|(_, entry)| entry)
     }
 
-    /// Returns the earliest deadline.
-    pub fn next_deadline(&self) -> Option<Micros> {
-        self.entries.first().map(|(deadline, _)| *deadline)
+    /// Returns the earliest time.
+    pub fn next_time(&self) -> Option<Micros> {
+        self.entries.first().map(|(at, _)| *at)
     }
 
-    /// Returns all entries, earliest deadline first.
+    /// Returns all entries, earliest first.
     pub fn iter(&self) -> impl Iterator<Item = T> + '_ {
         self.entries.iter().map(|(_, entry)| *entry)
     }
--- a/crates/scheduler/src/collections/mod.rs
+++ b/crates/scheduler/src/collections/mod.rs
@@ -4,6 +4,6 @@
 mod moving_fraction;
 mod sliding_window;
 
-pub use deadline_queue::DeadlineQueue;
-pub use moving_fraction::MovingFraction;
+pub use deadline_queue::TimeOrderedQueue;
+pub use moving_fraction::MovingAverageFraction;
 pub use sliding_window::SlidingWindow;
--- a/crates/scheduler/src/collections/moving_fraction.rs
+++ b/crates/scheduler/src/collections/moving_fraction.rs
@@ -1,20 +1,20 @@
-//! Moving average of the fraction of events that are hits.
+//! Moving average of how often an attempt has a certain outcome, such as a lost response.
 
-/// Exponentially weighted moving average of the fraction of events that were hits, from 0 to 1.
+/// Exponentially weighted moving average of how often an outcome occurs, from 0 to 1.
 #[derive(Default)]
-pub struct MovingFraction {
+pub struct MovingAverageFraction {
     /// Current average.
     fraction: f64,
 }
 
-impl MovingFraction {
-    /// Records a hit with the weight `gain`, from 0 to 1.
-    pub fn record_hit(&mut self, gain: f64) {
+impl MovingAverageFraction {
+    /// Records that the outcome occurred, with the weight `gain`, from 0 to 1.
+    pub fn record_occurrence(&mut self, gain: f64) {
         self.fraction += gain * (1.0 - self.fraction);
     }
 
-    /// Records an event that was not a hit, with the weight `gain`, from 0 to 1.
-    pub fn record_miss(&mut self, gain: f64) {
+    /// Records that the outcome did not occur, with the weight `gain`, from 0 to 1.
+    pub fn record_non_occurrence(&mut self, gain: f64) {
         self.fraction *= 1.0 - gain;
     }
 
--- a/crates/scheduler/src/dmclock/flow.rs
+++ b/crates/scheduler/src/dmclock/flow.rs
@@ -139,8 +139,9 @@
         }
     }
 
-    /// Subtracts the units of an attempt that was not served. The tags counted them when the
-    /// request was queued, but they are not part of the volume's service.
+    /// Subtracts the units of an attempt that was not served from the service that the tags have
+    /// counted. They were counted when the request was queued, but are not part of the volume's
+    /// service.
     pub fn subtract_unserved(&mut self, units: Units) {
         self.counted_units -= units;
     }
--- a/crates/scheduler/src/dmclock/selection.rs
+++ b/crates/scheduler/src/dmclock/selection.rs
@@ -10,21 +10,25 @@
 //!    limits.
 //!
 //! A third phase handles late requests, which can no longer meet their latency objective. They have
-//! little value and are dispatched only to an idle node, earliest deadline first.
+//! little value and are dispatched only to an idle node whose concurrency limit is at its maximum,
+//! earliest deadline first.
 //!
-//! While the concurrency limit is below its maximum, requests of lower value get a lower limit.
-//! Hosts thus leave a busy node to reserved work without coordinating.
+//! Each request has a value from 0 to 1, which is 1 for a request whose reservation tag is due.
+//! While the concurrency limit is below its maximum, a request of lower value gets a lower limit.
+//! So each host, without communication, sends a busy node fewer of the requests that are not
+//! covered by a reservation.
 
 use super::flow::QueuedRequest;
 use super::phase::Phase;
 use super::shard_queue::ShardQueue;
 use crate::api::{Micros, RequestId, Settings, VolumeId};
-use crate::node::slow_start::QuotaPart;
+use crate::node::slow_start::SlowStartQuotaPart;
 use crate::node::Node;
 use crate::time::Seconds;
 use crate::volume::VolumeTable;
 
-/// Value of reserved work; the values of other requests are relative to it.
+/// Value of a request that is selected by its reservation tag: its concurrency limit is not
+/// lowered.
 const RESERVED_VALUE: f64 = 1.0;
 /// A volume exceeds its provisioned rate if its nominal tag is ahead of the current time by more
 /// than this.
@@ -42,7 +46,7 @@
 pub trait Admission {
     /// Returns whether these rules allow a request to be dispatched now. The request may use
     /// `quota_part` of this host's slow-start quota.
-    fn admits(&self, request: RequestId, quota_part: QuotaPart) -> bool;
+    fn admits(&self, request: RequestId, quota_part: SlowStartQuotaPart) -> bool;
 }
 
 /// Inputs for selecting the next request from the queue of one shard.
@@ -80,7 +84,7 @@
             .queue
             .heads()
             .filter(|(volume, head)| self.has_due_reservation(*volume, head))
-            .filter(|(_, head)| self.admission.admits(head.id, QuotaPart::Full))
+            .filter(|(_, head)| self.admission.admits(head.id, SlowStartQuotaPart::Full))
             .map(|(_, head)| (head.id, head.tags.reservation));
         Some(Selected {
             request: min_by_tag(due)?,
@@ -110,13 +114,13 @@
     /// Phase for late requests: selects the one with the earliest deadline, if the node is idle and
     /// its concurrency limit is at the maximum.
     fn by_deadline(&self) -> Option<Selected> {
-        if !self.node.is_idle_at_full_limit() {
+        if !self.node.is_idle_at_maximum_limit() {
             return None;
         }
         let request = self
             .queue
             .late_requests()
-            .find(|id| self.admission.admits(*id, QuotaPart::Surplus))?;
+            .find(|id| self.admission.admits(*id, SlowStartQuotaPart::Surplus))?;
         Some(Selected {
             request,
             phase: Phase::Late,
@@ -148,7 +152,7 @@
         head.tags.nominal > self.tag_time + SURPLUS_THRESHOLD
     }
 
-    /// Returns the value of a request in the weight-based phase, relative to reserved work.
+    /// Returns the value, from 0 to 1, of a request in the weight-based phase.
     fn value(&self, head: &QueuedRequest) -> f64 {
         if self.is_surplus(head) {
             self.settings.surplus_value
@@ -158,11 +162,11 @@
     }
 
     /// Returns the part of this host's slow-start quota that a request may use.
-    fn quota_part(&self, volume: VolumeId, head: &QueuedRequest) -> QuotaPart {
+    fn quota_part(&self, volume: VolumeId, head: &QueuedRequest) -> SlowStartQuotaPart {
         if self.is_surplus(head) && !self.has_due_reservation(volume, head) {
-            QuotaPart::Surplus
+            SlowStartQuotaPart::Surplus
         } else {
-            QuotaPart::Full
+            SlowStartQuotaPart::Full
         }
     }
 }
--- a/crates/scheduler/src/dmclock/shard_queue.rs
+++ b/crates/scheduler/src/dmclock/shard_queue.rs
@@ -8,7 +8,7 @@
 use super::flow::{Flow, Position, QueuedRequest};
 use super::phase::Phase;
 use crate::api::{Request, RequestId, Units, UnitsPerSecond, VolumeId};
-use crate::collections::DeadlineQueue;
+use crate::collections::TimeOrderedQueue;
 use crate::request::PendingRequest;
 use crate::time::Seconds;
 use crate::volume::{Volume, VolumeTable};
@@ -20,10 +20,11 @@
     /// Requests that can still meet their latency objective, by volume.
     flows: BTreeMap<VolumeId, Flow>,
     /// Requests that can no longer meet their latency objective, ordered by deadline.
-    late: DeadlineQueue<RequestId>,
+    late: TimeOrderedQueue<RequestId>,
     /// Units of all queued requests, the late ones included.
     queued_units: Units,
-    /// Offset between the stored share tags and the current time.
+    /// Added to a time to get the share tag that corresponds to it; set again whenever a request is
+    /// added to an empty flow.
     share_tag_offset: Seconds,
 }
 
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Subtracts the units of an attempt that was not served from the service counted by the
-    /// volume's tags.
+    /// Subtracts the units of an attempt that was not served from the service that the volume's
+    /// tags have counted.
     pub fn subtract_unserved(&mut self, volume: VolumeId, units: Units) {
         if let Some(flow) = self.flows.get_mut(&volume) {
             flow.subtract_unserved(units);
@@ -124,9 +125,9 @@
         self.late.iter()
     }
 
-    /// Returns the total rate that the volumes with a flow here are provisioned for at this shard
-    /// through this host.
-    pub fn nominal_rate(&self, volumes: &VolumeTable) -> UnitsPerSecond {
+    /// Returns this host's part of the provisioned rates, per shard, summed over the volumes that
+    /// have a flow in this queue.
+    pub fn provisioned_rate_of_host(&self, volumes: &VolumeTable) -> UnitsPerSecond {
         self.flows
             .keys()
             .filter_map(|volume| volumes.get(*volume))
--- a/crates/scheduler/src/dmclock/shard_queues.rs
+++ b/crates/scheduler/src/dmclock/shard_queues.rs
@@ -24,7 +24,7 @@
 
     /// Marks a shard as having queued requests and returns its queue, to which the caller adds a
     /// request.
-    pub fn mark_backlogged(&mut self, shard: Shard) -> &mut ShardQueue {
+    pub fn mark_backlogged_and_get_mut(&mut self, shard: Shard) -> &mut ShardQueue {
         self.backlogged.insert(shard);
         self.queues.entry(shard).or_default()
     }
--- a/crates/scheduler/src/dmclock/tags.rs
+++ b/crates/scheduler/src/dmclock/tags.rs
@@ -68,7 +68,7 @@
             let advanced = tags.limit + service.delta / volume.limit_per_host();
             tags.limit = advanced.max(queued_at);
         }
-        let advanced = tags.nominal + service.delta / volume.nominal_rate();
+        let advanced = tags.nominal + service.delta / volume.nominal_tag_rate();
         tags.nominal = advanced.max(queued_at);
         // The weight is the rate of the share tag's virtual clock.
         let weight = UnitsPerSecond(plan.weight.max(MIN_WEIGHT));
--- a/crates/scheduler/src/endpoints/polling.rs
+++ b/crates/scheduler/src/endpoints/polling.rs
@@ -8,7 +8,7 @@
 //! the deployment allows. The settings limit the time between two polls (microseconds).
 
 use crate::api::{Micros, Settings};
-use crate::hash::{fibonacci_hash, unit_hash};
+use crate::hash::{fibonacci_hash, hash_to_unit_interval};
 
 /// Jitter per other host that polls the same service, in microseconds.
 const JITTER_PER_HOST: Micros = 50_000;
@@ -29,7 +29,7 @@
 /// Schedule of polls.
 pub struct EndpointPolling {
     /// Number of hosts that poll the same service, this one included; 0 if no polls are needed.
-    clients: u32,
+    polling_hosts: u32,
     /// Maximum time between two polls without a watch, in microseconds; 0 for no maximum.
     max_poll_interval: Micros,
     /// Seed of the hash that replaces random numbers. Hosts should use different seeds.
@@ -43,7 +43,7 @@
     /// Creates a schedule and schedules the first poll.
     pub fn new(settings: &Settings, seed: u64, now: Micros) -> Self {
         let mut polling = EndpointPolling {
-            clients: settings.discovery_clients,
+            polling_hosts: settings.discovery_clients,
             max_poll_interval: settings.max_poll_interval,
             seed,
             next_poll_at: None,
@@ -85,19 +85,19 @@
 
     /// Schedules the next poll after a backoff.
     fn back_off(&mut self, now: Micros, max_jitter: Micros) {
-        let backoff = (BACKOFF_PER_HOST * Micros::from(self.clients)).min(MAX_BACKOFF);
+        let backoff = (BACKOFF_PER_HOST * Micros::from(self.polling_hosts)).min(MAX_BACKOFF);
         self.schedule(now + backoff, self.seed ^ now as u64, max_jitter);
     }
 
     /// Schedules a poll at `earliest` plus a jitter derived from `jitter_seed`.
     fn schedule(&mut self, earliest: Micros, jitter_seed: u64, max_jitter: Micros) {
-        let Some(other_hosts) = self.clients.checked_sub(1) else {
+        let Some(other_hosts) = self.polling_hosts.checked_sub(1) else {
             self.next_poll_at = None;
             return;
         };
         let max_jitter = self.limit_jitter(max_jitter);
         let jitter_range = (JITTER_PER_HOST * Micros::from(other_hosts)).min(max_jitter);
-        let jitter = unit_hash(jitter_seed) * jitter_range as f64;
+        let jitter = hash_to_unit_interval(jitter_seed) * jitter_range as f64;
         self.next_poll_at = Some(earliest + jitter as Micros);
     }
 
--- a/crates/scheduler/src/hash.rs
+++ b/crates/scheduler/src/hash.rs
@@ -6,7 +6,7 @@
 }
 
 /// Maps a number to the unit interval `[0, 1)` (the finalizer of `SplitMix64`).
-pub fn unit_hash(number: u64) -> f64 {
+pub fn hash_to_unit_interval(number: u64) -> f64 {
     let mixed = (number ^ (number >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     ((mixed ^ (mixed >> 31)) >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/scheduler/src/node/attempt_timeout.rs
+++ b/crates/scheduler/src/node/attempt_timeout.rs
@@ -14,8 +14,9 @@
 const ATTEMPT_TIMEOUT_FACTOR: f64 = 4.0;
 /// Number of deviations above the mean latency after which a response is considered lost.
 const LOSS_TIMEOUT_DEVIATIONS: f64 = 4.0;
-/// Upper bound of the timeout for lost responses, as a fraction of the latency objective. A node
-/// whose timeout would be longer is not fast.
+/// Upper bound of the timeout for lost responses, as a fraction of the latency objective. If the
+/// timeout, before it is scaled by the request's size, is not below this, the node is considered
+/// slow, and the usual timeout applies.
 const MAX_LOSS_TIMEOUT_FRACTION: f64 = 0.6;
 /// Lower bound of the factor by which the request's size scales the timeout for lost responses.
 const MIN_LOSS_TIMEOUT_SCALE: f64 = 1.0;
@@ -28,20 +29,20 @@
     /// Latency objective of the request's class.
     pub latency_objective: Micros,
     /// Time at which the objective ends.
-    pub objective_at: Micros,
+    pub objective_ends_at: Micros,
 }
 
 /// Returns when an attempt that is dispatched to the node now times out. The caller also applies
 /// the request's deadline.
 pub fn times_out_at(node: &Node, inputs: &TimeoutInputs, now: Micros) -> Micros {
     let Some(mean) = node.latency().mean() else {
-        return inputs.objective_at.max(now);
+        return inputs.objective_ends_at.max(now);
     };
     if let Some(timeout) = loss_timeout(node, inputs) {
         return now + timeout.to_micros();
     }
     let timeout = mean * (ATTEMPT_TIMEOUT_FACTOR * inputs.relative_latency);
-    inputs.objective_at.max(now + timeout.to_micros())
+    inputs.objective_ends_at.max(now + timeout.to_micros())
 }
 
 /// Returns the shorter timeout for a node that loses responses but is otherwise fast, or `None` for
--- a/crates/scheduler/src/node/concurrency_limit.rs
+++ b/crates/scheduler/src/node/concurrency_limit.rs
@@ -6,7 +6,7 @@
 //! below one, dispatches are spaced out in time (pacing). Since the node's own queue is first in,
 //! first out, a low limit keeps requests at the host, where dmClock orders them.
 
-use super::Measurement;
+use super::AttemptMeasurement;
 use crate::api::{Micros, Outcome};
 use crate::time::Latency;
 
@@ -60,8 +60,8 @@
         self.limit
     }
 
-    /// Returns the limit, capped at one. A value below one is the rate of dispatches relative to a
-    /// node that always has one request in flight.
+    /// Returns the limit, capped at one. A result below one is approximately the fraction of time
+    /// during which pacing lets one request be in flight at the node.
     pub fn limit_capped_at_one(&self) -> f64 {
         self.limit.min(PACING_THRESHOLD)
     }
@@ -73,15 +73,16 @@
 
     /// Returns whether one more request may be dispatched while `in_flight` requests are in flight.
     ///
-    /// `value` is the value of the request relative to reserved work, from 0 to 1. While the limit
-    /// is below its maximum, a low value reduces it further, so that hosts leave a busy node to
-    /// reserved work without coordinating.
+    /// `value` is the value of the request, from 0 to 1; it is 1 if the request is covered by a
+    /// reservation. While the limit is below its maximum, a lower value reduces it further. So each
+    /// host, without communication, sends a busy node fewer of the requests that are not covered by
+    /// a reservation.
     pub fn has_capacity(&self, in_flight: usize, value: f64, now: Micros) -> bool {
         let limit = self.limit_for_value(value);
         has_slot(limit, in_flight) && self.pacing_delay_is_over(limit, now)
     }
 
-    /// Returns the limit that applies to a request of this relative value.
+    /// Returns the limit that applies to a request of this value, from 0 to 1.
     fn limit_for_value(&self, value: f64) -> f64 {
         let scale = value + (1.0 - value) * self.limit / MAX_CONCURRENCY_LIMIT;
         self.limit * scale
@@ -99,7 +100,7 @@
     }
 
     /// Adjusts the limit and restarts the pacing delay after an attempt.
-    pub fn record(&mut self, measurement: &Measurement, now: Micros) {
+    pub fn record(&mut self, measurement: &AttemptMeasurement, now: Micros) {
         match measurement.outcome {
             Outcome::Served | Outcome::Error if !is_slow(measurement) => self.increase(),
             Outcome::Served | Outcome::Error | Outcome::TimedOut => {
@@ -141,7 +142,7 @@
 }
 
 /// Returns whether a response took more than [`SLOW_RESPONSE_FRACTION`] of its latency objective.
-fn is_slow(measurement: &Measurement) -> bool {
+fn is_slow(measurement: &AttemptMeasurement) -> bool {
     let slow_threshold =
         Latency::from_micros(measurement.latency_objective) * SLOW_RESPONSE_FRACTION;
     Latency::from_micros(measurement.elapsed) > slow_threshold
--- a/crates/scheduler/src/node/error_rate.rs
+++ b/crates/scheduler/src/node/error_rate.rs
@@ -3,7 +3,7 @@
 //! Served attempts and errors are counted. A node with a high error rate receives new objects only
 //! if there is no other node (`placement`).
 
-use crate::collections::MovingFraction;
+use crate::collections::MovingAverageFraction;
 
 /// Weight of a new response in the moving average.
 const ERROR_GAIN: f64 = 0.1;
@@ -14,18 +14,18 @@
 #[derive(Default)]
 pub struct ErrorRate {
     /// Moving average of the fraction of responses that are errors.
-    errors: MovingFraction,
+    errors: MovingAverageFraction,
 }
 
 impl ErrorRate {
     /// Records a response that is an error.
     pub fn record_error(&mut self) {
-        self.errors.record_hit(ERROR_GAIN);
+        self.errors.record_occurrence(ERROR_GAIN);
     }
 
     /// Records an attempt that was served.
     pub fn record_served(&mut self) {
-        self.errors.record_miss(ERROR_GAIN);
+        self.errors.record_non_occurrence(ERROR_GAIN);
     }
 
     /// Returns whether the error rate is above [`HIGH_ERROR_RATE`].
--- a/crates/scheduler/src/node/health.rs
+++ b/crates/scheduler/src/node/health.rs
@@ -1,7 +1,7 @@
 //! Statistics and limits derived from the attempts at a node since its process started.
 //!
-//! Each of them is a type with its own rule. This module passes each completed attempt to the types
-//! that it affects.
+//! Each statistic and each limit has its own type. This module passes each completed attempt to the
+//! types that it affects.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::dispatch_pause::DispatchPause;
@@ -13,8 +13,8 @@
 use crate::api::{Micros, Outcome};
 use crate::time::Latency;
 
-/// Data of a completed attempt that updates the state of its node.
-pub struct Measurement {
+/// What the statistics and limits of a node need to know about a completed attempt.
+pub struct AttemptMeasurement {
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Time from the dispatch to the end of the attempt.
@@ -30,7 +30,7 @@
 
 /// Statistics of a node, and the limits derived from them.
 #[derive(Default)]
-pub struct NodeHealth {
+pub struct NodeStatistics {
     /// Estimate of the node's latency.
     pub latency: LatencyEstimate,
     /// Fraction of attempts without a response.
@@ -48,9 +48,9 @@
     pub slow_start: SlowStartUsage,
 }
 
-impl NodeHealth {
+impl NodeStatistics {
     /// Updates the statistics and limits after an attempt.
-    pub fn record(&mut self, measurement: &Measurement, now: Micros) {
+    pub fn record(&mut self, measurement: &AttemptMeasurement, now: Micros) {
         match measurement.outcome {
             Outcome::Served => self.record_served(measurement, now),
             Outcome::Error => self.error_rate.record_error(),
@@ -65,7 +65,7 @@
     }
 
     /// Updates the statistics after an attempt that was served.
-    fn record_served(&mut self, measurement: &Measurement, now: Micros) {
+    fn record_served(&mut self, measurement: &AttemptMeasurement, now: Micros) {
         // A served trial attempt ends the ejection, and with it the pause before the next trial
         // attempt.
         if self.ejection.is_ejected() {
--- a/crates/scheduler/src/node/loss_rate.rs
+++ b/crates/scheduler/src/node/loss_rate.rs
@@ -3,7 +3,7 @@
 //! Served attempts and attempts without a response are counted. If the loss rate is high, attempts
 //! at the node may time out early (`attempt_timeout`).
 
-use crate::collections::MovingFraction;
+use crate::collections::MovingAverageFraction;
 
 /// Weight of a new attempt in the moving average.
 const LOSS_GAIN: f64 = 0.03;
@@ -14,18 +14,18 @@
 #[derive(Default)]
 pub struct LossRate {
     /// Moving average of the fraction of attempts without a response.
-    lost: MovingFraction,
+    lost: MovingAverageFraction,
 }
 
 impl LossRate {
     /// Records an attempt that ended without a response.
     pub fn record_lost(&mut self) {
-        self.lost.record_hit(LOSS_GAIN);
+        self.lost.record_occurrence(LOSS_GAIN);
     }
 
     /// Records an attempt that was served.
     pub fn record_served(&mut self) {
-        self.lost.record_miss(LOSS_GAIN);
+        self.lost.record_non_occurrence(LOSS_GAIN);
     }
 
     /// Returns whether the loss rate is above [`HIGH_LOSS_RATE`].
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -19,11 +19,11 @@
 pub mod slow_start;
 
 pub use concurrency_limit::MAX_IN_FLIGHT;
-pub use health::Measurement;
+pub use health::AttemptMeasurement;
 
 use crate::api::{Endpoint, EndpointStatus, Micros, SlowStart, Units};
 use concurrency_limit::ConcurrencyLimit;
-use health::NodeHealth;
+use health::NodeStatistics;
 use latency_estimate::LatencyEstimate;
 use slow_start::SlowStartUsage;
 
@@ -39,7 +39,7 @@
     /// Units of these attempts.
     in_flight_units: Units,
     /// Statistics and limits from the attempts since the node's process started.
-    health: NodeHealth,
+    statistics: NodeStatistics,
 }
 
 impl Node {
@@ -49,7 +49,7 @@
             endpoint,
             in_flight: 0,
             in_flight_units: Units::ZERO,
-            health: NodeHealth::default(),
+            statistics: NodeStatistics::default(),
         }
     }
 
@@ -64,7 +64,7 @@
         let is_restarted =
             endpoint.started_at.is_some() && endpoint.started_at != self.endpoint.started_at;
         if is_restarted {
-            self.health = NodeHealth::default();
+            self.statistics = NodeStatistics::default();
         }
         self.endpoint = endpoint.clone();
     }
@@ -89,15 +89,20 @@
         self.in_flight += 1;
         self.in_flight_units += units;
         if slow_start::warming_up_since(self, slow_start, now).is_some() {
-            self.health.slow_start.record(units, slow_start, now);
+            self.statistics.slow_start.record(units, slow_start, now);
         }
     }
 
     /// Records a completed attempt and updates the node's statistics.
-    pub fn complete_attempt(&mut self, units: Units, measurement: &Measurement, now: Micros) {
+    pub fn complete_attempt(
+        &mut self,
+        units: Units,
+        measurement: &AttemptMeasurement,
+        now: Micros,
+    ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.in_flight_units -= units;
-        self.health.record(measurement, now);
+        self.statistics.record(measurement, now);
     }
 
     /// Returns the units of this host's attempts in flight at the node.
@@ -107,69 +112,71 @@
 
     /// Returns the latency estimate of the node.
     pub fn latency(&self) -> &LatencyEstimate {
-        &self.health.latency
+        &self.statistics.latency
     }
 
     /// Returns the limit on this host's requests in flight at the node.
     pub fn concurrency_limit(&self) -> &ConcurrencyLimit {
-        &self.health.limit
+        &self.statistics.limit
     }
 
     /// Returns the units that this host sent to the node while it was warming up.
     pub fn slow_start_usage(&self) -> &SlowStartUsage {
-        &self.health.slow_start
+        &self.statistics.slow_start
     }
 
     /// Returns whether the fraction of attempts that end without a response is high.
     pub fn has_high_loss_rate(&self) -> bool {
-        self.health.loss_rate.is_high()
+        self.statistics.loss_rate.is_high()
     }
 
     /// Returns whether the node is an outlier: it is ejected, or its error rate is high.
     pub fn is_faulty(&self) -> bool {
-        self.is_ejected() || self.health.error_rate.is_high()
+        self.is_ejected() || self.statistics.error_rate.is_high()
     }
 
     /// Returns whether the node is ejected and receives only trial attempts.
     pub fn is_ejected(&self) -> bool {
-        self.health.ejection.is_ejected()
+        self.statistics.ejection.is_ejected()
     }
 
     /// Returns whether dispatches to the node are paused.
     pub fn is_paused(&self, now: Micros) -> bool {
-        self.health.pause.is_active(now)
+        self.statistics.pause.is_active(now)
     }
 
     /// Returns the end of the node's pause, which is in the past if the node is not paused.
     pub fn paused_until(&self) -> Micros {
-        self.health.pause.until()
+        self.statistics.pause.until()
     }
 
     /// Pauses the ejected node until its next trial attempt.
     pub fn start_trial_interval(&mut self, now: Micros) {
-        let interval = self.health.ejection.trial_interval();
-        self.health.pause.start_between_trials(interval, now);
+        let interval = self.statistics.ejection.trial_interval();
+        self.statistics.pause.start_between_trials(interval, now);
     }
 
     /// Returns whether [`MAX_IN_FLIGHT`] requests are in flight, the maximum for any concurrency
     /// limit.
-    pub fn is_full(&self) -> bool {
+    pub fn is_at_max_in_flight(&self) -> bool {
         self.in_flight >= MAX_IN_FLIGHT
     }
 
-    /// Returns whether an ejected node has as many attempts in flight as allowed. Attempts from
-    /// before the ejection count, too.
-    pub fn is_full_for_trials(&self) -> bool {
+    /// Returns whether [`MAX_TRIALS_IN_FLIGHT`] attempts are in flight, the maximum for an ejected
+    /// node. Attempts that started before the ejection count, too.
+    pub fn is_at_trial_limit(&self) -> bool {
         self.in_flight >= MAX_TRIALS_IN_FLIGHT
     }
 
-    /// Returns whether the concurrency limit allows one more request of this relative value.
+    /// Returns whether the concurrency limit allows one more request of this value, from 0 to 1.
     pub fn has_capacity(&self, value: f64, now: Micros) -> bool {
-        self.health.limit.has_capacity(self.in_flight, value, now)
+        self.statistics
+            .limit
+            .has_capacity(self.in_flight, value, now)
     }
 
     /// Returns whether nothing is in flight and the concurrency limit is at its maximum.
-    pub fn is_idle_at_full_limit(&self) -> bool {
-        self.in_flight == 0 && self.health.limit.is_at_maximum()
+    pub fn is_idle_at_maximum_limit(&self) -> bool {
+        self.in_flight == 0 && self.statistics.limit.is_at_maximum()
     }
 }
--- a/crates/scheduler/src/node/outlier_ejection.rs
+++ b/crates/scheduler/src/node/outlier_ejection.rs
@@ -1,11 +1,11 @@
 //! Ejects nodes whose attempts end without a response. An ejected node receives only trial
 //! attempts.
 //!
-//! Attempts without a response are timeouts, failed connects and resets. Among the outcomes, only a
-//! served attempt ends the ejection; a restart of the node ends it, too. A response that is an
-//! error or says that the node is overloaded neither counts as a failure nor ends the ejection: it
-//! shows that a process answers, but not that it serves requests. This module also determines the
-//! time between trial attempts, in microseconds.
+//! Attempts without a response are timeouts, failed connects and resets. The ejection ends when an
+//! attempt is served or the node's process restarts. A response that is an error or says that the
+//! node is overloaded neither counts as a failure nor ends the ejection: it shows that a process
+//! answers, but not that it serves requests. This module also determines the time between trial
+//! attempts, in microseconds.
 //!
 //! If more nodes are ejected than not, the cause is probably not in the nodes, and none of them is
 //! treated as ejected (panic threshold).
--- a/crates/scheduler/src/node/slow_start.rs
+++ b/crates/scheduler/src/node/slow_start.rs
@@ -13,10 +13,10 @@
 use super::Node;
 use crate::api::{Micros, Settings, SlowStart, Units, UnitsPerSecond};
 use crate::collections::SlidingWindow;
-use crate::hash::{fibonacci_hash, unit_hash};
+use crate::hash::{fibonacci_hash, hash_to_unit_interval};
 
-/// Factor applied to the provisioned rates in a host's quota, because volumes do not use their
-/// hosts evenly.
+/// Factor applied to the provisioned rates in a host's quota, because a volume's requests are not
+/// spread evenly over the hosts.
 const HOST_IMBALANCE_FACTOR: f64 = 1.25;
 /// Lower bound of the initial capacity, which is a divisor in the node's quota.
 const MIN_INITIAL_CAPACITY: f64 = 1e-9;
@@ -24,21 +24,21 @@
 /// Fraction of a host's quota that surplus and late requests may use.
 const SURPLUS_QUOTA_FRACTION: f64 = 0.5;
 
-/// Part of a host's quota that a request may use.
+/// Part of a host's slow-start quota that a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QuotaPart {
+pub enum SlowStartQuotaPart {
     /// The whole quota.
     Full,
     /// The part for surplus and late requests; the rest of the quota is left to the other requests.
     Surplus,
 }
 
-impl QuotaPart {
+impl SlowStartQuotaPart {
     /// Returns the part as a fraction of the quota.
     fn fraction(self) -> f64 {
         match self {
-            QuotaPart::Full => 1.0,
-            QuotaPart::Surplus => SURPLUS_QUOTA_FRACTION,
+            SlowStartQuotaPart::Full => 1.0,
+            SlowStartQuotaPart::Surplus => SURPLUS_QUOTA_FRACTION,
         }
     }
 }
@@ -83,9 +83,9 @@
     pub seed: u64,
     /// The node that is warming up.
     pub node: &'a Node,
-    /// Total rate that the volumes with a flow at the node's shard are provisioned for at this
-    /// shard through this host. A flow exists until its volume is removed.
-    pub nominal_rate: UnitsPerSecond,
+    /// This host's part of the provisioned rates, per shard, summed over the volumes that have a
+    /// flow at the node's shard. A flow exists until its volume is removed.
+    pub provisioned_rate_of_host: UnitsPerSecond,
     /// The current time, in microseconds.
     pub now: Micros,
 }
@@ -93,7 +93,7 @@
 impl SlowStartLimiter<'_> {
     /// Returns whether a request of `units` may be dispatched, which may use `quota_part` of this
     /// host's quota. `started_at` is the start time of the node's process.
-    pub fn admits(&self, units: Units, quota_part: QuotaPart, started_at: Micros) -> bool {
+    pub fn admits(&self, units: Units, quota_part: SlowStartQuotaPart, started_at: Micros) -> bool {
         let slow_start = &self.settings.slow_start;
         let capacity = capacity(slow_start, started_at, self.now);
         let node_quota = node_quota(slow_start, capacity);
@@ -106,9 +106,9 @@
             && is_within_node_quota(units, node_quota, dispatched)
     }
 
-    /// Returns whether the units fit into this host's quota plus a random part of the units. A
-    /// request larger than the remaining quota is thus admitted with a probability equal to the
-    /// remaining quota divided by its units.
+    /// Returns whether this host's quota admits a request of `units`. A request larger than the
+    /// remaining quota is admitted with a probability equal to the remaining quota divided by
+    /// `units`.
     fn is_within_host_quota(&self, units: Units, host_quota: Units, dispatched: Units) -> bool {
         let random_part = units * self.random_number();
         host_quota + random_part - dispatched >= units
@@ -119,8 +119,11 @@
     /// has the weight 1 / sqrt(number of hosts).
     fn host_quota(&self, capacity: f64, node_quota: Units) -> Units {
         let slow_start = &self.settings.slow_start;
-        let nominal_units = self.nominal_rate.units_within(slow_start.window);
-        let rate_quota = nominal_units * HOST_IMBALANCE_FACTOR * slow_start.burst_factor * capacity;
+        let provisioned_units = self
+            .provisioned_rate_of_host
+            .units_within(slow_start.window);
+        let rate_quota =
+            provisioned_units * HOST_IMBALANCE_FACTOR * slow_start.burst_factor * capacity;
         let rate_quota = rate_quota.min(node_quota);
         let hosts = f64::from(self.settings.host_count.max(1));
         let even_quota = node_quota / hosts;
@@ -128,13 +131,13 @@
     }
 
     /// Returns a pseudorandom number from 0 to 1 that differs between nodes and stays the same
-    /// within a window. Windows are fixed intervals of the clock. A new number at each call would
-    /// admit a waiting request after a few calls.
+    /// within a window. Windows are fixed intervals of the clock. With a new number at each call, a
+    /// waiting request would soon be admitted, because it is checked repeatedly.
     fn random_number(&self) -> f64 {
         let window_length = self.settings.slow_start.window.max(1);
         let window_number = (self.now / window_length) as u64;
         let node_and_window = window_number ^ fibonacci_hash(self.node.endpoint().node.0);
-        unit_hash(self.seed ^ fibonacci_hash(node_and_window))
+        hash_to_unit_interval(self.seed ^ fibonacci_hash(node_and_window))
     }
 }
 
@@ -146,9 +149,9 @@
     slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * progress
 }
 
-/// Returns whether the units fit into the node's quota, without regard to the other hosts. The
-/// first request within a window is always allowed, because a request larger than the whole quota
-/// must be dispatched at some time.
+/// Returns whether the node's quota admits a request of `units`, counting only the units that this
+/// host dispatched. The first request within a window is always allowed, because a request larger
+/// than the whole quota must be dispatched at some time.
 fn is_within_node_quota(units: Units, node_quota: Units, dispatched: Units) -> bool {
     let is_first_of_window = dispatched <= Units::ZERO;
     is_first_of_window || node_quota - dispatched >= units
--- a/crates/scheduler/src/request/key_ordering.rs
+++ b/crates/scheduler/src/request/key_ordering.rs
@@ -1,5 +1,5 @@
-//! Orders requests with the same key, in classes whose requests of one key must run in the order in
-//! which they were received.
+//! Orders requests with the same key, in classes whose requests of one key must be executed in the
+//! order in which they were received.
 //!
 //! After an attempt that ended while the node may still be executing it, no other ordered request
 //! with its key is queued for dispatch until the quiesce period of the settings (microseconds) has
@@ -7,11 +7,11 @@
 //! request does not wait for the end of that period.
 
 use crate::api::{Micros, ObjectKey, RequestId};
-use crate::collections::DeadlineQueue;
+use crate::collections::TimeOrderedQueue;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests of one key in the order in which they were received. The first may run once the quiesce
-/// period is over.
+/// Requests of one key in the order in which they were received. The first may be queued for
+/// dispatch once the quiesce period is over.
 #[derive(Default)]
 struct KeySequence {
     /// Requests that are open or have attempts in flight.
@@ -26,11 +26,12 @@
     /// Sequences, by key.
     sequences: BTreeMap<ObjectKey, KeySequence>,
     /// Keys whose next request waits for the end of the quiesce period, ordered by that time.
-    quiescing: DeadlineQueue<ObjectKey>,
+    quiescing: TimeOrderedQueue<ObjectKey>,
 }
 
 impl KeySequences {
-    /// Adds a request to the sequence of its key. Returns whether the request may run at once.
+    /// Adds a request to the sequence of its key. Returns whether the request may be queued at
+    /// once.
     pub fn add(&mut self, key: ObjectKey, id: RequestId, now: Micros) -> bool {
         let sequence = self.sequences.entry(key).or_default();
         sequence.requests.push_back(id);
@@ -38,7 +39,7 @@
     }
 
     /// Removes a finished request from the sequence of its key. Returns the first remaining request
-    /// if it may run now.
+    /// if it may be queued now.
     pub fn remove(&mut self, key: ObjectKey, id: RequestId, now: Micros) -> Option<RequestId> {
         let sequence = self.sequences.get_mut(&key)?;
         let was_first = sequence.requests.front() == Some(&id);
@@ -61,8 +62,9 @@
         }
     }
 
-    /// Removes and returns a key whose quiesce period is over. The end of the period is the one
-    /// that was known when the key began to wait; it may have been extended since.
+    /// Removes and returns a key that was added to `quiescing` with an end of the quiesce period
+    /// that has passed. The period may have been extended since, so the caller must check it again
+    /// ([`Self::first_ready`]).
     pub fn pop_quiesced(&mut self, now: Micros) -> Option<ObjectKey> {
         self.quiescing.pop_expired(now)
     }
@@ -83,6 +85,6 @@
 
     /// Returns the earliest end of a quiesce period that a request waits for.
     pub fn next_quiesced(&self) -> Option<Micros> {
-        self.quiescing.next_deadline()
+        self.quiescing.next_time()
     }
 }
--- a/crates/scheduler/src/request/latency_objective.rs
+++ b/crates/scheduler/src/request/latency_objective.rs
@@ -6,7 +6,8 @@
 //!
 //! A client that retries sends a new request. With a new objective, the retry would again compete
 //! as a request that is not late, so it keeps the objective of the earlier request if that was
-//! closed without service. Such repeats are recognized by volume, object and class.
+//! closed before an attempt was known to be served. Such repeats are recognized by volume, object
+//! and class.
 
 use super::PendingRequest;
 use crate::api::{ClassIndex, Micros, ObjectKey, Request, RequestClass, VolumeId};
@@ -41,43 +42,44 @@
     }
 }
 
-/// Ends of the latency objectives of requests that were closed without service.
+/// Ends of the latency objectives of requests that were closed before an attempt was known to be
+/// served.
 #[derive(Default)]
 pub struct LatencyObjectives {
     /// End of the objective of each request, by the fields that its repeat has in common with it.
-    unserved: BTreeMap<RepeatKey, Micros>,
+    objective_ends: BTreeMap<RepeatKey, Micros>,
 }
 
 impl LatencyObjectives {
     /// Returns when the objective of a request that is received now ends. The client does not wait
     /// beyond its deadline, so the objective ends at the deadline at the latest.
     pub fn assign(&mut self, request: &Request, class: &RequestClass, now: Micros) -> Micros {
-        let objective_at = match self.take_earlier_objective(request) {
-            Some(earlier_objective_at) => earlier_objective_at,
+        let objective_ends_at = match self.take_earlier_objective(request) {
+            Some(earlier_objective_ends_at) => earlier_objective_ends_at,
             None => now + class.latency_objective,
         };
-        objective_at.min(request.deadline)
+        objective_ends_at.min(request.deadline)
     }
 
     /// Removes and returns the end of the objective of the earlier request that this one repeats.
     fn take_earlier_objective(&mut self, request: &Request) -> Option<Micros> {
-        self.unserved.remove(&RepeatKey::of(request)?)
+        self.objective_ends.remove(&RepeatKey::of(request)?)
     }
 
-    /// Records the objective of a request that is closed without service, in case its client sends
-    /// it again.
-    pub fn record_unserved(&mut self, pending: &PendingRequest, now: Micros) {
+    /// Records the objective of a request that is closed before an attempt is known to be served,
+    /// in case its client sends the request again.
+    pub fn record_for_repeat(&mut self, pending: &PendingRequest, now: Micros) {
         let Some(key) = RepeatKey::of(pending.request()) else {
             return;
         };
-        self.unserved
-            .retain(|_, objective_at| *objective_at > now - REPEAT_WINDOW);
-        self.unserved.insert(key, pending.objective_at());
+        self.objective_ends
+            .retain(|_, objective_ends_at| *objective_ends_at > now - REPEAT_WINDOW);
+        self.objective_ends.insert(key, pending.objective_ends_at());
     }
 }
 
 /// Returns whether a request can no longer meet its objective at a node with this expected latency.
 pub fn misses_objective(pending: &PendingRequest, expected: Latency, now: Micros) -> bool {
     let completes_at = now + (expected * pending.relative_latency()).to_micros();
-    completes_at > pending.objective_at()
+    completes_at > pending.objective_ends_at()
 }
--- a/crates/scheduler/src/request/pending.rs
+++ b/crates/scheduler/src/request/pending.rs
@@ -22,7 +22,7 @@
     /// Expected latency for the request's size, as a multiple of that of a request of mean size.
     relative_latency: f64,
     /// End of the latency objective; not later than the deadline.
-    objective_at: Micros,
+    objective_ends_at: Micros,
     /// Time at which the request is rejected, if it is still open and its rejection is not
     /// postponed (`shedding`).
     reject_at: Micros,
@@ -32,8 +32,9 @@
     attempts: u32,
     /// Attempts that have not completed.
     in_flight: Vec<Attempt>,
-    /// The first attempt to complete that the node may have executed or may still be executing.
-    first_maybe_executed: Option<Attempt>,
+    /// Of the completed attempts that a node may have executed or may still be executing, the one
+    /// that completed first.
+    first_possibly_executed: Option<Attempt>,
     /// Shard in whose queue the request is; `None` if it is not queued.
     queue_shard: Option<Shard>,
 }
@@ -44,19 +45,19 @@
         request: &Request,
         class: &RequestClass,
         relative_latency: f64,
-        objective_at: Micros,
+        objective_ends_at: Micros,
         reject_at: Micros,
     ) -> Self {
         PendingRequest {
             request: request.clone(),
             class: class.clone(),
             relative_latency,
-            objective_at,
+            objective_ends_at,
             reject_at,
             is_open: true,
             attempts: 0,
             in_flight: Vec::new(),
-            first_maybe_executed: None,
+            first_possibly_executed: None,
             queue_shard: None,
         }
     }
@@ -78,8 +79,8 @@
     }
 
     /// Returns the end of the latency objective, which is not later than the deadline.
-    pub fn objective_at(&self) -> Micros {
-        self.objective_at
+    pub fn objective_ends_at(&self) -> Micros {
+        self.objective_ends_at
     }
 
     /// Returns the time at which the request is rejected, if it is still open and its rejection is
@@ -113,10 +114,10 @@
         &self.in_flight
     }
 
-    /// Returns the first attempt to complete that the node may have executed or may still be
-    /// executing.
-    pub fn first_maybe_executed(&self) -> Option<Attempt> {
-        self.first_maybe_executed
+    /// Returns the attempt that completed first among those that a node may have executed or may
+    /// still be executing; attempts in flight are not considered.
+    pub fn first_possibly_executed(&self) -> Option<Attempt> {
+        self.first_possibly_executed
     }
 
     /// Adds an attempt to those in flight.
@@ -139,7 +140,7 @@
             .position(|attempt| attempt.number == number)?;
         let attempt = self.in_flight.remove(index);
         if may_have_executed {
-            self.first_maybe_executed.get_or_insert(attempt);
+            self.first_possibly_executed.get_or_insert(attempt);
         }
         Some(attempt)
     }
@@ -179,8 +180,8 @@
         !self.is_open && self.in_flight.is_empty()
     }
 
-    /// Returns whether an attempt may have been executed or is still in flight.
-    pub fn may_have_executed(&self) -> bool {
-        self.first_maybe_executed.is_some() || !self.in_flight.is_empty()
+    /// Returns whether a completed attempt may have been executed or an attempt is in flight.
+    pub fn may_have_executed_or_is_in_flight(&self) -> bool {
+        self.first_possibly_executed.is_some() || !self.in_flight.is_empty()
     }
 }
--- a/crates/scheduler/src/request/shedding.rs
+++ b/crates/scheduler/src/request/shedding.rs
@@ -7,9 +7,10 @@
 
 use super::PendingRequest;
 use crate::api::{Micros, RequestId};
-use crate::collections::DeadlineQueue;
+use crate::collections::TimeOrderedQueue;
 
-/// A request may wait for the time to its deadline divided by this.
+/// A request is rejected once it has waited for the time from its receipt to its deadline, divided
+/// by this.
 const MAX_QUEUE_TIME_DIVISOR: i64 = 2;
 
 /// Returns when a request that is received now is rejected, if no node may have executed it by
@@ -23,7 +24,7 @@
 #[derive(Default)]
 pub struct RejectionTimes {
     /// Requests, by rejection time.
-    times: DeadlineQueue<RequestId>,
+    times: TimeOrderedQueue<RequestId>,
 }
 
 impl RejectionTimes {
@@ -47,7 +48,7 @@
     /// postponed.
     pub fn postpone(&mut self, pending: &mut PendingRequest) -> bool {
         let deadline = pending.request().deadline;
-        if !pending.may_have_executed() || pending.reject_at() >= deadline {
+        if !pending.may_have_executed_or_is_in_flight() || pending.reject_at() >= deadline {
             return false;
         }
         pending.postpone_rejection(deadline);
@@ -57,6 +58,6 @@
 
     /// Returns the earliest time at which a request is rejected.
     pub fn next(&self) -> Option<Micros> {
-        self.times.next_deadline()
+        self.times.next_time()
     }
 }
--- a/crates/scheduler/src/retry/eligibility.rs
+++ b/crates/scheduler/src/retry/eligibility.rs
@@ -58,7 +58,7 @@
     /// Returns whether the node that now holds the shard of the failed attempt may execute the
     /// request.
     fn is_safe_at_successor(&self, pending: &PendingRequest, failed_node: NodeId) -> bool {
-        if pending.first_maybe_executed().is_none() {
+        if pending.first_possibly_executed().is_none() {
             return true;
         }
         match self.nodes.successor_of(failed_node) {
--- a/crates/scheduler/src/retry/idempotency.rs
+++ b/crates/scheduler/src/retry/idempotency.rs
@@ -43,7 +43,9 @@
             scope: DeduplicationScope::All,
             ..
         } => true,
-        Idempotency::WithKey { .. } | Idempotency::NonIdempotent => !pending.may_have_executed(),
+        Idempotency::WithKey { .. } | Idempotency::NonIdempotent => {
+            !pending.may_have_executed_or_is_in_flight()
+        }
     }
 }
 
@@ -55,7 +57,7 @@
     nodes: &NodeTable,
     now: Micros,
 ) -> bool {
-    let Some(first) = pending.first_maybe_executed() else {
+    let Some(first) = pending.first_possibly_executed() else {
         return true;
     };
     match pending.class().idempotency {
--- a/crates/scheduler/src/retry/retry_budget.rs
+++ b/crates/scheduler/src/retry/retry_budget.rs
@@ -6,9 +6,9 @@
 use crate::api::{Micros, RetryBudget};
 use crate::collections::SlidingWindow;
 
-/// Time in microseconds by which the window for requests is shorter than the one for retries. An
-/// entry that is exactly one window old counts as a retry but not as a request, which is the
-/// stricter interpretation of the end of the window.
+/// Time in microseconds by which the window for requests is shorter than the one for retries. A
+/// retry that is exactly one window old still counts, and a request of the same age no longer does;
+/// both make the budget stricter.
 const REQUEST_WINDOW_MARGIN: Micros = 1;
 
 /// The retry budget and its usage.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -59,8 +59,8 @@
     unroutable: BTreeSet<RequestId>,
     /// Times at which open requests are rejected (load shedding).
     rejections: RejectionTimes,
-    /// Latency objectives of requests closed without service; they apply again if the client
-    /// resends the request.
+    /// Latency objectives of requests that were closed before an attempt was known to be served;
+    /// they apply again if the client resends the request.
     objectives: LatencyObjectives,
     /// Order of the requests with the same key.
     sequences: KeySequences,
@@ -130,9 +130,10 @@
             Event::EndpointList(event, endpoints) => self.on_endpoint_list(*event, endpoints),
             Event::RequestReceived(request) => self.on_request(request),
             // Once the response has started, the client receives it whether or not it completes, so
-            // the request is closed. Whether it was served is not known yet.
-            Event::ResponseStarted(id) => self.close_unserved(*id),
-            Event::ClientDisconnected(id) => self.on_client_disconnected(*id),
+            // the request is closed. The attempt has not completed, so it is not known yet whether
+            // the request is served.
+            Event::ResponseStarted(id) => self.close_and_record_objective(*id),
+            Event::ResponseNotNeeded(id) => self.on_response_not_needed(*id),
             Event::AttemptCompleted(completed) => self.on_attempt_completed(completed),
             Event::TimerFired => {}
         }
--- a/crates/scheduler/src/scheduler/admission.rs
+++ b/crates/scheduler/src/scheduler/admission.rs
@@ -1,4 +1,5 @@
-//! Checks, apart from the dmClock order, whether a queued request may be dispatched to a node now.
+//! Checks the rules other than the dmClock order that decide whether a queued request may be
+//! dispatched now.
 //!
 //! A request is not admitted if the volume's token bucket is empty, if the retry rules forbid
 //! another attempt, or if the node is warming up and its slow-start quota is used up. Such a
@@ -11,7 +12,7 @@
 use super::Scheduler;
 use crate::api::RequestId;
 use crate::dmclock::{Admission, ShardQueue};
-use crate::node::slow_start::{warming_up_since, QuotaPart, SlowStartLimiter};
+use crate::node::slow_start::{warming_up_since, SlowStartLimiter, SlowStartQuotaPart};
 use crate::node::Node;
 use crate::request::PendingRequest;
 
@@ -26,7 +27,7 @@
 }
 
 impl Admission for DispatchAdmission<'_> {
-    fn admits(&self, request: RequestId, quota_part: QuotaPart) -> bool {
+    fn admits(&self, request: RequestId, quota_part: SlowStartQuotaPart) -> bool {
         let Some(pending) = self.scheduler.requests.get(&request) else {
             return false;
         };
@@ -56,7 +57,7 @@
 
     /// Returns whether the node has its full capacity, or the slow-start quota has enough units
     /// left for the request.
-    fn slow_start_admits(&self, pending: &PendingRequest, quota_part: QuotaPart) -> bool {
+    fn slow_start_admits(&self, pending: &PendingRequest, quota_part: SlowStartQuotaPart) -> bool {
         let Scheduler { settings, now, .. } = self.scheduler;
         let Some(started_at) = warming_up_since(self.node, &settings.slow_start, *now) else {
             return true;
@@ -65,7 +66,7 @@
             settings,
             seed: self.scheduler.seed,
             node: self.node,
-            nominal_rate: self.queue.nominal_rate(&self.scheduler.volumes),
+            provisioned_rate_of_host: self.queue.provisioned_rate_of_host(&self.scheduler.volumes),
             now: *now,
         };
         limiter.admits(pending.request().units, quota_part, started_at)
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -1,13 +1,14 @@
 //! Handles the end of attempts and gives each request exactly one final response.
 //!
-//! A request ends when one of its attempts is served or its response has started, when an attempt
-//! fails and may not be retried, when the request is shed, or when its client disconnects. Every
-//! one of these cases calls `close`.
+//! A request is closed when one of its attempts is served or its response has started, when an
+//! attempt fails and may not be retried, when the request is shed, or when it no longer needs a
+//! response. Each of these cases calls `close`. A closed request is removed once it has no attempt
+//! in flight.
 
 use super::Scheduler;
 use crate::api::{Action, CompletedAttempt, NodeId, Outcome, RequestId, Units};
 use crate::dmclock::Position;
-use crate::node::Measurement;
+use crate::node::AttemptMeasurement;
 use crate::request::{Attempt, PendingRequest};
 use crate::retry::idempotency::{client_may_retry, may_be_executing, may_have_executed};
 use crate::retry::retry_after::retry_after;
@@ -24,19 +25,19 @@
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        let executed = may_have_executed(outcome);
-        let Some(attempt) = pending.complete_attempt(completed.number, executed) else {
+        let may_have_executed = may_have_executed(outcome);
+        let Some(attempt) = pending.complete_attempt(completed.number, may_have_executed) else {
             return;
         };
         let needs_attempt = pending.needs_attempt();
         if may_be_executing(outcome) {
             self.quiesce_key(id);
         }
-        self.record_attempt(attempt, completed);
+        self.record_completed_attempt(attempt, completed);
         if outcome == Outcome::Served {
             self.close(id);
         } else if completed.request_closed {
-            self.close_unserved(id);
+            self.close_and_record_objective(id);
         } else if needs_attempt {
             self.retry_or_reject(id, attempt.node, outcome);
         } else {
@@ -55,7 +56,7 @@
     }
 
     /// Updates the state of the volume, the node and the flow after an attempt.
-    fn record_attempt(&mut self, attempt: Attempt, completed: &CompletedAttempt) {
+    fn record_completed_attempt(&mut self, attempt: Attempt, completed: &CompletedAttempt) {
         let pending = &self.requests[&completed.request];
         let request = pending.request();
         let is_served = completed.outcome == Outcome::Served;
@@ -128,16 +129,16 @@
             Action::Fail(id)
         };
         self.actions.push(action);
-        self.close_unserved(id);
+        self.close_and_record_objective(id);
     }
 
-    /// Closes a request whose client has disconnected, and cancels its attempts if the settings
+    /// Closes a request that no longer needs a response, and cancels its attempts if the settings
     /// allow cancellation.
-    pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
+    pub(super) fn on_response_not_needed(&mut self, id: RequestId) {
         if self.settings.cancellation_allowed {
             self.cancel_attempts(id);
         }
-        self.close_unserved(id);
+        self.close_and_record_objective(id);
     }
 
     /// Requests the cancellation of all attempts of a request that are in flight.
@@ -153,14 +154,14 @@
         }
     }
 
-    /// Closes a request none of whose attempts is known to have been served. Records its latency
-    /// objective, which applies again if the client resends the request.
-    pub(super) fn close_unserved(&mut self, id: RequestId) {
+    /// Closes a request none of whose attempts is known to have been served. If it was open,
+    /// records its latency objective, which applies again if the client resends the request.
+    pub(super) fn close_and_record_objective(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else {
             return;
         };
         if pending.is_open() {
-            self.objectives.record_unserved(pending, self.now);
+            self.objectives.record_for_repeat(pending, self.now);
         }
         self.close(id);
     }
@@ -185,7 +186,7 @@
     }
 
     /// Removes a request that is closed and has no attempt in flight. The next request with the
-    /// same key may then run.
+    /// same key may then be queued.
     fn remove_if_finished(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else {
             return;
@@ -202,13 +203,13 @@
     }
 }
 
-/// Returns the data of a completed attempt that updates the state of its node.
+/// Returns what the statistics of a node need to know about a completed attempt.
 fn measurement(
     pending: &PendingRequest,
     attempt: Attempt,
     completed: &CompletedAttempt,
-) -> Measurement {
-    Measurement {
+) -> AttemptMeasurement {
+    AttemptMeasurement {
         outcome: completed.outcome,
         elapsed: completed.elapsed,
         dispatched_at: attempt.dispatched_at,
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -56,7 +56,9 @@
 
     /// Returns whether nothing can be dispatched to a node now, whatever is queued for it.
     fn is_blocked(&self, node: &Node, is_trial: bool) -> bool {
-        node.is_full() || node.is_paused(self.now) || (is_trial && node.is_full_for_trials())
+        node.is_at_max_in_flight()
+            || node.is_paused(self.now)
+            || (is_trial && node.is_at_trial_limit())
     }
 
     /// Pauses an ejected node until its next trial attempt.
@@ -157,6 +159,6 @@
     TimeoutInputs {
         relative_latency: pending.relative_latency(),
         latency_objective: pending.class().latency_objective,
-        objective_at: pending.objective_at(),
+        objective_ends_at: pending.objective_ends_at(),
     }
 }
--- a/crates/scheduler/src/scheduler/intake.rs
+++ b/crates/scheduler/src/scheduler/intake.rs
@@ -10,7 +10,8 @@
 
 impl Scheduler {
     /// Registers a request with its volume and queues it, unless an earlier request with the same
-    /// key has to run first. A request whose class or plan is not in the settings is ignored.
+    /// key has to be executed first. A request whose class or plan is not in the settings is
+    /// ignored.
     pub(super) fn on_request(&mut self, request: &Request) {
         let known_shard = self.served_shard(request);
         let Some(class) = self.settings.classes.get(request.class.0) else {
@@ -33,11 +34,11 @@
         let key = pending.ordering_key();
         self.rejections.add(&pending);
         self.requests.insert(request.id, pending);
-        let may_run = match key {
+        let may_be_queued = match key {
             Some(key) => self.sequences.add(key, request.id, self.now),
             None => true,
         };
-        if may_run {
+        if may_be_queued {
             self.enqueue(request.id, Position::ByPriority);
         }
     }
@@ -65,7 +66,7 @@
         };
         let volume = &self.volumes[pending.request().volume];
         self.queues
-            .mark_backlogged(shard)
+            .mark_backlogged_and_get_mut(shard)
             .insert(pending, position, volume, tag_time);
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.mark_queued(shard);
--- a/crates/scheduler/src/scheduler/wakeup.rs
+++ b/crates/scheduler/src/scheduler/wakeup.rs
@@ -58,11 +58,11 @@
     /// the endpoint list can allow a dispatch.
     fn recheck_at(&self, shard: Shard) -> Option<Micros> {
         let node = self.nodes.node_of(shard)?;
-        if node.is_full() {
+        if node.is_at_max_in_flight() {
             return None;
         }
         let queue = &self.queues[shard];
-        let may_dispatch_late = queue.has_late_requests() && node.is_idle_at_full_limit();
+        let may_dispatch_late = queue.has_late_requests() && node.is_idle_at_maximum_limit();
         if queue.has_on_time_requests() || may_dispatch_late {
             Some(node.paused_until().max(self.now + RECHECK_INTERVAL))
         } else {
--- a/crates/scheduler/src/volume/mod.rs
+++ b/crates/scheduler/src/volume/mod.rs
@@ -15,7 +15,7 @@
 use usage::Usage;
 
 /// Lower bound of the provisioned rate, which is a divisor in dmClock's nominal tag.
-const MIN_NOMINAL_RATE: UnitsPerSecond = UnitsPerSecond(1e-9);
+const MIN_NOMINAL_TAG_RATE: UnitsPerSecond = UnitsPerSecond(1e-9);
 /// Lower bound of the number of hosts that receive a volume's requests.
 const MIN_HOSTS: f64 = 1.0;
 
@@ -118,18 +118,20 @@
         self.plan.limit / self.hosts
     }
 
-    /// Returns the provisioned rate of all hosts if their service is reported to this host,
-    /// otherwise this host's part of it.
-    pub fn nominal_rate(&self) -> UnitsPerSecond {
+    /// Returns the rate at which the nominal tag advances: the volume's whole provisioned rate if
+    /// this host receives reports of service through other hosts, otherwise that rate divided by
+    /// the number of hosts.
+    pub fn nominal_tag_rate(&self) -> UnitsPerSecond {
         let hosts = if self.receives_remote_usage {
             1.0
         } else {
             self.hosts
         };
-        (self.plan.provisioned_rate / hosts).max(MIN_NOMINAL_RATE)
+        (self.plan.provisioned_rate / hosts).max(MIN_NOMINAL_TAG_RATE)
     }
 
-    /// Returns this host's part of the provisioned rate, per shard of the volume.
+    /// Returns the provisioned rate divided by the number of hosts and by the number of the
+    /// volume's shards.
     pub fn rate_per_shard(&self) -> UnitsPerSecond {
         let shards = self.shards.len().max(1);
         self.plan.provisioned_rate / self.hosts / shards as f64
--- a/crates/scheduler/src/volume/usage.rs
+++ b/crates/scheduler/src/volume/usage.rs
@@ -15,9 +15,9 @@
     served: Units,
     /// Units from responses since the last usage report.
     served_since_report: Units,
-    /// Units by which usage reports exceed the responses, as far as not yet added to `served`.
-    /// Negative while usage reports lag behind the responses, otherwise zero.
-    report_excess: Units,
+    /// Zero, or the negative number of units by which usage reports have fallen short of the units
+    /// from responses; offset against the next report.
+    report_balance: Units,
     /// Time at which the last usage report was received.
     reported_at: Option<Micros>,
 }
@@ -41,11 +41,11 @@
         match self.reported_at {
             Some(reported_at) if now - reported_at <= max_age => {
                 let reported = rate.units_within(now - reported_at);
-                self.report_excess += reported - self.served_since_report;
-                self.served += self.report_excess.max(Units::ZERO);
-                self.report_excess = self.report_excess.min(Units::ZERO);
+                self.report_balance += reported - self.served_since_report;
+                self.served += self.report_balance.max(Units::ZERO);
+                self.report_balance = self.report_balance.min(Units::ZERO);
             }
-            _ => self.report_excess = Units::ZERO,
+            _ => self.report_balance = Units::ZERO,
         }
         self.reported_at = Some(now);
         self.served_since_report = Units::ZERO;
--- a/crates/scheduler/tests/characterization/interface.rs
+++ b/crates/scheduler/tests/characterization/interface.rs
@@ -114,7 +114,7 @@
         Input::Arrival(arrival) => Event::RequestReceived(request(arrival)),
         Input::Timer => Event::TimerFired,
         Input::ResponseStarted(id) => Event::ResponseStarted(RequestId(*id)),
-        Input::Disconnected(id) => Event::ClientDisconnected(RequestId(*id)),
+        Input::Disconnected(id) => Event::ResponseNotNeeded(RequestId(*id)),
         Input::Completed(completion) => Event::AttemptCompleted(completed_attempt(completion)),
     }
 }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -205,7 +205,7 @@
         self.receive(request);
         self.handle(&[
             attempt_completed(id, 0, node, outcome, MILLISECOND),
-            Event::ClientDisconnected(RequestId(id)),
+            Event::ResponseNotNeeded(RequestId(id)),
         ]);
     }
 
--- a/crates/scheduler/tests/outlier_ejection.rs
+++ b/crates/scheduler/tests/outlier_ejection.rs
@@ -39,7 +39,7 @@
                 assert_eq!(dispatched(&harness.receive(request)), [attempt(id, node)]);
                 harness.handle(&[
                     attempt_completed(id, 0, node, Outcome::ConnectFailed, MILLISECOND),
-                    Event::ClientDisconnected(RequestId(id)),
+                    Event::ResponseNotNeeded(RequestId(id)),
                 ]);
             }
         }
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -296,7 +296,7 @@
         let end = if is_dispatched {
             served(id, MILLISECOND)
         } else {
-            Event::ClientDisconnected(RequestId(id))
+            Event::ResponseNotNeeded(RequestId(id))
         };
         harness.handle(&[end]);
     }
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -17,7 +17,7 @@
     /// Returns an error if the idempotency or the deduplication scope of a class is unknown.
     pub fn to_scheduler_settings(&self) -> Result<Settings, UnknownValue> {
         let DeploymentSettings {
-            permissions,
+            features_and_limits,
             storage,
             rules,
             ..
@@ -26,8 +26,8 @@
             classes: self.request_classes()?,
             plans: self.plans.iter().map(VolumePlan::from).collect(),
             host_count: self.gateway_count,
-            max_attempts: permissions.max_attempts,
-            cancellation_allowed: permissions.cancellation,
+            max_attempts: features_and_limits.max_attempts,
+            cancellation_allowed: features_and_limits.cancellation,
             discovery_clients: self.discovery_clients(),
             max_poll_interval: micros(rules.max_poll_interval_ms),
             slow_start: self.slow_start(),
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -16,7 +16,7 @@
 pub struct DeploymentSettings {
     /// Optional features that the deployment allows, and limits on attempts and connections.
     #[serde(rename = "allowed")]
-    pub permissions: AllowedFeatures,
+    pub features_and_limits: AllowedFeatures,
     /// Request classes. The scheduler refers to a class by its index in this list.
     pub classes: Vec<ClassSettings>,
     /// How gateways get the endpoint list.
@@ -70,7 +70,8 @@
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 pub struct ClassSettings {
-    /// Latency objective in milliseconds: a response within this time has its full value.
+    /// Latency objective: time in milliseconds after its receipt within which a request should be
+    /// served. A later response has only the fraction `late_value` of its value.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
     /// Whether requests for the same object key are executed one after the other, in the order of
@@ -214,8 +215,9 @@
     /// endpoint list has shown the node as draining or removed.
     #[serde(rename = "stop_sending_within_ms")]
     pub drain_grace_ms: f64,
-    /// Burst that a node in slow start can process within one window, as a multiple of its capacity
-    /// at that time.
+    /// Burst that a node in slow start can handle, as the factor by which the units dispatched to
+    /// it in one window may exceed the units provisioned for the window. The product is scaled to
+    /// the node's current capacity.
     #[serde(rename = "tip_multiple")]
     pub slow_start_burst_factor: f64,
 }
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -1,4 +1,5 @@
-//! Settings that accept a fixed set of values. Only this module has the spelling of the values.
+//! Settings that accept a fixed set of values. Only this module knows the values as they are
+//! written in the settings object.
 //!
 //! An unknown value decodes to a variant that holds it, and
 //! [`DeploymentSettings::to_scheduler_settings`] decides whether it is an error. A misspelled value
@@ -12,12 +13,12 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(from = "String")]
 pub enum IdempotencySetting {
-    /// They may: a second execution has no further effect.
+    /// Idempotent: a second execution has no further effect.
     Idempotent,
-    /// They may be dispatched again within the deduplication scope and window of the class, where
-    /// nodes recognize the idempotency key and drop the duplicate.
+    /// A request with an idempotency key: it may be dispatched again within the deduplication scope
+    /// and window of the class, where nodes recognize the key and drop the duplicate.
     WithKey,
-    /// They may not: a second execution would take effect twice.
+    /// Not idempotent: a second execution would take effect again.
     NonIdempotent,
     /// Any other value.
     Unknown(String),
--- a/crates/settings/tests/conversion.rs
+++ b/crates/settings/tests/conversion.rs
@@ -42,10 +42,14 @@
     assert_eq!(settings.max_attempts, 4);
     for key in ["may_cancel", "probes", "second_copies"] {
         let object = json!({"allowed": { key: true }});
-        let permissions = decode(object.clone()).permissions;
-        assert_eq!(permissions.cancellation, key == "may_cancel", "{key}");
-        assert_eq!(permissions.health_checks, key == "probes", "{key}");
-        assert_eq!(permissions.hedging, key == "second_copies", "{key}");
+        let features_and_limits = decode(object.clone()).features_and_limits;
+        assert_eq!(
+            features_and_limits.cancellation,
+            key == "may_cancel",
+            "{key}"
+        );
+        assert_eq!(features_and_limits.health_checks, key == "probes", "{key}");
+        assert_eq!(features_and_limits.hedging, key == "second_copies", "{key}");
         let settings = convert(object);
         assert_eq!(settings.cancellation_allowed, key == "may_cancel", "{key}");
     }
@@ -191,8 +195,8 @@
         "report": {"names": ["queue", "busy"]},
         "zones": ["a", "b"]
     }));
-    assert_eq!(settings.permissions.conn_idle_ms, 1.0);
-    assert_eq!(settings.permissions.connect_timeout_ms, 2.0);
+    assert_eq!(settings.features_and_limits.conn_idle_ms, 1.0);
+    assert_eq!(settings.features_and_limits.connect_timeout_ms, 2.0);
     assert_eq!(settings.classes[0].name, "read");
     assert_eq!(settings.classes[0].deadline_ms, 3.0);
     assert_eq!(settings.storage.shard_count, 4);
--- a/crates/simulator-adapter/src/instance/decode.rs
+++ b/crates/simulator-adapter/src/instance/decode.rs
@@ -11,7 +11,7 @@
 };
 
 impl Instance {
-    /// Converts a message to an event. Returns `None` if there is nothing to handle for the
+    /// Converts a message to an event. Returns `None` if the message has no effect on the
     /// scheduler, for example because the request is not tracked.
     ///
     /// # Errors
@@ -33,7 +33,7 @@
             }
             EventMessage::ClientDisconnected { request } => {
                 let id = self.requests.close_by_name(&request);
-                id.map(Event::ClientDisconnected)
+                id.map(Event::ResponseNotNeeded)
             }
             EventMessage::HealthCheckCompleted(message) => {
                 // The message can be the first to name this node. The lookup then assigns the next
--- a/crates/simulator-adapter/src/wire/attempt.rs
+++ b/crates/simulator-adapter/src/wire/attempt.rs
@@ -27,8 +27,8 @@
     /// Duration of the attempt since its dispatch, in milliseconds.
     #[serde(default, rename = "time_taken_ms")]
     pub elapsed_ms: f64,
-    /// Units that the node served for the volume through other gateways since its previous
-    /// response.
+    /// Units that the node served for requests of the volume from other gateways since the node's
+    /// previous response.
     #[serde(default, rename = "delta")]
     pub remote_units: f64,
     /// Number of the attempt. The first attempt of a request has number 0.
--- a/crates/simulator-adapter/src/wire/events.rs
+++ b/crates/simulator-adapter/src/wire/events.rs
@@ -38,7 +38,7 @@
     /// The instance starts. If it is already running, it restarts and loses its state.
     #[serde(rename = "ENLIST")]
     Start {
-        /// Seed of the scheduler's random number generator.
+        /// Seed of the hashes that the scheduler uses in place of random numbers.
         #[serde(rename = "rng_seed")]
         seed: u64,
         /// Settings of the deployment.
