--- a/crates/scheduler/src/dmclock/flow.rs
+++ b/crates/scheduler/src/dmclock/flow.rs
@@ -6,7 +6,7 @@
 
 use super::tags::{ServiceCount, Tags};
 use crate::api::{RequestId, Units, UnitsPerSecond};
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 use crate::time::Seconds;
 use crate::volume::Volume;
 use std::collections::VecDeque;
@@ -82,18 +82,18 @@
     /// Inserts a request and recomputes the tags of the requests behind it.
     pub fn insert(
         &mut self,
-        pending: &PendingRequest,
+        unfinished: &UnfinishedRequest,
         position: Position,
         volume: &Volume,
         share_tag_offset: Seconds,
         now: Seconds,
     ) {
         let added = QueuedRequest {
-            id: pending.request().id,
+            id: unfinished.request().id,
             tags: self.last_tags,
             queued_at: now,
-            priority_weight: pending.class().priority_weight,
-            service: self.count_service(pending.request().units, volume, now),
+            priority_weight: unfinished.class().priority_weight,
+            service: self.count_service(unfinished.request().units, volume, now),
         };
         let index = match position {
             Position::Front => 0,
--- a/crates/scheduler/src/dmclock/shard_queue.rs
+++ b/crates/scheduler/src/dmclock/shard_queue.rs
@@ -9,7 +9,7 @@
 use super::phase::Phase;
 use crate::api::{Request, RequestId, Units, UnitsPerSecond, VolumeId};
 use crate::collections::TimeOrderedQueue;
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 use crate::time::Seconds;
 use crate::volume::{Volume, VolumeTable};
 use std::collections::BTreeMap;
@@ -32,12 +32,12 @@
     /// Queues a request and computes its tags.
     pub fn insert(
         &mut self,
-        pending: &PendingRequest,
+        unfinished: &UnfinishedRequest,
         position: Position,
         volume: &Volume,
         now: Seconds,
     ) {
-        let request = pending.request();
+        let request = unfinished.request();
         self.queued_units += request.units;
         let min_share_tag = self.min_share_tag();
         let flow = self
@@ -48,7 +48,7 @@
             let idle_share_tag = flow.last_share_tag().max(now + self.share_tag_offset);
             self.share_tag_offset = min_share_tag.unwrap_or(idle_share_tag) - now;
         }
-        flow.insert(pending, position, volume, self.share_tag_offset, now);
+        flow.insert(unfinished, position, volume, self.share_tag_offset, now);
     }
 
     /// Returns the smallest share tag of the requests at the heads of the flows.
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,4 +1,4 @@
-//! Request scheduler of one host of a storage gateway: it decides which pending request is
+//! Request scheduler of one host of a storage gateway: it decides which queued request is
 //! dispatched next and to which node, and which requests are retried, rejected or failed.
 //!
 //! Requests are ordered by dmClock. Each request has a reservation tag, a limit tag and a share
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -11,7 +11,7 @@
 use crate::endpoints::NodeTable;
 use crate::node::slow_start::warming_up_since;
 use crate::node::Node;
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 use crate::retry::idempotency::may_execute_at;
 use crate::time::Latency;
 
@@ -45,14 +45,14 @@
 impl Placement<'_> {
     /// Returns the shard whose node has the lowest cost among the nodes that may execute the
     /// request, or `None` if no node may.
-    pub fn choose_shard(&self, pending: &PendingRequest) -> Option<Shard> {
+    pub fn choose_shard(&self, unfinished: &UnfinishedRequest) -> Option<Shard> {
         let mean_latency = self.mean_latency();
         let mut cheapest: Option<(PlacementCost, Shard)> = None;
         for (shard, node) in self.nodes.served_shards() {
-            if !may_execute_at(pending, node, self.nodes, self.now) {
+            if !may_execute_at(unfinished, node, self.nodes, self.now) {
                 continue;
             }
-            let cost = self.cost(pending, shard, node, mean_latency);
+            let cost = self.cost(unfinished, shard, node, mean_latency);
             if cheapest.is_none_or(|(least, _)| cost < least) {
                 cheapest = Some((cost, shard));
             }
@@ -64,7 +64,7 @@
     /// latency is not known yet.
     fn cost(
         &self,
-        pending: &PendingRequest,
+        unfinished: &UnfinishedRequest,
         shard: Shard,
         node: &Node,
         mean_latency: Latency,
@@ -72,7 +72,7 @@
         let is_warming_up = warming_up_since(node, self.slow_start, self.now).is_some();
         let latency = node.latency().mean().unwrap_or(mean_latency);
         let queued_units = self.queues[shard].queued_units();
-        let units_ahead = node.in_flight_units() + queued_units + pending.request().units;
+        let units_ahead = node.in_flight_units() + queued_units + unfinished.request().units;
         let concurrency = node.concurrency_limit().get();
         PlacementCost {
             is_impaired: node.is_faulty() || is_warming_up,
--- a/crates/scheduler/src/request/latency_objective.rs
+++ b/crates/scheduler/src/request/latency_objective.rs
@@ -9,7 +9,7 @@
 //! closed before an attempt was known to be served. Such repeats are recognized by volume, object
 //! and class.
 
-use super::PendingRequest;
+use super::UnfinishedRequest;
 use crate::api::{ClassIndex, Micros, ObjectKey, Request, RequestClass, VolumeId};
 use crate::time::Latency;
 use std::collections::BTreeMap;
@@ -68,18 +68,19 @@
 
     /// Records the objective of a request that is closed before an attempt is known to be served,
     /// in case its client sends the request again.
-    pub fn record_for_repeat(&mut self, pending: &PendingRequest, now: Micros) {
-        let Some(key) = RepeatKey::of(pending.request()) else {
+    pub fn record_for_repeat(&mut self, unfinished: &UnfinishedRequest, now: Micros) {
+        let Some(key) = RepeatKey::of(unfinished.request()) else {
             return;
         };
         self.objective_ends
             .retain(|_, objective_ends_at| *objective_ends_at > now - REPEAT_WINDOW);
-        self.objective_ends.insert(key, pending.objective_ends_at());
+        self.objective_ends
+            .insert(key, unfinished.objective_ends_at());
     }
 }
 
 /// Returns whether a request can no longer meet its objective at a node with this expected latency.
-pub fn misses_objective(pending: &PendingRequest, expected: Latency, now: Micros) -> bool {
-    let completes_at = now + (expected * pending.relative_latency()).to_micros();
-    completes_at > pending.objective_ends_at()
+pub fn misses_objective(unfinished: &UnfinishedRequest, expected: Latency, now: Micros) -> bool {
+    let completes_at = now + (expected * unfinished.relative_latency()).to_micros();
+    completes_at > unfinished.objective_ends_at()
 }
--- a/crates/scheduler/src/request/mod.rs
+++ b/crates/scheduler/src/request/mod.rs
@@ -10,4 +10,4 @@
 mod pending;
 pub mod shedding;
 
-pub use pending::{Attempt, PendingRequest};
+pub use pending::{Attempt, UnfinishedRequest};
--- a/crates/scheduler/src/request/pending.rs
+++ b/crates/scheduler/src/request/pending.rs
@@ -14,7 +14,7 @@
 }
 
 /// A request, from its receipt until it is closed and all its attempts have completed.
-pub struct PendingRequest {
+pub struct UnfinishedRequest {
     /// The request as received.
     request: Request,
     /// Class of the request.
@@ -39,7 +39,7 @@
     queue_shard: Option<Shard>,
 }
 
-impl PendingRequest {
+impl UnfinishedRequest {
     /// Creates the state of a request that was just received.
     pub fn new(
         request: &Request,
@@ -48,7 +48,7 @@
         objective_ends_at: Micros,
         reject_at: Micros,
     ) -> Self {
-        PendingRequest {
+        UnfinishedRequest {
             request: request.clone(),
             class: class.clone(),
             relative_latency,
@@ -180,8 +180,9 @@
         !self.is_open && self.in_flight.is_empty()
     }
 
-    /// Returns whether a completed attempt may have been executed or an attempt is in flight.
-    pub fn may_have_executed_or_is_in_flight(&self) -> bool {
+    /// Returns whether an attempt may have an effect at a node: a node may have executed a
+    /// completed attempt, or an attempt is in flight.
+    pub fn may_have_effect(&self) -> bool {
         self.first_possibly_executed.is_some() || !self.in_flight.is_empty()
     }
 }
--- a/crates/scheduler/src/request/shedding.rs
+++ b/crates/scheduler/src/request/shedding.rs
@@ -5,7 +5,7 @@
 //! deadline, whatever its idempotency. A request that was dispatched but not executed by any node
 //! is rejected like one that was never dispatched. Times are in microseconds.
 
-use super::PendingRequest;
+use super::UnfinishedRequest;
 use crate::api::{Micros, RequestId};
 use crate::collections::TimeOrderedQueue;
 
@@ -29,13 +29,15 @@
 
 impl RejectionTimes {
     /// Adds a request.
-    pub fn add(&mut self, pending: &PendingRequest) {
-        self.times.insert(pending.reject_at(), pending.request().id);
+    pub fn add(&mut self, unfinished: &UnfinishedRequest) {
+        self.times
+            .insert(unfinished.reject_at(), unfinished.request().id);
     }
 
     /// Removes a request.
-    pub fn remove(&mut self, pending: &PendingRequest) {
-        self.times.remove(pending.reject_at(), pending.request().id);
+    pub fn remove(&mut self, unfinished: &UnfinishedRequest) {
+        self.times
+            .remove(unfinished.reject_at(), unfinished.request().id);
     }
 
     /// Removes and returns a request whose rejection time has passed.
@@ -46,13 +48,13 @@
     /// Postpones the rejection of a request to its deadline if a node may have executed the
     /// request. Called when the rejection time has passed; returns whether the rejection was
     /// postponed.
-    pub fn postpone(&mut self, pending: &mut PendingRequest) -> bool {
-        let deadline = pending.request().deadline;
-        if !pending.may_have_executed_or_is_in_flight() || pending.reject_at() >= deadline {
+    pub fn postpone(&mut self, unfinished: &mut UnfinishedRequest) -> bool {
+        let deadline = unfinished.request().deadline;
+        if !unfinished.may_have_effect() || unfinished.reject_at() >= deadline {
             return false;
         }
-        pending.postpone_rejection(deadline);
-        self.add(pending);
+        unfinished.postpone_rejection(deadline);
+        self.add(unfinished);
         true
     }
 
--- a/crates/scheduler/src/retry/eligibility.rs
+++ b/crates/scheduler/src/retry/eligibility.rs
@@ -10,7 +10,7 @@
 use crate::api::{Micros, NodeId, Outcome};
 use crate::endpoints::NodeTable;
 use crate::node::Node;
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 
 /// Inputs of the retry rules at one moment.
 pub struct RetryEligibility<'a> {
@@ -28,41 +28,41 @@
     /// Returns whether a request is queued for another attempt after its attempt at `failed_node`
     /// ended without service.
     ///
-    /// A request that the caller could not send (`NotDispatched`) is not retried, because a retry
-    /// would end the same way.
+    /// A request that the caller did not send (`NotDispatched`) is not retried: if it could not be
+    /// sent, a retry would end the same way, and if it was cancelled, it needs no response.
     pub fn may_requeue(
         &self,
-        pending: &PendingRequest,
+        unfinished: &UnfinishedRequest,
         failed_node: NodeId,
         outcome: Outcome,
     ) -> bool {
         outcome != Outcome::NotDispatched
-            && self.has_attempts_left(pending)
-            && pending.request().deadline > self.now
-            && self.is_safe_at_successor(pending, failed_node)
+            && self.has_attempts_left(unfinished)
+            && unfinished.request().deadline > self.now
+            && self.is_safe_at_successor(unfinished, failed_node)
     }
 
     /// Returns whether a retry of a request may be dispatched to the node now.
-    pub fn may_retry_at(&self, pending: &PendingRequest, node: &Node) -> bool {
-        self.has_attempts_left(pending)
-            && pending.in_flight().is_empty()
+    pub fn may_retry_at(&self, unfinished: &UnfinishedRequest, node: &Node) -> bool {
+        self.has_attempts_left(unfinished)
+            && unfinished.in_flight().is_empty()
             && self.budget.allows_retry(self.now)
-            && may_execute_at(pending, node, self.nodes, self.now)
+            && may_execute_at(unfinished, node, self.nodes, self.now)
     }
 
     /// Returns whether the request has had fewer attempts than the settings allow.
-    fn has_attempts_left(&self, pending: &PendingRequest) -> bool {
-        pending.attempts() < self.max_attempts
+    fn has_attempts_left(&self, unfinished: &UnfinishedRequest) -> bool {
+        unfinished.attempts() < self.max_attempts
     }
 
     /// Returns whether the node that now holds the shard of the failed attempt may execute the
     /// request.
-    fn is_safe_at_successor(&self, pending: &PendingRequest, failed_node: NodeId) -> bool {
-        if pending.first_possibly_executed().is_none() {
+    fn is_safe_at_successor(&self, unfinished: &UnfinishedRequest, failed_node: NodeId) -> bool {
+        if unfinished.first_possibly_executed().is_none() {
             return true;
         }
         match self.nodes.successor_of(failed_node) {
-            Some(node) => may_execute_at(pending, node, self.nodes, self.now),
+            Some(node) => may_execute_at(unfinished, node, self.nodes, self.now),
             None => false,
         }
     }
--- a/crates/scheduler/src/retry/idempotency.rs
+++ b/crates/scheduler/src/retry/idempotency.rs
@@ -7,7 +7,7 @@
 use crate::api::{DeduplicationScope, Idempotency, Micros, Outcome};
 use crate::endpoints::NodeTable;
 use crate::node::Node;
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 
 /// Returns whether a node may have executed an attempt with this outcome, or may still be executing
 /// it.
@@ -36,31 +36,29 @@
 
 /// Returns whether the client may safely retry at any node. The window of an idempotency key is not
 /// considered, because it is not known when the client will retry.
-pub fn client_may_retry(pending: &PendingRequest) -> bool {
-    match pending.class().idempotency {
+pub fn client_may_retry(unfinished: &UnfinishedRequest) -> bool {
+    match unfinished.class().idempotency {
         Idempotency::Idempotent => true,
         Idempotency::WithKey {
             scope: DeduplicationScope::All,
             ..
         } => true,
-        Idempotency::WithKey { .. } | Idempotency::NonIdempotent => {
-            !pending.may_have_executed_or_is_in_flight()
-        }
+        Idempotency::WithKey { .. } | Idempotency::NonIdempotent => !unfinished.may_have_effect(),
     }
 }
 
 /// Returns whether a node may execute a request, given an earlier attempt that may have been
 /// executed.
 pub fn may_execute_at(
-    pending: &PendingRequest,
+    unfinished: &UnfinishedRequest,
     node: &Node,
     nodes: &NodeTable,
     now: Micros,
 ) -> bool {
-    let Some(first) = pending.first_possibly_executed() else {
+    let Some(first) = unfinished.first_possibly_executed() else {
         return true;
     };
-    match pending.class().idempotency {
+    match unfinished.class().idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
         Idempotency::WithKey { scope, window } => {
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -27,7 +27,7 @@
 use crate::request::key_ordering::KeySequences;
 use crate::request::latency_objective::LatencyObjectives;
 use crate::request::shedding::RejectionTimes;
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 use crate::retry::eligibility::RetryEligibility;
 use crate::retry::retry_budget::RetryBudgetUsage;
 use crate::time::Seconds;
@@ -54,7 +54,7 @@
     /// Plan, limit and usage of each volume.
     volumes: VolumeTable,
     /// Requests that have no final response yet, or still have attempts in flight.
-    requests: BTreeMap<RequestId, PendingRequest>,
+    requests: BTreeMap<RequestId, UnfinishedRequest>,
     /// Open requests that name no shard and for which no node is currently available.
     unroutable: BTreeSet<RequestId>,
     /// Times at which open requests are rejected (load shedding).
--- a/crates/scheduler/src/scheduler/admission.rs
+++ b/crates/scheduler/src/scheduler/admission.rs
@@ -14,7 +14,7 @@
 use crate::dmclock::{Admission, ShardQueue};
 use crate::node::slow_start::{warming_up_since, SlowStartLimiter, SlowStartQuotaPart};
 use crate::node::Node;
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 
 /// Admission check for the requests of one queue at the node that holds its shard.
 pub(super) struct DispatchAdmission<'a> {
@@ -28,36 +28,40 @@
 
 impl Admission for DispatchAdmission<'_> {
     fn admits(&self, request: RequestId, quota_part: SlowStartQuotaPart) -> bool {
-        let Some(pending) = self.scheduler.requests.get(&request) else {
+        let Some(unfinished) = self.scheduler.requests.get(&request) else {
             return false;
         };
-        self.attempt_is_allowed(pending) && self.slow_start_admits(pending, quota_part)
+        self.attempt_is_allowed(unfinished) && self.slow_start_admits(unfinished, quota_part)
     }
 }
 
 impl DispatchAdmission<'_> {
     /// Returns whether the volume's limit allows a first attempt, or the retry rules allow a
     /// further attempt. Only first attempts count against the limit.
-    fn attempt_is_allowed(&self, pending: &PendingRequest) -> bool {
-        if pending.attempts() == 0 {
-            self.has_tokens(pending)
+    fn attempt_is_allowed(&self, unfinished: &UnfinishedRequest) -> bool {
+        if unfinished.attempts() == 0 {
+            self.has_tokens(unfinished)
         } else {
             self.scheduler
                 .retry_eligibility()
-                .may_retry_at(pending, self.node)
+                .may_retry_at(unfinished, self.node)
         }
     }
 
     /// Returns whether the volume's token bucket holds enough units for the request.
-    fn has_tokens(&self, pending: &PendingRequest) -> bool {
-        let request = pending.request();
+    fn has_tokens(&self, unfinished: &UnfinishedRequest) -> bool {
+        let request = unfinished.request();
         let volume = &self.scheduler.volumes[request.volume];
         volume.has_tokens(request.units, self.scheduler.now)
     }
 
     /// Returns whether the node has its full capacity, or the slow-start quota has enough units
     /// left for the request.
-    fn slow_start_admits(&self, pending: &PendingRequest, quota_part: SlowStartQuotaPart) -> bool {
+    fn slow_start_admits(
+        &self,
+        unfinished: &UnfinishedRequest,
+        quota_part: SlowStartQuotaPart,
+    ) -> bool {
         let Scheduler { settings, now, .. } = self.scheduler;
         let Some(started_at) = warming_up_since(self.node, &settings.slow_start, *now) else {
             return true;
@@ -69,6 +73,6 @@
             provisioned_rate_of_host: self.queue.provisioned_rate_of_host(&self.scheduler.volumes),
             now: *now,
         };
-        limiter.admits(pending.request().units, quota_part, started_at)
+        limiter.admits(unfinished.request().units, quota_part, started_at)
     }
 }
--- a/crates/scheduler/src/scheduler/cleanup.rs
+++ b/crates/scheduler/src/scheduler/cleanup.rs
@@ -16,7 +16,7 @@
         let in_use: BTreeSet<VolumeId> = self
             .requests
             .values()
-            .map(|pending| pending.request().volume)
+            .map(|unfinished| unfinished.request().volume)
             .collect();
         self.volumes.remove_idle(&in_use, self.now);
         let nodes = &self.nodes;
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -9,7 +9,7 @@
 use crate::api::{Action, CompletedAttempt, NodeId, Outcome, RequestId, Units};
 use crate::dmclock::Position;
 use crate::node::AttemptMeasurement;
-use crate::request::{Attempt, PendingRequest};
+use crate::request::{Attempt, UnfinishedRequest};
 use crate::retry::idempotency::{client_may_retry, may_be_executing, may_have_executed};
 use crate::retry::retry_after::retry_after;
 
@@ -22,14 +22,14 @@
     pub(super) fn on_attempt_completed(&mut self, completed: &CompletedAttempt) {
         let id = completed.request;
         let outcome = completed.outcome;
-        let Some(pending) = self.requests.get_mut(&id) else {
+        let Some(unfinished) = self.requests.get_mut(&id) else {
             return;
         };
         let may_have_executed = may_have_executed(outcome);
-        let Some(attempt) = pending.complete_attempt(completed.number, may_have_executed) else {
+        let Some(attempt) = unfinished.complete_attempt(completed.number, may_have_executed) else {
             return;
         };
-        let needs_attempt = pending.needs_attempt();
+        let needs_attempt = unfinished.needs_attempt();
         if may_be_executing(outcome) {
             self.quiesce_key(id);
         }
@@ -57,8 +57,8 @@
 
     /// Updates the state of the volume, the node and the flow after an attempt.
     fn record_completed_attempt(&mut self, attempt: Attempt, completed: &CompletedAttempt) {
-        let pending = &self.requests[&completed.request];
-        let request = pending.request();
+        let unfinished = &self.requests[&completed.request];
+        let request = unfinished.request();
         let is_served = completed.outcome == Outcome::Served;
         if let Some(volume) = self.volumes.get_mut(request.volume) {
             let served = if is_served {
@@ -72,7 +72,7 @@
         let Some(node) = self.nodes.get_mut(attempt.node) else {
             return;
         };
-        let measurement = measurement(pending, attempt, completed);
+        let measurement = measurement(unfinished, attempt, completed);
         node.complete_attempt(request.units, &measurement, self.now);
         if is_served {
             return;
@@ -85,9 +85,9 @@
     /// Queues a request for another attempt if that is allowed and safe; otherwise gives it its
     /// final response.
     fn retry_or_reject(&mut self, id: RequestId, failed_node: NodeId, outcome: Outcome) {
-        let pending = &self.requests[&id];
+        let unfinished = &self.requests[&id];
         let retry = self.retry_eligibility();
-        if retry.may_requeue(pending, failed_node, outcome) {
+        if retry.may_requeue(unfinished, failed_node, outcome) {
             self.enqueue(id, Position::Front);
         } else {
             self.reject(id);
@@ -97,10 +97,10 @@
     /// Rejects the requests whose rejection time has passed.
     pub(super) fn reject_expired(&mut self) {
         while let Some(id) = self.rejections.pop_expired(self.now) {
-            let Some(pending) = self.requests.get_mut(&id) else {
+            let Some(unfinished) = self.requests.get_mut(&id) else {
                 continue;
             };
-            if !self.rejections.postpone(pending) {
+            if !self.rejections.postpone(unfinished) {
                 self.reject(id);
             }
         }
@@ -109,14 +109,14 @@
     /// Gives an open request its final response: a rejection if the client can safely retry,
     /// otherwise a failure.
     fn reject(&mut self, id: RequestId) {
-        let Some(pending) = self.requests.get(&id) else {
+        let Some(unfinished) = self.requests.get(&id) else {
             return;
         };
-        if !pending.is_open() {
+        if !unfinished.is_open() {
             return;
         }
-        let action = if client_may_retry(pending) {
-            let node = pending
+        let action = if client_may_retry(unfinished) {
+            let node = unfinished
                 .request()
                 .shard
                 .and_then(|shard| self.nodes.node_of(shard));
@@ -143,10 +143,10 @@
 
     /// Requests the cancellation of all attempts of a request that are in flight.
     fn cancel_attempts(&mut self, id: RequestId) {
-        let Some(pending) = self.requests.get(&id) else {
+        let Some(unfinished) = self.requests.get(&id) else {
             return;
         };
-        for attempt in pending.in_flight() {
+        for attempt in unfinished.in_flight() {
             self.actions.push(Action::Cancel {
                 request: id,
                 attempt: attempt.number,
@@ -157,11 +157,11 @@
     /// Closes a request none of whose attempts is known to have been served. If it was open,
     /// records its latency objective, which applies again if the client resends the request.
     pub(super) fn close_and_record_objective(&mut self, id: RequestId) {
-        let Some(pending) = self.requests.get(&id) else {
+        let Some(unfinished) = self.requests.get(&id) else {
             return;
         };
-        if pending.is_open() {
-            self.objectives.record_for_repeat(pending, self.now);
+        if unfinished.is_open() {
+            self.objectives.record_for_repeat(unfinished, self.now);
         }
         self.close(id);
     }
@@ -170,31 +170,31 @@
     /// its units as served.
     fn close(&mut self, id: RequestId) {
         self.unroutable.remove(&id);
-        let Some(pending) = self.requests.get_mut(&id) else {
+        let Some(unfinished) = self.requests.get_mut(&id) else {
             return;
         };
-        let queue = pending
+        let queue = unfinished
             .mark_dequeued()
             .and_then(|shard| self.queues.get_mut(shard));
         if let Some(queue) = queue {
-            let request = pending.request();
+            let request = unfinished.request();
             queue.remove(request, &self.volumes[request.volume]);
         }
-        pending.close();
-        self.rejections.remove(pending);
+        unfinished.close();
+        self.rejections.remove(unfinished);
         self.remove_if_finished(id);
     }
 
     /// Removes a request that is closed and has no attempt in flight. The next request with the
     /// same key may then be queued.
     fn remove_if_finished(&mut self, id: RequestId) {
-        let Some(pending) = self.requests.get(&id) else {
+        let Some(unfinished) = self.requests.get(&id) else {
             return;
         };
-        if !pending.is_finished() {
+        if !unfinished.is_finished() {
             return;
         }
-        let key = pending.ordering_key();
+        let key = unfinished.ordering_key();
         self.requests.remove(&id);
         if let Some(key) = key {
             let next = self.sequences.remove(key, id, self.now);
@@ -205,7 +205,7 @@
 
 /// Returns what the statistics of a node need to know about a completed attempt.
 fn measurement(
-    pending: &PendingRequest,
+    unfinished: &UnfinishedRequest,
     attempt: Attempt,
     completed: &CompletedAttempt,
 ) -> AttemptMeasurement {
@@ -213,7 +213,7 @@
         outcome: completed.outcome,
         elapsed: completed.elapsed,
         dispatched_at: attempt.dispatched_at,
-        relative_latency: pending.relative_latency(),
-        latency_objective: pending.class().latency_objective,
+        relative_latency: unfinished.relative_latency(),
+        latency_objective: unfinished.class().latency_objective,
     }
 }
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -8,7 +8,7 @@
 use crate::node::outlier_ejection::exceeds_panic_threshold;
 use crate::node::Node;
 use crate::request::latency_objective::misses_objective;
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 
 impl Scheduler {
     /// Queues the requests whose quiesce period has ended and those for which a node is available
@@ -79,8 +79,8 @@
             return;
         };
         let late = queue.leading_requests(|id| {
-            let pending = &self.requests[&id];
-            misses_objective(pending, expected_latency, self.now)
+            let unfinished = &self.requests[&id];
+            misses_objective(unfinished, expected_latency, self.now)
         });
         for id in late {
             let request = self.requests[&id].request();
@@ -111,24 +111,24 @@
     /// Starts an attempt of the selected request.
     fn dispatch(&mut self, selected: &Selected, node_id: NodeId) {
         self.remove_from_queue(selected);
-        let pending = self
+        let unfinished = self
             .requests
             .get_mut(&selected.request)
-            .expect("invariant: queued requests are pending");
+            .expect("invariant: queued requests are unfinished");
         let node = self
             .nodes
             .get_mut(node_id)
             .expect("invariant: the node of a shard is listed");
-        let request = pending.request();
-        if pending.attempts() > 0 {
+        let request = unfinished.request();
+        if unfinished.attempts() > 0 {
             self.retry_budget.record_retry(self.now);
         } else if let Some(volume) = self.volumes.get_mut(request.volume) {
             volume.consume_tokens(request.units, self.now);
         }
         node.start_attempt(request.units, &self.settings.slow_start, self.now);
-        let timeout = times_out_at(node, &timeout_inputs(pending), self.now);
+        let timeout = times_out_at(node, &timeout_inputs(unfinished), self.now);
         let times_out_at = timeout.min(request.deadline);
-        pending.start_attempt(node_id, self.now);
+        unfinished.start_attempt(node_id, self.now);
         self.actions.push(Action::Dispatch {
             request: selected.request,
             node: node_id,
@@ -138,14 +138,14 @@
 
     /// Removes the selected request from its queue.
     fn remove_from_queue(&mut self, selected: &Selected) {
-        let pending = self
+        let unfinished = self
             .requests
             .get_mut(&selected.request)
-            .expect("invariant: queued requests are pending");
-        let shard = pending
+            .expect("invariant: queued requests are unfinished");
+        let shard = unfinished
             .mark_dequeued()
             .expect("invariant: the selected request is queued");
-        let request = pending.request();
+        let request = unfinished.request();
         let reservation = self.volumes[request.volume].plan().reservation;
         self.queues
             .get_mut(shard)
@@ -155,10 +155,10 @@
 }
 
 /// Returns the properties of a request that determine the timeout of its attempt.
-fn timeout_inputs(pending: &PendingRequest) -> TimeoutInputs {
+fn timeout_inputs(unfinished: &UnfinishedRequest) -> TimeoutInputs {
     TimeoutInputs {
-        relative_latency: pending.relative_latency(),
-        latency_objective: pending.class().latency_objective,
-        objective_ends_at: pending.objective_ends_at(),
+        relative_latency: unfinished.relative_latency(),
+        latency_objective: unfinished.class().latency_objective,
+        objective_ends_at: unfinished.objective_ends_at(),
     }
 }
--- a/crates/scheduler/src/scheduler/intake.rs
+++ b/crates/scheduler/src/scheduler/intake.rs
@@ -6,7 +6,7 @@
 use crate::node::latency_estimate::relative_latency;
 use crate::placement::Placement;
 use crate::request::shedding::reject_at;
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 
 impl Scheduler {
     /// Registers a request with its volume and queues it, unless an earlier request with the same
@@ -24,16 +24,16 @@
             .entry(request.volume, plan, &self.settings, self.started_at)
             .record_request(plan, request.host_count, known_shard, self.now);
         self.retry_budget.record_request(self.now);
-        let pending = PendingRequest::new(
+        let unfinished = UnfinishedRequest::new(
             request,
             class,
             relative_latency(request.units, self.settings.mean_units),
             self.objectives.assign(request, class, self.now),
             reject_at(request.deadline, self.now),
         );
-        let key = pending.ordering_key();
-        self.rejections.add(&pending);
-        self.requests.insert(request.id, pending);
+        let key = unfinished.ordering_key();
+        self.rejections.add(&unfinished);
+        self.requests.insert(request.id, unfinished);
         let may_be_queued = match key {
             Some(key) => self.sequences.add(key, request.id, self.now),
             None => true,
@@ -54,30 +54,30 @@
     /// here.
     pub(super) fn enqueue(&mut self, id: RequestId, position: Position) {
         let tag_time = self.tag_time();
-        let Some(pending) = self.requests.get(&id) else {
+        let Some(unfinished) = self.requests.get(&id) else {
             return;
         };
-        if !pending.can_be_enqueued() {
+        if !unfinished.can_be_enqueued() {
             return;
         }
-        let Some(shard) = self.shard_of(pending) else {
+        let Some(shard) = self.shard_of(unfinished) else {
             self.unroutable.insert(id);
             return;
         };
-        let volume = &self.volumes[pending.request().volume];
+        let volume = &self.volumes[unfinished.request().volume];
         self.queues
             .mark_backlogged_and_get_mut(shard)
-            .insert(pending, position, volume, tag_time);
-        if let Some(pending) = self.requests.get_mut(&id) {
-            pending.mark_queued(shard);
+            .insert(unfinished, position, volume, tag_time);
+        if let Some(unfinished) = self.requests.get_mut(&id) {
+            unfinished.mark_queued(shard);
         }
     }
 
     /// Returns the shard that a request names, or the shard chosen for a new object. Returns `None`
     /// if no node may execute the request.
-    fn shard_of(&self, pending: &PendingRequest) -> Option<Shard> {
-        let named_shard = pending.request().shard;
-        named_shard.or_else(|| self.placement().choose_shard(pending))
+    fn shard_of(&self, unfinished: &UnfinishedRequest) -> Option<Shard> {
+        let named_shard = unfinished.request().shard;
+        named_shard.or_else(|| self.placement().choose_shard(unfinished))
     }
 
     /// Returns the inputs for choosing the node of a new object now.
@@ -98,7 +98,7 @@
         let was_dispatched = self
             .requests
             .get(&id)
-            .is_none_or(|pending| pending.attempts() > 0);
+            .is_none_or(|unfinished| unfinished.attempts() > 0);
         if !was_dispatched {
             self.enqueue(id, Position::ByPriority);
         }
--- a/crates/scheduler/src/volume/table.rs
+++ b/crates/scheduler/src/volume/table.rs
@@ -57,8 +57,8 @@
         self.volumes.len()
     }
 
-    /// Removes the volumes that have no pending request, had no request for [`VOLUME_RETENTION`],
-    /// and have a full token bucket.
+    /// Removes the volumes that have no unfinished request, had no request for
+    /// [`VOLUME_RETENTION`], and have a full token bucket.
     pub fn remove_idle(&mut self, in_use: &BTreeSet<VolumeId>, now: Micros) {
         self.volumes.retain(|id, volume| {
             in_use.contains(id) || !volume.is_removable(VOLUME_RETENTION, now)
@@ -69,8 +69,8 @@
 impl Index<VolumeId> for VolumeTable {
     type Output = Volume;
 
-    /// Returns the volume of a pending request, which is never removed. Panics for other volumes
-    /// that are not in the table.
+    /// Returns the volume of an unfinished request, which is never removed. Panics for other
+    /// volumes that are not in the table.
     fn index(&self, id: VolumeId) -> &Volume {
         &self.volumes[&id]
     }
--- a/crates/simulator-adapter/src/wire/actions.rs
+++ b/crates/simulator-adapter/src/wire/actions.rs
@@ -42,7 +42,7 @@
         #[serde(rename = "try_until_ms")]
         deadline_ms: f64,
     },
-    /// Send the final response "rejected". The client may safely retry.
+    /// Reject the request: send the client its final response. The client may safely retry.
     #[serde(rename = "SHED")]
     Reject {
         /// The request.
@@ -52,7 +52,7 @@
         /// response does not state one.
         retry_after_ms: f64,
     },
-    /// Send the final response "failed". The request may have been executed.
+    /// Fail the request: send the client its final response. The request may have been executed.
     #[serde(rename = "ABORT")]
     Fail {
         /// The request.
