--- a/crates/gateway/tests/in_process/dispatcher/attempts.rs
+++ b/crates/gateway/tests/in_process/dispatcher/attempts.rs
@@ -11,7 +11,7 @@
 #[test]
 fn write_whose_connection_is_lost_is_rejected_unless_the_node_may_have_executed_it() {
     for (may_have_executed, expect_rejected) in [(false, true), (true, false)] {
-        let settings = settings_with(|settings| settings.permissions.max_attempts = 1);
+        let settings = settings_with(|settings| settings.features_and_limits.max_attempts = 1);
         let mut harness = Harness::new(&settings, &[in_service_record("n", 0)]);
         harness.submit(Operation::Write, Some(0));
         harness.run_turn();
--- a/crates/scheduler/src/dmclock/flow.rs
+++ b/crates/scheduler/src/dmclock/flow.rs
@@ -6,7 +6,7 @@
 
 use super::tags::{ServiceCount, Tags};
 use crate::api::{RequestId, Units, UnitsPerSecond};
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 use crate::time::Seconds;
 use crate::volume::Volume;
 use std::collections::VecDeque;
@@ -82,18 +82,18 @@
     /// Inserts a request and recomputes the tags of the requests behind it.
     pub fn insert(
         &mut self,
-        pending: &PendingRequest,
+        unfinished: &UnfinishedRequest,
         position: Position,
         volume: &Volume,
         share_tag_offset: Seconds,
         now: Seconds,
     ) {
         let added = QueuedRequest {
-            id: pending.request().id,
+            id: unfinished.request().id,
             tags: self.last_tags,
             queued_at: now,
-            priority_weight: pending.class().priority_weight,
-            service: self.count_service(pending.request().units, volume, now),
+            priority_weight: unfinished.class().priority_weight,
+            service: self.count_service(unfinished.request().units, volume, now),
         };
         let index = match position {
             Position::Front => 0,
@@ -139,8 +139,9 @@
         }
     }
 
-    /// Subtracts the units of an attempt that was not served. The tags counted them when the
-    /// request was queued, but they are not part of the volume's service.
+    /// Subtracts the units of an attempt that was not served from the service that the tags have
+    /// counted. They were counted when the request was queued, but are not part of the volume's
+    /// service.
     pub fn subtract_unserved(&mut self, units: Units) {
         self.counted_units -= units;
     }
--- a/crates/scheduler/src/request/shedding.rs
+++ b/crates/scheduler/src/request/shedding.rs
@@ -5,11 +5,12 @@
 //! deadline, whatever its idempotency. A request that was dispatched but not executed by any node
 //! is rejected like one that was never dispatched. Times are in microseconds.
 
-use super::PendingRequest;
+use super::UnfinishedRequest;
 use crate::api::{Micros, RequestId};
-use crate::collections::DeadlineQueue;
+use crate::collections::TimeOrderedQueue;
 
-/// A request may wait for the time to its deadline divided by this.
+/// A request is rejected once it has waited for the time from its receipt to its deadline, divided
+/// by this.
 const MAX_QUEUE_TIME_DIVISOR: i64 = 2;
 
 /// Returns when a request that is received now is rejected, if no node may have executed it by
@@ -23,18 +24,20 @@
 #[derive(Default)]
 pub struct RejectionTimes {
     /// Requests, by rejection time.
-    times: DeadlineQueue<RequestId>,
+    times: TimeOrderedQueue<RequestId>,
 }
 
 impl RejectionTimes {
     /// Adds a request.
-    pub fn add(&mut self, pending: &PendingRequest) {
-        self.times.insert(pending.reject_at(), pending.request().id);
+    pub fn add(&mut self, unfinished: &UnfinishedRequest) {
+        self.times
+            .insert(unfinished.reject_at(), unfinished.request().id);
     }
 
     /// Removes a request.
-    pub fn remove(&mut self, pending: &PendingRequest) {
-        self.times.remove(pending.reject_at(), pending.request().id);
+    pub fn remove(&mut self, unfinished: &UnfinishedRequest) {
+        self.times
+            .remove(unfinished.reject_at(), unfinished.request().id);
     }
 
     /// Removes and returns a request whose rejection time has passed.
@@ -45,18 +48,18 @@
     /// Postpones the rejection of a request to its deadline if a node may have executed the
     /// request. Called when the rejection time has passed; returns whether the rejection was
     /// postponed.
-    pub fn postpone(&mut self, pending: &mut PendingRequest) -> bool {
-        let deadline = pending.request().deadline;
-        if !pending.may_have_executed() || pending.reject_at() >= deadline {
+    pub fn postpone(&mut self, unfinished: &mut UnfinishedRequest) -> bool {
+        let deadline = unfinished.request().deadline;
+        if !unfinished.may_have_effect() || unfinished.reject_at() >= deadline {
             return false;
         }
-        pending.postpone_rejection(deadline);
-        self.add(pending);
+        unfinished.postpone_rejection(deadline);
+        self.add(unfinished);
         true
     }
 
     /// Returns the earliest time at which a request is rejected.
     pub fn next(&self) -> Option<Micros> {
-        self.times.next_deadline()
+        self.times.next_time()
     }
 }
--- a/crates/scheduler/tests/outlier_ejection.rs
+++ b/crates/scheduler/tests/outlier_ejection.rs
@@ -43,7 +43,7 @@
                 );
                 harness.handle(&[
                     attempt_completed(id, 0, node, Outcome::ConnectFailed, MILLISECOND),
-                    Event::ClientDisconnected(RequestId(id)),
+                    Event::ResponseNotNeeded(RequestId(id)),
                 ]);
             }
         }
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -302,7 +302,7 @@
         let completion = if is_dispatched {
             served(id, MILLISECOND)
         } else {
-            Event::ClientDisconnected(RequestId(id))
+            Event::ResponseNotNeeded(RequestId(id))
         };
         harness.handle(&[completion]);
     }
