--- a/crates/gateway/tests/gateway_process/harness/cluster.rs
+++ b/crates/gateway/tests/gateway_process/harness/cluster.rs
@@ -8,7 +8,7 @@
 use super::node::FakeStorageNode;
 use super::requests::{encode_read_request, encode_write_request};
 
-/// A gateway that has received an endpoint list of two nodes, one for shard 0 and one for shard 1.
+/// Two fake nodes, a fake discovery service and a gateway that has received their endpoint list.
 pub struct TestCluster {
     /// The node that stores shard 0.
     pub node_a: FakeStorageNode,
@@ -16,7 +16,7 @@
     pub node_b: FakeStorageNode,
     /// The discovery service that the gateway was configured with at its start.
     pub discovery: FakeDiscovery,
-    /// The open watch; its last update had index 2.
+    /// The open watch. The initial snapshot, on the first watch, has index 2.
     pub watch: Connection,
     /// The gateway under test.
     pub gateway: Gateway,
@@ -71,7 +71,7 @@
         let node_b = FakeStorageNode::new("b", 1);
         let discovery = FakeDiscovery::new();
         let gateway = Gateway::start(&[&node_a, &node_b], &discovery, edit_config);
-        let list = [node_a.in_service(), node_b.in_service()];
+        let list = [node_a.in_service_entry(), node_b.in_service_entry()];
         Self::with_initial_list(node_a, node_b, discovery, gateway, &list)
     }
 
@@ -108,19 +108,22 @@
         gateway.wait_for_log(log_lines::CONNECTION_REFUSED);
         let result = while_down(&gateway);
         discovery.listen_again();
-        let list = [node_a.in_service(), node_b.terminating()];
+        let list = [node_a.in_service_entry(), node_b.draining_entry()];
         let cluster = Self::with_initial_list(node_a, node_b, discovery, gateway, &list);
         (cluster, result)
     }
 
     /// Endpoint list entries with both nodes in service.
     pub fn both_nodes_in_service(&self) -> [String; 2] {
-        [self.node_a.in_service(), self.node_b.in_service()]
+        [
+            self.node_a.in_service_entry(),
+            self.node_b.in_service_entry(),
+        ]
     }
 
     /// Endpoint list entries with node A in service and node B draining.
     pub fn entries_with_node_b_draining(&self) -> [String; 2] {
-        [self.node_a.in_service(), self.node_b.terminating()]
+        [self.node_a.in_service_entry(), self.node_b.draining_entry()]
     }
 
     /// Waits until the gateway has logged a snapshot or a delta with two endpoints.
@@ -145,7 +148,7 @@
 
     /// Reports node B as draining and waits until the gateway has processed it.
     pub fn drain_node_b(&mut self) {
-        self.send_delta(3, &[self.node_b.terminating()]);
+        self.send_delta(3, &[self.node_b.draining_entry()]);
     }
 
     /// Writes a new object while node A is still processing `read`, and checks that the write waits
@@ -159,7 +162,7 @@
         } = read;
         let mut writer = self
             .gateway
-            .connect_and_send_in_one_iteration(encode_write_request("w1"));
+            .connect_and_send_in_one_turn(encode_write_request("w1"));
         self.gateway.wait_until_input_is_processed();
         node.respond("read");
         reader.expect_value("read");
--- a/crates/gateway/tests/gateway_process/harness/config.rs
+++ b/crates/gateway/tests/gateway_process/harness/config.rs
@@ -47,13 +47,13 @@
     )
 }
 
-/// Limits the gateway to 64 sockets, of which clients may hold 24.
-pub fn with_few_sockets(config: &str) -> String {
+/// Limits the gateway to 64 file descriptors, of which client connections may use 24.
+pub fn with_64_descriptors(config: &str) -> String {
     replace_setting(config, "\"sockets\":256", "\"sockets\":64")
 }
 
-/// Limits the gateway to 1024 sockets, of which clients may hold 600.
-pub fn with_many_sockets(config: &str) -> String {
+/// Limits the gateway to 1024 file descriptors, of which client connections may use 600.
+pub fn with_1024_descriptors(config: &str) -> String {
     replace_setting(config, "\"sockets\":256", "\"sockets\":1024")
 }
 
@@ -72,8 +72,8 @@
     )
 }
 
-/// Disables polling of the discovery service: the service sends endpoint lists to the discovery
-/// agent, and the gateway polls the agent.
-pub fn with_pushed_lists(config: &str) -> String {
+/// Makes the gateway poll a discovery agent instead of the discovery service. `FakeDiscovery` then
+/// acts as the agent.
+pub fn with_discovery_agent(config: &str) -> String {
     replace_setting(config, "subscribe", "automatic")
 }
--- a/crates/gateway/tests/gateway_process/harness/connection.rs
+++ b/crates/gateway/tests/gateway_process/harness/connection.rs
@@ -12,7 +12,7 @@
 /// How the gateway ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// Closed in order, with a FIN.
+    /// Closed with a FIN.
     Closed,
     /// Reset, with an RST.
     Reset,
@@ -27,7 +27,7 @@
 impl Connection {
     /// Connects to a listening address.
     pub fn connect(address: SocketAddr) -> Self {
-        Self::new(TcpStream::connect(address).expect("a listening address"))
+        Self::new(TcpStream::connect(address).expect("the address should be listening"))
     }
 
     /// Accepts the next connection; panics if there is none within [`TEST_TIMEOUT`].
@@ -42,14 +42,21 @@
             Ok(1),
             "no connection was opened in time"
         );
-        Self::new(listener.accept().expect("a connection").0)
+        Self::new(
+            listener
+                .accept()
+                .expect("accepting the connection should succeed")
+                .0,
+        )
     }
 
     fn new(stream: TcpStream) -> Self {
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a valid timeout");
-        stream.set_nodelay(true).expect("a socket option");
+            .expect("the timeout should be valid");
+        stream
+            .set_nodelay(true)
+            .expect("setting TCP_NODELAY should succeed");
         Self {
             stream,
             input: Vec::new(),
@@ -60,7 +67,7 @@
     pub fn send(&mut self, bytes: impl AsRef<[u8]>) {
         self.stream
             .write_all(bytes.as_ref())
-            .expect("an open connection");
+            .expect("the connection should be open");
     }
 
     /// Sends bytes, and ignores the error if the gateway has closed the connection.
@@ -120,7 +127,7 @@
         loop {
             if let Some(end) = self.input.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
                 let head: Vec<u8> = self.input.drain(..end + 4).collect();
-                let head = String::from_utf8(head).expect("a request in UTF-8");
+                let head = String::from_utf8(head).expect("the request should be UTF-8");
                 return head.lines().next().unwrap_or_default().to_owned();
             }
             self.read_more();
@@ -198,7 +205,7 @@
     /// holds a copy of the socket.
     pub fn reset(self) {
         rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO))
-            .expect("a socket option");
+            .expect("setting SO_LINGER should succeed");
         with_spawn_lock(|| drop(self));
     }
 }
--- a/crates/gateway/tests/gateway_process/harness/discovery.rs
+++ b/crates/gateway/tests/gateway_process/harness/discovery.rs
@@ -19,7 +19,7 @@
     pub address: SocketAddr,
     /// The shard that the node stores.
     pub shard: u64,
-    /// `in_service`, `terminating` or `terminated`.
+    /// `in_service`, `terminating` (draining) or `terminated` (removed).
     pub status: &'a str,
 }
 
@@ -82,8 +82,10 @@
 impl FakeDiscovery {
     /// Starts a service that listens on a free port.
     pub fn new() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("a listening service");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port should be free");
+        let address = listener
+            .local_addr()
+            .expect("the service should be listening");
         Self {
             listener: Some(listener),
             address,
@@ -109,13 +111,17 @@
 
     /// Listens again on the same address.
     pub fn listen_again(&mut self) {
-        self.listener = Some(TcpListener::bind(self.address).expect("the former port is free"));
+        self.listener =
+            Some(TcpListener::bind(self.address).expect("the former port should be free"));
     }
 
     /// Accepts the next watch and reads its request.
     pub fn accept_watch(&self) -> OpenedWatch {
-        let mut connection =
-            Connection::accept(self.listener.as_ref().expect("a listening service"));
+        let mut connection = Connection::accept(
+            self.listener
+                .as_ref()
+                .expect("the service should be listening"),
+        );
         let request_line = connection.receive_request_line();
         OpenedWatch {
             connection,
--- a/crates/gateway/tests/gateway_process/harness/gateway.rs
+++ b/crates/gateway/tests/gateway_process/harness/gateway.rs
@@ -13,15 +13,15 @@
 use std::process::{Command, Stdio};
 
 /// The gateway reads at most this many bytes from a socket at once.
-pub const READ_CHUNK_BYTES: usize = 16 << 10;
+pub const MAX_READ_BYTES: usize = 16 << 10;
 /// The name of the configuration file.
 const CONFIG_FILE: &str = "config.json";
-/// With input from this many clients, one iteration of the event loop is full: it handles at most
-/// 256 ready connections. The additional 64 make sure that a connection that becomes ready after
-/// them is not handled in the same iteration.
-const FULL_ITERATION_CLIENT_COUNT: usize = 256 + 64;
-/// The gateway accepts at most this many connections in one iteration of the event loop.
-const MAX_ACCEPTS_PER_ITERATION: usize = 64;
+/// More clients than one turn of the event loop handles, which is at most 256 ready connections.
+/// The additional 64 make sure that a connection that becomes ready after them is not handled in
+/// the same turn.
+const CLIENT_COUNT_EXCEEDING_ONE_TURN: usize = 256 + 64;
+/// The gateway accepts at most this many connections in one turn of the event loop.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
 
 /// A running gateway whose configuration file the test can change.
 pub struct Gateway {
@@ -41,7 +41,8 @@
         discovery: &FakeDiscovery,
         edit_config: impl Fn(&str) -> String,
     ) -> Self {
-        let cached_entries: Vec<String> = nodes.iter().map(|node| node.in_service()).collect();
+        let cached_entries: Vec<String> =
+            nodes.iter().map(|node| node.in_service_entry()).collect();
         let config = edit_config(&platform_config(discovery.address(), &cached_entries));
         let directory = TestDirectory::new();
         let path = directory.write(CONFIG_FILE, &config);
@@ -80,9 +81,9 @@
     }
 
     /// Connects a client and sends bytes while the gateway is paused, so that the connection and
-    /// the bytes are ready in the same iteration of its event loop. A gateway that is shutting down
+    /// the bytes are ready in the same turn of its event loop. A gateway that is shutting down
     /// waits only briefly for a new connection and for its first bytes.
-    pub fn connect_and_send_in_one_iteration(&self, bytes: impl AsRef<[u8]>) -> Connection {
+    pub fn connect_and_send_in_one_turn(&self, bytes: impl AsRef<[u8]>) -> Connection {
         self.pause();
         let client = self.connect_and_send(bytes);
         self.resume();
@@ -105,24 +106,27 @@
         client
     }
 
-    /// Connects [`FULL_ITERATION_CLIENT_COUNT`] clients that have no request in flight. If all of
-    /// them send a `PING` to the paused gateway, they fill one iteration of its event loop: input
-    /// that arrives later is handled in the next one. Needs
-    /// [`with_many_sockets`](super::config::with_many_sockets).
-    pub fn connect_full_iteration_of_idle_clients(&self) -> Vec<Connection> {
-        (0..FULL_ITERATION_CLIENT_COUNT)
+    /// Connects [`CLIENT_COUNT_EXCEEDING_ONE_TURN`] clients that have no request in flight. If all
+    /// of them send a `PING` to the paused gateway, input that arrives after theirs is not handled
+    /// in the next turn of its event loop, but in a later one. Needs
+    /// [`with_1024_descriptors`](super::config::with_1024_descriptors).
+    pub fn connect_more_idle_clients_than_one_turn_handles(&self) -> Vec<Connection> {
+        (0..CLIENT_COUNT_EXCEEDING_ONE_TURN)
             .map(|_| self.connect_idle_client())
             .collect()
     }
 
-    /// As [`Self::connect_full_iteration_of_idle_clients`], with clients that have sent the first
-    /// half of a request: a gateway that is shutting down does not close these connections.
-    pub fn connect_full_iteration_of_partial_requests(&self, first_half: &str) -> Vec<Connection> {
+    /// As [`Self::connect_more_idle_clients_than_one_turn_handles`], with clients that have sent
+    /// the first half of a request: a gateway that is shutting down does not close these
+    /// connections.
+    pub fn connect_more_partial_requests_than_one_turn_handles(
+        &self,
+        first_half: &str,
+    ) -> Vec<Connection> {
         let mut clients = Vec::new();
-        while clients.len() < FULL_ITERATION_CLIENT_COUNT {
+        while clients.len() < CLIENT_COUNT_EXCEEDING_ONE_TURN {
             self.pause();
-            clients
-                .extend((0..MAX_ACCEPTS_PER_ITERATION).map(|_| self.connect_and_send(first_half)));
+            clients.extend((0..MAX_ACCEPTS_PER_TURN).map(|_| self.connect_and_send(first_half)));
             self.resume();
             self.wait_until_input_is_processed();
         }
@@ -132,12 +136,12 @@
     /// Waits until the gateway has processed all input that was ready on its sockets before the
     /// call: a new client sends a `PING` and waits for the answer.
     pub fn wait_until_input_is_processed(&self) {
-        let mut client = self.connect_and_send_in_one_iteration(encode_command("PING"));
+        let mut client = self.connect_and_send_in_one_turn(encode_command("PING"));
         client.receive_value();
     }
 
-    /// Pauses the process with SIGSTOP: all input until [`Self::resume`] is ready in the same
-    /// iteration of its event loop.
+    /// Pauses the process with SIGSTOP: all input until [`Self::resume`] is ready in the same turn
+    /// of its event loop.
     pub fn pause(&self) {
         self.process.pause();
     }
@@ -163,10 +167,9 @@
         self.wait_for_log(log_lines::SHUTDOWN_REQUESTED);
     }
 
-    /// Sends SIGTERM and waits until the gateway drains its connections. It does so after a grace
-    /// period in which it works as before. It then closes idle client connections, and this
-    /// function waits until one of them is closed.
-    pub fn begin_draining(&mut self) {
+    /// Sends SIGTERM and waits until the gateway closes an idle client connection, which it does
+    /// after the shutdown grace period. Until then, it works as before.
+    pub fn request_shutdown_and_wait_for_idle_close(&mut self) {
         let mut idle = self.connect_idle_client();
         self.request_shutdown();
         idle.expect_closed();
--- a/crates/gateway/tests/gateway_process/harness/gateway_process.rs
+++ b/crates/gateway/tests/gateway_process/harness/gateway_process.rs
@@ -35,8 +35,8 @@
     pub fn spawn(command: &mut Command) -> Self {
         command.stderr(Stdio::piped());
         // `spawn` returns after the exec.
-        let mut child = with_spawn_lock(|| command.spawn()).expect("the gateway starts");
-        let lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
+        let mut child = with_spawn_lock(|| command.spawn()).expect("the gateway should start");
+        let lines = BufReader::new(child.stderr.take().expect("stderr should be piped")).lines();
         let (sender, log) = channel();
         std::thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
@@ -49,12 +49,12 @@
 
     /// Takes the standard input of the process, which must be piped.
     pub fn take_stdin(&mut self) -> ChildStdin {
-        self.child.stdin.take().expect("stdin is piped")
+        self.child.stdin.take().expect("stdin should be piped")
     }
 
     /// Takes the standard output of the process, which must be piped.
     pub fn take_stdout(&mut self) -> ChildStdout {
-        self.child.stdout.take().expect("stdout is piped")
+        self.child.stdout.take().expect("stdout should be piped")
     }
 
     /// Waits for a log line that contains the text, skips all lines before it and returns it.
@@ -84,19 +84,25 @@
 
     fn wait_for_listener(&mut self, log_line: &str) -> SocketAddr {
         let line = self.wait_for_log(log_line);
-        let address = line.rsplit(' ').next().expect("a non-empty line");
-        address.parse().expect("an address at the end of the line")
+        let address = line
+            .rsplit(' ')
+            .next()
+            .expect("the line should not be empty");
+        address
+            .parse()
+            .expect("the line should end with an address")
     }
 
     /// Sends a signal to the process.
     pub fn send_signal(&self, signal: Signal) {
-        kill_process(self.pid, signal).expect("a running process");
+        kill_process(self.pid, signal).expect("the process should be running");
     }
 
     /// Pauses the process with SIGSTOP until [`Self::resume`], and waits until it is stopped.
     pub fn pause(&self) {
         self.send_signal(Signal::STOP);
-        let stopped = waitpid(Some(self.pid), WaitOptions::UNTRACED).expect("a child process");
+        let stopped = waitpid(Some(self.pid), WaitOptions::UNTRACED)
+            .expect("waiting for the child process should succeed");
         assert!(
             stopped.is_some_and(|(_, status)| status.stopped()),
             "the process was not stopped"
@@ -119,7 +125,9 @@
                 Err(RecvTimeoutError::Timeout) => panic!("the gateway did not exit in time"),
             }
         }
-        self.child.wait().expect("a child process")
+        self.child
+            .wait()
+            .expect("waiting for the child process should succeed")
     }
 }
 
--- a/crates/gateway/tests/gateway_process/harness/log_lines.rs
+++ b/crates/gateway/tests/gateway_process/harness/log_lines.rs
@@ -16,5 +16,5 @@
 pub const SHUTDOWN_REQUESTED: &str = "shutdown requested";
 /// The graceful shutdown is complete.
 pub const SHUTDOWN_COMPLETE: &str = "shutdown complete";
-/// The gateway evicts an idle client connection because clients hold too many.
-pub const IDLE_CONNECTION_EVICTED: &str = "closing an idle client connection: too many";
+/// The gateway closes an idle client connection because too many connections have sent requests.
+pub const EXCESS_CONNECTION_CLOSED: &str = "closing an idle client connection: too many";
--- a/crates/gateway/tests/gateway_process/harness/mod.rs
+++ b/crates/gateway/tests/gateway_process/harness/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! Clients and fakes send only what the test tells them to send. A test can pause the gateway
 //! process ([`Gateway::pause`]): all input that arrives before it is resumed is ready in the same
-//! iteration of its event loop, so a test decides which events coincide. The harness never sleeps;
-//! the only timer is [`TEST_TIMEOUT`].
+//! turn of its event loop, so a test decides which events coincide. The harness never sleeps; the
+//! only timer is [`TEST_TIMEOUT`].
 
 pub mod cluster;
 pub mod config;
--- a/crates/gateway/tests/gateway_process/harness/node.rs
+++ b/crates/gateway/tests/gateway_process/harness/node.rs
@@ -19,7 +19,7 @@
 impl FakeStorageNode {
     /// Starts a node that listens on a free port.
     pub fn new(name: &'static str, shard: u64) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port should be free");
         Self {
             name,
             shard,
@@ -28,7 +28,9 @@
     }
 
     fn address(&self) -> SocketAddr {
-        self.listener.local_addr().expect("a listening node")
+        self.listener
+            .local_addr()
+            .expect("the node should be listening")
     }
 
     /// Accepts the gateway's next connection.
@@ -49,11 +51,11 @@
     pub fn expect_no_further_connection(&self) {
         self.listener
             .set_nonblocking(true)
-            .expect("a socket option");
+            .expect("setting the blocking mode should succeed");
         let accepted = self.listener.accept();
         self.listener
             .set_nonblocking(false)
-            .expect("a socket option");
+            .expect("setting the blocking mode should succeed");
         let none = accepted.is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
         assert!(
             none,
@@ -65,10 +67,11 @@
     /// Fills the accept queue. Until [`Self::empty_accept_queue`], no connection to the node is
     /// established, not even one that the gateway is already opening; the system retries it later.
     pub fn fill_accept_queue(&self) -> FilledAcceptQueue {
-        rustix::net::listen(&self.listener, 0).expect("a listening socket");
+        rustix::net::listen(&self.listener, 0).expect("changing the backlog should succeed");
         let address = self.address();
         let mut queued =
-            vec![TcpStream::connect(address).expect("the first connection fits into the queue")];
+            vec![TcpStream::connect(address)
+                .expect("the first connection should fit into the queue")];
         // A queue with a backlog of 0 holds one connection. If the system allows more, use them up.
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
             queued.push(stream);
@@ -81,16 +84,19 @@
         let queued: Vec<SocketAddr> = queue
             .0
             .iter()
-            .map(|stream| stream.local_addr().expect("a connected socket"))
+            .map(|stream| stream.local_addr().expect("the socket should be connected"))
             .collect();
         for _ in &queued {
-            let (_, peer) = self.listener.accept().expect("a queued connection");
+            let (_, peer) = self
+                .listener
+                .accept()
+                .expect("a connection should be in the queue");
             assert!(queued.contains(&peer), "the queue was not full");
         }
-        rustix::net::listen(&self.listener, 16).expect("a listening socket");
+        rustix::net::listen(&self.listener, 16).expect("changing the backlog should succeed");
     }
 
-    /// The node's entry in an endpoint list.
+    /// The node's endpoint list entry with this status.
     pub fn entry(&self, status: &str) -> String {
         encode_endpoint_entry(&EndpointEntry {
             name: self.name,
@@ -100,18 +106,18 @@
         })
     }
 
-    /// The node's entry when it is in service.
-    pub fn in_service(&self) -> String {
+    /// The node's endpoint list entry while it is in service.
+    pub fn in_service_entry(&self) -> String {
         self.entry("in_service")
     }
 
-    /// The node's entry when it is draining.
-    pub fn terminating(&self) -> String {
+    /// The node's endpoint list entry while it is draining (`terminating` on the wire).
+    pub fn draining_entry(&self) -> String {
         self.entry("terminating")
     }
 
-    /// The node's entry when it has been removed.
-    pub fn terminated(&self) -> String {
+    /// The node's endpoint list entry after its removal (`terminated` on the wire).
+    pub fn removed_entry(&self) -> String {
         self.entry("terminated")
     }
 }
--- a/crates/gateway/tests/gateway_process/harness/requests.rs
+++ b/crates/gateway/tests/gateway_process/harness/requests.rs
@@ -34,8 +34,8 @@
     ))
 }
 
-/// A read from shard 0 of a different object than that of [`encode_read_request`], so that the
-/// gateway does not count it as a repeat of that read.
+/// A read from shard 0 of a different object than that of [`encode_read_request`], so that it
+/// does not keep the latency objective of that read, as a client's retry of it would.
 pub fn encode_read_request_for_another_object(id: &str) -> String {
     encode_read_request(id).replace("7f3a9c21e0b4d655", "7f3a9c21e0b4d657")
 }
@@ -57,10 +57,12 @@
 pub fn forwarded_deadline_ms(request: &str) -> u128 {
     let (_, options) = request
         .split_once(",d=")
-        .expect("the request has a deadline");
+        .expect("the request should have a deadline");
     let deadline = options
         .split(',')
         .next()
-        .expect("`split` returns at least one item");
-    deadline.parse().expect("a deadline in whole milliseconds")
+        .expect("`split` should return at least one item");
+    deadline
+        .parse()
+        .expect("the deadline should be a whole number of milliseconds")
 }
--- a/crates/gateway/tests/gateway_process/harness/resp.rs
+++ b/crates/gateway/tests/gateway_process/harness/resp.rs
@@ -26,7 +26,7 @@
             .position(|pair| pair == b"\r\n")?;
     let line = String::from_utf8_lossy(&input[*position..line_end]).into_owned();
     *position = line_end + 2;
-    let length = || line[1..].parse::<usize>().expect("a length");
+    let length = || line[1..].parse::<usize>().expect("length should be valid");
     match line.as_bytes()[0] {
         b'*' => {
             let elements: Option<Vec<String>> = (0..length())
--- a/crates/gateway/tests/gateway_process/harness/test_directory.rs
+++ b/crates/gateway/tests/gateway_process/harness/test_directory.rs
@@ -13,7 +13,7 @@
         let number = CREATED.fetch_add(1, Ordering::Relaxed);
         let name = format!("storage-gateway-{}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&path).expect("a writable temporary directory");
+        std::fs::create_dir_all(&path).expect("the temporary directory should be writable");
         Self(path)
     }
 
@@ -25,13 +25,13 @@
     /// Writes a file and returns its path.
     pub fn write(&self, file_name: &str, content: &str) -> PathBuf {
         let path = self.path(file_name);
-        std::fs::write(&path, content).expect("a writable file");
+        std::fs::write(&path, content).expect("the file should be writable");
         path
     }
 
     /// Reads a file as text.
     pub fn read(&self, file_name: &str) -> String {
-        std::fs::read_to_string(self.path(file_name)).expect("a readable file")
+        std::fs::read_to_string(self.path(file_name)).expect("the file should be readable")
     }
 }
 
--- a/crates/gateway/tests/gateway_process/races/client_close.rs
+++ b/crates/gateway/tests/gateway_process/races/client_close.rs
@@ -2,12 +2,14 @@
 //! requests.
 
 use crate::harness::cluster::{serve_request, TestCluster};
-use crate::harness::config::{with_long_connect_timeout, with_many_sockets, without_cancellation};
+use crate::harness::config::{
+    with_1024_descriptors, with_long_connect_timeout, without_cancellation,
+};
 use crate::harness::node::FakeStorageNode;
 use crate::harness::requests::encode_read_request;
 
 /// The connection, a complete or partial request and the close of the connection are all ready in
-/// the same iteration of the event loop. Forwarding the request would waste a node on a response
+/// the same turn of the event loop. Forwarding the request would make the node work on a response
 /// that nobody receives.
 #[test]
 fn request_received_together_with_the_client_close_is_not_forwarded() {
@@ -28,9 +30,9 @@
     serve_request(&mut read.node, &mut next_client, "a4", "four");
 }
 
-/// The client sends more bytes than the gateway reads while a request is in flight, and closes its
-/// connection. The gateway must detect the close although it has not read all bytes before it, and
-/// forward none of the requests.
+/// While a request is in flight, the gateway reads only part of the bytes that the client has sent.
+/// When the client closes its connection, the gateway must detect the close behind the unread bytes
+/// and forward none of the requests.
 #[test]
 fn close_after_unread_requests_is_detected() {
     let cluster = TestCluster::start();
@@ -82,8 +84,10 @@
 }
 
 /// The client closes while its attempt waits for a node connection to be established. Checks that
-/// the connection, once established, carries only the request of the next client.
-fn expect_late_connection_carries_the_next_request(edit_config: impl Fn(&str) -> String) {
+/// only the request of the next client is sent on the connection once it is established.
+fn expect_only_the_next_request_on_the_established_connection(
+    edit_config: impl Fn(&str) -> String,
+) {
     let cluster = TestCluster::start_with(edit_config);
     let queue = cluster.node_a.fill_accept_queue();
     let closing_client = cluster.gateway.connect_and_send(encode_read_request("a1"));
@@ -101,12 +105,12 @@
 
 #[test]
 fn attempt_waiting_for_a_node_connection_is_cancelled_on_client_close() {
-    expect_late_connection_carries_the_next_request(with_long_connect_timeout);
+    expect_only_the_next_request_on_the_established_connection(with_long_connect_timeout);
 }
 
 #[test]
 fn attempt_waiting_for_a_node_connection_is_dropped_if_cancellation_is_disabled() {
-    expect_late_connection_carries_the_next_request(|config| {
+    expect_only_the_next_request_on_the_established_connection(|config| {
         with_long_connect_timeout(&without_cancellation(config))
     });
 }
@@ -119,35 +123,37 @@
     let mut read = cluster.start_read("a1");
     let waiting_client = cluster
         .gateway
-        .connect_and_send_in_one_iteration(encode_read_request("a2"));
+        .connect_and_send_in_one_turn(encode_read_request("a2"));
     cluster.gateway.wait_until_input_is_processed();
-    cluster.send_delta(3, &[cluster.node_a.terminating()]);
+    cluster.send_delta(3, &[cluster.node_a.draining_entry()]);
 
     waiting_client.close();
     cluster.gateway.wait_until_input_is_processed();
     let successor = FakeStorageNode::new("c", 0);
-    cluster.send_delta(4, &[successor.in_service()]);
+    cluster.send_delta(4, &[successor.in_service_entry()]);
 
     let mut next_client = cluster
         .gateway
-        .connect_and_send_in_one_iteration(encode_read_request("a3"));
+        .connect_and_send_in_one_turn(encode_read_request("a3"));
     let mut successor_connection = successor.accept();
     serve_request(&mut successor_connection, &mut next_client, "a3", "three");
     read.complete("one");
 }
 
 /// The response to the client's first request frees the node, and the gateway dispatches the
-/// client's second request in the same iteration of the event loop. The client's reset becomes
-/// ready too late for this iteration: the gateway detects it only when it sends the response. The
-/// second request must not be sent to the node.
+/// client's second request in the same turn of the event loop. The client's reset becomes ready too
+/// late for this turn: the gateway detects it only when it sends the response. The second request
+/// must not be sent to the node.
 #[test]
-fn attempt_is_not_sent_if_the_client_reset_is_detected_in_the_same_iteration() {
-    let cluster = TestCluster::start_with(with_many_sockets);
+fn attempt_is_not_sent_if_the_client_reset_is_detected_in_the_same_turn() {
+    let cluster = TestCluster::start_with(with_1024_descriptors);
     let closing_client = cluster
         .gateway
         .connect_and_send(encode_read_request("a1") + &encode_read_request("a2"));
     let mut node = cluster.node_a.accept_request("a1");
-    let mut other_clients = cluster.gateway.connect_full_iteration_of_idle_clients();
+    let mut other_clients = cluster
+        .gateway
+        .connect_more_idle_clients_than_one_turn_handles();
 
     cluster.gateway.pause();
     node.respond("one");
--- a/crates/gateway/tests/gateway_process/races/discovery_watch.rs
+++ b/crates/gateway/tests/gateway_process/races/discovery_watch.rs
@@ -2,24 +2,24 @@
 //! updates.
 
 use crate::harness::cluster::TestCluster;
-use crate::harness::config::with_pushed_lists;
+use crate::harness::config::with_discovery_agent;
 use crate::harness::discovery::{
     encode_chunk, encode_update_line, UpdateKind, CHUNKED_RESPONSE_HEAD,
 };
-use crate::harness::gateway::READ_CHUNK_BYTES;
+use crate::harness::gateway::MAX_READ_BYTES;
 use crate::harness::log_lines;
 
-/// The update that reports a drain and the reset of the watch are ready in the same iteration of
-/// the event loop, the update first. The gateway must not drop it because of the reset.
+/// The update that reports a drain and the reset of the watch are ready in the same turn of the
+/// event loop, the update first. The gateway must not drop it because of the reset.
 #[test]
 fn drain_received_before_a_reset_of_the_watch_is_applied() {
     let mut cluster = TestCluster::start();
     let read = cluster.start_read("a1");
     // The update fills exactly one read of the gateway, so that its next read returns the reset.
-    let mut update = encode_update_line(3, UpdateKind::Delta, &[cluster.node_b.terminating()]);
-    let padded_length = READ_CHUNK_BYTES - "3ff6\r\n\r\n".len();
+    let mut update = encode_update_line(3, UpdateKind::Delta, &[cluster.node_b.draining_entry()]);
+    let padded_length = MAX_READ_BYTES - "3ff6\r\n\r\n".len();
     update += &" ".repeat(padded_length - update.len());
-    assert_eq!(encode_chunk(&update).len(), READ_CHUNK_BYTES);
+    assert_eq!(encode_chunk(&update).len(), MAX_READ_BYTES);
 
     cluster.gateway.pause();
     cluster.watch.send(encode_chunk(&update));
@@ -35,7 +35,7 @@
 #[test]
 fn incomplete_update_is_dropped_when_the_watch_ends() {
     let mut cluster = TestCluster::start();
-    let update = encode_update_line(3, UpdateKind::Delta, &[cluster.node_b.terminating()]);
+    let update = encode_update_line(3, UpdateKind::Delta, &[cluster.node_b.draining_entry()]);
     let incomplete = &update[..update.len() / 2];
     cluster
         .watch
@@ -81,7 +81,7 @@
 /// at its start, and again after the connection to the agent has ended.
 #[test]
 fn broken_watch_of_a_discovery_agent_is_reopened() {
-    let mut cluster = TestCluster::start_with(with_pushed_lists);
+    let mut cluster = TestCluster::start_with(with_discovery_agent);
     let entries = cluster.entries_with_node_b_draining();
     cluster.watch.reset();
     cluster.watch = cluster.discovery.accept_watch_and_send(3, &entries);
--- a/crates/gateway/tests/gateway_process/races/idle_close.rs
+++ b/crates/gateway/tests/gateway_process/races/idle_close.rs
@@ -2,7 +2,7 @@
 //! the input of clients and discovery.
 
 use crate::harness::cluster::{serve_request, TestCluster};
-use crate::harness::config::{with_debug_log, with_few_sockets};
+use crate::harness::config::{with_64_descriptors, with_debug_log};
 use crate::harness::connection::Connection;
 use crate::harness::log_lines;
 use crate::harness::requests::encode_read_request;
@@ -23,10 +23,10 @@
 }
 
 /// All client descriptors are in use. The request of the oldest idle client is ready in the same
-/// iteration of the event loop in which the gateway must evict an idle client for a new one.
+/// turn of the event loop in which the gateway must evict an idle client for a new one.
 #[test]
 fn client_with_a_received_request_is_not_evicted() {
-    let cluster = TestCluster::start_with(with_few_sockets);
+    let cluster = TestCluster::start_with(with_64_descriptors);
     let mut oldest_client = cluster.gateway.connect_idle_client();
     // Together with the oldest client, these use all 24 client descriptors.
     let _other_clients: Vec<Connection> = (0..23)
@@ -44,13 +44,14 @@
     new_client.expect_pong();
 }
 
-/// Clients that send one request and keep their connection open may use a third of all descriptors.
-/// The gateway evicts them before they reach this limit: if they hold more than a fourth, it closes
-/// the first connection that becomes idle, directly after its response and while the other clients
-/// wait for theirs.
+/// Some clients send one request and keep their connection open. They may hold up to a third of all
+/// descriptors, so the gateway limits the connections that have sent a request to a quarter. If
+/// there are more, it closes the first one that becomes idle, directly after its response and while
+/// the other clients wait for theirs.
 #[test]
-fn idle_connection_is_evicted_before_clients_hold_all_descriptors() {
-    let mut cluster = TestCluster::start_with(|config| with_debug_log(&with_few_sockets(config)));
+fn idle_connection_is_closed_before_clients_hold_all_descriptors() {
+    let mut cluster =
+        TestCluster::start_with(|config| with_debug_log(&with_64_descriptors(config)));
     let mut clients: Vec<Connection> = (0..17)
         .map(|number| {
             let client = cluster
@@ -65,11 +66,11 @@
     serve_request(&mut node, &mut clients[0], "a0", "v0");
     cluster
         .gateway
-        .wait_for_log(log_lines::IDLE_CONNECTION_EVICTED);
+        .wait_for_log(log_lines::EXCESS_CONNECTION_CLOSED);
     clients[0].expect_closed();
 
-    // With one connection less, the clients hold no more than a fourth of the descriptors: the next
-    // connection that becomes idle stays open.
+    // With one connection less, the clients hold no more than a quarter of the descriptors: the
+    // next connection that becomes idle stays open.
     node.expect_request("a1");
     node.respond("v1");
     clients[1].send_ping();
@@ -82,7 +83,7 @@
 #[test]
 fn watch_is_reopened_while_idle_clients_hold_all_client_descriptors() {
     let (cluster, _idle_clients) =
-        TestCluster::start_while_discovery_is_down(with_few_sockets, |gateway| {
+        TestCluster::start_while_discovery_is_down(with_64_descriptors, |gateway| {
             let idle_clients: Vec<Connection> = (0..80).map(|_| gateway.connect()).collect();
             gateway.wait_until_input_is_processed();
             idle_clients
--- a/crates/gateway/tests/gateway_process/races/node_connections.rs
+++ b/crates/gateway/tests/gateway_process/races/node_connections.rs
@@ -1,27 +1,27 @@
-//! Races between node connections (responses, resets, late establishment) and drains, deadlines or
-//! further requests.
+//! Races between a response, a reset or the establishment of a node connection, and a drain, a
+//! deadline or another request.
 
 use crate::harness::cluster::{serve_request, TestCluster};
 use crate::harness::config::{
-    with_long_connect_timeout, with_many_sockets, with_short_drain_grace,
+    with_1024_descriptors, with_long_connect_timeout, with_short_drain_grace,
 };
 use crate::harness::discovery::encode_delta_chunk;
-use crate::harness::gateway::READ_CHUNK_BYTES;
+use crate::harness::gateway::MAX_READ_BYTES;
 use crate::harness::node::FakeStorageNode;
 use crate::harness::requests::{
     encode_read_request, encode_read_request_for_another_object, encode_read_request_with_deadline,
     encode_value_response, encode_write_request, SplitRequest,
 };
 
-/// A complete response and a reset of the connection are ready in the same iteration of the event
-/// loop, the response first. The gateway must not treat the attempt as failed and retry it.
+/// A complete response and a reset of the connection are ready in the same turn of the event loop,
+/// the response first. The gateway must not treat the attempt as failed and retry it.
 #[test]
 fn response_received_before_a_node_reset_is_sent_to_the_client() {
     let cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
     // The response fills exactly two reads of the gateway, so that its next read returns the reset.
-    let value = "v".repeat(2 * READ_CHUNK_BYTES - encode_value_response("").len() - 4);
-    assert_eq!(encode_value_response(&value).len(), 2 * READ_CHUNK_BYTES);
+    let value = "v".repeat(2 * MAX_READ_BYTES - encode_value_response("").len() - 4);
+    assert_eq!(encode_value_response(&value).len(), 2 * MAX_READ_BYTES);
 
     cluster.gateway.pause();
     read.node.respond(&value);
@@ -41,7 +41,13 @@
     let mut read = cluster.start_read("a1");
     let successor = FakeStorageNode::new("c", 0);
 
-    cluster.send_delta(3, &[cluster.node_a.terminating(), successor.in_service()]);
+    cluster.send_delta(
+        3,
+        &[
+            cluster.node_a.draining_entry(),
+            successor.in_service_entry(),
+        ],
+    );
     read.node.reset();
 
     read.node = successor.accept_request("a1");
@@ -69,8 +75,8 @@
     cluster.node_b.expect_no_further_connection();
 }
 
-/// The response and the update that removes the node are ready in the same iteration of the event
-/// loop. The client receives the response; the gateway then closes the connection without sending
+/// The response and the update that removes the node are ready in the same turn of the event loop.
+/// The client receives the response; the gateway then closes the connection without sending
 /// anything more on it, because the node is removed.
 #[test]
 fn response_received_together_with_the_node_removal_is_sent_to_the_client() {
@@ -80,7 +86,7 @@
     cluster.gateway.pause();
     cluster
         .watch
-        .send(encode_delta_chunk(3, &[cluster.node_a.terminated()]));
+        .send(encode_delta_chunk(3, &[cluster.node_a.removed_entry()]));
     read.node.respond("one");
     cluster.gateway.resume();
 
@@ -102,7 +108,8 @@
     node.expect_closed();
     node.send_after_close(encode_value_response("one"));
 
-    // A read of the same object would count as a repeat of the first read, whose deadline passed.
+    // A read of the same object would count as a client's retry of the first read and keep its
+    // latency objective.
     client.send(encode_read_request_for_another_object("a2"));
     let mut node = cluster.node_a.accept();
     serve_request(&mut node, &mut client, "a2", "two");
@@ -119,28 +126,29 @@
     let mut client = cluster.gateway.connect_and_send(encode_read_request("a1"));
     cluster.gateway.wait_until_input_is_processed();
 
-    cluster.send_delta(3, &[cluster.node_a.terminating()]);
+    cluster.send_delta(3, &[cluster.node_a.draining_entry()]);
     cluster.node_a.empty_accept_queue(&queue);
     let mut node = cluster.node_a.accept();
 
     client.expect_busy();
     cluster
         .watch
-        .send(encode_delta_chunk(4, &[cluster.node_a.terminated()]));
+        .send(encode_delta_chunk(4, &[cluster.node_a.removed_entry()]));
     // Fails if the gateway has sent anything on the connection.
     node.expect_closed();
 }
 
-/// A node sends a response on an idle connection. The gateway dispatches the next request in the
-/// iteration of the event loop before the one in which the unsolicited response is ready. It must
-/// not use that response for the request: it closes the connection and sends the request on a new
-/// one.
+/// A node sends a response on an idle connection. The gateway dispatches the next request in a turn
+/// of the event loop before the one in which the unsolicited response is ready. It must not use
+/// that response for the request: it closes the connection and sends the request on a new one.
 #[test]
 fn unsolicited_response_is_not_used_for_the_next_request() {
-    let cluster = TestCluster::start_with(with_many_sockets);
+    let cluster = TestCluster::start_with(with_1024_descriptors);
     let mut read = cluster.start_read("a1");
     read.complete("one");
-    let mut other_clients = cluster.gateway.connect_full_iteration_of_idle_clients();
+    let mut other_clients = cluster
+        .gateway
+        .connect_more_idle_clients_than_one_turn_handles();
 
     cluster.gateway.pause();
     read.client.send(encode_read_request("a2"));
--- a/crates/gateway/tests/gateway_process/races/reload.rs
+++ b/crates/gateway/tests/gateway_process/races/reload.rs
@@ -25,7 +25,7 @@
     cluster.watch.expect_closed();
 }
 
-/// SIGHUP and the response are ready in the same iteration of the event loop. The gateway asks the
+/// SIGHUP and the response are ready in the same turn of the event loop. The gateway asks the
 /// new discovery service for a snapshot (index 0), because that service may number its updates
 /// differently.
 #[test]
@@ -66,7 +66,7 @@
     let update = encode_chunk(&encode_update_line(
         3,
         UpdateKind::Delta,
-        &[cluster.node_b.terminating()],
+        &[cluster.node_b.draining_entry()],
     ));
     let (first_half, second_half) = update.split_at(update.len() / 2);
     cluster.watch.send(first_half);
@@ -81,7 +81,7 @@
     // Node B is still in service.
     let mut writer = cluster
         .gateway
-        .connect_and_send_in_one_iteration(encode_write_request("w1"));
+        .connect_and_send_in_one_turn(encode_write_request("w1"));
     let mut node_b = cluster.node_b.accept();
     serve_request(&mut node_b, &mut writer, "w1", "written");
     read.complete("one");
--- a/crates/gateway/tests/gateway_process/races/shutdown.rs
+++ b/crates/gateway/tests/gateway_process/races/shutdown.rs
@@ -1,7 +1,7 @@
 //! Races between a graceful shutdown (SIGTERM) and events of clients, nodes and discovery.
 
 use crate::harness::cluster::{serve_request, TestCluster};
-use crate::harness::config::with_many_sockets;
+use crate::harness::config::with_1024_descriptors;
 use crate::harness::connection::Connection;
 use crate::harness::discovery::FakeDiscovery;
 use crate::harness::requests::{
@@ -22,10 +22,10 @@
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
 
-    cluster.gateway.begin_draining();
+    cluster.gateway.request_shutdown_and_wait_for_idle_close();
     let mut second_client = cluster
         .gateway
-        .connect_and_send_in_one_iteration(encode_read_request("a2"));
+        .connect_and_send_in_one_turn(encode_read_request("a2"));
     cluster.gateway.wait_until_input_is_processed();
 
     read.complete_and_expect_client_close("one");
@@ -33,13 +33,13 @@
     cluster.gateway.expect_clean_exit();
 }
 
-/// The new client and the response to the last request in flight are ready in the same iteration of
-/// the event loop. The gateway must not exit before it has served the new client.
+/// The new client and the response to the last request in flight are ready in the same turn of the
+/// event loop. The gateway must not exit before it has served the new client.
 #[test]
 fn client_accepted_together_with_the_last_response_is_served() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    cluster.gateway.begin_draining();
+    cluster.gateway.request_shutdown_and_wait_for_idle_close();
 
     cluster.gateway.pause();
     read.node.respond("one");
@@ -51,8 +51,8 @@
     cluster.gateway.expect_clean_exit();
 }
 
-/// The first half of the request arrives before SIGTERM, the second half while connections are
-/// drained.
+/// The first half of the request arrives before SIGTERM, the second half while the gateway
+/// closes idle connections.
 #[test]
 fn partial_request_is_completed_and_served() {
     let mut cluster = TestCluster::start();
@@ -62,7 +62,7 @@
     let mut second_client = cluster
         .gateway
         .connect_with_partial_request(&request.first_half);
-    cluster.gateway.begin_draining();
+    cluster.gateway.request_shutdown_and_wait_for_idle_close();
     second_client.send(request.second_half);
     cluster.gateway.wait_until_input_is_processed();
 
@@ -79,7 +79,7 @@
     let mut client = cluster.gateway.connect_and_send(pipeline);
     let mut node = cluster.node_a.accept_request("a1");
 
-    cluster.gateway.begin_draining();
+    cluster.gateway.request_shutdown_and_wait_for_idle_close();
     node.respond("one");
     for (id, value) in [("a2", "two"), ("a3", "three")] {
         node.expect_request(id);
@@ -104,7 +104,7 @@
     idle_client.send_after_close(encode_read_request("a2"));
     let mut third_client = cluster
         .gateway
-        .connect_and_send_in_one_iteration(encode_read_request("a3"));
+        .connect_and_send_in_one_turn(encode_read_request("a3"));
     cluster.gateway.wait_until_input_is_processed();
 
     read.complete("one");
@@ -113,14 +113,14 @@
     cluster.node_a.expect_no_further_connection();
 }
 
-/// A `PING` is ready in the same iteration of the event loop as the last response. If the gateway
+/// A `PING` is ready in the same turn of the event loop as the last response. If the gateway
 /// closed the connection with unread bytes, the kernel would reset it, and the client could lose
 /// the response.
 #[test]
 fn bytes_received_with_the_last_response_do_not_reset_the_connection() {
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
-    cluster.gateway.begin_draining();
+    cluster.gateway.request_shutdown_and_wait_for_idle_close();
 
     cluster.gateway.pause();
     read.node.respond("one");
@@ -133,17 +133,17 @@
     cluster.gateway.expect_clean_exit();
 }
 
-/// The bytes become ready too late for the iteration of the event loop in which the gateway sends
-/// the response and closes the connection. Closing it with unread bytes would reset it.
+/// The bytes become ready too late for the turn of the event loop in which the gateway sends the
+/// response and closes the connection. Closing it with unread bytes would reset it.
 #[test]
 fn unread_bytes_at_the_close_do_not_reset_the_connection() {
-    let mut cluster = TestCluster::start_with(with_many_sockets);
+    let mut cluster = TestCluster::start_with(with_1024_descriptors);
     let mut read = cluster.start_read("a1");
-    cluster.gateway.begin_draining();
+    cluster.gateway.request_shutdown_and_wait_for_idle_close();
     let request = SplitRequest::new(&encode_read_request("a2"));
     let mut other_clients = cluster
         .gateway
-        .connect_full_iteration_of_partial_requests(&request.first_half);
+        .connect_more_partial_requests_than_one_turn_handles(&request.first_half);
 
     cluster.gateway.pause();
     read.node.respond("one");
@@ -164,7 +164,7 @@
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
 
-    cluster.gateway.begin_draining();
+    cluster.gateway.request_shutdown_and_wait_for_idle_close();
     read.client.close();
 
     read.node.expect_closed();
@@ -177,7 +177,7 @@
     let mut cluster = TestCluster::start();
     let mut read = cluster.start_read("a1");
 
-    cluster.gateway.begin_draining();
+    cluster.gateway.request_shutdown_and_wait_for_idle_close();
     read.node.reset();
 
     read.node = cluster.node_a.accept_request("a1");
@@ -199,7 +199,7 @@
     let first_deadline = forwarded_deadline_ms(&node.expect_request("a1"));
     assert!((1_500..=u128::from(DEADLINE_MS)).contains(&first_deadline));
 
-    cluster.gateway.begin_draining();
+    cluster.gateway.request_shutdown_and_wait_for_idle_close();
     let elapsed_ms = sent.elapsed().as_millis();
     node.reset();
 
@@ -216,7 +216,7 @@
     let mut cluster = TestCluster::start();
     let read = cluster.start_read("a1");
 
-    cluster.gateway.begin_draining();
+    cluster.gateway.request_shutdown_and_wait_for_idle_close();
     cluster.drain_node_b();
 
     cluster.expect_write_goes_to_node_a(read);
@@ -229,7 +229,7 @@
     let mut cluster = TestCluster::start();
     let read = cluster.start_read("a1");
 
-    cluster.gateway.begin_draining();
+    cluster.gateway.request_shutdown_and_wait_for_idle_close();
     let entries = cluster.entries_with_node_b_draining();
     cluster.watch.reset();
     cluster.watch = cluster.discovery.accept_watch_and_send(3, &entries);
@@ -251,7 +251,7 @@
     cluster.gateway.send_sighup();
     cluster.gateway.resume();
 
-    let _watch = new_discovery.accept_watch_and_send(1, &[cluster.node_a.in_service()]);
+    let _watch = new_discovery.accept_watch_and_send(1, &[cluster.node_a.in_service_entry()]);
     read.complete_and_expect_client_close("one");
     cluster.gateway.expect_clean_exit();
 }
--- a/crates/gateway/tests/gateway_process/scenario_runner/connections.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/connections.rs
@@ -36,9 +36,13 @@
         let mut streams = self
             .0
             .lock()
-            .expect("no thread panics while it holds the lock");
+            .expect("no thread should panic while it holds the lock");
         let connection = streams.len();
-        streams.push(stream.try_clone().expect("a free file descriptor"));
+        streams.push(
+            stream
+                .try_clone()
+                .expect("a file descriptor should be free"),
+        );
         std::thread::spawn(move || read_messages(connection, stream, protocol, &events));
     }
 
@@ -46,7 +50,7 @@
     pub fn count(&self) -> usize {
         self.0
             .lock()
-            .expect("no thread panics while it holds the lock")
+            .expect("no thread should panic while it holds the lock")
             .len()
     }
 
@@ -55,10 +59,10 @@
         let mut streams = self
             .0
             .lock()
-            .expect("no thread panics while it holds the lock");
+            .expect("no thread should panic while it holds the lock");
         streams[connection]
             .write_all(bytes)
-            .expect("an open connection");
+            .expect("the connection should be open");
     }
 
     /// Closes all connections with a FIN.
@@ -66,7 +70,7 @@
         let streams = self
             .0
             .lock()
-            .expect("no thread panics while it holds the lock");
+            .expect("no thread should panic while it holds the lock");
         for stream in streams.iter() {
             let _ = stream.shutdown(Shutdown::Both);
         }
--- a/crates/gateway/tests/gateway_process/scenario_runner/deployment.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/deployment.rs
@@ -74,7 +74,7 @@
             .nodes
             .iter()
             .find(|node| node.name == name)
-            .expect("a declared node");
+            .expect("the node should be declared");
         let address = self.peers[listening_peer].address();
         encode_endpoint_entry(&EndpointEntry {
             name,
@@ -121,7 +121,10 @@
     /// Starts a new discovery service on another address and writes that address to the
     /// configuration file. The old service becomes the peer [`OLD_DISCOVERY`].
     pub fn move_discovery(&mut self) {
-        let former = self.peers.remove(DISCOVERY).expect("the discovery peer");
+        let former = self
+            .peers
+            .remove(DISCOVERY)
+            .expect("discovery should be a peer");
         let new = Peer::listen(Protocol::Http);
         let config = self.directory.read(CONFIG_FILE);
         let config = replace_setting(
@@ -145,5 +148,7 @@
 /// The current Unix time in milliseconds.
 fn now_ms() -> u128 {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    since_epoch.expect("the clock is after 1970").as_millis()
+    since_epoch
+        .expect("the clock should be after 1970")
+        .as_millis()
 }
--- a/crates/gateway/tests/gateway_process/scenario_runner/masking.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/masking.rs
@@ -1,4 +1,4 @@
-//! Replaces values that differ between runs: times, and ids that the gateway generates.
+//! Replaces values that differ between runs: times, and request ids that the gateway generates.
 
 /// Replaces the varying words of a message by placeholders.
 pub fn mask_varying_words(message: &str) -> String {
@@ -17,14 +17,14 @@
         let after = rest.split_once(',').map_or("", |(_, after)| after);
         return format!("{before},d=_,{after}");
     }
-    if is_generated_id(word) {
+    if is_masked_id(word) {
         return "ID".to_owned();
     }
     word.to_owned()
 }
 
-/// Whether a word is a request id that the gateway has generated, which begins with the leading
-/// digits of the clock, or a volume id in a console table, which has the same length.
-fn is_generated_id(word: &str) -> bool {
+/// Whether a word is a request id that the gateway generated, which begins with the high digits of
+/// the clock (0006), or the id of a volume from 0xa0 to 0xaf.
+fn is_masked_id(word: &str) -> bool {
     word.len() == 16 && (word.starts_with("0006") || word.starts_with("00000000000000a"))
 }
--- a/crates/gateway/tests/gateway_process/scenario_runner/message.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/message.rs
@@ -54,7 +54,7 @@
 }
 
 fn decode_first_line(input: &[u8], terminator: &str) -> Option<DecodedMessage> {
-    let input = std::str::from_utf8(input).expect("a message in UTF-8");
+    let input = std::str::from_utf8(input).expect("the message should be UTF-8");
     let length = input.find(terminator)? + terminator.len();
     let text = input.lines().next()?.to_owned();
     Some(DecodedMessage {
--- a/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
@@ -5,16 +5,17 @@
 //!
 //! - `node NAME SHARD [sftp]`: declares a fake node, which listens from now on. It uses RESP2, or
 //!   SFTP if given.
-//! - `start platform [DESCRIPTORS]`: starts the gateway with a platform configuration
-//!   (`ROUTER_CONFIG`) and at most DESCRIPTORS file descriptors.
-//! - `start operator [DESCRIPTORS]`: starts it with an operator's configuration file and an
-//!   inventory.
+//! - `start platform [DESCRIPTORS]`: starts the gateway with the platform's configuration
+//!   (`ROUTER_CONFIG`), the address of the discovery service (`ROUTER_DISCOVERY`) and at most
+//!   DESCRIPTORS file descriptors.
+//! - `start operator [DESCRIPTORS]`: starts it with an operator's configuration (`--config`), which
+//!   names an inventory instead of a discovery service, and an SFTP listener.
 //! - `mark_restarted NODE`: writes the inventory again, in which NODE has just started.
 //! - `connect PEER`: connects a client, which sends nothing.
 //! - `send PEER WORDS`: sends a message as the peer. If there is no peer of this name, a client is
 //!   connected first.
-//! - `expect PEER [WORDS]`: waits for the next message to the peer. If WORDS are given, the message
-//!   must equal them.
+//! - `expect PEER [WORDS]`: waits for the next message to the peer and adds it to the transcript.
+//!   If WORDS are given, the message must equal them; otherwise only the snapshot checks it.
 //! - `move_discovery`: starts a new discovery service on another address and writes that address to
 //!   the configuration file. The old service becomes the peer `old_discovery`.
 //! - `write_invalid_config`: overwrites the configuration file with incomplete JSON.
@@ -24,18 +25,20 @@
 //!
 //! What a peer sends depends on its kind:
 //!
-//! - A client whose name begins with `s` sends an SFTP packet (see [`sftp_message`]). Any other
-//!   client sends a RESP2 command, or the line LINE without any encoding for `raw LINE`.
-//! - A node responds to its oldest request without a response. An SFTP node sends a packet, a RESP2
-//!   node sends `value TEXT`, `value_twice TEXT` (the same response two times) or `raw LINE`.
+//! - A client whose name begins with `s` uses SFTP and sends a packet (see [`sftp_message`]). Any
+//!   other client sends a RESP2 command, or the line LINE without any encoding for `raw LINE`.
+//! - A node responds to its oldest request without a response. Its protocol does not depend on its
+//!   name. An SFTP node sends a packet, a RESP2 node sends `value TEXT`, `value_twice TEXT` (the
+//!   same response two times) or `raw LINE`.
 //!   `unsolicited TEXT` is a response without a request.
-//! - `discovery` sends `list` (a snapshot) or the delta `STATUS NODE [PEER]`. If PEER is given, the
-//!   delta has the address of PEER instead of that of NODE.
+//! - `discovery` sends `snapshot`, with all nodes in service, or the delta `STATUS NODE [PEER]`.
+//!   STATUS is `in_service`, `terminating` (draining) or `terminated` (removed). If PEER is given,
+//!   the delta has the address of PEER instead of that of NODE.
 //! - `console` sends a line to the gateway's console.
 //! - `gateway` receives the signal `HUP` or `TERM`.
 //!
 //! The runner never sleeps: threads read the sockets and pass on complete messages. The result is a
-//! transcript of all messages, which the test compares with a snapshot.
+//! transcript of all messages, which the test compares with a stored snapshot.
 
 mod connections;
 mod deployment;
--- a/crates/gateway/tests/gateway_process/scenario_runner/peer.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/peer.rs
@@ -33,7 +33,7 @@
 /// Which side opens the connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
-    /// The peer has opened its only connection.
+    /// The peer does not listen: a client with one connection, or the console, which has none.
     Client,
     /// The peer listens, and the gateway connects to it.
     Server { address: SocketAddr },
@@ -45,8 +45,8 @@
     pub protocol: Protocol,
     role: Role,
     events: Receiver<ConnectionEvent>,
-    /// Messages that were received during [`Self::wait_for_close`]. The threads of different
-    /// connections report in any order, so a message of one may precede the end of another.
+    /// Messages that were received during [`Self::wait_for_close`]. Each connection has its own
+    /// thread, so a message from one connection can be reported before the end of another.
     deferred: VecDeque<ConnectionEvent>,
     connections: Connections,
     unanswered_requests: VecDeque<UnansweredRequest>,
@@ -73,8 +73,8 @@
 
     /// Starts a peer that listens on a free port and accepts all connections.
     pub fn listen(protocol: Protocol) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("a listening peer");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port should be free");
+        let address = listener.local_addr().expect("the peer should be listening");
         let (sender, events) = channel();
         let connections = Connections::default();
         let accepted = connections.clone();
@@ -90,7 +90,7 @@
     pub fn connect(protocol: Protocol, gateway: SocketAddr) -> Self {
         let (sender, events) = channel();
         let connections = Connections::default();
-        let stream = TcpStream::connect(gateway).expect("the gateway listens");
+        let stream = TcpStream::connect(gateway).expect("the gateway should be listening");
         connections.add(stream, protocol, sender);
         Self::new(protocol, Role::Client, events, connections)
     }
@@ -187,7 +187,7 @@
         let request = self
             .unanswered_requests
             .pop_front()
-            .expect("a request without a response");
+            .expect("a request should be without a response");
         SendTarget {
             connection: request.connection,
             request_id: request.request_id,
@@ -200,15 +200,15 @@
             .connections
             .count()
             .checked_sub(1)
-            .expect("an established connection");
+            .expect("a connection should be established");
         SendTarget {
             connection,
             request_id: 0,
         }
     }
 
-    /// As a client: its connection, with a new request id.
-    pub fn new_request(&mut self) -> SendTarget {
+    /// As a client: where to send the next request, with a new request id.
+    pub fn next_request_target(&mut self) -> SendTarget {
         self.last_request_id += 1;
         SendTarget {
             connection: 0,
--- a/crates/gateway/tests/gateway_process/scenario_runner/scenario.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/scenario.rs
@@ -67,7 +67,9 @@
 
     /// The running gateway; panics before the `start` statement.
     pub fn gateway(&mut self) -> &mut StartedGateway {
-        self.gateway.as_mut().expect("a started gateway")
+        self.gateway
+            .as_mut()
+            .expect("the gateway should be started")
     }
 
     /// The peer of this name. If there is none, connects a client of this name.
@@ -78,7 +80,7 @@
         }
         self.peers
             .get_mut(name)
-            .expect("the peer exists or has been inserted")
+            .expect("the peer should exist or have been inserted")
     }
 
     /// Connects a client: an SFTP client if its name begins with `s`, else a RESP2 client.
@@ -87,7 +89,7 @@
         if name.starts_with('s') {
             let address = gateway
                 .sftp_address
-                .expect("the gateway accepts SFTP clients");
+                .expect("the gateway should accept SFTP clients");
             return Peer::connect(Protocol::Sftp, address);
         }
         Peer::connect(Protocol::Resp, gateway.resp_address)
--- a/crates/gateway/tests/gateway_process/scenario_runner/sending.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/sending.rs
@@ -36,49 +36,49 @@
     /// Sends a line to the gateway's console.
     fn send_console_line(&mut self, words: &[&str]) {
         let input = &mut self.gateway().console_input;
-        writeln!(input, "{}", words.join(" ")).expect("the gateway reads its console");
+        writeln!(input, "{}", words.join(" ")).expect("the gateway should read its console");
     }
 
     /// Sends a command or a packet on the connection of the client.
     fn send_as_client(&mut self, name: &str, words: &[&str]) {
         let peer = self.peer(name);
-        let address = peer.new_request();
+        let target = peer.next_request_target();
         let bytes = match (peer.protocol, words) {
-            (Protocol::Sftp, _) => sftp_message::encode(words, address.request_id),
+            (Protocol::Sftp, _) => sftp_message::encode(words, target.request_id),
             (_, ["raw", line @ ..]) => encode_line(line),
             _ => encode_array(words).into_bytes(),
         };
-        peer.send(address.connection, &bytes);
+        peer.send(target.connection, &bytes);
     }
 
     /// Sends a response on the connection of its request, or an unsolicited one on the newest
     /// connection.
     fn send_as_node(&mut self, name: &str, words: &[&str]) {
         let peer = self.peer(name);
-        let address = match words[0] {
+        let target = match words[0] {
             "unsolicited" => peer.newest_connection(),
             _ => peer.take_oldest_request(),
         };
         let bytes = match peer.protocol {
-            Protocol::Sftp => sftp_message::encode(words, address.request_id),
+            Protocol::Sftp => sftp_message::encode(words, target.request_id),
             _ => encode_node_response(words),
         };
-        peer.send(address.connection, &bytes);
+        peer.send(target.connection, &bytes);
     }
 
-    /// Sends an update: a snapshot (`list`) or a delta (`STATUS NODE [PEER]`). PEER is the
-    /// peer whose address the node gets.
+    /// Sends an update: `snapshot`, or the delta `STATUS NODE [PEER]`. PEER is the peer whose
+    /// address the node gets.
     fn send_update(&mut self, words: &[&str]) {
         self.list_index += 1;
         let bytes = match words {
-            ["list"] => {
+            ["snapshot"] => {
                 let entries = self.all_nodes_in_service();
                 let list = encode_update_line(self.list_index, UpdateKind::Snapshot, &entries);
                 CHUNKED_RESPONSE_HEAD.to_owned() + &encode_chunk(&list)
             }
             [status, node] => self.encode_delta(node, node, status),
             [status, node, other] => self.encode_delta(node, other, status),
-            _ => panic!("unknown update: expected `list` or `STATUS NODE [PEER]`"),
+            _ => panic!("unknown update: expected `snapshot` or `STATUS NODE [PEER]`"),
         };
         let discovery = self.peer(DISCOVERY);
         discovery.send(discovery.newest_connection().connection, bytes.as_bytes());
@@ -97,7 +97,7 @@
 
 /// Encodes a RESP2 response with a value and a cost of 4 units, or a line without any encoding.
 fn encode_node_response(words: &[&str]) -> Vec<u8> {
-    let (kind, rest) = words.split_first().expect("the words of a response");
+    let (kind, rest) = words.split_first().expect("the response should have words");
     let text = rest.join(" ");
     let response = format!("*3\r\n${}\r\n{text}\r\n$6\r\ncost=4\r\n$-1\r\n", text.len());
     match *kind {
--- a/crates/gateway/tests/gateway_process/scenario_runner/sftp_message.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/sftp_message.rs
@@ -13,14 +13,16 @@
 /// Decodes the first packet of the input. Returns `None` if it is incomplete.
 pub fn decode(input: &[u8]) -> Option<DecodedMessage> {
     let mut length = 0;
-    let packet = decode_packet(input, &mut length).expect("a well-formed packet")?;
+    let packet = decode_packet(input, &mut length).expect("the packet should be well-formed")?;
     let message = format_packet(packet.packet_type, packet.fields);
     Some(DecodedMessage { message, length })
 }
 
 fn format_packet(packet_type: PacketType, mut fields: Fields<'_>) -> Message {
     // INIT and VERSION have the protocol version in place of a request id.
-    let request_id = fields.u32().expect("a request id or a version");
+    let request_id = fields
+        .u32()
+        .expect("the packet should contain a request id or a version");
     let fields = &mut fields;
     let text = match packet_type {
         PacketType::INIT => format!("init {request_id}"),
@@ -68,24 +70,31 @@
 }
 
 fn take_u32(fields: &mut Fields<'_>) -> u32 {
-    fields.u32().expect("a number of 32 bits")
+    fields
+        .u32()
+        .expect("the packet should contain a number of 32 bits")
 }
 
 fn take_u64(fields: &mut Fields<'_>) -> u64 {
-    fields.u64().expect("a number of 64 bits")
+    fields
+        .u64()
+        .expect("the packet should contain a number of 64 bits")
 }
 
 fn take_text(fields: &mut Fields<'_>) -> String {
-    String::from_utf8_lossy(fields.string().expect("a string")).into_owned()
+    String::from_utf8_lossy(fields.string().expect("the packet should contain a string"))
+        .into_owned()
 }
 
 fn take_size(fields: &mut Fields<'_>) -> Option<u64> {
-    fields.attributes().expect("attributes")
+    fields
+        .attributes()
+        .expect("the packet should contain attributes")
 }
 
 /// The gateway's handles are 4-byte numbers; the handles of fake nodes are text.
 fn take_handle(fields: &mut Fields<'_>) -> String {
-    let bytes = fields.string().expect("a handle");
+    let bytes = fields.string().expect("the packet should contain a handle");
     match <[u8; 4]>::try_from(bytes) {
         Ok(number) => u32::from_be_bytes(number).to_string(),
         Err(_) => String::from_utf8_lossy(bytes).into_owned(),
@@ -133,7 +142,7 @@
             size: u64::from(arguments.number(0)),
         }),
         "type" => new_packet(PacketType(
-            u8::try_from(arguments.number(0)).expect("a packet type"),
+            u8::try_from(arguments.number(0)).expect("the packet type should fit in 8 bits"),
         )),
         "name" => arguments.append_names(new_packet(PacketType::NAME)),
         other => panic!("unknown packet type: {other}"),
@@ -150,7 +159,9 @@
     }
 
     fn number(&self, index: usize) -> u32 {
-        self.text(index).parse().expect("a number")
+        self.text(index)
+            .parse()
+            .expect("the argument should be a number")
     }
 
     fn joined_from(&self, index: usize) -> String {
@@ -168,12 +179,12 @@
     /// Appends all arguments, each `NAME:SIZE`, as directory entries. Without a numeric size, the
     /// entry is a directory.
     fn append_names(&self, packet: Packet) -> Packet {
-        let count = u32::try_from(self.0.len()).expect("a count that fits in 32 bits");
+        let count = u32::try_from(self.0.len()).expect("the count should fit in 32 bits");
         let mut packet = packet.u32(count);
         for entry in self.0 {
             let (name, size) = entry
                 .split_once(':')
-                .expect("an entry of the form NAME:SIZE");
+                .expect("the entry should have the form NAME:SIZE");
             let attributes = match size.parse() {
                 Ok(size) => FileAttributes::RegularFile { size },
                 Err(_) => FileAttributes::Directory,
--- a/crates/gateway/tests/gateway_process/scenarios/mod.rs
+++ b/crates/gateway/tests/gateway_process/scenarios/mod.rs
@@ -1,9 +1,9 @@
-//! Runs the scenario files of this directory and compares each transcript with its snapshot. Below
-//! them are scenarios with generated statements, which check the transcript directly.
+//! Runs the scenario files of this directory and compares each transcript with its snapshot. The
+//! tests at the end of this file generate their statements and check the transcript themselves.
 
 use crate::scenario_runner::run_scenario;
 
-/// The first statements of scenarios with one node on the platform.
+/// The first statements of scenarios with one node and the platform's configuration.
 const START_WITH_ONE_NODE: &str = "node n0 0\nstart platform\n";
 
 /// A RESP2 command that reads an object from shard 0.
@@ -97,9 +97,9 @@
     );
 }
 
-/// Nodes may send values over the 64 KiB to which they have committed themselves, and the gateway
-/// must not truncate or reject these. But if the length exceeds every bound (3000000000), the
-/// response is invalid, and the gateway retries the read.
+/// Nodes may send values longer than the 64 KiB that their specification allows, and the gateway
+/// must not truncate or reject these. But a response that declares 3000000000 array elements is
+/// invalid, and the gateway retries the read.
 #[test]
 fn large_value_is_sent_to_the_client_complete() {
     let value = "v".repeat(400 << 10);
--- a/crates/gateway/tests/in_process/dispatcher/client_request_ids.rs
+++ b/crates/gateway/tests/in_process/dispatcher/client_request_ids.rs
@@ -1,14 +1,14 @@
-//! Client request ids, which must be unique among the unfinished requests.
+//! Client request ids, which must be unique among the requests without a response.
 
 use super::harness::{in_service_record, Harness};
 use crate::support::settings::deployment_settings;
 use io_scheduler::Outcome;
 use storage_gateway::storage_request::{InvalidRequest, Operation, Response};
 
-/// A request with the client request id of an unfinished request is invalid. The unfinished request
-/// must not be affected, and the id can be used again after its response.
+/// A request with the client request id of a request without a response is invalid. The first
+/// request must not be affected, and the id can be used again after its response.
 #[test]
-fn duplicate_client_request_id_is_invalid_until_the_first_request_is_completed() {
+fn duplicate_client_request_id_is_invalid_until_the_first_request_has_a_response() {
     let mut harness = Harness::new(&deployment_settings(), &[in_service_record("n", 0)]);
     let request = harness.new_request(Operation::Read, Some(0));
     let first = harness.submit_request(request.clone());
@@ -63,7 +63,7 @@
     harness.run_turn();
     assert!(
         harness.take_responses().is_empty(),
-        "the second request should be unfinished, not invalid"
+        "the second request should wait for a response, not be invalid"
     );
     assert_eq!(harness.dispatcher.open_requests(), 1);
 }
--- a/crates/gateway/tests/in_process/dispatcher/random_load.rs
+++ b/crates/gateway/tests/in_process/dispatcher/random_load.rs
@@ -21,7 +21,7 @@
     random: RandomNumbers,
     /// The dispatcher under test.
     harness: Harness,
-    /// Time at which the client of each request without a response times out, by reply slot.
+    /// Deadlines of the clients whose requests have no response yet, by reply slot.
     client_deadlines: BTreeMap<u64, Micros>,
     /// Reply slots of the requests whose client has disconnected.
     disconnected_slots: BTreeSet<u64>,
@@ -107,8 +107,9 @@
         ));
     }
 
-    /// Checks the attempts that were started, and writes three in four of them to their nodes.
-    fn check_and_write_started_attempts(&mut self) {
+    /// Checks the started attempts, and reports for three in four of them that the node may have
+    /// executed the request.
+    fn check_started_attempts(&mut self) {
         let seed = self.seed;
         for StartedAttempt { id, node, .. } in self.harness.take_started_attempts() {
             assert!(
@@ -180,7 +181,7 @@
         }
         let duration = self.random.below(20) as Micros * MS;
         self.harness.advance(duration);
-        self.check_and_write_started_attempts();
+        self.check_started_attempts();
         self.end_some_attempts();
         self.check_responses();
     }
--- a/crates/gateway/tests/in_process/dispatcher/slow_start.rs
+++ b/crates/gateway/tests/in_process/dispatcher/slow_start.rs
@@ -10,21 +10,21 @@
 const SLOW_START_UNITS: f64 = 4.0;
 
 /// Checks that in each window of 2 s the units dispatched to the restarted node do not exceed its
-/// slow-start budget. `dispatch_times` contains the time of each dispatched unit.
-fn assert_within_slow_start_budget(dispatch_times: &[Micros], restarted_at: Micros) {
+/// slow-start quota. `dispatch_times` contains the time of each dispatched unit.
+fn assert_within_slow_start_quota(dispatch_times: &[Micros], restarted_at: Micros) {
     for start in dispatch_times {
         let window = *start..start + 2_000 * MS;
         let units = dispatch_times
             .iter()
             .filter(|time| window.contains(time))
             .count();
-        // The node's guaranteed capacity grows linearly from 0.2 of its full capacity to all of it
-        // within 17 s. The budget of a window depends on the capacity at the start of the window.
+        // The node's capacity grows linearly from 0.2 of its full capacity to all of it within
+        // 17 s. The quota of a window depends on the capacity at the start of the window.
         let growth = (start - restarted_at).max(0) as f64 / (17_000 * MS) as f64;
-        let budget = SLOW_START_UNITS * (0.2 + 0.8 * growth) / 0.2;
+        let quota = SLOW_START_UNITS * (0.2 + 0.8 * growth) / 0.2;
         assert!(
-            units as f64 <= budget,
-            "{units} units were dispatched within 2 s; the slow-start budget is {budget}"
+            units as f64 <= quota,
+            "{units} units were dispatched within 2 s; the slow-start quota is {quota}"
         );
     }
 }
@@ -56,8 +56,8 @@
     fn new() -> ListingLoad {
         let settings = settings_with(|settings| {
             settings.storage.slow_start_units = SLOW_START_UNITS;
-            // Without reservations, no request may exceed the guaranteed capacity of a node that is
-            // warming up.
+            // Without a reservation, requests beyond the provisioned rate may use only half of the
+            // host's slow-start quota.
             settings.plans[0].reservation = 0.0;
         });
         let nodes = [
@@ -116,9 +116,9 @@
 }
 
 /// While a restarted node warms up, the listings of its shard must not exceed its slow-start
-/// budget, and each request must still get exactly one response.
+/// quota, and each request must still get exactly one response.
 #[test]
-fn listings_stay_within_the_slow_start_budget_and_get_one_response_each() {
+fn listings_stay_within_the_slow_start_quota_and_get_one_response_each() {
     let mut load = ListingLoad::new();
     // A listing of both shards arrives every 100 ms for 2 s. The second node stops in round 29, and
     // the endpoint list shows its restart in round 30.
@@ -134,7 +134,7 @@
         load.count_responses();
         load.harness.advance(ROUND_INTERVAL);
     }
-    assert_within_slow_start_budget(&load.dispatch_times, load.restarted_at);
+    assert_within_slow_start_quota(&load.dispatch_times, load.restarted_at);
     assert!(
         !load.dispatch_times.is_empty(),
         "some units should be dispatched to the restarted node"
--- a/crates/gateway/tests/in_process/idle_timeout.rs
+++ b/crates/gateway/tests/in_process/idle_timeout.rs
@@ -9,10 +9,12 @@
 const MAX_IDLE_TIMEOUT: Micros = 21_000 * MS;
 
 /// A node may drop idle connections before the idle timeout of the settings. The gateway must not
-/// reuse a connection that was idle for so long; for non-idempotent requests the bound is lower. A
-/// single reset with another cause must have no lasting effect.
+/// reuse a connection that was idle for longer than the estimate, or than half of it for a
+/// non-idempotent request. Resets after a sufficient idle time lower the estimate, and responses
+/// after a long idle time raise it again. A single reset after a shorter idle time than theirs is
+/// ignored, because it has another cause.
 #[test]
-fn connections_idle_for_longer_than_the_estimate_are_not_reused() {
+fn resets_lower_and_responses_raise_the_idle_timeout_estimate() {
     let mut estimate = IdleTimeoutEstimate::new(MAX_IDLE_TIMEOUT);
     assert!(
         estimate.allows_non_idempotent(10_000 * MS) && !estimate.allows_non_idempotent(11_000 * MS)
@@ -52,6 +54,6 @@
     assert_eq!(
         estimate.max_idle_time(),
         150 * MS,
-        "repeated resets should lower the estimate despite such responses"
+        "repeated resets should lower the estimate despite responses after longer idle times"
     );
 }
--- a/crates/gateway/tests/in_process/malformed_input.rs
+++ b/crates/gateway/tests/in_process/malformed_input.rs
@@ -1,4 +1,5 @@
-//! Parsers must not panic on any input, and must consume input with every result they report.
+//! Parsers must not panic on any input, and must advance past some input whenever they return a
+//! command or a result.
 
 use crate::support::random_numbers::RandomNumbers;
 use crate::support::settings::deployment_settings;
@@ -59,7 +60,7 @@
     assert!(position <= input.len() && (position > 0 || may_consume_nothing));
 }
 
-/// Checks that the result of an attempt consumes input, in each node protocol.
+/// Checks that each node protocol consumes input whenever it returns the result of an attempt.
 fn check_node_protocols(input: &[u8]) {
     let mut output = Vec::new();
     let mut protocols: [Box<dyn NodeProtocol>; 2] = [
@@ -85,7 +86,7 @@
 
 /// A client command that consumed no input would be parsed again in an endless loop.
 #[test]
-fn parsers_do_not_panic_on_random_input_and_consume_input_with_each_result() {
+fn parsers_do_not_panic_on_random_input_and_advance_with_each_result() {
     let schema = RequestSchema::new(&deployment_settings());
     let mut random = RandomNumbers::new(1);
     for _ in 0..20_000 {
