--- a/crates/gateway/src/config/model.rs
+++ b/crates/gateway/src/config/model.rs
@@ -22,7 +22,7 @@
     pub discovery: Option<SocketAddr>,
     /// Endpoint list to use until discovery sends one.
     pub cached_endpoints: EndpointListUpdate,
-    /// Seed of the scheduler's random number generator.
+    /// Seed of the hashes that the scheduler uses in place of random numbers.
     pub seed: u64,
     /// Maximum number of file descriptors that the process may open.
     pub max_descriptors: usize,
--- a/crates/gateway/src/config/operator.rs
+++ b/crates/gateway/src/config/operator.rs
@@ -13,8 +13,8 @@
 
 /// Name of the gateway if the operator's file does not set one.
 const DEFAULT_NAME: &str = "storage-gateway";
-/// Seed of the random number generator. It is the same for every gateway with an operator's file,
-/// because that file has no key for a seed.
+/// Seed of the hashes that the scheduler uses in place of random numbers. It is the same for every
+/// gateway with an operator's file, because that file has no key for a seed.
 const SEED: u64 = 0;
 
 /// Loads an operator's file. Relative paths in it are resolved against the file's directory.
--- a/crates/gateway/src/config/platform.rs
+++ b/crates/gateway/src/config/platform.rs
@@ -1,5 +1,4 @@
-//! Loads the platform's configuration: the file that `ROUTER_CONFIG` names, and the other
-//! environment variables.
+//! Loads the configuration file that `ROUTER_CONFIG` names, and the other environment variables.
 
 use super::decode;
 use super::error::ConfigError;
@@ -22,11 +21,11 @@
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
 /// Environment variable with the log level.
 const LOG_VARIABLE: &str = "STORAGE_GATEWAY_LOG";
-/// Hexadecimal seed of the random number generator if the file does not set one.
+/// Hexadecimal seed of the scheduler's hashes if the file does not set one.
 const DEFAULT_SEED: &str = "0";
 
-/// Loads the platform's configuration from the file that `ROUTER_CONFIG` names. The other
-/// environment variables take precedence over the file. `env` looks up an environment variable.
+/// Loads the configuration from the file that `ROUTER_CONFIG` names. The other environment
+/// variables take precedence over the file. `env` looks up an environment variable.
 ///
 /// # Errors
 ///
@@ -115,7 +114,7 @@
     }
 }
 
-/// Parses the seed of the random number generator; an empty text gives [`DEFAULT_SEED`].
+/// Parses the seed of the scheduler's hashes; an empty text gives [`DEFAULT_SEED`].
 fn parse_seed(text: &str) -> Result<u64, ConfigError> {
     let text = if text.is_empty() { DEFAULT_SEED } else { text };
     parse_hexadecimal("seed", text)
--- a/crates/gateway/src/config/reload.rs
+++ b/crates/gateway/src/config/reload.rs
@@ -9,9 +9,9 @@
 impl Config {
     /// Loads the configuration again from the file that it was first loaded from.
     ///
-    /// For a file that `ROUTER_CONFIG` named, the file now takes precedence over the environment,
-    /// which cannot have changed since start-up. The exception is `STORAGE_GATEWAY_LOG`, which
-    /// always takes precedence over the file.
+    /// On a reload, the file that `ROUTER_CONFIG` named takes precedence over the environment
+    /// variables, which cannot have changed since start-up. Only `STORAGE_GATEWAY_LOG` still takes
+    /// precedence over the file.
     ///
     /// # Errors
     ///
--- a/crates/gateway/src/config/sections.rs
+++ b/crates/gateway/src/config/sections.rs
@@ -1,8 +1,8 @@
 //! The types that serde decodes configuration files into: the file that `ROUTER_CONFIG` names, and
 //! the operator's file.
 //!
-//! `serde(rename)` maps a key to the usual term where the two differ. Outside of this module, only
-//! error messages contain keys of the files, except those below `settings`, which
+//! `serde(rename)` gives the key where it differs from the name of the field. Outside of this
+//! module, only error messages contain keys of the files, except those below `settings`, which
 //! `deployment_settings` decodes, and those below `known`, which `endpoint` decodes. The decoder's
 //! error messages contain the names of these types, so renaming a type changes text that operators
 //! see.
@@ -27,7 +27,8 @@
     pub listen: Option<String>,
     /// IP address and port of the discovery endpoint that serves the endpoint list.
     pub discovery: Option<String>,
-    /// Seed of the random number generator as a hexadecimal number; empty or absent for 0.
+    /// Seed of the hashes that the scheduler uses in place of random numbers, as a hexadecimal
+    /// number; empty or absent for 0.
     #[serde(default)]
     pub seed: String,
     /// Limits of the process.
--- a/crates/gateway/src/console/command.rs
+++ b/crates/gateway/src/console/command.rs
@@ -34,7 +34,7 @@
     },
     /// No command has this name, or the command takes no arguments and was given some.
     #[error(
-        "'{command}' is not a command or takes no arguments; enter help for a list of commands"
+        "unknown command, or unexpected arguments: '{command}'; enter help for a list of commands"
     )]
     UnknownCommand {
         /// The first word of the line.
--- a/crates/gateway/src/inventory/csv_format.rs
+++ b/crates/gateway/src/inventory/csv_format.rs
@@ -140,8 +140,8 @@
 }
 
 /// Returns the line number of the first record at or after a byte offset. The CSV reader's own line
-/// number cannot be used: if empty lines or comments precede a record, it is the number of those
-/// lines and not that of the record.
+/// number cannot be used: if empty lines or comments precede a record, it refers to them and not to
+/// the record.
 fn line_of(text: &str, byte: u64) -> u64 {
     let (before, rest) = text.split_at_checked(byte as usize).unwrap_or((text, ""));
     let skipped = rest
--- a/crates/gateway/src/inventory/vars.rs
+++ b/crates/gateway/src/inventory/vars.rs
@@ -1,9 +1,9 @@
 //! The vars (variables) that describe a node in an inventory of either format, and their conversion
 //! to a node.
 //!
-//! The spelling of the vars and of their values is the same as on the wire of the endpoint list.
-//! Within the inventory, only this module, the required headings of `csv_format` and the error
-//! messages contain it.
+//! The names of the vars and their values are those of the endpoint list's wire format. Within the
+//! inventory, only this module, the required headings of `csv_format` and the error messages use
+//! them.
 
 use super::error::InvalidVar;
 use super::node::InventoryNode;
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -20,8 +20,8 @@
 /// A parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum CliCommand {
-    /// Serve with the platform's configuration, which `ROUTER_CONFIG` names.
-    ServePlatform,
+    /// Serve with the configuration file that `ROUTER_CONFIG` names.
+    ServeFromEnvironment,
     /// Serve with an operator's configuration file and open the console.
     ServeOperator(PathBuf),
     /// Check an operator's configuration file and its inventory, then exit.
@@ -35,7 +35,7 @@
     fn parse(arguments: &[String]) -> Option<CliCommand> {
         let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
         match arguments.as_slice() {
-            [] => Some(CliCommand::ServePlatform),
+            [] => Some(CliCommand::ServeFromEnvironment),
             ["--help" | "-h"] => Some(CliCommand::Help),
             ["--config", file] => Some(CliCommand::ServeOperator(file.into())),
             ["--config", file, "--check"] | ["--check", "--config", file] => {
@@ -68,14 +68,14 @@
             print!("{USAGE}");
             Ok(())
         }
-        CliCommand::ServePlatform => serve_platform(),
+        CliCommand::ServeFromEnvironment => serve_from_environment(),
         CliCommand::ServeOperator(file) => serve_operator(&file),
         CliCommand::Check(file) => check(&file),
     }
 }
 
-/// Serves with the platform's configuration, until the gateway has shut down.
-fn serve_platform() -> Result<(), GatewayError> {
+/// Serves with the configuration file that `ROUTER_CONFIG` names, until the gateway has shut down.
+fn serve_from_environment() -> Result<(), GatewayError> {
     let config = config::from_env(|key| std::env::var(key).ok())?;
     create_gateway(config)?.run()?;
     Ok(())
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -210,8 +210,8 @@
     /// Length of the retry budget's window in milliseconds; absent for no retry budget.
     #[serde(rename = "resend_span_ms")]
     pub retry_window_ms: Option<f64>,
-    /// Time in milliseconds within which the gateway must stop dispatching to a node after the
-    /// endpoint list has shown the node as draining or removed.
+    /// How long after an endpoint list first shows a node as draining or removed the gateway may
+    /// still send it requests, in milliseconds.
     #[serde(rename = "stop_sending_within_ms")]
     pub drain_grace_ms: f64,
     /// Burst that a node in slow start can process within one window, as a multiple of its capacity
--- a/crates/simulator-adapter/src/instance/mod.rs
+++ b/crates/simulator-adapter/src/instance/mod.rs
@@ -33,8 +33,8 @@
 }
 
 impl Instance {
-    /// Creates an instance. `seed` initializes the scheduler's random number generator, and `now`
-    /// is the current simulated time.
+    /// Creates an instance. `seed` is the seed of the hashes that the scheduler uses in place of
+    /// random numbers, and `now` is the current simulated time.
     ///
     /// # Errors
     ///
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,8 +1,8 @@
 //! The messages that the simulator and the adapter exchange.
 //!
-//! Only this module contains the names that are used on the wire. The fields and variants are named
-//! by the usual terms, and `serde(rename)` states the name on the wire where it differs. Special
-//! values of numbers, such as a negative shard for a new object, are also interpreted here.
+//! Only this module contains the names that are used on the wire. `serde(rename)` gives the name on
+//! the wire where it differs from the name of the field or variant. Special values of numbers, such
+//! as a negative shard for a new object, are also interpreted here.
 //!
 //! serde's error messages contain the names of these types and variants, and how many fields they
 //! have. Changing one of these changes what the adapter prints on an invalid line.
