--- a/crates/gateway/src/client_protocol/mod.rs
+++ b/crates/gateway/src/client_protocol/mod.rs
@@ -6,7 +6,7 @@
 pub mod resp;
 pub mod sftp;
 
-use crate::storage_request::{Response, SlotNumber, StorageRequest};
+use crate::storage_request::{CommandNumber, Response, StorageRequest};
 use io_scheduler::Micros;
 
 /// Result of [`ClientProtocol::parse_command`].
@@ -26,8 +26,8 @@
 /// The encoded reply to one command.
 #[derive(Debug)]
 pub struct EncodedReply {
-    /// Sequence number of the command on its connection. Replies are sent in this order.
-    pub slot: SlotNumber,
+    /// Number of the command. Replies are sent in this order.
+    pub command_number: CommandNumber,
     /// The bytes to send to the client.
     pub bytes: Vec<u8>,
 }
@@ -37,26 +37,26 @@
     /// Parses the command that starts at `position` in `input`. Advances `position` past the
     /// command unless it is incomplete or invalid.
     ///
-    /// `slot` is the sequence number of the command on its connection; responses to its requests
-    /// are passed to [`encode_response`](Self::encode_response) with the same number. `is_ready`
-    /// states whether the gateway can serve requests; commands such as `PING` report it.
+    /// Responses to the command's requests are passed to [`encode_response`](Self::encode_response)
+    /// with the same `command_number`. `has_node_in_service` states whether the gateway can serve
+    /// requests; commands such as `PING` report it.
     fn parse_command(
         &mut self,
         input: &[u8],
         position: &mut usize,
-        slot: SlotNumber,
-        is_ready: bool,
+        command_number: CommandNumber,
+        has_node_in_service: bool,
     ) -> ParsedCommand;
 
-    /// Handles the response to one request of the command at `slot`. Called at most once for each
-    /// submitted request, in any order. Appends the encoded reply to `out` once the command can be
-    /// answered.
+    /// Handles the response to one request of the command with this number. Called at most once for
+    /// each submitted request, in any order. Appends the encoded reply to `out` once the command
+    /// can be answered.
     ///
     /// The reply may be produced before all requests have been responded to: a listing fails as
     /// soon as one of its shards fails. Responses that arrive after the reply are ignored.
     fn encode_response(
         &mut self,
-        slot: SlotNumber,
+        command_number: CommandNumber,
         response: Response,
         out: &mut Vec<EncodedReply>,
     );
--- a/crates/gateway/src/client_protocol/resp/protocol.rs
+++ b/crates/gateway/src/client_protocol/resp/protocol.rs
@@ -7,7 +7,7 @@
 use crate::client_protocol::{ClientProtocol, EncodedReply, ParsedCommand};
 use crate::memory_budget::OVERLOADED_RETRY_AFTER;
 use crate::resp_wire_names::command;
-use crate::storage_request::{Operation, Response, SlotNumber};
+use crate::storage_request::{CommandNumber, Operation, Response};
 use io_scheduler::Micros;
 use std::rc::Rc;
 
@@ -31,14 +31,18 @@
 
     /// Executes a complete command, given as its name and arguments: replies to it or submits its
     /// request.
-    fn run_command(&self, name_and_arguments: &[&[u8]], is_ready: bool) -> ParsedCommand {
+    fn run_command(
+        &self,
+        name_and_arguments: &[&[u8]],
+        has_node_in_service: bool,
+    ) -> ParsedCommand {
         let Some((name, arguments)) = name_and_arguments.split_first() else {
             return ParsedCommand::Reply(Vec::new());
         };
         match name.to_ascii_uppercase().as_slice() {
             command::READ => self.read(arguments),
             command::WRITE => self.write(arguments),
-            b"PING" if is_ready => fixed_reply(reply::PONG),
+            b"PING" if has_node_in_service => fixed_reply(reply::PONG),
             b"PING" => fixed_reply(reply::NOT_READY),
             b"CLIENT" | b"SELECT" => fixed_reply(reply::OK),
             _ => fixed_reply(reply::UNKNOWN_COMMAND),
@@ -92,11 +96,11 @@
         &mut self,
         input: &[u8],
         position: &mut usize,
-        _slot: SlotNumber,
-        is_ready: bool,
+        _command_number: CommandNumber,
+        has_node_in_service: bool,
     ) -> ParsedCommand {
         match parse_arguments(input, position) {
-            Ok(Some(name_and_arguments)) => self.run_command(&name_and_arguments, is_ready),
+            Ok(Some(command)) => self.run_command(&command, has_node_in_service),
             Ok(None) => ParsedCommand::Incomplete,
             Err(error) => ParsedCommand::Close(reply::encode_syntax_error(error)),
         }
@@ -104,12 +108,15 @@
 
     fn encode_response(
         &mut self,
-        slot: SlotNumber,
+        command_number: CommandNumber,
         response: Response,
         out: &mut Vec<EncodedReply>,
     ) {
         let bytes = reply::encode_response(response);
-        out.push(EncodedReply { slot, bytes });
+        out.push(EncodedReply {
+            command_number,
+            bytes,
+        });
     }
 
     fn overloaded_reply(&self) -> Vec<u8> {
--- a/crates/gateway/src/client_protocol/resp/schema.rs
+++ b/crates/gateway/src/client_protocol/resp/schema.rs
@@ -74,7 +74,8 @@
 }
 
 /// Returns the maximum size of one request. Without a maximum, a request with an excessive size
-/// would be charged to its volume, and the volume would not be served again for a long time.
+/// would move the tags of its volume far ahead, and the volume would not be served again for a long
+/// time.
 fn max_units(storage: &DomainSettings) -> Units {
     if storage.max_units > 0.0 {
         Units(storage.max_units)
--- a/crates/gateway/src/client_protocol/sftp/protocol.rs
+++ b/crates/gateway/src/client_protocol/sftp/protocol.rs
@@ -10,7 +10,7 @@
 use crate::sftp_packet::{
     decode_packet, DecodedPacket, Fields, Packet, PacketType, RequestId, VERSION,
 };
-use crate::storage_request::{Response, SlotNumber};
+use crate::storage_request::{CommandNumber, Response};
 use io_scheduler::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -25,8 +25,8 @@
     initialized: bool,
     /// State of the client between commands.
     session: Session,
-    /// Commands whose requests are in flight, by slot.
-    pending: BTreeMap<SlotNumber, PendingCommand>,
+    /// Commands whose requests are in flight, by command number.
+    pending: BTreeMap<CommandNumber, PendingCommand>,
 }
 
 impl SftpProtocol {
@@ -54,10 +54,10 @@
         ParsedCommand::Reply(Packet::new(PacketType::VERSION).u32(VERSION).finish())
     }
 
-    /// Executes the command at `slot`. `fields` contains the fields after the request id.
+    /// Executes the command with this number. `fields` contains the fields after the request id.
     fn run_command(
         &mut self,
-        slot: SlotNumber,
+        command_number: CommandNumber,
         packet_type: PacketType,
         request_id: RequestId,
         fields: Fields<'_>,
@@ -72,7 +72,7 @@
                     request_id,
                     operation,
                 };
-                self.pending.insert(slot, command);
+                self.pending.insert(command_number, command);
                 ParsedCommand::Submit(requests)
             }
             Err(error) => ParsedCommand::Reply(error.to_status(request_id)),
@@ -85,8 +85,8 @@
         &mut self,
         input: &[u8],
         position: &mut usize,
-        slot: SlotNumber,
-        _ready: bool,
+        command_number: CommandNumber,
+        _has_node_in_service: bool,
     ) -> ParsedCommand {
         let packet = match decode_packet(input, position) {
             Ok(Some(packet)) => packet,
@@ -101,24 +101,27 @@
             mut fields,
         } = packet;
         match fields.request_id() {
-            Ok(request_id) => self.run_command(slot, packet_type, request_id, fields),
+            Ok(request_id) => self.run_command(command_number, packet_type, request_id, fields),
             Err(_) => ParsedCommand::Close(Vec::new()),
         }
     }
 
     fn encode_response(
         &mut self,
-        slot: SlotNumber,
+        command_number: CommandNumber,
         response: Response,
         out: &mut Vec<EncodedReply>,
     ) {
-        let Some(command) = self.pending.remove(&slot) else {
+        let Some(command) = self.pending.remove(&command_number) else {
             return;
         };
         match self.session.handle_response(command, response) {
-            CommandProgress::Completed(bytes) => out.push(EncodedReply { slot, bytes }),
+            CommandProgress::Completed(bytes) => out.push(EncodedReply {
+                command_number,
+                bytes,
+            }),
             CommandProgress::Pending(command) => {
-                self.pending.insert(slot, command);
+                self.pending.insert(command_number, command);
             }
         }
     }
--- a/crates/gateway/src/connections/client/accept.rs
+++ b/crates/gateway/src/connections/client/accept.rs
@@ -24,8 +24,8 @@
     /// The accept queue is empty, or the limits for this turn have been reached.
     Done,
     /// A connection in the accept queue cannot be accepted, and there is no idle connection to
-    /// close for it. The caller must pause accepting: the poller would report the listener again at
-    /// once, and the event loop would spin.
+    /// close for it. The caller pauses the other listeners; see
+    /// [`Listeners::pause_all_except`](crate::connections::listener::Listeners::pause_all_except).
     Blocked,
 }
 
--- a/crates/gateway/src/connections/client/client_connections.rs
+++ b/crates/gateway/src/connections/client/client_connections.rs
@@ -38,8 +38,8 @@
 }
 
 impl ClientConnections {
-    /// Creates an empty set of connections. `now` is the seed for SFTP handles, so that they differ
-    /// from those of an earlier run of the gateway.
+    /// Creates an empty set of connections. `now` is the first client request id of SFTP requests,
+    /// so that the ids differ from those of an earlier run of the gateway.
     pub(crate) fn new(config: &Config, limits: ConnectionLimits, now: Micros) -> ClientConnections {
         let file_bytes = config.memory_budget.sftp_file_bytes;
         let sftp = config
@@ -83,7 +83,7 @@
     pub(super) fn store(&mut self, mut client: ClientConnection, timers: &mut TimerQueue) {
         let close_at = client.close_at();
         client.timer.set(close_at, timers);
-        client.eviction_candidate = client.as_eviction_candidate();
+        client.eviction_candidate = client.to_eviction_candidate();
         if let Some(candidate) = client.eviction_candidate {
             self.eviction_queue.insert(candidate);
         }
--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -2,7 +2,7 @@
 
 use super::client_connections::ClientConnections;
 use super::connection::{ClientConnection, PreCloseRead};
-use super::eviction_queue::EvictionPriority;
+use super::eviction_queue::EvictionRank;
 use crate::connection_token::ConnectionToken;
 use crate::connections::socket::Interest;
 use crate::context::{ConnectionKind, Context};
@@ -44,7 +44,7 @@
     ) {
         match client.read_before_close() {
             PreCloseRead::NoInput => self.linger(client, context),
-            PreCloseRead::Input => self.advance(client, context),
+            PreCloseRead::Input => self.run_commands_and_flush(client, context),
             PreCloseRead::Ended => self.drop_connection(client, context),
         }
     }
@@ -54,8 +54,8 @@
     /// If the gateway closed the socket while the client is still sending, TCP would reset the
     /// connection and the client might lose the last reply. The gateway therefore shuts down its
     /// sending side first. It then reads and discards input until the client closes its side too.
-    /// The discarded bytes may contain requests. They were not executed, and the client sends them
-    /// again on another connection.
+    /// Requests in the discarded bytes are not executed; the client is expected to send them again
+    /// on another connection.
     pub(super) fn linger(&mut self, mut client: ClientConnection, context: &mut Context) {
         if !client.is_lingering() {
             if client.socket.shutdown_write().is_err() {
@@ -74,7 +74,7 @@
 
     /// Closes a connection without a lingering close. For each request of a command without a
     /// reply, the dispatcher is notified that the client has disconnected. That does not cancel
-    /// every attempt; see [`crate::dispatcher::Dispatcher::client_disconnected`].
+    /// every attempt; see [`crate::dispatcher::Dispatcher::record_response_not_needed`].
     pub(super) fn drop_connection(&mut self, mut client: ClientConnection, context: &mut Context) {
         context.free(client.token());
         client.timer.cancel(&mut context.timers);
@@ -85,14 +85,15 @@
             .counted_partial_command_bytes
             .set(0, &mut self.partial_command_bytes);
         for id in client.replies.into_open_requests() {
-            context.client_disconnected(id);
+            context.record_response_not_needed(id);
         }
     }
 
-    /// Removes a connection from the number of those that have sent a request.
+    /// Stops counting a connection among those that have sent a request. Lowers its eviction rank,
+    /// which records whether it is counted.
     fn uncount_requesting_client(&mut self, client: &mut ClientConnection) {
-        if client.eviction_priority == EvictionPriority::SentRequest {
-            client.eviction_priority = EvictionPriority::SentCommand;
+        if client.eviction_rank == EvictionRank::SentRequest {
+            client.eviction_rank = EvictionRank::SentCommand;
             self.requesting_clients -= 1;
         }
     }
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -2,7 +2,7 @@
 
 use super::client_connections::ClientConnections;
 use super::connection::{ClientConnection, MAX_INPUT_BYTES, MAX_UNSENT_BYTES};
-use super::eviction_queue::EvictionPriority;
+use super::eviction_queue::EvictionRank;
 use crate::client_protocol::ParsedCommand;
 use crate::context::Context;
 use crate::storage_request::{ReplySlot, StorageRequest};
@@ -14,16 +14,19 @@
 const MAX_BACKLOG_FACTOR: usize = 2;
 
 impl ClientConnections {
-    /// Does all pending work on a connection: runs the commands that have arrived and writes the
-    /// replies that are ready. Then stores the connection, starts or continues its lingering close,
-    /// or drops it.
-    pub(super) fn advance(&mut self, mut client: ClientConnection, context: &mut Context) {
+    /// Runs the commands that have arrived on a connection and writes the replies that are ready.
+    /// Then stores the connection, starts or continues its lingering close, or drops it.
+    pub(super) fn run_commands_and_flush(
+        &mut self,
+        mut client: ClientConnection,
+        context: &mut Context,
+    ) {
         let parsed_bytes = self.run_commands(&mut client, context);
         self.consume_input(&mut client, parsed_bytes, context);
         let input_is_full = client.socket.input.len() >= MAX_INPUT_BYTES;
-        let is_drained =
-            context.shutdown.is_draining() && !client.has_partial_command_or_open_upload();
-        let may_close = client.is_closing() || is_drained;
+        let is_closable_for_shutdown =
+            context.shutdown.is_closing_clients() && !client.has_partial_command_or_open_upload();
+        let may_close = client.is_closing() || is_closable_for_shutdown;
         let flushed = self.flush(&mut client, context.now);
         if flushed.is_err() || self.has_excessive_backlog(&client, context) {
             return self.drop_connection(client, context);
@@ -73,13 +76,13 @@
         requests: Vec<StorageRequest>,
         context: &mut Context,
     ) {
-        if client.eviction_priority < EvictionPriority::SentRequest {
-            client.eviction_priority = EvictionPriority::SentRequest;
+        if client.eviction_rank < EvictionRank::SentRequest {
+            client.eviction_rank = EvictionRank::SentRequest;
             self.requesting_clients += 1;
         }
         let reply_slot = ReplySlot {
             connection: client.token(),
-            slot: client.replies.next_slot(),
+            command_number: client.replies.next_command_number(),
         };
         let ids = requests
             .into_iter()
@@ -125,9 +128,9 @@
         result
     }
 
-    /// Returns whether to disconnect a client because it reads its replies too slowly. This is so
-    /// if it has more than [`MAX_UNSENT_BYTES`] of unsent output and the unsent replies of all
-    /// clients exceed [`MAX_BACKLOG_FACTOR`] times their budget.
+    /// Returns whether to disconnect a client because it reads its replies too slowly: it has more
+    /// than [`MAX_UNSENT_BYTES`] of unsent output, and the unsent replies of all clients exceed
+    /// [`MAX_BACKLOG_FACTOR`] times their budget.
     ///
     /// The limits that stop parsing do not bound the replies to commands already in flight. This
     /// check does, before the process runs out of memory.
--- a/crates/gateway/src/connections/client/connection.rs
+++ b/crates/gateway/src/connections/client/connection.rs
@@ -1,6 +1,6 @@
 //! The state of one client connection.
 
-use super::eviction_queue::{EvictionCandidate, EvictionPriority};
+use super::eviction_queue::{EvictionCandidate, EvictionRank};
 use super::reply_queue::ReplyQueue;
 use crate::client_protocol::resp::MAX_COMMAND_BYTES;
 use crate::client_protocol::{ClientProtocol, EncodedReply, ParsedCommand};
@@ -10,8 +10,8 @@
 use crate::connections::socket::{Interest, Socket, StreamStatus};
 use io_scheduler::{Micros, RequestId};
 
-/// Maximum input in bytes that is buffered for a connection: the largest command with the length
-/// prefixes of its words.
+/// Maximum input in bytes that is buffered for a connection: the largest command, including the
+/// length lines of its arguments.
 pub(super) const MAX_INPUT_BYTES: usize = MAX_COMMAND_BYTES + (2 << 10);
 /// Maximum number of commands of one connection that wait for a reply. No further command is parsed
 /// until a reply is sent.
@@ -40,8 +40,8 @@
     pub(super) replies: ReplyQueue,
     /// Whether the connection runs commands or is closing.
     pub(super) lifecycle: Lifecycle,
-    /// What the client has sent so far. Determines how early the connection is evicted.
-    pub(super) eviction_priority: EvictionPriority,
+    /// Rank in the order of eviction, which records what the client has sent so far.
+    pub(super) eviction_rank: EvictionRank,
     /// When the connection last made progress. Progress is: the connection was accepted, the client
     /// sent a complete command or read some of its output, a response to one of its requests
     /// arrived, or the lingering close started.
@@ -98,7 +98,7 @@
             protocol,
             replies: ReplyQueue::default(),
             lifecycle: Lifecycle::Open,
-            eviction_priority: EvictionPriority::NoCommand,
+            eviction_rank: EvictionRank::NoCommand,
             last_active_at: now,
             partial_command_since: None,
             eviction_candidate: None,
@@ -161,9 +161,13 @@
         position: &mut usize,
         has_node_in_service: bool,
     ) -> ParsedCommand {
-        let slot = self.replies.next_slot();
-        self.protocol
-            .parse_command(&self.socket.input, position, slot, has_node_in_service)
+        let command_number = self.replies.next_command_number();
+        self.protocol.parse_command(
+            &self.socket.input,
+            position,
+            command_number,
+            has_node_in_service,
+        )
     }
 
     /// Discards the parsed input, or all input if the connection is closing. Updates
@@ -186,7 +190,7 @@
     /// Records that a complete command was run at the time `now`, and queues its reply if it is
     /// ready.
     pub(super) fn record_command(&mut self, now: Micros) {
-        self.eviction_priority = self.eviction_priority.max(EvictionPriority::SentCommand);
+        self.eviction_rank = self.eviction_rank.max(EvictionRank::SentCommand);
         self.last_active_at = now;
         self.queue_ready_replies();
     }
@@ -235,7 +239,7 @@
 
     /// Returns how long the connection may be idle, in microseconds.
     fn idle_timeout(&self) -> Micros {
-        if self.eviction_priority > EvictionPriority::NoCommand {
+        if self.eviction_rank > EvictionRank::NoCommand {
             self.protocol.idle_timeout()
         } else {
             COMMAND_TIMEOUT
@@ -244,17 +248,17 @@
 
     /// Returns the entry for the eviction queue; `None` if a reply is pending or an upload is open.
     /// As in [`Self::is_idle`], other open handles are ignored.
-    pub(super) fn as_eviction_candidate(&self) -> Option<EvictionCandidate> {
+    pub(super) fn to_eviction_candidate(&self) -> Option<EvictionCandidate> {
         if !self.is_fully_replied() || self.protocol.has_open_upload() {
             return None;
         }
-        let priority = if self.socket.input.is_empty() {
-            self.eviction_priority
+        let rank = if self.socket.input.is_empty() {
+            self.eviction_rank
         } else {
-            EvictionPriority::PartialCommand
+            EvictionRank::PartialCommand
         };
         Some(EvictionCandidate {
-            priority,
+            rank,
             last_active_at: self.last_active_at,
             token: self.token(),
         })
--- a/crates/gateway/src/connections/client/events.rs
+++ b/crates/gateway/src/connections/client/events.rs
@@ -22,7 +22,7 @@
             return;
         };
         match read_input(&mut client, flags) {
-            Ok(StreamStatus::Open) => self.advance(client, context),
+            Ok(StreamStatus::Open) => self.run_commands_and_flush(client, context),
             // The client has disconnected, so commands that are still in the input buffer are not
             // run.
             Ok(StreamStatus::Ended) | Err(_) => self.drop_connection(client, context),
@@ -44,7 +44,7 @@
             return self.close_unless_active(client, context);
         }
         client.close_after_reply(reply);
-        self.advance(client, context);
+        self.run_commands_and_flush(client, context);
     }
 
     /// Passes a response to the command that its request belongs to, and sends the reply to the
@@ -61,15 +61,14 @@
         let mut encoded = Vec::new();
         client
             .protocol
-            .encode_response(reply_slot.slot, response, &mut encoded);
-        // A reply may be complete before all requests of its command are. Once one part of a
-        // listing has failed, the dispatcher is notified that the responses to the other parts are
-        // no longer needed.
+            .encode_response(reply_slot.command_number, response, &mut encoded);
+        // A listing is replied to as soon as one shard has failed. The dispatcher is then notified
+        // that the responses of the other shards are not needed.
         for id in client.complete_replies(encoded) {
-            context.client_disconnected(id);
+            context.record_response_not_needed(id);
         }
         client.last_active_at = context.now;
-        self.advance(client, context);
+        self.run_commands_and_flush(client, context);
     }
 }
 
--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -6,10 +6,10 @@
 use crate::context::Context;
 
 impl ClientConnections {
-    /// Evicts one connection without pending replies. Returns false if there is none.
+    /// Evicts one connection without pending replies. Returns whether there is such a candidate.
     ///
-    /// A connection with unread input stays open; see [`Self::evict`]. The result is true in that
-    /// case too, and the eviction is logged although it did not happen.
+    /// A candidate with unread input stays open; see [`Self::evict`]. The message is logged before
+    /// this is known.
     pub(super) fn evict_one(&mut self, context: &mut Context) -> bool {
         let Some(token) = self.eviction_queue.next_to_evict(context.now) else {
             return false;
@@ -28,7 +28,7 @@
         };
         let is_active = client.read_before_close() == PreCloseRead::Input;
         if is_active && !client.is_lingering() {
-            self.advance(client, context);
+            self.run_commands_and_flush(client, context);
         } else {
             self.drop_connection(client, context);
         }
--- a/crates/gateway/src/connections/client/eviction_queue.rs
+++ b/crates/gateway/src/connections/client/eviction_queue.rs
@@ -8,9 +8,10 @@
 /// transit, so other connections are evicted in preference to it.
 const FIRST_COMMAND_GRACE: Micros = 50_000;
 
-/// What a client has sent so far. Connections with the lowest priority are evicted first.
+/// Rank of an idle connection in the order of eviction, by what its client has sent so far. The
+/// first variant is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum EvictionPriority {
+pub(super) enum EvictionRank {
     /// No complete command.
     NoCommand,
     /// At least one complete command, but no request to a storage node.
@@ -25,20 +26,20 @@
 /// compares the fields in the order of their declaration, so they must not be reordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionCandidate {
-    /// What the client has sent so far.
-    pub(super) priority: EvictionPriority,
-    /// When the connection last made progress; among equal priorities, the longest idle one is
-    /// evicted first.
+    /// Rank in the order of eviction.
+    pub(super) rank: EvictionRank,
+    /// When the connection last made progress; among equal ranks, the longest idle one is evicted
+    /// first.
     pub(super) last_active_at: Micros,
     /// The connection's token. Makes the order total.
     pub(super) token: ConnectionToken,
 }
 
 impl EvictionCandidate {
-    /// Returns the lower bound of the range of candidates with this priority.
-    fn range_start(priority: EvictionPriority) -> EvictionCandidate {
+    /// Returns the lower bound of the range of candidates with this rank.
+    fn range_start(rank: EvictionRank) -> EvictionCandidate {
         EvictionCandidate {
-            priority,
+            rank,
             last_active_at: Micros::MIN,
             token: ConnectionToken::MIN,
         }
@@ -71,15 +72,15 @@
         if now - first.last_active_at >= FIRST_COMMAND_GRACE {
             return Some(first.token);
         }
-        let with_commands = EvictionCandidate::range_start(EvictionPriority::SentCommand);
+        let with_commands = EvictionCandidate::range_start(EvictionRank::SentCommand);
         let first_with_commands = self.candidates.range(with_commands..).next();
         Some(first_with_commands.unwrap_or(first).token)
     }
 
     /// Returns the connection that has been idle for longest among those that have sent a request.
     pub(super) fn longest_idle_requesting_client(&self) -> Option<ConnectionToken> {
-        let first = EvictionCandidate::range_start(EvictionPriority::SentRequest);
-        let end = EvictionCandidate::range_start(EvictionPriority::PartialCommand);
+        let first = EvictionCandidate::range_start(EvictionRank::SentRequest);
+        let end = EvictionCandidate::range_start(EvictionRank::PartialCommand);
         self.candidates
             .range(first..end)
             .next()
--- a/crates/gateway/src/connections/client/reply_queue.rs
+++ b/crates/gateway/src/connections/client/reply_queue.rs
@@ -1,7 +1,7 @@
 //! The pending replies of one client connection, in the order of its commands.
 
 use crate::client_protocol::EncodedReply;
-use crate::storage_request::SlotNumber;
+use crate::storage_request::CommandNumber;
 use io_scheduler::RequestId;
 use std::collections::VecDeque;
 
@@ -11,15 +11,15 @@
 pub(super) struct ReplyQueue {
     /// The replies, in the order of their commands.
     pending: VecDeque<PendingReply>,
-    /// The slot of the next command's reply.
-    next_slot: SlotNumber,
+    /// Number of the next command.
+    next_command_number: CommandNumber,
 }
 
 /// The reply to one command.
 #[derive(Debug)]
 struct PendingReply {
-    /// Position among the replies of the connection.
-    slot: SlotNumber,
+    /// Number of the command on the connection.
+    command_number: CommandNumber,
     /// The encoded reply, or the requests whose responses are awaited.
     content: ReplyContent,
 }
@@ -44,9 +44,9 @@
         self.pending.len()
     }
 
-    /// The slot of the next command's reply.
-    pub(super) fn next_slot(&self) -> SlotNumber {
-        self.next_slot
+    /// Number of the next command.
+    pub(super) fn next_command_number(&self) -> CommandNumber {
+        self.next_command_number
     }
 
     /// Adds the encoded reply to the next command.
@@ -62,17 +62,18 @@
     /// Adds the reply to the next command, encoded or pending.
     fn push(&mut self, content: ReplyContent) {
         self.pending.push_back(PendingReply {
-            slot: self.next_slot,
+            command_number: self.next_command_number,
             content,
         });
-        self.next_slot = self.next_slot.next();
+        self.next_command_number = self.next_command_number.next();
     }
 
     /// Stores the encoded reply to a command. Returns the requests of the command; some of them may
     /// not have a response yet.
     pub(super) fn complete(&mut self, reply: EncodedReply) -> Vec<RequestId> {
         let mut pending = self.pending.iter_mut();
-        let Some(pending) = pending.find(|pending| pending.slot == reply.slot) else {
+        let Some(pending) = pending.find(|pending| pending.command_number == reply.command_number)
+        else {
             return Vec::new();
         };
         let encoded = ReplyContent::Encoded(reply.bytes);
--- a/crates/gateway/src/connections/counted_bytes.rs
+++ b/crates/gateway/src/connections/counted_bytes.rs
@@ -2,8 +2,8 @@
 
 /// The number of bytes that one connection contributes to a total over all connections.
 ///
-/// The connection remembers its contribution, so that the total can be adjusted when the
-/// contribution changes and reduced when the connection is closed.
+/// The struct stores the contribution, so that the total can be adjusted when the contribution
+/// changes and reduced when the connection is closed.
 #[derive(Debug, Default)]
 pub(crate) struct CountedBytes {
     /// The contribution that the total currently includes.
--- a/crates/gateway/src/connections/descriptors.rs
+++ b/crates/gateway/src/connections/descriptors.rs
@@ -6,9 +6,9 @@
 /// Number of descriptors reserved for everything except client and node connections: listeners,
 /// files, pipes, the poller and the discovery watch.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// At most one in this many descriptors may be used by client connections that have sent a request.
-/// Clients are expected to use up to a third of the descriptors for requests. Limiting them to a
-/// quarter leaves descriptors for new connections.
+/// Client connections that have sent a request may use at most the number of descriptors divided by
+/// this. The limit of a quarter is below the third that clients are expected to use, so that
+/// descriptors remain for new connections.
 const DESCRIPTORS_PER_REQUESTING_CLIENT: usize = 4;
 /// Percentage of the unreserved descriptors that connections to nodes may use.
 const NODE_CONNECTION_PERCENT: usize = 40;
--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -20,8 +20,8 @@
 const FIRST_RESPONSE_TIMEOUT: Micros = 2_500_000;
 /// Maximum time, in microseconds, between two arrivals of data on a watch. The discovery service
 /// sends an empty line as a heartbeat every 2 s, so a longer interval means that the connection is
-/// broken. Even then every update must take effect within 6 s. This limit leaves time for one
-/// failed attempt to open another watch.
+/// broken. An update must take effect within 6 s even if the connection breaks; 2.8 s leave time
+/// for one failed attempt to open another watch.
 const HEARTBEAT_TIMEOUT: Micros = 2_800_000;
 /// Maximum number of bytes that are read from a watch in one turn of the event loop.
 const MAX_BYTES_PER_TURN: usize = 256 << 10;
@@ -90,15 +90,15 @@
         })
     }
 
-    /// Sends the request for the changes after version `list_index` once the connection is
+    /// Sends the request for the changes after version `list_version` once the connection is
     /// established. Returns false until then.
-    fn send_request(&mut self, list_index: u64) -> io::Result<bool> {
+    fn send_request(&mut self, list_version: u64) -> io::Result<bool> {
         if !self.is_request_queued {
             if !self.socket.is_connected()? {
                 return Ok(false);
             }
             self.is_request_queued = true;
-            let request = watch_request(&self.address, list_index);
+            let request = watch_request(&self.address, list_version);
             self.socket.output().extend_from_slice(request.as_bytes());
         }
         self.socket.flush()?;
@@ -132,26 +132,26 @@
     /// Whether an update has arrived on the current connection.
     has_received_update: bool,
     /// The last received version of the endpoint list; 0 if none is known.
-    list_index: u64,
+    list_version: u64,
 }
 
 impl DiscoveryWatch {
     /// Creates a watch without a connection. The first request asks for the changes after version
-    /// `list_index`.
-    pub(crate) fn new(list_index: u64) -> DiscoveryWatch {
+    /// `list_version`.
+    pub(crate) fn new(list_version: u64) -> DiscoveryWatch {
         DiscoveryWatch {
             connection: None,
             timer_expires_at: None,
             opened_at: 0,
             has_received_update: false,
-            list_index,
+            list_version,
         }
     }
 
     /// Makes the next request ask for the complete list. Called when the configured discovery
     /// service changes, because each service numbers its versions independently.
-    pub(crate) fn reset_list_index(&mut self) {
-        self.list_index = 0;
+    pub(crate) fn reset_list_version(&mut self) {
+        self.list_version = 0;
     }
 
     /// Opens a watch if the address of a discovery service is configured. A watch that is already
@@ -179,7 +179,7 @@
     /// Handles the connection after the poller has reported it. The caller applies the outcome.
     pub(crate) fn handle_ready(&mut self, context: &mut Context) -> WatchOutcome {
         let mut updates = Vec::new();
-        let result = self.advance(&mut updates, context);
+        let result = self.send_and_receive(&mut updates, context);
         WatchOutcome {
             updates,
             failure: result.err(),
@@ -188,7 +188,7 @@
 
     /// Sends the request if that has not been done, and receives updates. Appends complete updates
     /// to `updates`, even if an error follows them.
-    fn advance(
+    fn send_and_receive(
         &mut self,
         updates: &mut Vec<EndpointListUpdate>,
         context: &mut Context,
@@ -196,7 +196,7 @@
         let Some(connection) = &mut self.connection else {
             return Ok(());
         };
-        if !connection.send_request(self.list_index)? {
+        if !connection.send_request(self.list_version)? {
             return Ok(());
         }
         let input = connection.receive(updates)?;
@@ -227,7 +227,7 @@
                 "discovery: received {count} endpoints {elapsed_ms} ms after opening the watch"
             );
         }
-        self.list_index = update.index;
+        self.list_version = update.version;
     }
 
     /// Handles the expiry of the watch's timer: no data has arrived in time.
@@ -239,7 +239,7 @@
     /// Closes a watch that has failed or ended. The scheduler decides when to open another one.
     pub(crate) fn fail(&mut self, failure: &WatchFailure, context: &mut Context) {
         log::info!(
-            "discovery: watch failed after {} ms: {failure}",
+            "discovery: watch ended after {} ms: {failure}",
             self.elapsed_ms(context.now)
         );
         let event = if self.has_received_update {
--- a/crates/gateway/src/connections/listener.rs
+++ b/crates/gateway/src/connections/listener.rs
@@ -12,8 +12,8 @@
 /// connect at once. The kernel drops connection attempts that exceed the queue, and a client
 /// retries a dropped attempt only after a second.
 const ACCEPT_BACKLOG: i32 = 1024;
-/// How long, in microseconds, accepting pauses after a connection could not be accepted and there
-/// was no idle connection to close for it.
+/// How long, in microseconds, accepting pauses on the other listeners after a connection could not
+/// be accepted and there was no idle connection to close for it.
 const ACCEPT_PAUSE: Micros = 20_000;
 
 /// The protocol that the clients of a listener use.
@@ -98,7 +98,8 @@
     }
 
     /// Stops accepting for [`ACCEPT_PAUSE`] on all listeners except `handled`, the one that is
-    /// being handled. The poller continues to report that one.
+    /// being handled. The poller reports that one in every turn as long as a connection is in its
+    /// accept queue.
     pub(crate) fn pause_all_except(&self, handled: ConnectionToken, context: &mut Context) {
         for listener in &self.listeners {
             if listener.token != handled {
--- a/crates/gateway/src/connections/node/attempts.rs
+++ b/crates/gateway/src/connections/node/attempts.rs
@@ -14,7 +14,7 @@
     pub(crate) fn start_attempt(&mut self, attempt: AttemptSpec, context: &mut Context) {
         // Skip the attempt if it was aborted earlier in this turn, for example because the client
         // has disconnected.
-        if !context.dispatcher.is_awaiting(attempt.id) {
+        if !context.dispatcher.awaits_result_of(attempt.id) {
             return;
         }
         let operation = attempt.request.operation;
@@ -30,7 +30,7 @@
         self.attempt_connections
             .insert(attempt.id, connection.token());
         connection.in_flight = Some(InFlightAttempt::new(attempt, context.now));
-        self.advance(connection, context);
+        self.write_pending(connection, context);
     }
 
     /// Returns a connection for a new request: a suitable idle one from the pool, or else a new
@@ -51,8 +51,8 @@
     /// first.
     ///
     /// Connections that are not reusable, or have been idle for too long for any request, are
-    /// closed in the process. A connection that is still being established needs no check, because
-    /// it has never been idle at the node.
+    /// closed. A connection that is still being established needs no check, because it has never
+    /// been idle at the node.
     fn take_idle(
         &mut self,
         node: NodeId,
@@ -106,15 +106,15 @@
         };
         let in_flight = connection.in_flight.take();
         if in_flight.is_some_and(|in_flight| !in_flight.is_encoded()) {
-            self.advance(connection, context);
+            self.write_pending(connection, context);
         } else {
             self.drop_connection(connection, context);
         }
     }
 
-    /// Does all pending work on a connection: encodes its request if the connection is ready,
-    /// writes pending output, and returns the connection to its pool if it has no attempt.
-    pub(super) fn advance(&mut self, mut connection: NodeConnection, context: &mut Context) {
+    /// Encodes the request of a connection if the connection is ready, writes its pending output,
+    /// and returns it to its pool if it has no attempt.
+    pub(super) fn write_pending(&mut self, mut connection: NodeConnection, context: &mut Context) {
         if connection.is_ready() {
             self.write_request(&mut connection, context);
         }
--- a/crates/gateway/src/connections/node/events.rs
+++ b/crates/gateway/src/connections/node/events.rs
@@ -12,8 +12,8 @@
 
 /// Maximum number of bytes of an invalid response that are logged.
 const MAX_LOGGED_BYTES: usize = 80;
-/// Number of bytes at the start of each response, half of an input buffer, that are not counted
-/// against the budget for large responses.
+/// Only the bytes of a response beyond this number, which is half of the maximum input buffer,
+/// count against the budget for large responses.
 const UNCOUNTED_RESPONSE_BYTES: usize = MAX_BUFFERED_INPUT_BYTES / 2;
 
 impl NodeConnections {
@@ -66,7 +66,7 @@
         if status == StreamStatus::Ended {
             return self.fail_connection(connection, AbortCause::ConnectionLost, context);
         }
-        self.advance(connection, context);
+        self.write_pending(connection, context);
     }
 
     /// Decodes the buffered input. Returns the result of the attempt once its response is complete.
--- a/crates/gateway/src/connections/node/idle_timeout.rs
+++ b/crates/gateway/src/connections/node/idle_timeout.rs
@@ -17,15 +17,16 @@
 /// A non-idempotent request may use a connection that was idle for at most the estimate divided by
 /// this. The bound is lower because such a request cannot be retried after a reset.
 const NON_IDEMPOTENT_DIVISOR: Micros = 2;
-/// A reset after a shorter idle time divides the longest answered idle time by this.
+/// When a connection is reset after an idle time shorter than `longest_answered_idle_time`, this
+/// field is divided by this constant.
 const LONGEST_ANSWERED_DIVISOR: Micros = 2;
 /// Maximum of the estimate after a reset, in percent of the idle time before the request that was
 /// reset.
 const RESET_IDLE_PERCENT: Micros = 75;
-/// A response raises the estimate if its connection was idle for more than the estimate divided by
-/// this.
+/// A response raises the estimate if its connection was idle, before the request, for more than the
+/// estimate divided by this.
 const RAISE_THRESHOLD_DIVISOR: Micros = 2;
-/// A response raises the estimate by the estimate divided by this.
+/// Each such response raises the estimate by the estimate divided by this.
 const RAISE_DIVISOR: Micros = 8;
 
 /// The estimated idle timeout of one node; see the [module](self). All times are in microseconds.
@@ -37,7 +38,7 @@
     maximum: Micros,
     /// The longest idle time after which a request still got a response. Reduced by each reset
     /// after a shorter idle time, which contradicts it.
-    longest_answered: Micros,
+    longest_answered_idle_time: Micros,
 }
 
 impl IdleTimeoutEstimate {
@@ -47,7 +48,7 @@
         IdleTimeoutEstimate {
             estimate: maximum,
             maximum,
-            longest_answered: 0,
+            longest_answered_idle_time: 0,
         }
     }
 
@@ -80,8 +81,8 @@
         // Another request got its response after a longer idle time, so a single reset is
         // attributed to another cause. Each such reset reduces the longest answered idle time, so
         // that repeated resets eventually lower the estimate.
-        if idle < self.longest_answered {
-            self.longest_answered /= LONGEST_ANSWERED_DIVISOR;
+        if idle < self.longest_answered_idle_time {
+            self.longest_answered_idle_time /= LONGEST_ANSWERED_DIVISOR;
         } else {
             let highest = idle * RESET_IDLE_PERCENT / 100;
             self.estimate = self.estimate.min(highest).max(MIN_IDLE_TIMEOUT);
@@ -91,7 +92,7 @@
     /// Records a response on a connection that had been idle for `idle` before the request. Raises
     /// the estimate if `idle` was a large part of it.
     pub fn record_response(&mut self, idle: Micros) {
-        self.longest_answered = self.longest_answered.max(idle);
+        self.longest_answered_idle_time = self.longest_answered_idle_time.max(idle);
         if idle > self.estimate / RAISE_THRESHOLD_DIVISOR {
             let raised = self.estimate + self.estimate / RAISE_DIVISOR;
             self.estimate = raised.min(self.maximum);
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -44,8 +44,8 @@
         context: &mut Context,
     ) -> Result<NodeConnection, OpenError> {
         self.close_idle_if_at_limit(node, context);
-        let address = self.address_within_limits(node)?;
-        let stream = self.connect(address.address, context)?;
+        let address = self.address_for_new_connection(node)?;
+        let stream = self.connect(address.socket_address, context)?;
         let kind = ConnectionKind::Node;
         let socket = Socket::register(stream, kind, Interest::Connect, context)?;
         self.count += 1;
@@ -59,9 +59,9 @@
         Ok(connection)
     }
 
-    /// Returns the address of a node, or an error if the limits do not allow another connection to
-    /// it.
-    fn address_within_limits(&self, node: NodeId) -> Result<NodeAddress, OpenError> {
+    /// Returns the address for a new connection to a node, or an error if the limits do not allow
+    /// one.
+    fn address_for_new_connection(&self, node: NodeId) -> Result<NodeAddress, OpenError> {
         let pool = self.pools.get(&node).ok_or(OpenError::NotListed)?;
         let address = pool.address.ok_or(OpenError::NoAddress)?;
         if self.count >= self.max_count || pool.count >= MAX_CONNECTIONS_PER_NODE {
--- a/crates/gateway/src/connections/node/pool.rs
+++ b/crates/gateway/src/connections/node/pool.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NodeAddress {
     /// The address to connect to.
-    pub(crate) address: SocketAddr,
+    pub(crate) socket_address: SocketAddr,
     /// The protocol that the node uses at this address.
     pub(crate) protocol: Protocol,
 }
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -18,11 +18,12 @@
 /// side (`RDHUP`), and, as long as there is unsent output, the socket is writable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Interest {
-    /// Wait for the connection to be established, when the socket becomes writable, or for input.
+    /// Wait until the socket is writable, which means that the connection is established or has
+    /// failed, or until input arrives.
     Connect,
     /// Wait for input.
     Read,
-    /// Wait for no further event: reading input is paused.
+    /// Don't wait for input, because reading is paused.
     Paused,
 }
 
--- a/crates/gateway/src/console/tables.rs
+++ b/crates/gateway/src/console/tables.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 
 /// Formats the table of nodes. The column `out` is the number of attempts in flight, and `units`
-/// the service that the node has given to this gateway.
+/// the units that the node has served for this gateway.
 pub fn format_nodes<'a>(nodes: impl Iterator<Item = &'a NodeState>) -> String {
     let mut table = format!(
         "{:<24} {:>6} {:<9} {:>5} {:>12}\n",
@@ -26,7 +26,7 @@
         name,
         shard: Shard(shard),
         status,
-        units: Units(units),
+        served_units: Units(units),
         attempts_in_flight,
         ..
     } = node;
@@ -72,7 +72,7 @@
         served,
         rejected,
         failed,
-        units: Units(units),
+        served_units: Units(units),
         ..
     } = counters;
     // Writing to a string cannot fail.
--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -144,9 +144,9 @@
 
     /// Notifies the dispatcher that the client of a request has disconnected or no longer needs
     /// its response.
-    pub(crate) fn client_disconnected(&mut self, id: RequestId) {
+    pub(crate) fn record_response_not_needed(&mut self, id: RequestId) {
         self.dispatcher
-            .client_disconnected(id, self.now, &mut self.timers);
+            .record_response_not_needed(id, self.now, &mut self.timers);
     }
 
     /// Reports the result of an attempt to the dispatcher.
--- a/crates/gateway/src/context/shutdown.rs
+++ b/crates/gateway/src/context/shutdown.rs
@@ -1,8 +1,8 @@
 //! State of a graceful shutdown.
 //!
 //! After a shutdown is requested, the gateway continues to serve for a grace period,
-//! [`SHUTDOWN_GRACE`], because clients may still connect. Then it drains: it closes client
-//! connections as soon as they are idle, and exits once it has been idle for [`EXIT_IDLE_TIME`].
+//! [`SHUTDOWN_GRACE`], because clients may still connect. Then it closes client connections as soon
+//! as they are idle, and exits once it has been idle for [`EXIT_IDLE_TIME`].
 
 use crate::timer_queue::{Timer, TimerQueue};
 use io_scheduler::Micros;
@@ -21,9 +21,9 @@
     /// Whether a shutdown was requested.
     is_requested: bool,
     /// Whether the grace period is over.
-    is_draining: bool,
-    /// Since when no client connection and no request has been open while draining; `None` if one
-    /// is.
+    is_closing_clients: bool,
+    /// Since when no client connection and no request has been open after the grace period; `None`
+    /// if one is.
     idle_since: Option<Micros>,
 }
 
@@ -44,16 +44,16 @@
     }
 
     /// Whether client connections are closed as soon as they are idle.
-    pub(crate) fn is_draining(&self) -> bool {
-        self.is_draining
+    pub(crate) fn is_closing_clients(&self) -> bool {
+        self.is_closing_clients
     }
 
-    /// Starts draining, if it has not started yet. Returns how long a client connection must have
-    /// been idle to be closed now, in microseconds: 0 when draining starts, and [`EXIT_IDLE_TIME`]
-    /// later, so that new connections have time to send a request.
-    pub(crate) fn start_draining(&mut self) -> Micros {
-        let was_draining = std::mem::replace(&mut self.is_draining, true);
-        if was_draining {
+    /// Records that idle client connections are being closed. Returns how long a client connection
+    /// must have been idle to be closed now, in microseconds: 0 at the first call, and
+    /// [`EXIT_IDLE_TIME`] later, so that new connections have time to send a request.
+    pub(crate) fn start_or_continue_closing_clients(&mut self) -> Micros {
+        let was_closing_clients = std::mem::replace(&mut self.is_closing_clients, true);
+        if was_closing_clients {
             EXIT_IDLE_TIME
         } else {
             0
--- a/crates/gateway/src/discovery/request.rs
+++ b/crates/gateway/src/discovery/request.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 
 /// Encodes the request that opens a watch on the endpoint list. Discovery responds with the changes
-/// made after the list version `from`.
+/// made after the list version `after_version`.
 #[must_use]
-pub fn watch_request(host: &SocketAddr, from: u64) -> String {
+pub fn watch_request(host: &SocketAddr, after_version: u64) -> String {
     format!(
-        "GET /v1/servers?watch=1&from={from} HTTP/1.1\r\n\
+        "GET /v1/servers?watch=1&from={after_version} HTTP/1.1\r\n\
          Host: {host}\r\n\
          Accept: application/json\r\n\
          \r\n"
--- a/crates/gateway/src/dispatcher/abort_cause.rs
+++ b/crates/gateway/src/dispatcher/abort_cause.rs
@@ -7,8 +7,8 @@
 pub enum AbortCause {
     /// No connection to the node could be opened, or it was not established in time.
     NoConnection,
-    /// The write deadline of a node that is out of service passed before the request was written to
-    /// it. See [`Dispatcher::may_write`](super::Dispatcher::may_write).
+    /// The node went out of service, and its write deadline passed before the gateway started to
+    /// write the request. See [`Dispatcher::may_write`](super::Dispatcher::may_write).
     WriteDeadlinePassed,
     /// The connection was closed or reset before the response was complete.
     ConnectionLost,
@@ -23,9 +23,9 @@
 impl AbortCause {
     /// The outcome to report to the scheduler.
     ///
-    /// If the node cannot have executed the request, a cancellation says nothing about the node and
-    /// is reported as [`Outcome::NotDispatched`]. Any other cause is then reported as a failure to
-    /// connect to the node.
+    /// If the node cannot have executed the request, a cancellation is reported as
+    /// [`Outcome::NotDispatched`], because it is no fault of the node, and every other cause as
+    /// [`Outcome::ConnectFailed`].
     pub(super) fn outcome(self, may_have_executed: bool) -> Outcome {
         match self {
             AbortCause::Cancelled if !may_have_executed => Outcome::NotDispatched,
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -41,9 +41,9 @@
         });
     }
 
-    /// Whether the result of an attempt is awaited.
+    /// Whether the attempt is in flight, so that its result is awaited.
     #[must_use]
-    pub fn is_awaiting(&self, attempt: AttemptId) -> bool {
+    pub fn awaits_result_of(&self, attempt: AttemptId) -> bool {
         self.requests.attempt(attempt).is_some()
     }
 
@@ -129,7 +129,12 @@
     /// Attempts that the node cannot have executed yet are aborted immediately. The scheduler
     /// decides about the others: those that it does not cancel run to completion, and their results
     /// are still reported to it.
-    pub fn client_disconnected(&mut self, id: RequestId, now: Micros, timers: &mut TimerQueue) {
+    pub fn record_response_not_needed(
+        &mut self,
+        id: RequestId,
+        now: Micros,
+        timers: &mut TimerQueue,
+    ) {
         let Some(unfinished) = self.requests.get_mut(id) else {
             return;
         };
--- a/crates/gateway/src/dispatcher/command.rs
+++ b/crates/gateway/src/dispatcher/command.rs
@@ -9,7 +9,7 @@
 pub enum Command {
     /// Forward a request to a node.
     StartAttempt {
-        /// The attempt that the result is reported for.
+        /// Id of the attempt, with which its result is reported.
         attempt: AttemptId,
         /// The node that the request is forwarded to.
         node: NodeId,
--- a/crates/gateway/src/dispatcher/endpoints.rs
+++ b/crates/gateway/src/dispatcher/endpoints.rs
@@ -12,17 +12,16 @@
         self.nodes.id_or_insert(name)
     }
 
-    /// Applies a snapshot or a delta of the endpoint list and reports it to the scheduler. If
-    /// `kind` is [`EndpointListEvent::PollFailed`] or [`EndpointListEvent::WatchLost`], `records`
-    /// is empty.
+    /// Applies a snapshot or a delta of the endpoint list, or the failure of a poll or a watch, and
+    /// reports it to the scheduler as `event`. `records` is empty for a failure.
     pub fn update_endpoints(
         &mut self,
-        kind: EndpointListEvent,
+        event: EndpointListEvent,
         records: &[EndpointRecord],
         now: Micros,
     ) {
-        let endpoints = self.nodes.apply(kind, records, now);
-        self.events.push(Event::EndpointList(kind, endpoints));
+        let endpoints = self.nodes.apply(event, records, now);
+        self.events.push(Event::EndpointList(event, endpoints));
     }
 
     /// Whether a node is listed, or removed but with attempts in flight.
--- a/crates/gateway/src/dispatcher/node_registry.rs
+++ b/crates/gateway/src/dispatcher/node_registry.rs
@@ -26,8 +26,8 @@
     next_id: u64,
     /// Zone names; the position of a name is the number of the zone.
     zones: Vec<String>,
-    /// How long a node still serves requests after an endpoint list has taken it out of service, in
-    /// microseconds.
+    /// How long after an endpoint list first shows a node out of service the gateway may still send
+    /// it requests, in microseconds.
     drain_grace: Micros,
 }
 
@@ -83,7 +83,7 @@
     /// scheduler's form. Events that report a failure have no records.
     pub(super) fn apply(
         &mut self,
-        kind: EndpointListEvent,
+        event: EndpointListEvent,
         records: &[EndpointRecord],
         now: Micros,
     ) -> Vec<Endpoint> {
@@ -91,7 +91,7 @@
             .iter()
             .map(|record| self.apply_record(record))
             .collect();
-        match kind {
+        match event {
             EndpointListEvent::Snapshot | EndpointListEvent::Cached => {
                 self.mark_unlisted_as_removed(&endpoints);
             }
@@ -118,7 +118,7 @@
             return;
         };
         node.attempts_in_flight = node.attempts_in_flight.saturating_sub(1);
-        node.units += served_units;
+        node.served_units += served_units;
         if node.is_obsolete() {
             self.ids_by_name.remove(&node.name);
             self.nodes.remove(&id);
--- a/crates/gateway/src/dispatcher/node_state.rs
+++ b/crates/gateway/src/dispatcher/node_state.rs
@@ -12,7 +12,7 @@
     /// Status in the endpoint list.
     pub status: EndpointStatus,
     /// Units that the node has served for this gateway.
-    pub units: Units,
+    pub served_units: Units,
     /// Attempts in flight at the node.
     pub attempts_in_flight: usize,
     /// From this time on, the gateway must not start to write an attempt to the node. `None` while
@@ -27,7 +27,7 @@
             name: name.to_owned(),
             shard: Shard(0),
             status: EndpointStatus::Removed,
-            units: Units::ZERO,
+            served_units: Units::ZERO,
             attempts_in_flight: 0,
             write_deadline: None,
         }
--- a/crates/gateway/src/dispatcher/responses.rs
+++ b/crates/gateway/src/dispatcher/responses.rs
@@ -20,7 +20,7 @@
         } else {
             Response::Failed
         };
-        self.finish(id, response, timers);
+        self.respond_and_remove_if_finished(id, response, timers);
     }
 
     /// Responds with a timeout to a request that the scheduler has not completed by its deadline.
@@ -45,7 +45,12 @@
 
     /// Sends the final response, and removes the request unless the result of an attempt is
     /// awaited.
-    pub(super) fn finish(&mut self, id: RequestId, response: Response, timers: &mut TimerQueue) {
+    pub(super) fn respond_and_remove_if_finished(
+        &mut self,
+        id: RequestId,
+        response: Response,
+        timers: &mut TimerQueue,
+    ) {
         self.respond(id, response);
         self.remove_if_finished(id, timers);
     }
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -24,7 +24,7 @@
 
     /// Whether events for the scheduler or commands for the event loop are pending.
     #[must_use]
-    pub fn has_work(&self) -> bool {
+    pub fn has_pending_events_or_commands(&self) -> bool {
         !self.events.is_empty() || !self.commands.is_empty()
     }
 
@@ -74,7 +74,11 @@
                 request,
                 retry_after,
             } => {
-                self.finish(request, Response::Rejected { retry_after }, timers);
+                self.respond_and_remove_if_finished(
+                    request,
+                    Response::Rejected { retry_after },
+                    timers,
+                );
             }
             Action::Fail(request) => self.fail(request, now, timers),
             Action::Cancel {
--- a/crates/gateway/src/dispatcher/state.rs
+++ b/crates/gateway/src/dispatcher/state.rs
@@ -30,7 +30,8 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher without nodes or requests. `seed` seeds the scheduler's random choices.
+    /// Creates a dispatcher without nodes or requests. `seed` is the seed of the hashes that the
+    /// scheduler uses in place of random numbers.
     ///
     /// # Errors
     ///
@@ -54,7 +55,7 @@
         })
     }
 
-    /// The counters of the volumes with the most requests, by volume.
+    /// The counters of recently active volumes, by volume.
     #[must_use]
     pub fn volume_counters(&self) -> &BTreeMap<VolumeId, VolumeCounters> {
         self.volume_counters.by_volume()
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -17,8 +17,9 @@
 /// request before the client times out.
 const RESPONSE_DELIVERY_MARGIN: Micros = 6_000;
 /// The delivery margin is at most the client's timeout divided by this, so that a short timeout
-/// leaves most of its time to the attempts. If the timeout is below `OVERDUE_GRACE` times this, the
-/// dispatcher's response to an overdue request is sent after the client has timed out.
+/// leaves most of its time to the attempts. For timeouts below 12 ms (`OVERDUE_GRACE` times this),
+/// the margin is shorter than `OVERDUE_GRACE`, so the response to an overdue request is sent too
+/// late.
 const DELIVERY_MARGIN_DIVISOR: Micros = 4;
 
 impl Dispatcher {
--- a/crates/gateway/src/dispatcher/unfinished_request.rs
+++ b/crates/gateway/src/dispatcher/unfinished_request.rs
@@ -25,9 +25,9 @@
     pub(super) dispatched_at: Micros,
     /// When it times out.
     pub(super) times_out_at: Micros,
-    /// Whether the node may have executed the request: more of it was written than the node can
-    /// receive without executing it; see [`crate::node_protocol::NodeProtocol::encode_request`]. If
-    /// less was written, the node certainly has not executed the request.
+    /// Whether so many bytes of the request were written that the node may have executed it. The
+    /// threshold is the return value of [`crate::node_protocol::NodeProtocol::encode_request`]; up
+    /// to that many bytes, the node cannot have executed the request.
     pub(super) may_have_executed: bool,
 }
 
--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -4,12 +4,13 @@
 use io_scheduler::{Units, VolumeId};
 use std::collections::BTreeMap;
 
-/// If this many volumes have counters, the first request of another volume evicts some of them. The
-/// table can exceed this limit: a volume that was evicted while it had unfinished requests gets new
-/// counters at the next attempt or response of one of them.
+/// If this many volumes have counters, some counters are removed when a request for another volume
+/// is received. The table can exceed this limit: a volume whose counters were removed while it had
+/// unfinished requests gets new ones at the next attempt or response of one of these requests.
 const MAX_VOLUME_COUNTERS: usize = 2_000;
 
-/// Counters of one volume since they were created. An evicted volume starts again from 0.
+/// Counters of one volume since they were created. They restart from 0 after they were removed from
+/// the full table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VolumeCounters {
     /// Requests received, except those with the client request id of an unfinished request.
@@ -21,12 +22,13 @@
     /// Requests failed, including timeouts.
     pub failed: u64,
     /// Total units of the requests served.
-    pub units: Units,
+    pub served_units: Units,
     /// Attempts started at nodes.
     pub attempts: u64,
 }
 
-/// The counters of the volumes that sent the most requests.
+/// The counters of recently active volumes. When a request for a new volume is received while the
+/// table is full, the volumes with at most the median number of requests are removed.
 #[derive(Debug, Default)]
 pub(super) struct VolumeCounterTable {
     /// The counters, by volume.
@@ -58,14 +60,14 @@
         match response {
             Response::Served(_) => {
                 counters.served += 1;
-                counters.units += units;
+                counters.served_units += units;
             }
             Response::Rejected { .. } => counters.rejected += 1,
             Response::Failed | Response::TimedOut | Response::Invalid(_) => counters.failed += 1,
         }
     }
 
-    /// Returns the counters of a volume. They restart from 0 if they were evicted after its request
+    /// Returns the counters of a volume. They restart from 0 if they were removed after its request
     /// was received.
     fn counters(&mut self, volume: VolumeId) -> &mut VolumeCounters {
         self.by_volume.entry(volume).or_default()
--- a/crates/gateway/src/endpoint/update.rs
+++ b/crates/gateway/src/endpoint/update.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct EndpointListUpdate {
     /// Version of the list after this update.
-    pub index: u64,
+    pub version: u64,
     /// Whether this is the complete list.
     pub is_complete: bool,
     /// The entries.
@@ -40,7 +40,7 @@
     /// The event that is reported to the scheduler: a snapshot if the update replaces the list, a
     /// delta if it changes some entries.
     #[must_use]
-    pub fn kind(&self) -> EndpointListEvent {
+    pub fn event(&self) -> EndpointListEvent {
         if self.is_complete {
             EndpointListEvent::Snapshot
         } else {
--- a/crates/gateway/src/endpoint/wire.rs
+++ b/crates/gateway/src/endpoint/wire.rs
@@ -69,7 +69,7 @@
 impl From<WireUpdate> for EndpointListUpdate {
     fn from(update: WireUpdate) -> EndpointListUpdate {
         EndpointListUpdate {
-            index: update.index,
+            version: update.index,
             is_complete: update.snapshot,
             endpoints: update
                 .endpoints
--- a/crates/gateway/src/event_loop/console.rs
+++ b/crates/gateway/src/event_loop/console.rs
@@ -54,7 +54,7 @@
                 self.override_from_console(&name, OperatorOverride::Drain)
             }
             ConsoleCommand::Undrain(name) => {
-                self.override_from_console(&name, OperatorOverride::None)
+                self.override_from_console(&name, OperatorOverride::Unset)
             }
             ConsoleCommand::Reload => self.reload_from_console(),
             ConsoleCommand::Quit => {
@@ -89,7 +89,7 @@
             ""
         };
         format!(
-            "{name}: {in_service} nodes serving, {clients} client connections, \
+            "{name}: {in_service} nodes in service, {clients} client connections, \
              {node_connections} node connections, {requests} open requests{shutdown_suffix}\n"
         )
     }
@@ -101,7 +101,7 @@
         }
         match operator_override {
             OperatorOverride::Drain => format!("{name} is draining\n"),
-            OperatorOverride::None => format!("{name} is no longer drained from the console\n"),
+            OperatorOverride::Unset => format!("{name} is no longer drained from the console\n"),
         }
     }
 
--- a/crates/gateway/src/event_loop/console_input.rs
+++ b/crates/gateway/src/event_loop/console_input.rs
@@ -49,8 +49,8 @@
         self.token
     }
 
-    /// Reads the available input and returns the complete lines. If the input has ended, the lines
-    /// that arrived with its end are discarded.
+    /// Reads the available input and returns the complete lines. Lines that are read in the same
+    /// call as the end of the input are discarded.
     pub(super) fn read_lines(&mut self) -> Result<Vec<String>, InputClosed> {
         self.read_available()?;
         Ok(self.take_lines())
--- a/crates/gateway/src/event_loop/endpoint_table.rs
+++ b/crates/gateway/src/event_loop/endpoint_table.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OperatorOverride {
     /// No override: the node has the status that the endpoint list states.
-    None,
+    Unset,
     /// The node is treated as draining while the endpoint list states that it is in service.
     Drain,
 }
@@ -39,10 +39,10 @@
     #[must_use]
     pub(super) fn update(
         &mut self,
-        kind: EndpointListEvent,
+        event: EndpointListEvent,
         listed: Vec<EndpointRecord>,
     ) -> Vec<EndpointRecord> {
-        if kind != EndpointListEvent::Delta {
+        if event != EndpointListEvent::Delta {
             self.records.clear();
         }
         for record in &listed {
@@ -68,7 +68,7 @@
         };
         match operator_override {
             OperatorOverride::Drain => self.drained_by_operator.insert(name.to_owned()),
-            OperatorOverride::None => self.drained_by_operator.remove(name),
+            OperatorOverride::Unset => self.drained_by_operator.remove(name),
         };
         Ok(record.clone())
     }
--- a/crates/gateway/src/event_loop/endpoint_updates.rs
+++ b/crates/gateway/src/event_loop/endpoint_updates.rs
@@ -9,23 +9,23 @@
 use io_scheduler::EndpointListEvent;
 
 impl Gateway {
-    /// Applies a snapshot or a delta of the endpoint list. `kind` is the event that is reported to
+    /// Applies a snapshot or a delta of the endpoint list. `event` is the event that is reported to
     /// the scheduler for it.
     pub(super) fn apply_endpoint_update(
         &mut self,
         update: &EndpointListUpdate,
-        kind: EndpointListEvent,
+        event: EndpointListEvent,
     ) {
         let mut records = Vec::with_capacity(update.endpoints.len());
         for endpoint in update.listed_endpoints() {
             let address = NodeAddress {
-                address: endpoint.address,
+                socket_address: endpoint.address,
                 protocol: Protocol::Resp2,
             };
             self.set_node_address(&endpoint.record.name, address);
             records.push(endpoint.record);
         }
-        self.apply_records(kind, records);
+        self.apply_records(event, records);
     }
 
     /// Reloads the inventory, applies it as the complete list, and returns the number of nodes in
@@ -39,7 +39,7 @@
         let mut records = Vec::with_capacity(entries.len());
         for entry in entries {
             let address = NodeAddress {
-                address: entry.address,
+                socket_address: entry.address,
                 protocol: entry.protocol,
             };
             self.set_node_address(&entry.record.name, address);
@@ -70,11 +70,11 @@
 
     /// Stores records as listed, passes them to the dispatcher with the operator's overrides, and
     /// removes the connection pools of nodes that the dispatcher has dropped.
-    fn apply_records(&mut self, kind: EndpointListEvent, listed: Vec<EndpointRecord>) {
-        let records = self.endpoints.update(kind, listed);
+    fn apply_records(&mut self, event: EndpointListEvent, listed: Vec<EndpointRecord>) {
+        let records = self.endpoints.update(event, listed);
         self.context
             .dispatcher
-            .update_endpoints(kind, &records, self.context.now);
+            .update_endpoints(event, &records, self.context.now);
         self.node_connections.remove_unlisted(&mut self.context);
     }
 }
--- a/crates/gateway/src/event_loop/events.rs
+++ b/crates/gateway/src/event_loop/events.rs
@@ -46,7 +46,7 @@
     fn handle_watch_ready(&mut self) {
         let WatchOutcome { updates, failure } = self.watch.handle_ready(&mut self.context);
         for update in &updates {
-            self.apply_endpoint_update(update, update.kind());
+            self.apply_endpoint_update(update, update.event());
         }
         // Close the watch only after applying the updates that arrived before its failure.
         if let Some(failure) = failure {
@@ -74,7 +74,7 @@
             }
             Timer::Connection(token) => self.handle_connection_timer(token),
             Timer::DiscoveryWatch => self.watch.handle_timeout(context),
-            Timer::Shutdown => self.drain_clients(),
+            Timer::Shutdown => self.close_idle_clients(),
             Timer::ResumeAccepting => self.listeners.resume(context),
         }
     }
--- a/crates/gateway/src/event_loop/gateway.rs
+++ b/crates/gateway/src/event_loop/gateway.rs
@@ -60,7 +60,7 @@
             client_connections: ClientConnections::new(&context.config, limits, context.now),
             node_connections: NodeConnections::new(limits.nodes),
             endpoints: EndpointTable::default(),
-            watch: DiscoveryWatch::new(cached.index),
+            watch: DiscoveryWatch::new(cached.version),
             signals: SignalPipes::default(),
             console: None,
             context,
--- a/crates/gateway/src/event_loop/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! [`Gateway`] owns the client connections, the node connections, the listeners, the endpoint table
 //! and the discovery watch. They share the state in [`Context`](crate::context), which is passed to
-//! each of them. None of the modules that this one uses imports it.
+//! each of them. No other module of the library imports this one.
 
 mod console;
 mod console_input;
--- a/crates/gateway/src/event_loop/reload.rs
+++ b/crates/gateway/src/event_loop/reload.rs
@@ -42,7 +42,7 @@
     /// [`io_scheduler::Settings::discovery_clients`] determines when the gateway starts.
     fn set_discovery_address(&mut self, address: Option<SocketAddr>) {
         self.context.config.discovery = address;
-        self.watch.reset_list_index();
+        self.watch.reset_list_version();
         self.watch
             .close(EndpointListEvent::WatchLost, &mut self.context);
     }
--- a/crates/gateway/src/event_loop/shutdown.rs
+++ b/crates/gateway/src/event_loop/shutdown.rs
@@ -15,8 +15,8 @@
 
     /// Closes idle client connections, and sets the shutdown timer to do so again until the
     /// shutdown is complete.
-    pub(super) fn drain_clients(&mut self) {
-        let min_idle_time = self.context.shutdown.start_draining();
+    pub(super) fn close_idle_clients(&mut self) {
+        let min_idle_time = self.context.shutdown.start_or_continue_closing_clients();
         self.client_connections
             .close_idle_for(min_idle_time, &mut self.context);
         self.context
@@ -25,10 +25,10 @@
     }
 
     /// Updates the idle state of the shutdown after a turn. Returns whether the gateway can exit:
-    /// it is draining, has been idle for long enough, and the poller reported no event in this
-    /// turn.
+    /// it is closing idle clients, has been idle for long enough, and the poller reported no event
+    /// in this turn.
     pub(super) fn update_shutdown(&mut self, events: &[Event]) -> bool {
-        if !(self.context.shutdown.is_draining() && self.is_idle()) {
+        if !(self.context.shutdown.is_closing_clients() && self.is_idle()) {
             self.context.shutdown.record_busy();
             return false;
         }
--- a/crates/gateway/src/event_loop/turn.rs
+++ b/crates/gateway/src/event_loop/turn.rs
@@ -34,7 +34,7 @@
     /// is set. The poller does not wait if the dispatcher still has events or commands from this
     /// turn.
     fn poll_timeout(&self) -> Option<Micros> {
-        if self.context.dispatcher.has_work() {
+        if self.context.dispatcher.has_pending_events_or_commands() {
             return Some(0);
         }
         let next_timer = self.context.timers.next_expiry();
--- a/crates/gateway/src/node_protocol/mod.rs
+++ b/crates/gateway/src/node_protocol/mod.rs
@@ -49,9 +49,9 @@
     /// protocol, or arrive while no request is in flight. Bytes that arrive while no request is in
     /// flight would otherwise be mistaken for the reply to the next request.
     ///
-    /// SFTP has two exceptions. The reply to a CLOSE that was sent after its request was complete
-    /// is ignored. So is one packet after the last reply of a request, if the same call decodes
-    /// both.
+    /// For SFTP, two unexpected packets are ignored: the reply to a CLOSE that was sent after its
+    /// request was complete, and one packet that is decoded in the same call as the last reply of a
+    /// request.
     fn decode(
         &mut self,
         input: &mut Vec<u8>,
--- a/crates/gateway/src/node_protocol/resp/usage_report.rs
+++ b/crates/gateway/src/node_protocol/resp/usage_report.rs
@@ -5,7 +5,7 @@
 use io_scheduler::{Outcome, Units};
 
 /// Maximum accepted utilization in percent. A larger value cannot be a measurement; if it were
-/// accepted, the volume would be charged for it for a long time.
+/// accepted, the tags of the volume would be far ahead of the current time for a long time.
 const MAX_UTILIZATION_PERCENT: f64 = 10_000.0;
 /// Maximum accepted number of remote units in one reply. Larger values are ignored for the same
 /// reason.
--- a/crates/gateway/src/node_protocol/sftp/command_writer.rs
+++ b/crates/gateway/src/node_protocol/sftp/command_writer.rs
@@ -75,54 +75,54 @@
         self.out.extend(command.finish());
     }
 
-    /// Sends OPEN for a path, without attributes.
+    /// Appends OPEN for a path, without attributes.
     pub(super) fn open(&mut self, path: &str, flags: OpenFlags) {
         let command = self.start(PacketType::OPEN);
         self.append(command.string(path).u32(flags.0).u32(NO_ATTRIBUTES));
     }
 
-    /// Sends OPENDIR for a path.
+    /// Appends OPENDIR for a path.
     pub(super) fn open_directory(&mut self, path: &str) {
         let command = self.start(PacketType::OPENDIR);
         self.append(command.string(path));
     }
 
-    /// Sends STAT for a path.
+    /// Appends STAT for a path.
     pub(super) fn stat(&mut self, path: &str) {
         let command = self.start(PacketType::STAT);
         self.append(command.string(path));
     }
 
-    /// Sends READ for up to `length` bytes at `offset`.
+    /// Appends READ for up to `length` bytes at `offset`.
     pub(super) fn read(&mut self, handle: &[u8], offset: u64, length: u32) {
         let command = self.start(PacketType::READ);
         self.append(command.string(handle).u64(offset).u32(length));
     }
 
-    /// Sends WRITE for `bytes` at `offset`.
+    /// Appends WRITE for `bytes` at `offset`.
     pub(super) fn write(&mut self, handle: &[u8], offset: u64, bytes: &[u8]) {
         let command = self.start(PacketType::WRITE);
         self.append(command.string(handle).u64(offset).string(bytes));
     }
 
-    /// Sends READDIR.
+    /// Appends READDIR.
     pub(super) fn read_directory(&mut self, handle: &[u8]) {
         let command = self.start(PacketType::READDIR);
         self.append(command.string(handle));
     }
 
-    /// Sends CLOSE.
+    /// Appends CLOSE.
     pub(super) fn close(&mut self, handle: &[u8]) {
         let command = self.start(PacketType::CLOSE);
         self.append(command.string(handle));
     }
 
-    /// Sends CLOSE for the handle of a request that is already complete. The reply is recognized by
-    /// its id and ignored.
+    /// Appends CLOSE for the handle of a request that is already complete. The reply is recognized
+    /// by its id and ignored.
     pub(super) fn close_ignoring_reply(&mut self, handle: &[u8]) {
         self.close(handle);
         self.ids.ignored = Some(self.ids.last);
-        // Allocates an id that no command uses, so that `last` is not the id of the CLOSE.
+        // Skips one id, so that `last` is not the id of the CLOSE, whose reply is ignored.
         self.ids.allocate();
     }
 }
--- a/crates/gateway/src/node_protocol/sftp/mod.rs
+++ b/crates/gateway/src/node_protocol/sftp/mod.rs
@@ -5,9 +5,9 @@
 //! may take effect as soon as the first byte of its OPEN is sent, because OPEN creates or truncates
 //! the file.
 //!
-//! [`SftpProtocol`] decodes the replies and keeps the stage of the request. `stage` sends the
-//! command of each stage, `reply` decides from the reply what to do next, and `command_writer`
-//! encodes the commands.
+//! [`SftpProtocol`] decodes the replies and keeps the state of the connection. `stage` declares the
+//! states and starts the next command of a request, `reply` decides from the reply what to do next,
+//! and `command_writer` encodes the commands.
 
 mod command_writer;
 mod protocol;
--- a/crates/gateway/src/node_protocol/sftp/protocol.rs
+++ b/crates/gateway/src/node_protocol/sftp/protocol.rs
@@ -2,15 +2,15 @@
 
 use super::command_writer::{CommandIds, CommandWriter};
 use super::reply::RequestProgress;
-use super::stage::Stage;
+use super::stage::ConnectionState;
 use crate::node_protocol::{NodeProtocol, ProtocolError};
 use crate::sftp_packet::{decode_packet, DecodedPacket, Packet, PacketType, VERSION};
 use crate::storage_request::{AttemptResult, Operation, StorageRequest};
 
 /// The protocol state of one connection to a file server.
 pub struct SftpProtocol {
-    /// The stage of the connection, which determines the reply that it waits for.
-    stage: Stage,
+    /// What the connection waits for.
+    state: ConnectionState,
     /// Request ids of the commands sent so far.
     command_ids: CommandIds,
     /// Maximum size of an object in bytes.
@@ -33,7 +33,7 @@
     #[must_use]
     pub fn new(max_value_length: usize) -> SftpProtocol {
         SftpProtocol {
-            stage: Stage::AwaitingVersion,
+            state: ConnectionState::AwaitingVersion,
             command_ids: CommandIds::new(),
             max_value_length,
         }
@@ -71,12 +71,12 @@
         if fields.u32()? < VERSION {
             return Err(ProtocolError::UnsupportedVersion);
         }
-        self.stage = Stage::Idle;
+        self.state = ConnectionState::Idle;
         Ok(())
     }
 
-    /// Handles a packet that is the reply to the last command. A reply to an earlier command is
-    /// ignored. Returns the result of the request in flight once it is complete.
+    /// Handles a reply. Replies to commands other than the last one are ignored. Returns the result
+    /// of the request in flight once it is complete.
     fn handle_reply(
         &mut self,
         packet: DecodedPacket<'_>,
@@ -90,17 +90,17 @@
         if self.command_ids.take_ignored(id) {
             return Ok(None);
         }
-        if matches!(self.stage, Stage::Idle) {
+        if matches!(self.state, ConnectionState::Idle) {
             return Err(ProtocolError::UnsolicitedReply);
         }
         if !self.command_ids.is_last(id) {
             return Ok(None);
         }
-        let stage = std::mem::replace(&mut self.stage, Stage::Idle);
+        let state = std::mem::replace(&mut self.state, ConnectionState::Idle);
         let mut commands = CommandWriter::new(&mut self.command_ids, out);
-        match stage.handle_reply(packet_type, fields, self.max_value_length, &mut commands)? {
-            RequestProgress::Continues(stage) => {
-                self.stage = stage;
+        match state.handle_reply(packet_type, fields, self.max_value_length, &mut commands)? {
+            RequestProgress::Continues(state) => {
+                self.state = state;
                 Ok(None)
             }
             RequestProgress::Completed(result) => Ok(Some(result)),
@@ -114,7 +114,7 @@
     }
 
     fn is_ready(&self) -> bool {
-        !matches!(self.stage, Stage::AwaitingVersion)
+        !matches!(self.state, ConnectionState::AwaitingVersion)
     }
 
     fn encode_request(
@@ -125,7 +125,7 @@
     ) -> usize {
         let start = out.len();
         let mut commands = CommandWriter::new(&mut self.command_ids, out);
-        self.stage = Stage::start(request, &mut commands);
+        self.state = ConnectionState::start(request, &mut commands);
         if request.operation == Operation::Write {
             // The file may be created or truncated as soon as the first byte of OPEN is sent; see
             // the module documentation.
@@ -135,8 +135,8 @@
     }
 
     fn counted_response_bytes(&self) -> usize {
-        match &self.stage {
-            Stage::Reading { value, .. } => value.len(),
+        match &self.state {
+            ConnectionState::Reading { value, .. } => value.len(),
             _ => 0,
         }
     }
--- a/crates/gateway/src/node_protocol/sftp/reply.rs
+++ b/crates/gateway/src/node_protocol/sftp/reply.rs
@@ -1,8 +1,8 @@
-//! Handles the reply to the last command of a request: sends the next command or returns the
-//! result.
+//! Handles the reply to the last command of a request: appends the next command to the output or
+//! returns the result.
 
 use super::command_writer::{CommandWriter, ServerHandle};
-use super::stage::Stage;
+use super::stage::ConnectionState;
 use crate::node_protocol::ProtocolError;
 use crate::sftp_packet::{Fields, PacketType, StatusCode};
 use crate::storage_request::{AttemptResult, ObjectEntry, Operation, ResponseBody};
@@ -13,8 +13,8 @@
 
 /// The state of a request after a reply.
 pub(super) enum RequestProgress {
-    /// The next command was sent; this stage waits for its reply.
-    Continues(Stage),
+    /// The next command was appended to the output; this state waits for its reply.
+    Continues(ConnectionState),
     /// The request is complete.
     Completed(AttemptResult),
 }
@@ -34,8 +34,8 @@
     }
 }
 
-impl Stage {
-    /// Handles the reply to the command of this stage. Objects may have up to `max_value_length`
+impl ConnectionState {
+    /// Handles the reply to the command of this state. Objects may have up to `max_value_length`
     /// bytes.
     pub(super) fn handle_reply(
         self,
@@ -45,31 +45,32 @@
         commands: &mut CommandWriter<'_>,
     ) -> Result<RequestProgress, ProtocolError> {
         match (self, packet_type) {
-            (stage, PacketType::STATUS) => {
+            (state, PacketType::STATUS) => {
                 let code = StatusCode::from_number(fields.u32()?);
-                Ok(stage.handle_status(code, commands))
+                Ok(state.handle_status(code, commands))
             }
-            (Stage::Opening { operation, body }, PacketType::HANDLE) => {
+            (ConnectionState::Opening { operation, body }, PacketType::HANDLE) => {
                 let handle = fields.string()?.to_vec();
-                let stage = Stage::continue_with_handle(handle, operation, &body, commands);
-                Ok(RequestProgress::Continues(stage))
+                let state =
+                    ConnectionState::continue_with_handle(handle, operation, &body, commands);
+                Ok(RequestProgress::Continues(state))
             }
-            (Stage::Reading { handle, value }, PacketType::DATA) => {
+            (ConnectionState::Reading { handle, value }, PacketType::DATA) => {
                 let data = fields.string()?;
                 Ok(append_data(handle, value, data, max_value_length, commands))
             }
-            (Stage::AwaitingAttributes, PacketType::ATTRS) => {
+            (ConnectionState::AwaitingAttributes, PacketType::ATTRS) => {
                 let size = fields.attributes()?.unwrap_or(0);
                 Ok(RequestProgress::served(ResponseBody::Size(size)))
             }
-            (Stage::Listing { handle, entries }, PacketType::NAME) => {
+            (ConnectionState::Listing { handle, entries }, PacketType::NAME) => {
                 append_entries(handle, entries, fields, commands)
             }
             _ => Err(ProtocolError::UnexpectedPacket),
         }
     }
 
-    /// Handles a STATUS reply, which either completes the stage or fails the request. `code` is
+    /// Handles a STATUS reply, which either ends the state or fails the request. `code` is
     /// `None` if [`StatusCode`] does not define it.
     fn handle_status(
         self,
@@ -77,27 +78,27 @@
         commands: &mut CommandWriter<'_>,
     ) -> RequestProgress {
         match (self, code) {
-            (Stage::Opening { operation, .. }, Some(StatusCode::NoSuchFile)) => {
+            (ConnectionState::Opening { operation, .. }, Some(StatusCode::NoSuchFile)) => {
                 no_such_file(operation)
             }
-            (Stage::AwaitingAttributes, Some(StatusCode::NoSuchFile)) => {
+            (ConnectionState::AwaitingAttributes, Some(StatusCode::NoSuchFile)) => {
                 no_such_file(Operation::Stat)
             }
-            (Stage::Reading { handle, value }, Some(StatusCode::Eof)) => {
+            (ConnectionState::Reading { handle, value }, Some(StatusCode::Eof)) => {
                 commands.close_ignoring_reply(&handle);
                 RequestProgress::served(ResponseBody::Value(value))
             }
-            (Stage::Listing { handle, entries }, Some(StatusCode::Eof)) => {
+            (ConnectionState::Listing { handle, entries }, Some(StatusCode::Eof)) => {
                 commands.close_ignoring_reply(&handle);
                 RequestProgress::served(ResponseBody::Entries(entries))
             }
-            (Stage::Writing(upload), Some(StatusCode::Ok)) => {
-                RequestProgress::Continues(upload.send_next(commands))
+            (ConnectionState::Writing(upload), Some(StatusCode::Ok)) => {
+                RequestProgress::Continues(upload.append_next(commands))
             }
-            (Stage::Closing { size }, Some(StatusCode::Ok)) => {
+            (ConnectionState::Closing { size }, Some(StatusCode::Ok)) => {
                 RequestProgress::served(ResponseBody::Size(size))
             }
-            (stage, _) => stage.fail(commands),
+            (state, _) => state.fail(commands),
         }
     }
 
@@ -132,10 +133,10 @@
     commands: &mut CommandWriter<'_>,
 ) -> RequestProgress {
     if data.is_empty() || value.len() + data.len() > max_value_length {
-        return Stage::Reading { handle, value }.fail(commands);
+        return ConnectionState::Reading { handle, value }.fail(commands);
     }
     value.extend_from_slice(data);
-    RequestProgress::Continues(Stage::read_next_chunk(handle, value, commands))
+    RequestProgress::Continues(ConnectionState::read_next_chunk(handle, value, commands))
 }
 
 /// Appends the entries of a NAME reply and requests more. The request fails if there are too many
@@ -155,8 +156,8 @@
         }
     }
     if entries.len() > MAX_LISTED_ENTRIES {
-        return Ok(Stage::Listing { handle, entries }.fail(commands));
+        return Ok(ConnectionState::Listing { handle, entries }.fail(commands));
     }
-    let stage = Stage::read_directory(handle, entries, commands);
-    Ok(RequestProgress::Continues(stage))
+    let state = ConnectionState::read_directory(handle, entries, commands);
+    Ok(RequestProgress::Continues(state))
 }
--- a/crates/gateway/src/node_protocol/sftp/stage.rs
+++ b/crates/gateway/src/node_protocol/sftp/stage.rs
@@ -1,4 +1,5 @@
-//! Stages of a request to a file server. A stage begins with a command and ends with its reply.
+//! States of a connection to a file server. While a request is in flight, each state begins with a
+//! command and ends with its reply.
 
 use super::command_writer::{CommandWriter, ServerHandle};
 use crate::hex_id::HexId;
@@ -9,8 +10,8 @@
 /// Maximum number of bytes that one READ or WRITE transfers.
 const CHUNK_BYTES: usize = 32 << 10;
 
-/// The stage of a connection. Every stage except `Idle` waits for one reply.
-pub(super) enum Stage {
+/// What a connection waits for. Every state except `Idle` waits for one reply.
+pub(super) enum ConnectionState {
     /// Waiting for VERSION, which completes the handshake.
     AwaitingVersion,
     /// No request is in flight.
@@ -73,21 +74,24 @@
         }
     }
 
-    /// Sends WRITE for the next chunk, or CLOSE after the last one, and returns the next stage.
-    pub(super) fn send_next(mut self, commands: &mut CommandWriter<'_>) -> Stage {
+    /// Appends WRITE for the next chunk, or CLOSE after the last one, and returns the next state.
+    pub(super) fn append_next(mut self, commands: &mut CommandWriter<'_>) -> ConnectionState {
         let Some(chunk) = self.remaining.pop_front() else {
             commands.close(&self.handle);
-            return Stage::Closing { size: self.offset };
+            return ConnectionState::Closing { size: self.offset };
         };
         commands.write(&self.handle, self.offset, &chunk);
         self.offset += chunk.len() as u64;
-        Stage::Writing(self)
+        ConnectionState::Writing(self)
     }
 }
 
-impl Stage {
-    /// Sends the first command of a request and returns the stage that waits for its reply.
-    pub(super) fn start(request: &StorageRequest, commands: &mut CommandWriter<'_>) -> Stage {
+impl ConnectionState {
+    /// Appends the first command of a request and returns the state that waits for its reply.
+    pub(super) fn start(
+        request: &StorageRequest,
+        commands: &mut CommandWriter<'_>,
+    ) -> ConnectionState {
         match request.operation {
             Operation::Read => commands.open(&object_path(request), OpenFlags::READ),
             Operation::Write => {
@@ -97,64 +101,66 @@
             }
             Operation::Stat => {
                 commands.stat(&object_path(request));
-                return Stage::AwaitingAttributes;
+                return ConnectionState::AwaitingAttributes;
             }
             Operation::List => commands.open_directory(&volume_path(request)),
         }
-        Stage::Opening {
+        ConnectionState::Opening {
             operation: request.operation,
             body: request.body.clone(),
         }
     }
 
-    /// Sends the first command that uses a handle opened by the server, and returns the next stage.
+    /// Appends the first command that uses a handle opened by the server, and returns the next
+    /// state.
     pub(super) fn continue_with_handle(
         handle: ServerHandle,
         operation: Operation,
         body: &[u8],
         commands: &mut CommandWriter<'_>,
-    ) -> Stage {
+    ) -> ConnectionState {
         match operation {
-            Operation::Write => Upload::new(handle, body).send_next(commands),
-            Operation::List => Stage::read_directory(handle, Vec::new(), commands),
-            // Only reads reach this arm, because a STAT opens no handle; see `Stage::start`.
+            Operation::Write => Upload::new(handle, body).append_next(commands),
+            Operation::List => ConnectionState::read_directory(handle, Vec::new(), commands),
+            // Only reads reach this arm, because a STAT opens no handle; see
+            // `ConnectionState::start`.
             Operation::Read | Operation::Stat => {
-                Stage::read_next_chunk(handle, Vec::new(), commands)
+                ConnectionState::read_next_chunk(handle, Vec::new(), commands)
             }
         }
     }
 
-    /// Sends READ for the bytes after `value` and returns the next stage.
+    /// Appends READ for the bytes after `value` and returns the next state.
     pub(super) fn read_next_chunk(
         handle: ServerHandle,
         value: Vec<u8>,
         commands: &mut CommandWriter<'_>,
-    ) -> Stage {
+    ) -> ConnectionState {
         commands.read(&handle, value.len() as u64, CHUNK_BYTES as u32);
-        Stage::Reading { handle, value }
+        ConnectionState::Reading { handle, value }
     }
 
-    /// Sends READDIR for the entries after `entries` and returns the next stage.
+    /// Appends READDIR for the entries after `entries` and returns the next state.
     pub(super) fn read_directory(
         handle: ServerHandle,
         entries: Vec<ObjectEntry>,
         commands: &mut CommandWriter<'_>,
-    ) -> Stage {
+    ) -> ConnectionState {
         commands.read_directory(&handle);
-        Stage::Listing { handle, entries }
+        ConnectionState::Listing { handle, entries }
     }
 
-    /// Returns the handle that must be closed if the request ends at this stage.
+    /// Returns the handle that must be closed if the request ends in this state.
     pub(super) fn into_handle(self) -> Option<ServerHandle> {
         match self {
-            Stage::Reading { handle, .. }
-            | Stage::Writing(Upload { handle, .. })
-            | Stage::Listing { handle, .. } => Some(handle),
-            Stage::AwaitingVersion
-            | Stage::Idle
-            | Stage::Opening { .. }
-            | Stage::Closing { .. }
-            | Stage::AwaitingAttributes => None,
+            ConnectionState::Reading { handle, .. }
+            | ConnectionState::Writing(Upload { handle, .. })
+            | ConnectionState::Listing { handle, .. } => Some(handle),
+            ConnectionState::AwaitingVersion
+            | ConnectionState::Idle
+            | ConnectionState::Opening { .. }
+            | ConnectionState::Closing { .. }
+            | ConnectionState::AwaitingAttributes => None,
         }
     }
 }
--- a/crates/gateway/src/storage_request/attempt.rs
+++ b/crates/gateway/src/storage_request/attempt.rs
@@ -22,8 +22,8 @@
     /// Units that the volume got from the node through other gateways since the node last responded
     /// to this gateway; zero if the node does not report them.
     pub remote_units: Units,
-    /// Share of the volume's provisioned rate that was served in the last report period, across all
-    /// gateways and nodes; `None` if the node does not report it.
+    /// Fraction of the volume's provisioned rate that was served in the last report period, across
+    /// all gateways and nodes; `None` if the node does not report it.
     pub utilization: Option<f64>,
 }
 
--- a/crates/gateway/src/storage_request/mod.rs
+++ b/crates/gateway/src/storage_request/mod.rs
@@ -9,6 +9,6 @@
 mod response;
 
 pub use attempt::{AttemptId, AttemptResult};
-pub use reply_slot::{ReplySlot, SlotNumber};
+pub use reply_slot::{CommandNumber, ReplySlot};
 pub use request::{Operation, RequestParameters, StorageRequest, MAX_VALUE_BYTES};
 pub use response::{InvalidRequest, ObjectEntry, Response, ResponseBody};
--- a/crates/gateway/src/storage_request/request.rs
+++ b/crates/gateway/src/storage_request/request.rs
@@ -29,14 +29,14 @@
     pub object_name: Option<Box<str>>,
     /// The volume that the object belongs to.
     pub volume: VolumeId,
-    /// The client's id of the request, which is also sent to the nodes. It must be unique among the
-    /// unfinished requests.
+    /// Id of the request, chosen by a RESP2 client or generated for an SFTP client. RESP2 nodes
+    /// receive it too. It must be unique among the unfinished requests.
     pub client_request_id: Box<str>,
     /// Class of the request.
     pub class: ClassIndex,
     /// Plan of the volume that the object belongs to.
     pub plan: PlanIndex,
-    /// Cost of the request in units of service.
+    /// Size of the request in units.
     pub units: Units,
     /// Shard that stores the object; `None` for a new object, which any node can store.
     pub shard: Option<Shard>,
@@ -46,12 +46,13 @@
     pub client_timeout: Micros,
     /// Content of the object for a write, otherwise empty.
     pub body: Vec<u8>,
-    /// The parameter list that the client sent.
+    /// The parameter list for RESP2 nodes.
     pub parameters: RequestParameters,
 }
 
-/// The parameter list that the client sent, split around the value of its timeout. Both parts are
-/// forwarded to the node unchanged, with the remaining time as the value between them.
+/// The parameter list for RESP2 nodes, as a RESP2 client sent it or as generated for an SFTP
+/// client, split around the value of its timeout. Both parts are sent to the node unchanged, with
+/// the remaining time as the value between them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestParameters {
     /// The part before the value of the timeout.
--- a/crates/gateway/src/storage_request/response.rs
+++ b/crates/gateway/src/storage_request/response.rs
@@ -39,8 +39,8 @@
 pub enum Response {
     /// A node has executed the request.
     Served(ResponseBody),
-    /// The request was rejected. The client may safely retry it: either it was not executed, or it
-    /// is idempotent.
+    /// The request was rejected. The client may safely retry it: either it was not executed, or
+    /// executing it again has no further effect.
     Rejected {
         /// Retry-After: how long the client should wait before it retries, in microseconds; 0 if no
         /// wait is advised.
--- a/crates/gateway/src/timer_queue.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -19,7 +19,8 @@
     DiscoveryWatch,
     /// Close idle client connections during a graceful shutdown, first when its grace period ends.
     Shutdown,
-    /// Accept connections again after the process ran out of file descriptors.
+    /// Accept connections again after a pause, which follows if a connection could not be accepted
+    /// and no idle connection could be closed for it.
     ResumeAccepting,
 }
 
--- a/crates/gateway/tests/in_process/discovery.rs
+++ b/crates/gateway/tests/in_process/discovery.rs
@@ -7,7 +7,7 @@
 
 /// The list indices of the updates.
 fn indices(updates: &[EndpointListUpdate]) -> Vec<u64> {
-    updates.iter().map(|update| update.index).collect()
+    updates.iter().map(|update| update.version).collect()
 }
 
 #[test]
--- a/crates/gateway/tests/in_process/dispatcher/attempts.rs
+++ b/crates/gateway/tests/in_process/dispatcher/attempts.rs
@@ -36,9 +36,9 @@
     } = started[0];
     harness.record_may_have_executed(id);
     harness.advance(times_out_at - 1 - harness.now);
-    assert!(harness.dispatcher.is_awaiting(id));
+    assert!(harness.dispatcher.awaits_result_of(id));
     harness.advance(1);
-    assert!(!harness.dispatcher.is_awaiting(id));
+    assert!(!harness.dispatcher.awaits_result_of(id));
     let abandoned =
         |command: &Command| matches!(command, Command::AbandonAttempt(attempt) if *attempt == id);
     assert_eq!(
--- a/crates/gateway/tests/in_process/dispatcher/client_request_ids.rs
+++ b/crates/gateway/tests/in_process/dispatcher/client_request_ids.rs
@@ -54,7 +54,7 @@
     assert_eq!(harness.dispatcher.open_requests(), 1);
     harness
         .dispatcher
-        .client_disconnected(first.id, harness.now, &mut harness.timers);
+        .record_response_not_needed(first.id, harness.now, &mut harness.timers);
     harness.run_turn();
     assert_eq!(harness.dispatcher.open_requests(), 0);
     harness.submit_request(request);
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -11,7 +11,7 @@
 use storage_gateway::endpoint::EndpointRecord;
 use storage_gateway::memory_budget::MemoryBudget;
 use storage_gateway::storage_request::{
-    AttemptId, AttemptResult, Operation, ReplySlot, Response, ResponseBody, SlotNumber,
+    AttemptId, AttemptResult, CommandNumber, Operation, ReplySlot, Response, ResponseBody,
     StorageRequest,
 };
 use storage_gateway::timer_queue::{Timer, TimerQueue};
@@ -149,7 +149,7 @@
         let slot = self.submitted;
         let reply_slot = ReplySlot {
             connection: ConnectionToken::from(0),
-            slot: SlotNumber(slot),
+            command_number: CommandNumber(slot),
         };
         let id = self
             .dispatcher
@@ -213,7 +213,7 @@
                 response,
             } => {
                 responses.push(Responded {
-                    slot: reply_slot.slot.0,
+                    slot: reply_slot.command_number.0,
                     response: response.clone(),
                 });
                 false
--- a/crates/gateway/tests/in_process/dispatcher/random_load.rs
+++ b/crates/gateway/tests/in_process/dispatcher/random_load.rs
@@ -78,7 +78,7 @@
             let harness = &mut self.harness;
             harness
                 .dispatcher
-                .client_disconnected(id, harness.now, &mut harness.timers);
+                .record_response_not_needed(id, harness.now, &mut harness.timers);
             self.disconnected.insert(slot);
         }
     }
--- a/crates/gateway/tests/in_process/malformed_input.rs
+++ b/crates/gateway/tests/in_process/malformed_input.rs
@@ -8,7 +8,7 @@
 use storage_gateway::client_protocol::{ClientProtocol, ParsedCommand};
 use storage_gateway::discovery::WatchParser;
 use storage_gateway::node_protocol::{self, NodeProtocol};
-use storage_gateway::storage_request::{Operation, SlotNumber};
+use storage_gateway::storage_request::{CommandNumber, Operation};
 
 /// Pieces that random input is made of: what the protocols use, so that it gets past their first
 /// bytes.
@@ -48,7 +48,7 @@
     let step = RespProtocol::new(schema.clone()).parse_command(
         input,
         &mut position,
-        SlotNumber::FIRST,
+        CommandNumber::FIRST,
         true,
     );
     let may_consume_nothing = matches!(step, ParsedCommand::Incomplete | ParsedCommand::Close(_));
