--- a/crates/gateway/src/config/reload.rs
+++ b/crates/gateway/src/config/reload.rs
@@ -10,7 +10,7 @@
     /// Loads the configuration again from the file that it was first loaded from.
     ///
     /// On a reload, the file that `ROUTER_CONFIG` named takes precedence over the environment
-    /// variables, which cannot have changed since start-up. Only `STORAGE_GATEWAY_LOG` still takes
+    /// variables, which cannot have changed since startup. Only `STORAGE_GATEWAY_LOG` still takes
     /// precedence over the file.
     ///
     /// # Errors
--- a/crates/gateway/src/config/sections.rs
+++ b/crates/gateway/src/config/sections.rs
@@ -1,7 +1,7 @@
 //! The types that serde decodes configuration files into: the file that `ROUTER_CONFIG` names, and
 //! the operator's file.
 //!
-//! `serde(rename)` gives the key where it differs from the name of the field. Outside of this
+//! `serde(rename)` states the key where it differs from the name of the field. Outside of this
 //! module, only error messages contain keys of the files, except those below `settings`, which
 //! `deployment_settings` decodes, and those below `known`, which `endpoint` decodes. The decoder's
 //! error messages contain the names of these types, so renaming a type changes text that operators
@@ -34,7 +34,7 @@
     /// Limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// Endpoint list to use until discovery sends one.
+    /// Endpoint list to use until the discovery service sends one.
     #[serde(default, rename = "known")]
     pub cached_endpoints: EndpointListUpdate,
     /// Settings of the deployment.
--- a/crates/gateway/src/connections/client/reply_queue.rs
+++ b/crates/gateway/src/connections/client/reply_queue.rs
@@ -44,7 +44,7 @@
         self.pending.len()
     }
 
-    /// Number of the next command.
+    /// Returns the number of the next command.
     pub(super) fn next_command_number(&self) -> CommandNumber {
         self.next_command_number
     }
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -23,7 +23,7 @@
     Connect,
     /// Wait for input.
     Read,
-    /// Don't wait for input, because reading is paused.
+    /// Do not wait for input, because reading is paused.
     Paused,
 }
 
@@ -206,7 +206,7 @@
         }
         self.output.clear();
         self.flushed = 0;
-        // Don't let an idle connection keep the memory of a large value.
+        // Do not let an idle connection keep the memory of a large value.
         self.output.shrink_to(RETAINED_CAPACITY_BYTES);
         Ok(())
     }
--- a/crates/gateway/src/context/poller.rs
+++ b/crates/gateway/src/context/poller.rs
@@ -10,7 +10,7 @@
 use std::io;
 
 /// Nanoseconds per microsecond.
-const NANOS_PER_MICRO: Micros = 1_000;
+const NANOS_PER_MICROSECOND: Micros = 1_000;
 
 /// An epoll instance. It reports each descriptor with the token that was passed when it was
 /// registered.
@@ -73,7 +73,7 @@
     }
 }
 
-/// The data that epoll stores with a descriptor and returns with its events: the token.
+/// Returns the data that epoll stores with a descriptor and returns with its events: the token.
 fn event_data(token: ConnectionToken) -> EventData {
     EventData::new_u64(token.into())
 }
@@ -82,6 +82,6 @@
 fn timespec(micros: Micros) -> Timespec {
     Timespec {
         tv_sec: micros / MICROS_PER_SECOND,
-        tv_nsec: (micros % MICROS_PER_SECOND) * NANOS_PER_MICRO,
+        tv_nsec: (micros % MICROS_PER_SECOND) * NANOS_PER_MICROSECOND,
     }
 }
--- a/crates/gateway/src/dispatcher/abort_cause.rs
+++ b/crates/gateway/src/dispatcher/abort_cause.rs
@@ -21,7 +21,7 @@
 }
 
 impl AbortCause {
-    /// The outcome to report to the scheduler.
+    /// Returns the outcome to report to the scheduler.
     ///
     /// If the node cannot have executed the request, a cancellation is reported as
     /// [`Outcome::NotDispatched`], because it is no fault of the node, and every other cause as
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -41,7 +41,7 @@
         });
     }
 
-    /// Whether the attempt is in flight, so that its result is awaited.
+    /// Returns whether the attempt is in flight, so that its result is awaited.
     #[must_use]
     pub fn awaits_result_of(&self, attempt: AttemptId) -> bool {
         self.requests.attempt(attempt).is_some()
@@ -142,7 +142,7 @@
             return;
         }
         let unexecuted = unfinished.unexecuted_attempts();
-        self.events.push(Event::ClientDisconnected(id));
+        self.events.push(Event::ResponseNotNeeded(id));
         for number in unexecuted {
             let attempt = AttemptId {
                 request: id,
--- a/crates/gateway/src/dispatcher/responses.rs
+++ b/crates/gateway/src/dispatcher/responses.rs
@@ -40,7 +40,7 @@
         self.respond(id, Response::TimedOut);
         // This event tells the scheduler that no response is needed any more, which ends the
         // request.
-        self.events.push(Event::ClientDisconnected(id));
+        self.events.push(Event::ResponseNotNeeded(id));
     }
 
     /// Sends the final response, and removes the request unless the result of an attempt is
@@ -72,7 +72,8 @@
         });
     }
 
-    /// Whether the client still waits for the final response. False for a request that was removed.
+    /// Returns whether the client still waits for the final response. False for a request that was
+    /// removed.
     pub(super) fn awaits_response(&self, id: RequestId) -> bool {
         self.requests
             .get(id)
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Whether events for the scheduler or commands for the event loop are pending.
+    /// Returns whether events for the scheduler or commands for the event loop are pending.
     #[must_use]
     pub fn has_pending_events_or_commands(&self) -> bool {
         !self.events.is_empty() || !self.commands.is_empty()
@@ -50,7 +50,7 @@
         // The request of a disconnected client must stay in the table until the scheduler has
         // handled the event.
         for event in events {
-            if let Event::ClientDisconnected(id) = event {
+            if let Event::ResponseNotNeeded(id) = event {
                 self.remove_if_finished(id, timers);
             }
         }
--- a/crates/gateway/src/storage_request/reply_slot.rs
+++ b/crates/gateway/src/storage_request/reply_slot.rs
@@ -19,7 +19,7 @@
     /// The number of the first command.
     pub const FIRST: CommandNumber = CommandNumber(0);
 
-    /// The number of the next command.
+    /// Returns the number of the next command.
     #[must_use]
     pub fn next(self) -> CommandNumber {
         CommandNumber(self.0 + 1)
--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -14,7 +14,7 @@
         /// Time at which the attempt times out; never later than the deadline of the request.
         times_out_at: Micros,
     },
-    /// Send the final response that the request is rejected. The client may safely retry.
+    /// Reject the request: send the client its final response. The client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
@@ -22,7 +22,7 @@
         /// given.
         retry_after: Micros,
     },
-    /// Send the final response that the request failed. The request may have been executed.
+    /// Fail the request: send the client its final response. The request may have been executed.
     Fail(RequestId),
     /// Cancel an attempt in flight.
     Cancel {
@@ -31,7 +31,7 @@
         /// Number of the attempt within the request, from 0.
         attempt: u32,
     },
-    /// Open a watch of the endpoint list.
+    /// Open a watch on the endpoint list.
     OpenWatch,
     /// Deliver [`Event::TimerFired`](super::Event::TimerFired) at or after this time.
     SetTimer(Micros),
