--- a/crates/gateway/src/client_protocol/sftp/handle.rs
+++ b/crates/gateway/src/client_protocol/sftp/handle.rs
@@ -36,8 +36,9 @@
     }
 }
 
-/// The open handles of one client, by number. The bytes that they buffer are reserved in the budget
-/// shared by all clients. They are released when a handle is removed or the table is dropped.
+/// The open handles of one client, by number. The bytes that the handles buffer are reserved in
+/// the budget shared by all clients, and are released when a handle is removed or the table is
+/// dropped.
 pub(super) struct HandleTable {
     /// The memory budget that all clients share.
     budget: Rc<BufferBudget>,
--- a/crates/gateway/src/client_protocol/sftp/protocol.rs
+++ b/crates/gateway/src/client_protocol/sftp/protocol.rs
@@ -22,7 +22,7 @@
 /// The protocol state of one client connection.
 pub struct SftpProtocol {
     /// Whether the handshake is complete, that is, INIT was answered with VERSION.
-    initialized: bool,
+    is_initialized: bool,
     /// State of the client between commands.
     session: Session,
     /// Commands whose requests are in flight, by command number.
@@ -34,7 +34,7 @@
     #[must_use]
     pub fn new(shared: Rc<SftpListenerState>) -> SftpProtocol {
         SftpProtocol {
-            initialized: false,
+            is_initialized: false,
             session: Session::new(shared),
             pending: BTreeMap::new(),
         }
@@ -47,8 +47,8 @@
             packet_type,
             mut fields,
         } = packet;
-        self.initialized = packet_type == PacketType::INIT && fields.u32().is_ok();
-        if !self.initialized {
+        self.is_initialized = packet_type == PacketType::INIT && fields.u32().is_ok();
+        if !self.is_initialized {
             return ParsedCommand::Close(Vec::new());
         }
         ParsedCommand::Reply(Packet::new(PacketType::VERSION).u32(VERSION).finish())
@@ -93,7 +93,7 @@
             Ok(None) => return ParsedCommand::Incomplete,
             Err(_) => return ParsedCommand::Close(Vec::new()),
         };
-        if !self.initialized {
+        if !self.is_initialized {
             return self.initialize(packet);
         }
         let DecodedPacket {
--- a/crates/gateway/src/client_protocol/sftp/requests.rs
+++ b/crates/gateway/src/client_protocol/sftp/requests.rs
@@ -1,5 +1,6 @@
 //! Builds the requests that commands submit. A RESP2 client specifies the class, the units and the
-//! shard of its requests. For an SFTP client, they are derived from the settings of the listener.
+//! shard of its requests. For an SFTP client, these values are derived from the settings of the
+//! listener.
 
 use super::path::{ObjectTarget, VolumeTarget};
 use crate::config::SftpSettings;
--- a/crates/gateway/src/config/sftp.rs
+++ b/crates/gateway/src/config/sftp.rs
@@ -140,8 +140,8 @@
         Ok(ClassIndex(index))
     }
 
-    /// Returns the access of the requests of a class. They read if `domain.writes` has no entry for
-    /// the class.
+    /// Returns the access of the requests of a class. Such requests read if `domain.writes` has no
+    /// entry for the class.
     fn access(self, index: usize) -> Access {
         match self.settings.storage.writes.get(index) {
             Some(true) => Access::Write,
--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -58,8 +58,8 @@
 /// What was received from the discovery service in one turn.
 #[must_use]
 pub(crate) struct WatchOutcome {
-    /// The complete updates, in the order of their arrival. They apply even if the watch has
-    /// failed.
+    /// The complete updates, in the order of their arrival. The caller applies them even if
+    /// the watch has failed.
     pub(crate) updates: Vec<EndpointListUpdate>,
     /// Why the watch must be closed, or `None` if it stays open. The caller passes the failure to
     /// [`DiscoveryWatch::fail`] after it has applied the updates.
--- a/crates/gateway/src/node_protocol/resp/protocol.rs
+++ b/crates/gateway/src/node_protocol/resp/protocol.rs
@@ -13,7 +13,7 @@
 /// The protocol state of one connection to a RESP2 node.
 pub struct RespProtocol {
     /// Whether a request is in flight.
-    awaiting_reply: bool,
+    is_awaiting_reply: bool,
     /// Maximum length of a value in bytes.
     max_value_length: usize,
     /// Declared length in bytes of the value that is being received; 0 if it is not known.
@@ -26,7 +26,7 @@
     #[must_use]
     pub fn new(max_value_length: usize) -> RespProtocol {
         RespProtocol {
-            awaiting_reply: false,
+            is_awaiting_reply: false,
             max_value_length,
             declared_length: 0,
         }
@@ -70,7 +70,7 @@
         time_limit_ms: i64,
         out: &mut Vec<u8>,
     ) -> usize {
-        self.awaiting_reply = true;
+        self.is_awaiting_reply = true;
         let start = out.len();
         let object = HexId(request.object.0).to_string();
         let object = object.as_bytes();
@@ -98,7 +98,7 @@
         input: &mut Vec<u8>,
         _out: &mut Vec<u8>,
     ) -> Result<Option<AttemptResult>, ProtocolError> {
-        if !self.awaiting_reply && !input.is_empty() {
+        if !self.is_awaiting_reply && !input.is_empty() {
             return Err(ProtocolError::UnsolicitedReply);
         }
         let Some(reply) = parse_reply(input, self.max_value_length)? else {
@@ -108,7 +108,7 @@
             self.declared_length = declared_value_length(input);
             return Ok(None);
         };
-        self.awaiting_reply = false;
+        self.is_awaiting_reply = false;
         self.declared_length = 0;
         input.drain(..reply.length);
         Ok(Some(reply.result))
