--- a/crates/gateway/tests/in_process/discovery.rs
+++ b/crates/gateway/tests/in_process/discovery.rs
@@ -5,9 +5,9 @@
 use storage_gateway::discovery::WatchParser;
 use storage_gateway::endpoint::EndpointListUpdate;
 
-/// Returns the endpoint list index of each update.
-fn list_indices(updates: &[EndpointListUpdate]) -> Vec<u64> {
-    updates.iter().map(|update| update.index).collect()
+/// Returns the endpoint list version of each update.
+fn list_versions(updates: &[EndpointListUpdate]) -> Vec<u64> {
+    updates.iter().map(|update| update.version).collect()
 }
 
 #[test]
@@ -20,7 +20,7 @@
             .feed(&[*byte], &mut updates)
             .expect("the response should be valid");
     }
-    assert_eq!(list_indices(&updates), [43]);
+    assert_eq!(list_versions(&updates), [43]);
     assert!(parser.is_complete());
 }
 
@@ -68,7 +68,7 @@
                     .feed(piece, &mut updates)
                     .expect("the response should be valid");
             }
-            assert_eq!(list_indices(&updates), [7, 8, 9], "{response}");
+            assert_eq!(list_versions(&updates), [7, 8, 9], "{response}");
             let names: Vec<_> = updates[0]
                 .listed_endpoints()
                 .map(|endpoint| endpoint.record.name)
--- a/crates/gateway/tests/in_process/dispatcher/random_load.rs
+++ b/crates/gateway/tests/in_process/dispatcher/random_load.rs
@@ -83,7 +83,7 @@
             let harness = &mut self.harness;
             harness
                 .dispatcher
-                .client_disconnected(id, harness.now, &mut harness.timers);
+                .record_response_not_needed(id, harness.now, &mut harness.timers);
             self.disconnected_slots.insert(slot);
         }
     }
