--- a/crates/gateway/tests/in_process/dispatcher/client_request_ids.rs
+++ b/crates/gateway/tests/in_process/dispatcher/client_request_ids.rs
@@ -56,7 +56,7 @@
     assert_eq!(harness.dispatcher.open_requests(), 1);
     harness
         .dispatcher
-        .client_disconnected(first.id, harness.now, &mut harness.timers);
+        .record_response_not_needed(first.id, harness.now, &mut harness.timers);
     harness.run_turn();
     assert_eq!(harness.dispatcher.open_requests(), 0);
     harness.submit_request(request);
--- a/crates/gateway/tests/in_process/malformed_input.rs
+++ b/crates/gateway/tests/in_process/malformed_input.rs
@@ -9,7 +9,7 @@
 use storage_gateway::client_protocol::{ClientProtocol, ParsedCommand};
 use storage_gateway::discovery::WatchParser;
 use storage_gateway::node_protocol::{self, NodeProtocol};
-use storage_gateway::storage_request::{Operation, SlotNumber};
+use storage_gateway::storage_request::{CommandNumber, Operation};
 
 /// Fragments from which random input is composed. They occur in the protocols, so that some
 /// inputs pass the checks of the first bytes.
@@ -50,7 +50,7 @@
     let parsed_command = RespProtocol::new(schema.clone()).parse_command(
         input,
         &mut position,
-        SlotNumber::FIRST,
+        CommandNumber::FIRST,
         true,
     );
     let may_consume_nothing = matches!(
