--- a/crates/gateway/tests/gateway_process/scenario_runner/masking.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/masking.rs
@@ -23,8 +23,8 @@
     word.to_owned()
 }
 
-/// Whether a word is a request id that the gateway generated, which begins with the high digits of
-/// the clock (0006), or the id of a volume from 0xa0 to 0xaf.
+/// Whether a word is a request id that the gateway generated, or the id of a volume from 0xa0 to
+/// 0xaf. Generated ids count up from the Unix time in microseconds, so they begin with 0006.
 fn is_masked_id(word: &str) -> bool {
     word.len() == 16 && (word.starts_with("0006") || word.starts_with("00000000000000a"))
 }
