--- a/crates/scheduler/tests/characterization/churn.rs
+++ b/crates/scheduler/tests/characterization/churn.rs
@@ -1,7 +1,7 @@
 //! Changes of the cluster during a run: nodes drain, are removed, restart, are replaced, change
 //! zone or become faulty, and faulty nodes recover.
 
-use crate::cluster::{Condition, Nodes, SimulatedNode};
+use crate::cluster::{NodeFault, Nodes, SimulatedNode};
 use crate::rng::Rng;
 use crate::types::{EndpointEntry, Micros, NodeStatus, MILLISECOND, SECOND};
 
@@ -10,11 +10,11 @@
 pub struct Churn {
     /// Mean time between two changes of the membership; 0 for no changes.
     pub mean_membership_interval: Micros,
-    /// Mean time between two changes of a node's condition; 0 for no changes.
-    pub mean_condition_interval: Micros,
-    /// Conditions, one of which is chosen for each change.
-    pub conditions: &'static [Condition],
-    /// Fraction of the changes of condition that affect all nodes in service, in a thousand.
+    /// Mean time between two faults; 0 for no faults.
+    pub mean_fault_interval: Micros,
+    /// Faults, one of which is chosen each time.
+    pub faults: &'static [NodeFault],
+    /// Fraction of the faults that affect all nodes in service, in a thousand.
     pub all_nodes_per_mille: u64,
 }
 
@@ -154,8 +154,8 @@
     change
 }
 
-/// Puts one node, or all nodes in service, into a random condition until they recover.
-pub fn change_condition(nodes: &mut Nodes, churn: &Churn, rng: &mut Rng) -> ClusterChange {
+/// Gives one node, or all nodes in service, a random fault until they recover.
+pub fn inject_fault(nodes: &mut Nodes, churn: &Churn, rng: &mut Rng) -> ClusterChange {
     let mut ids = in_service(nodes);
     let affects_all_nodes = rng.chance_per_mille(churn.all_nodes_per_mille);
     let mut change = ClusterChange::default();
@@ -165,11 +165,11 @@
     if !affects_all_nodes {
         ids = vec![rng.choose(&ids)];
     }
-    let condition = rng.choose(churn.conditions);
+    let fault = rng.choose(churn.faults);
     let duration = rng.in_range(100 * MILLISECOND, 5 * SECOND);
     for id in ids {
         if let Some(node) = nodes.get_mut(&id) {
-            node.condition = condition;
+            node.fault = fault;
         }
         change.follow_ups.push((duration, FollowUp::Recover(id)));
     }
@@ -194,7 +194,7 @@
         }
         FollowUp::Recover(id) => {
             if let Some(node) = nodes.get_mut(&id) {
-                node.condition = Condition::Healthy;
+                node.fault = NodeFault::None;
             }
         }
     }
--- a/crates/scheduler/tests/characterization/cluster.rs
+++ b/crates/scheduler/tests/characterization/cluster.rs
@@ -1,5 +1,5 @@
-//! Model of the storage nodes: their endpoint list entries, their conditions, and when and how
-//! attempts at them end.
+//! Model of the storage nodes: their endpoint list entries, their faults, and when and how attempts
+//! at them end.
 
 use crate::rng::Rng;
 use crate::types::{AttemptOutcome, EndpointEntry, Micros, NodeStatus, MILLISECOND};
@@ -15,7 +15,7 @@
     pub zone_count: u64,
     /// Mean latency of a request of mean size at an idle node.
     pub idle_latency: Micros,
-    /// Number of attempts in flight at a node from which further ones end as overloaded.
+    /// Maximum number of attempts in flight at a node; further ones end as overloaded.
     pub max_attempts_in_flight: usize,
     /// Fraction of attempts whose response is lost, so that they time out.
     pub lost_per_mille: u64,
@@ -34,11 +34,11 @@
     pub start_times_known: bool,
 }
 
-/// Condition of a node, which determines how attempts at it end.
+/// Fault of a node, which determines how attempts at it end.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Condition {
+pub enum NodeFault {
     /// Attempts fail only with the probabilities of [`Cluster`].
-    Healthy,
+    None,
     /// The latency is multiplied by this factor.
     Slow(Micros),
     /// All attempts time out.
@@ -60,8 +60,8 @@
 pub struct SimulatedNode {
     /// Entry in the endpoint list.
     pub entry: EndpointEntry,
-    /// Current condition.
-    pub condition: Condition,
+    /// Current fault.
+    pub fault: NodeFault,
     /// Number of attempts in flight at the node.
     pub attempts_in_flight: usize,
 }
@@ -112,27 +112,28 @@
         };
         let latency = self.random_latency(node, relative_size, rng);
         let responds = rng.chance_per_mille(500);
-        let random_fault = self.random_fault(latency, time_left, rng);
-        let end_without_fault = if node.attempts_in_flight >= self.max_attempts_in_flight {
+        let random_failure = self.random_failure(latency, time_left, rng);
+        let end_without_failure = if node.attempts_in_flight >= self.max_attempts_in_flight {
             AttemptEnd::new(MILLISECOND, AttemptOutcome::Overloaded)
         } else if latency > time_left {
             AttemptEnd::new(time_left, AttemptOutcome::TimedOut)
         } else {
             AttemptEnd::new(latency, AttemptOutcome::Served)
         };
-        match node.condition {
-            Condition::Unresponsive => AttemptEnd::new(time_left, AttemptOutcome::TimedOut),
-            Condition::Unreachable => AttemptEnd::new(400, AttemptOutcome::ConnectFailed),
-            Condition::ResetsConnections => AttemptEnd::new(2 * MILLISECOND, AttemptOutcome::Reset),
-            Condition::ReturnsErrors => AttemptEnd::new(3 * MILLISECOND, AttemptOutcome::Error),
-            Condition::Overloaded => AttemptEnd::new(MILLISECOND, AttemptOutcome::Overloaded),
-            Condition::Lossy if !responds => AttemptEnd::new(time_left, AttemptOutcome::TimedOut),
-            _ => random_fault.unwrap_or(end_without_fault),
+        match node.fault {
+            NodeFault::Unresponsive => AttemptEnd::new(time_left, AttemptOutcome::TimedOut),
+            NodeFault::Unreachable => AttemptEnd::new(400, AttemptOutcome::ConnectFailed),
+            NodeFault::ResetsConnections => AttemptEnd::new(2 * MILLISECOND, AttemptOutcome::Reset),
+            NodeFault::ReturnsErrors => AttemptEnd::new(3 * MILLISECOND, AttemptOutcome::Error),
+            NodeFault::Overloaded => AttemptEnd::new(MILLISECOND, AttemptOutcome::Overloaded),
+            NodeFault::Lossy if !responds => AttemptEnd::new(time_left, AttemptOutcome::TimedOut),
+            _ => random_failure.unwrap_or(end_without_failure),
         }
     }
 
-    /// Chooses a random fault with the cluster's probabilities; `None` if no fault occurs.
-    fn random_fault(
+    /// Chooses at random whether and how an attempt fails, with the cluster's probabilities; `None`
+    /// if it does not fail.
+    fn random_failure(
         &self,
         latency: Micros,
         time_left: Micros,
@@ -140,7 +141,7 @@
     ) -> Option<AttemptEnd> {
         let random_value = rng.below(1000);
         let mut bound = 0;
-        let faults = [
+        let failures = [
             (
                 self.lost_per_mille,
                 AttemptEnd::new(time_left, AttemptOutcome::TimedOut),
@@ -166,7 +167,7 @@
                 AttemptEnd::new(0, AttemptOutcome::NotDispatched),
             ),
         ];
-        for (per_mille, attempt_end) in faults {
+        for (per_mille, attempt_end) in failures {
             bound += per_mille;
             if random_value < bound {
                 return Some(attempt_end);
@@ -178,7 +179,7 @@
     /// Returns a random latency, which grows with the attempts in flight and the size of the
     /// request.
     fn random_latency(&self, node: &SimulatedNode, relative_size: f64, rng: &mut Rng) -> Micros {
-        let slow_factor = if let Condition::Slow(factor) = node.condition {
+        let slow_factor = if let NodeFault::Slow(factor) = node.fault {
             factor
         } else {
             1
@@ -201,7 +202,7 @@
                 status: NodeStatus::InService,
                 started_at,
             },
-            condition: Condition::Healthy,
+            fault: NodeFault::None,
             attempts_in_flight: 0,
         }
     }
--- a/crates/scheduler/tests/characterization/driver.rs
+++ b/crates/scheduler/tests/characterization/driver.rs
@@ -3,7 +3,7 @@
 //! Events are processed in the order of simulated time. They produce inputs for the scheduler, and
 //! the scheduler's decisions schedule further events.
 
-use crate::churn::{apply_follow_up, change_condition, change_membership, ClusterChange, FollowUp};
+use crate::churn::{apply_follow_up, change_membership, inject_fault, ClusterChange, FollowUp};
 use crate::cluster::Nodes;
 use crate::rng::Rng;
 use crate::scenarios::{Discovery, Scenario};
@@ -17,8 +17,8 @@
 
 /// Time from the last request to the end of the run, long enough for the removal of idle volumes.
 const TIME_AFTER_LAST_REQUEST: Micros = 140 * SECOND;
-/// Interval of timer inputs in addition to the timers that the scheduler sets; they keep the
-/// scheduler running while nothing else happens.
+/// Interval of additional timer inputs, which the scheduler did not set, so that it runs even if no
+/// other event occurs.
 const PERIODIC_TIMER_INTERVAL: Micros = 3 * SECOND;
 
 /// An event of the simulation.
@@ -37,14 +37,14 @@
     AttemptEnds(u64, u32, AttemptOutcome),
     /// The membership of the cluster changes.
     MembershipChange,
-    /// The condition of one or all nodes changes.
-    ConditionChange,
+    /// One or all nodes in service become faulty.
+    FaultInjection,
     /// A follow-up of an earlier change of the cluster is due.
     FollowUp(FollowUp),
     /// The poll with this number completes.
     PollCompletes(u64),
-    /// The watch, or the poll interval, that began with the poll of this number ends.
-    WatchEnds(u64),
+    /// The watch that the poll with this number opened ends, or the interval until the next poll.
+    WatchOrIntervalEnds(u64),
     /// The periodic timer fires.
     PeriodicTimer,
 }
@@ -82,7 +82,7 @@
     clients: BTreeMap<u64, ClientState>,
     /// Attempts in flight by the id of their request and their number.
     attempts: BTreeMap<(u64, u32), AttemptInFlight>,
-    /// Requests that the clients have still to send, retries excluded.
+    /// Number of requests not sent yet, without the retries by clients.
     unsent_requests: u64,
     /// Number of the last poll, counted from 1; 0 before the first.
     last_poll: u64,
@@ -209,9 +209,9 @@
                 self.apply_change(change, inputs);
                 self.schedule_changes(true, false);
             }
-            SimulationEvent::ConditionChange => {
+            SimulationEvent::FaultInjection => {
                 let churn = &self.scenario.churn;
-                let change = change_condition(&mut self.nodes, churn, &mut self.rng);
+                let change = inject_fault(&mut self.nodes, churn, &mut self.rng);
                 self.apply_change(change, inputs);
                 self.schedule_changes(false, true);
             }
@@ -220,7 +220,7 @@
                 self.apply_change(change, inputs);
             }
             SimulationEvent::PollCompletes(poll) => self.complete_poll(poll, inputs),
-            SimulationEvent::WatchEnds(poll) => self.end_watch(poll, inputs),
+            SimulationEvent::WatchOrIntervalEnds(poll) => self.end_watch_or_interval(poll, inputs),
             SimulationEvent::PeriodicTimer => {
                 inputs.push(Input::TimerFired);
                 self.schedule(PERIODIC_TIMER_INTERVAL, SimulationEvent::PeriodicTimer);
@@ -369,18 +369,18 @@
         if served
             || self
                 .rng
-                .chance_per_mille(self.scenario.traffic.closing_failures_per_mille)
+                .chance_per_mille(self.scenario.traffic.final_failures_per_mille)
         {
             self.close_request(request);
         }
-        // An attempt may be reported as completed before the closing of its request is known.
-        let missed_closing = self.rng.chance_per_mille(200);
+        // Sometimes reports a closed request as open, as a host does that has not closed it yet.
+        let reports_as_open = self.rng.chance_per_mille(200);
         let completion = AttemptCompletion {
             request,
             number,
             node: attempt.node,
             outcome,
-            request_closed: !self.clients[&request].is_open && !missed_closing,
+            request_closed: !self.clients[&request].is_open && !reports_as_open,
             elapsed: self.now - attempt.dispatched_at,
             remote_units: self.remote_units(outcome),
             utilization: self.utilization(outcome),
@@ -470,7 +470,7 @@
         let client = self
             .clients
             .get_mut(&request)
-            .expect("a dispatched request was sent");
+            .expect("a dispatched request should have been sent");
         let number = client.attempts;
         client.attempts += 1;
         self.summary.retries_dispatched += u64::from(number > 0);
@@ -510,8 +510,8 @@
         );
     }
 
-    /// Schedules the next change of the membership, of a node's condition, or of both.
-    fn schedule_changes(&mut self, membership: bool, condition: bool) {
+    /// Schedules the next change of the membership, the next fault, or both.
+    fn schedule_changes(&mut self, membership: bool, fault: bool) {
         let churn = &self.scenario.churn;
         if self.unsent_requests == 0 {
             return;
@@ -520,9 +520,9 @@
             let after = self.rng.in_range(0, 2 * churn.mean_membership_interval);
             self.schedule(after, SimulationEvent::MembershipChange);
         }
-        if condition && churn.mean_condition_interval > 0 {
-            let after = self.rng.in_range(0, 2 * churn.mean_condition_interval);
-            self.schedule(after, SimulationEvent::ConditionChange);
+        if fault && churn.mean_fault_interval > 0 {
+            let after = self.rng.in_range(0, 2 * churn.mean_fault_interval);
+            self.schedule(after, SimulationEvent::FaultInjection);
         }
     }
 
@@ -573,7 +573,7 @@
     }
 
     /// Ends the watch, or the interval until the next poll, unless a later poll has replaced it.
-    fn end_watch(&mut self, poll: u64, inputs: &mut Vec<Input>) {
+    fn end_watch_or_interval(&mut self, poll: u64, inputs: &mut Vec<Input>) {
         if poll == self.last_poll {
             self.watch_is_open = false;
             inputs.push(Input::EndpointList(ListUpdateKind::WatchLost, Vec::new()));
@@ -599,6 +599,6 @@
                 self.rng.in_range(0, 2 * mean)
             }
         };
-        self.schedule(after, SimulationEvent::WatchEnds(poll));
+        self.schedule(after, SimulationEvent::WatchOrIntervalEnds(poll));
     }
 }
--- a/crates/scheduler/tests/characterization/main.rs
+++ b/crates/scheduler/tests/characterization/main.rs
@@ -1,5 +1,5 @@
 //! Characterization tests of the scheduler's decisions: each scenario simulates clients, nodes and
-//! the discovery service for some thousand requests with a fixed seed, and compares a digest of the
+//! the discovery service for a few thousand requests with fixed seeds, and compares a digest of the
 //! scheduler's decisions with the one in a snapshot file.
 //!
 //! A different digest means that at least one decision changed; the counts in the snapshot show
--- a/crates/scheduler/tests/characterization/scenarios.rs
+++ b/crates/scheduler/tests/characterization/scenarios.rs
@@ -1,7 +1,7 @@
 //! Scenarios of the characterization tests: settings, nodes and clients of each run.
 
 use crate::churn::Churn;
-use crate::cluster::{Cluster, Condition};
+use crate::cluster::{Cluster, NodeFault};
 use crate::traffic::Traffic;
 use crate::types::{
     Class, DedupScope, Deployment, Idempotency, Micros, Plan, RetryBudget, SlowStart,
@@ -44,16 +44,16 @@
     pub late_timers_per_mille: u64,
 }
 
-/// Every condition in which attempts fail or are slow.
-const ALL_CONDITIONS: &[Condition] = &[
-    Condition::Slow(4),
-    Condition::Slow(40),
-    Condition::Unresponsive,
-    Condition::Unreachable,
-    Condition::ResetsConnections,
-    Condition::ReturnsErrors,
-    Condition::Lossy,
-    Condition::Overloaded,
+/// Every kind of fault, with two degrees of slowness.
+const ALL_FAULTS: &[NodeFault] = &[
+    NodeFault::Slow(4),
+    NodeFault::Slow(40),
+    NodeFault::Unresponsive,
+    NodeFault::Unreachable,
+    NodeFault::ResetsConnections,
+    NodeFault::ReturnsErrors,
+    NodeFault::Lossy,
+    NodeFault::Overloaded,
 ];
 
 fn unordered_class(
@@ -86,8 +86,8 @@
     }
 }
 
-/// Nodes with faults of every kind.
-fn cluster_with_faults(idle_latency: Micros, shard_count: u64) -> Cluster {
+/// Nodes at which a small fraction of the attempts fails, with every kind of failure.
+fn cluster_with_random_failures(idle_latency: Micros, shard_count: u64) -> Cluster {
     Cluster {
         shard_count,
         zone_count: 2,
@@ -103,7 +103,8 @@
     }
 }
 
-/// One host, nodes with few faults and a constant load. The other scenarios vary this one.
+/// One host, bursts of requests at random intervals, few failed attempts, and from time to time a
+/// slow or unresponsive node. The other scenarios are variations of this one.
 pub fn baseline() -> Scenario {
     Scenario {
         deployment: baseline_deployment(),
@@ -114,12 +115,12 @@
             error_per_mille: 3,
             cancelled_per_mille: 0,
             not_dispatched_per_mille: 1,
-            ..cluster_with_faults(12 * MILLISECOND, 12)
+            ..cluster_with_random_failures(12 * MILLISECOND, 12)
         },
         churn: Churn {
             mean_membership_interval: 0,
-            mean_condition_interval: 3 * SECOND,
-            conditions: &[Condition::Slow(4), Condition::Unresponsive],
+            mean_fault_interval: 3 * SECOND,
+            faults: &[NodeFault::Slow(4), NodeFault::Unresponsive],
             all_nodes_per_mille: 0,
         },
         traffic: baseline_traffic(),
@@ -178,7 +179,7 @@
         client_retries_per_mille: 300,
         disconnects_per_mille: 60,
         early_responses_per_mille: 50,
-        closing_failures_per_mille: 10,
+        final_failures_per_mille: 10,
         pause: 0,
     }
 }
@@ -216,7 +217,7 @@
     scenario.deployment.reports_remote_units = true;
     scenario.cluster = Cluster {
         max_attempts_in_flight: 8,
-        ..cluster_with_faults(14 * MILLISECOND, 2)
+        ..cluster_with_random_failures(14 * MILLISECOND, 2)
     };
     scenario.traffic.volume_count = 7;
     scenario.traffic.host_counts = &[2.0, 1.0];
@@ -226,7 +227,7 @@
     scenario
 }
 
-/// Several hosts, and nodes that restart often and warm up.
+/// One of four hosts, the only one that is simulated, and nodes that restart often and warm up.
 pub fn slow_start() -> Scenario {
     let mut scenario = baseline();
     scenario.deployment.host_count = 4;
@@ -243,7 +244,7 @@
     scenario.deployment.slow_start.initial_units_per_window = 30.0;
     scenario.cluster = Cluster {
         start_times_known: true,
-        ..cluster_with_faults(10 * MILLISECOND, 5)
+        ..cluster_with_random_failures(10 * MILLISECOND, 5)
     };
     scenario.churn.mean_membership_interval = 900 * MILLISECOND;
     scenario.traffic.host_counts = &[4.0, 2.0];
@@ -265,10 +266,10 @@
     scenario.cluster = Cluster {
         lost_per_mille: 60,
         connect_failed_per_mille: 80,
-        ..cluster_with_faults(9 * MILLISECOND, 6)
+        ..cluster_with_random_failures(9 * MILLISECOND, 6)
     };
-    scenario.churn.mean_condition_interval = SECOND;
-    scenario.churn.conditions = ALL_CONDITIONS;
+    scenario.churn.mean_fault_interval = SECOND;
+    scenario.churn.faults = ALL_FAULTS;
     scenario.completion_granularity = 5 * MILLISECOND;
     scenario
 }
@@ -288,7 +289,7 @@
     scenario.deployment.quiesce_period = 60 * MILLISECOND;
     scenario.cluster = Cluster {
         reset_per_mille: 120,
-        ..cluster_with_faults(25 * MILLISECOND, 6)
+        ..cluster_with_random_failures(25 * MILLISECOND, 6)
     };
     scenario.churn.mean_membership_interval = 4 * SECOND;
     scenario.traffic.with_key_per_mille = 800;
@@ -296,8 +297,8 @@
     scenario.traffic.new_objects_per_mille = 100;
     scenario.traffic.disconnects_per_mille = 250;
     scenario.completion_granularity = MILLISECOND;
-    scenario.churn.conditions = ALL_CONDITIONS;
-    scenario.churn.mean_condition_interval = 1_500 * MILLISECOND;
+    scenario.churn.faults = ALL_FAULTS;
+    scenario.churn.mean_fault_interval = 1_500 * MILLISECOND;
     scenario.late_timers_per_mille = 500;
     scenario
 }
@@ -347,11 +348,11 @@
     scenario.cluster = Cluster {
         reset_per_mille: 60,
         error_per_mille: 60,
-        ..cluster_with_faults(10 * MILLISECOND, 4)
+        ..cluster_with_random_failures(10 * MILLISECOND, 4)
     };
     scenario.churn.mean_membership_interval = 800 * MILLISECOND;
-    scenario.churn.mean_condition_interval = 1_500 * MILLISECOND;
-    scenario.churn.conditions = ALL_CONDITIONS;
+    scenario.churn.mean_fault_interval = 1_500 * MILLISECOND;
+    scenario.churn.faults = ALL_FAULTS;
     scenario.traffic.new_objects_per_mille = 400;
     scenario
 }
@@ -384,7 +385,7 @@
     scenario
 }
 
-/// Many hosts poll the endpoint list at an interval.
+/// One of 300 hosts that poll the endpoint list at an interval; only this host is simulated.
 pub fn discovery_by_poll() -> Scenario {
     let mut scenario = baseline();
     scenario.deployment.discovery_clients = 300;
@@ -393,12 +394,12 @@
         interval: 1_500 * MILLISECOND,
     };
     scenario.churn.mean_membership_interval = 2 * SECOND;
-    scenario.cluster = cluster_with_faults(12 * MILLISECOND, 8);
+    scenario.cluster = cluster_with_random_failures(12 * MILLISECOND, 8);
     scenario.cluster.start_times_known = true;
     scenario
 }
 
-/// Few hosts watch the endpoint list.
+/// One of four hosts that watch the endpoint list; only this host is simulated.
 pub fn discovery_by_watch() -> Scenario {
     let mut scenario = discovery_by_poll();
     scenario.deployment.discovery_clients = 4;
@@ -408,7 +409,8 @@
     scenario
 }
 
-/// Many hosts watch the endpoint list, without a maximum poll interval.
+/// One of 300 hosts that watch the endpoint list, without a maximum poll interval; only this host
+/// is simulated.
 pub fn discovery_by_watch_with_many_hosts() -> Scenario {
     let mut scenario = discovery_by_watch();
     scenario.deployment.discovery_clients = 300;
@@ -424,9 +426,9 @@
         2.0,
         Idempotency::Idempotent,
     ));
-    scenario.cluster = cluster_with_faults(10 * MILLISECOND, 4);
-    scenario.churn.mean_condition_interval = 600 * MILLISECOND;
-    scenario.churn.conditions = ALL_CONDITIONS;
+    scenario.cluster = cluster_with_random_failures(10 * MILLISECOND, 4);
+    scenario.churn.mean_fault_interval = 600 * MILLISECOND;
+    scenario.churn.faults = ALL_FAULTS;
     scenario.churn.all_nodes_per_mille = 150;
     scenario.traffic.mean_burst_interval = 15 * MILLISECOND;
     scenario
@@ -436,7 +438,7 @@
 pub fn large_cluster_with_faults() -> Scenario {
     let mut scenario = small_cluster_with_faults();
     scenario.cluster.shard_count = 30;
-    scenario.churn.mean_condition_interval = 400 * MILLISECOND;
+    scenario.churn.mean_fault_interval = 400 * MILLISECOND;
     scenario.churn.all_nodes_per_mille = 0;
     scenario.traffic.new_objects_per_mille = 500;
     scenario.completion_granularity = 4 * MILLISECOND;
@@ -446,7 +448,7 @@
 /// A single node that is often removed, so that at times no node can take new objects.
 pub fn single_node() -> Scenario {
     let mut scenario = membership_churn();
-    scenario.cluster = cluster_with_faults(5 * MILLISECOND, 1);
+    scenario.cluster = cluster_with_random_failures(5 * MILLISECOND, 1);
     scenario.deployment.classes = vec![
         unordered_class(150 * MILLISECOND, 1.0, Idempotency::Idempotent),
         ordered_class(
@@ -517,7 +519,7 @@
     scenario.discovery = Discovery::Watched { mean: 3 * SECOND };
     scenario.cluster = Cluster {
         start_times_known: true,
-        ..cluster_with_faults(10 * MILLISECOND, 5)
+        ..cluster_with_random_failures(10 * MILLISECOND, 5)
     };
     scenario.churn.mean_membership_interval = 5 * SECOND;
     scenario.traffic.host_counts = &[0.0, 1.0];
@@ -547,16 +549,16 @@
     scenario.traffic.max_client_timeout = 900 * MILLISECOND;
     scenario.cluster = Cluster {
         lost_per_mille: 90,
-        ..cluster_with_faults(9 * MILLISECOND, 4)
+        ..cluster_with_random_failures(9 * MILLISECOND, 4)
     };
-    scenario.churn.conditions = &[Condition::Slow(4), Condition::Slow(12), Condition::Lossy];
-    scenario.churn.mean_condition_interval = SECOND;
+    scenario.churn.faults = &[NodeFault::Slow(4), NodeFault::Slow(12), NodeFault::Lossy];
+    scenario.churn.mean_fault_interval = SECOND;
     scenario.traffic.mean_burst_interval = 50 * MILLISECOND;
     scenario
 }
 
-/// Nodes that are always slow: their latency when idle, 14 ms, is above a quarter of every latency
-/// objective, and the host treats responses above that quarter as slow.
+/// Nodes that are slow even without a fault: their mean latency when idle is 14 ms, more than a
+/// quarter of each latency objective, the threshold above which a response is slow.
 pub fn always_slow_nodes() -> Scenario {
     let mut scenario = baseline();
     scenario.deployment.classes = vec![
@@ -568,9 +570,9 @@
         ),
     ];
     scenario.deployment.plans.push(plan(20.0, 1.0, 80.0, 40.0));
-    scenario.cluster = cluster_with_faults(14 * MILLISECOND, 5);
-    scenario.churn.mean_condition_interval = 2 * SECOND;
-    scenario.churn.conditions = ALL_CONDITIONS;
+    scenario.cluster = cluster_with_random_failures(14 * MILLISECOND, 5);
+    scenario.churn.mean_fault_interval = 2 * SECOND;
+    scenario.churn.faults = ALL_FAULTS;
     scenario.traffic.mean_burst_interval = 30 * MILLISECOND;
     scenario.completion_granularity = 2 * MILLISECOND;
     scenario
@@ -593,15 +595,15 @@
     scenario.deployment.slow_start.duration = SECOND;
     scenario.cluster = Cluster {
         reset_per_mille: 80,
-        ..cluster_with_faults(16 * MILLISECOND, 4)
+        ..cluster_with_random_failures(16 * MILLISECOND, 4)
     };
     scenario.cluster.zone_count = 3;
     scenario.churn.mean_membership_interval = 250 * MILLISECOND;
-    scenario.churn.conditions = ALL_CONDITIONS;
+    scenario.churn.faults = ALL_FAULTS;
     scenario.traffic.new_objects_per_mille = 500;
     scenario.completion_granularity = 3 * MILLISECOND;
     scenario.traffic.mean_burst_interval = 30 * MILLISECOND;
-    scenario.churn.mean_condition_interval = SECOND;
+    scenario.churn.mean_fault_interval = SECOND;
     scenario
 }
 
--- a/crates/scheduler/tests/characterization/summary.rs
+++ b/crates/scheduler/tests/characterization/summary.rs
@@ -135,7 +135,7 @@
         ];
         let mut report = format!("seed {seed}: digest {:016x}\n", self.digest);
         for (name, count) in rows {
-            writeln!(report, "  {name}: {count}").expect("writing to a string succeeds");
+            writeln!(report, "  {name}: {count}").expect("writing to a string should succeed");
         }
         report
     }
--- a/crates/scheduler/tests/characterization/traffic.rs
+++ b/crates/scheduler/tests/characterization/traffic.rs
@@ -1,5 +1,4 @@
-//! Model of the clients: the requests that they send, with values at the edge of the valid range or
-//! beyond it among them.
+//! Model of the clients: the requests that they send, some of them with invalid or extreme values.
 
 use crate::rng::Rng;
 use crate::types::{ClientRequest, Micros, MILLISECOND, SECOND};
@@ -48,8 +47,8 @@
     pub disconnects_per_mille: u64,
     /// Fraction of served or reset attempts whose response starts before the attempt ends.
     pub early_responses_per_mille: u64,
-    /// Fraction of attempts that were not served, but close their request.
-    pub closing_failures_per_mille: u64,
+    /// Fraction of the attempts that are not served, but after which the client no longer waits.
+    pub final_failures_per_mille: u64,
     /// Time without requests after each third of the requests.
     pub pause: Micros,
 }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -229,8 +229,8 @@
         }
     }
 
-    /// Sends requests of a separate volume to node 0, so that later requests have to wait. Returns
-    /// the ids of the requests that were dispatched.
+    /// Sends requests of volume 99 to node 0. If they reach the node's concurrency limit, later
+    /// requests have to wait. Returns the ids of the requests that were dispatched.
     pub fn occupy_node_0(&mut self, requests: u64) -> Vec<u64> {
         const VOLUME: u64 = 99;
         let mut events = vec![];
--- a/crates/scheduler/tests/concurrency_limit.rs
+++ b/crates/scheduler/tests/concurrency_limit.rs
@@ -36,17 +36,19 @@
     requests.iter().map(|id| served(*id, latency)).collect()
 }
 
-/// Sends requests in 40 rounds, in which node 0 responds with this latency. Returns how many
-/// attempts were in flight at once in the last round.
+/// Sends 40 batches of requests to node 0, which serves them with this latency. A batch takes 63 s,
+/// longer than the 60 s to the deadline of its requests, so that none of them is pending when the
+/// next batch is sent. Returns how many requests of the last batch were dispatched at once.
 fn in_flight_after_responses(harness: &mut SchedulerHarness, latency: Micros) -> usize {
     let mut in_flight = 0;
     for _ in 0..40 {
         let attempts = harness.occupy_node_0(6);
         in_flight = attempts.len();
         harness.now += 2 * SECOND;
-        let following = dispatched_requests(&harness.handle(&all_served(&attempts, latency)));
+        let dispatched_later =
+            dispatched_requests(&harness.handle(&all_served(&attempts, latency)));
         harness.now += 59 * SECOND;
-        harness.handle(&all_served(&following, latency));
+        harness.handle(&all_served(&dispatched_later, latency));
         harness.now += 2 * SECOND;
         harness.fire_timer_at(harness.now);
     }
@@ -85,7 +87,7 @@
 }
 
 #[test]
-fn pacing_at_a_slow_node_delays_requests_without_a_reservation_longer() {
+fn pacing_delays_requests_without_a_reservation_longer_than_those_with_one() {
     // Responses take 200 ms, more than a quarter of the latency objective of 500 ms, so the
     // concurrency limit falls below one and dispatches are paced.
     let latency = 200 * MILLISECOND;
@@ -144,7 +146,7 @@
 }
 
 #[test]
-fn pacing_delays_requests_above_the_provisioned_rate_longer() {
+fn pacing_delays_requests_above_the_provisioned_rate_longer_than_those_within_it() {
     // Volume 1 is provisioned for five units per second. Ten additional units in one request put it
     // above that rate.
     let mut waits = vec![];
--- a/crates/scheduler/tests/decision_files.rs
+++ b/crates/scheduler/tests/decision_files.rs
@@ -1,5 +1,6 @@
-//! Files with decision logic: the `policy` list in `deploy/balancer.toml` must name every one of
-//! them, and their size is limited, so that each can be read in one sitting.
+//! Source files with the scheduling rules (decision files): `policy` in `deploy/balancer.toml` must
+//! list exactly these, and the length of the files and of their functions is limited, so that they
+//! stay easy to review.
 
 use std::path::{Path, PathBuf};
 
@@ -20,7 +21,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../..")
         .canonicalize()
-        .expect("the root of the repository exists")
+        .expect("the root of the repository should exist")
 }
 
 /// Returns the strings in the array `policy = [...]` of the deploy file, without those in comments.
@@ -33,8 +34,8 @@
     let text = lines_without_comments.join("\n");
     let (_, value) = text
         .split_once("\npolicy = [")
-        .expect("the deploy file has the key `policy`");
-    let (array, _) = value.split_once(']').expect("the array is closed");
+        .expect("the deploy file should have the key `policy`");
+    let (array, _) = value.split_once(']').expect("the array should be closed");
     array
         .split('"')
         .skip(1)
@@ -51,8 +52,8 @@
 /// Returns all Rust source files in a folder and its subfolders.
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("the folder is readable") {
-        let path = entry.expect("the folder entry is readable").path();
+    for entry in std::fs::read_dir(folder).expect("the folder should be readable") {
+        let path = entry.expect("the folder entry should be readable").path();
         if path.is_dir() {
             files.extend(source_files(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
@@ -71,8 +72,10 @@
     for path in source_files(&folder) {
         let path_in_repository = path
             .strip_prefix(&root)
-            .expect("the file is in the repository");
-        let path_in_src = path.strip_prefix(&folder).expect("the file is in `src`");
+            .expect("the file should be in the repository");
+        let path_in_src = path
+            .strip_prefix(&folder)
+            .expect("the file should be in `src`");
         sources.push((
             path_in_repository.display().to_string(),
             path_in_src.display().to_string(),
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -6,15 +6,16 @@
 use io_scheduler::{Action, EndpointListEvent, Event, Micros, Scheduler, Settings};
 use std::ops::Range;
 
-/// A poll fails if the service has not started to handle it after this time.
-const POLL_TIMEOUT: Micros = 2 * SECOND;
+/// Maximum time that a poll waits for the service to start handling it; after that, the poll fails.
+const MAX_POLL_WAIT: Micros = 2 * SECOND;
 
 /// Simulated discovery service, which handles polls one after another. A poll that waits longer
-/// than its timeout fails, but takes as much of the service's time as any other.
+/// than [`MAX_POLL_WAIT`] fails, but takes as much of the service's time as any other.
 struct DiscoveryService {
     /// Time that the service takes to handle one poll.
     service_time: Micros,
-    /// Time during which the service is down; polls sent in this time fail after their timeout.
+    /// Time during which the service is down; polls sent in this time fail after
+    /// [`MAX_POLL_WAIT`].
     down: Range<Micros>,
     /// Time until which the service is busy with the polls received so far.
     busy_until: Micros,
@@ -37,7 +38,7 @@
 
     fn poll(&mut self, now: Micros) -> PendingPoll {
         let timed_out = PendingPoll {
-            completes_at: now + POLL_TIMEOUT,
+            completes_at: now + MAX_POLL_WAIT,
             result: EndpointListEvent::PollFailed,
         };
         if self.down.contains(&now) {
@@ -45,7 +46,7 @@
         }
         let starts_at = now.max(self.busy_until);
         self.busy_until = starts_at + self.service_time;
-        if starts_at - now > POLL_TIMEOUT {
+        if starts_at - now > MAX_POLL_WAIT {
             return timed_out;
         }
         PendingPoll {
@@ -107,7 +108,7 @@
         let updates = self
             .updated_at
             .iter()
-            .map(|at| at.expect("every host got the endpoint list"));
+            .map(|at| at.expect("every host should have got the endpoint list"));
         updates.max().unwrap_or_default()
     }
 }
@@ -196,9 +197,10 @@
 
 #[test]
 fn all_hosts_get_the_endpoint_list_within_six_seconds() {
+    // Six seconds, less a margin of 250 ms.
     let max_delay = 6 * SECOND - 250 * MILLISECOND;
-    // After the start of the hosts. With the longest service time, the service can handle hardly
-    // more polls than the hosts need.
+    // After the start of the hosts. With the longest service time, handling one poll of each of the
+    // 300 hosts takes 4.8 s.
     for service_time in [MILLISECOND, 10 * MILLISECOND, 16 * MILLISECOND] {
         let fleet = poll_from_all_hosts(
             300,
--- a/crates/scheduler/tests/dmclock.rs
+++ b/crates/scheduler/tests/dmclock.rs
@@ -95,10 +95,13 @@
     // The reservation tags of volume 1 (requests 5 to 7) are 0, 100 and 200 ms. An attempt
     // completes every 60 ms.
     let order = dispatch_order(&mut harness, in_flight, 6, 60 * MILLISECOND);
-    // Volume 2 (requests 8 to 10) became active last and has the smallest share tag. Dispatched
-    // are: at 60 ms request 5 and at 120 ms request 6, whose reservation tags are due; at 180 ms
-    // request 8 by weight, because no reservation tag is due; at 240 ms request 7, whose
-    // reservation tag is due; then requests 9 and 10 by weight.
+    // Volume 2 (requests 8 to 10) became active last and has the smallest share tag. The requests
+    // are dispatched in this order:
+    // - 60 ms: request 5, whose reservation tag is due
+    // - 120 ms: request 6, whose reservation tag is due
+    // - 180 ms: request 8, which has the smallest share tag; no reservation tag is due
+    // - 240 ms: request 7, whose reservation tag is due
+    // - 300 and 360 ms: requests 9 and 10, the only ones left
     assert_eq!(order, [5, 6, 8, 7, 9, 10]);
 }
 
@@ -157,7 +160,7 @@
     let order = dispatch_order(&mut harness, in_flight, 4, MILLISECOND);
     assert!(
         order.iter().all(|id| second_volume.contains(id)),
-        "requests of volume 2 are dispatched first: {order:?}"
+        "only requests of volume 2 should be dispatched: {order:?}"
     );
 }
 
--- a/crates/scheduler/tests/endpoints.rs
+++ b/crates/scheduler/tests/endpoints.rs
@@ -39,7 +39,7 @@
     let request = harness.request(Some(0));
     assert!(
         dispatched_attempts(&harness.receive(request)).is_empty(),
-        "a node that a complete list lacks is removed"
+        "a node that is missing from a snapshot should get no attempts"
     );
 }
 
--- a/crates/scheduler/tests/outlier_ejection.rs
+++ b/crates/scheduler/tests/outlier_ejection.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn no_node_is_treated_as_ejected_while_most_nodes_fail() {
+fn ejection_has_an_effect_unless_most_nodes_are_ejected() {
     let mut settings = default_settings();
     settings.classes[0].latency_objective = 10 * SECOND;
     for failing_nodes in [1, 3] {
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn new_object_is_retried_at_another_node_only_if_it_was_not_executed() {
+fn new_object_is_retried_at_another_node_unless_it_may_have_been_executed() {
     for (outcome, expects_other_node) in [(Outcome::ConnectFailed, true), (Outcome::Error, false)] {
         let mut settings = default_settings();
         settings.classes[0].idempotency = Idempotency::WithKey {
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -9,7 +9,7 @@
 use io_scheduler::{DeduplicationScope, Event, Idempotency, Micros, Outcome, RetryBudget};
 
 #[test]
-fn non_idempotent_request_is_retried_only_if_it_was_not_executed() {
+fn non_idempotent_request_is_retried_unless_it_may_have_been_executed() {
     let mut settings = default_settings();
     settings.classes[0].idempotency = Idempotency::NonIdempotent;
     for (outcome, expects_retry) in [
@@ -59,14 +59,16 @@
             usize::from(expects_retry),
             "{scope:?} {elapsed}"
         );
-        let may_be_rejected = scope == DeduplicationScope::All;
-        let expected_failed = usize::from(!expects_retry && !may_be_rejected);
+        // With the scope `All`, the client may safely retry, so the request is rejected. With the
+        // others, it fails.
+        let client_may_retry = scope == DeduplicationScope::All;
+        let expected_failed = usize::from(!expects_retry && !client_may_retry);
         assert_eq!(
             failed_requests(&actions).len(),
             expected_failed,
             "{scope:?} {elapsed}"
         );
-        let expected_rejected = usize::from(!expects_retry && may_be_rejected);
+        let expected_rejected = usize::from(!expects_retry && client_may_retry);
         assert_eq!(
             rejected_requests(&actions).len(),
             expected_rejected,
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -195,9 +195,9 @@
             + (1.0 - INITIAL_CAPACITY) * (now - NODE_STARTED_AT) as f64 / SLOW_START_DURATION as f64
     }
 
-    /// Returns by how many requests the window of one second with the largest excess exceeded what
-    /// the node can serve in it. The random variation of the hosts' quotas is not counted as
-    /// excess.
+    /// Returns the largest number of requests above the allowed number in any window of one second.
+    /// Allowed are the `n` requests that the node can serve in the window, and `2 * sqrt(n) + 2`
+    /// more, because the quotas of the hosts vary at random.
     fn max_excess_requests(&self) -> f64 {
         let excess_until = |now: Micros| {
             let window = now - SECOND..=now;
@@ -311,8 +311,9 @@
 
 #[test]
 fn surplus_requests_use_at_most_half_of_the_slow_start_quota() {
-    // A single host's quota is all 20 units of a window. A volume that exceeds its provisioned rate
-    // may use half of the quota; the requests of another volume get the rest.
+    // A single host's quota is all 20 units of a window, and each request has one unit. A volume
+    // that exceeds its provisioned rate may use half of the quota; the reserved requests of another
+    // volume get the rest. The upper bounds allow one additional request.
     let mut settings = default_settings();
     settings.plans = vec![
         VolumePlan {
@@ -367,10 +368,11 @@
 }
 
 #[test]
-fn host_keeps_to_its_slow_start_quota_in_every_window() {
+fn host_keeps_to_its_slow_start_quota_on_average() {
     // The 20 units of a window, split evenly among four hosts, are 5 per host. By the provisioned
     // rate of its volume, this host's part is 3 units. Its quota is the mean of both, 4 units, so
-    // that it dispatches 1.6 requests of 2.5 units per window on average.
+    // that it dispatches 1.6 requests of 2.5 units per window on average. A single window may have
+    // two of them, which are 5 units.
     const REQUESTS_PER_WINDOW: Micros = 6;
     let mut settings = default_settings();
     settings.host_count = 4;
