--- a/crates/settings/tests/conversion.rs
+++ b/crates/settings/tests/conversion.rs
@@ -1,23 +1,24 @@
-//! Tests that every key of the settings object is converted to the right setting of the scheduler.
+//! Tests of the settings object: how its keys are decoded, and to which settings of the scheduler
+//! they are converted.
 
 use deployment_settings::{micros, DeploymentSettings, UnknownValue};
 use io_scheduler::{DeduplicationScope, Idempotency, Micros, Settings, Units, UnitsPerSecond};
 use serde_json::{json, Value};
 
 fn decode(object: Value) -> DeploymentSettings {
-    serde_json::from_value(object).expect("settings that decode")
+    serde_json::from_value(object).expect("the settings should decode")
 }
 
 fn convert(object: Value) -> Settings {
     decode(object)
         .to_scheduler_settings()
-        .expect("settings that convert")
+        .expect("the settings should convert")
 }
 
 fn conversion_error(object: Value) -> UnknownValue {
     decode(object)
         .to_scheduler_settings()
-        .expect_err("settings that fail to convert")
+        .expect_err("the settings should fail to convert")
 }
 
 #[test]
@@ -140,7 +141,7 @@
     assert_eq!(settings.quiesce_period, 6_000);
     let budget = settings
         .retry_budget
-        .expect("a retry budget, as its window is set");
+        .expect("the window should enable the retry budget");
     assert_eq!(budget.window, 8_000);
     assert_eq!(budget.allowance, 9.0);
     assert_eq!(budget.ratio, 10.0);
@@ -153,12 +154,12 @@
     let settings = convert(json!({"rules": {"resend_span_ms": 8.0}}));
     let budget = settings
         .retry_budget
-        .expect("a retry budget, as its window is set");
+        .expect("the window should enable the retry budget");
     assert_eq!((budget.allowance, budget.ratio), (0.0, 0.0));
 }
 
 #[test]
-fn discovery_clients_are_all_gateways_or_one_with_an_agent_or_none() {
+fn discovery_client_count_depends_on_the_discovery_setting_and_the_agent() {
     for (discovery, group_size, has_discovery_agent, clients) in [
         ("subscribe", 30, false, 30),
         ("subscribe", 30, true, 30),
@@ -171,7 +172,7 @@
         settings.has_discovery_agent = has_discovery_agent;
         let converted = settings
             .to_scheduler_settings()
-            .expect("settings that convert");
+            .expect("the settings should convert");
         assert_eq!(converted.host_count, group_size);
         assert_eq!(
             converted.discovery_clients, clients,
@@ -250,7 +251,7 @@
 }
 
 #[test]
-fn absent_idempotency_is_an_error() {
+fn class_without_an_effect_is_an_error() {
     let error = conversion_error(json!({"classes": [{"name": "read"}]}));
     assert_eq!(
         error.to_string(),
