--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,13 @@
 //! Tests that run the adapter as a process, send it lines, and check its replies and error texts.
+//!
+//! The simulator fixes the names on the wire. Events: `ENLIST` and `POWER_OFF` start and stop an
+//! instance, `TARGETS` is an endpoint list (`SAVED`: the cached one), `INCOMING` a request,
+//! `VANISHED` the disconnect of a client, `UNDER_WAY` the start of a response, `OUTCOME` the end of
+//! an attempt, `ELAPSED` the timer, `PING_RESULT` a health check, and `FROM_PEER` a message from
+//! another instance. Actions: `FORWARD` dispatches an attempt, `DROP_ATTEMPT` cancels it, `SHED`
+//! rejects and `ABORT` fails a request, `OBSERVE` opens a watch, and `DEFER` sets the timer.
+//! Fields: `lane` is the class, `qos_class` the plan, `share_id` the volume, `set_size` the number
+//! of hosts, and `go` the number of the attempt.
 
 use serde_json::{json, Value};
 use std::io::Write;
@@ -51,19 +60,19 @@
     }
 }
 
-/// Runs the adapter on these lines, until it has read all of them or stops at an invalid one.
+/// Runs the adapter with these lines as its input, and returns its output after it has exited.
 fn run_adapter(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("standard input is piped");
+        .expect("the adapter should start");
+    let mut input = child.stdin.take().expect("standard input should be piped");
     // The write fails if the adapter has stopped at an invalid line before the end of the input.
     let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
     drop(input);
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter should exit")
 }
 
 /// Returns the replies to the batches, all of which must be valid.
@@ -75,9 +84,9 @@
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    let text = String::from_utf8(output.stdout).expect("replies are UTF-8");
+    let text = String::from_utf8(output.stdout).expect("replies should be UTF-8");
     text.lines()
-        .map(|line| serde_json::from_str(line).expect("a reply is JSON"))
+        .map(|line| serde_json::from_str(line).expect("a reply should be JSON"))
         .collect()
 }
 
@@ -86,7 +95,7 @@
     let start = Batch::new(0, 1.0).with(0, start_events());
     let output = run_adapter(&[start.line(), line.to_owned()]);
     assert!(!output.status.success());
-    let text = String::from_utf8(output.stderr).expect("error texts are UTF-8");
+    let text = String::from_utf8(output.stderr).expect("error texts should be UTF-8");
     assert!(!text.contains("panicked"), "{text}");
     assert!(text.contains("line 2"), "{text}");
     text
@@ -137,10 +146,13 @@
 
 /// Returns the actions of an instance in a reply.
 fn actions_of(reply: &Value, instance: u64) -> Vec<Value> {
-    let parts = reply["parts"].as_array().expect("parts is a list");
+    let parts = reply["parts"].as_array().expect("parts should be a list");
     let part = parts.iter().find(|part| part["dispatcher_id"] == instance);
     part.map_or(vec![], |part| {
-        part["output"].as_array().expect("output is a list").clone()
+        part["output"]
+            .as_array()
+            .expect("output should be a list")
+            .clone()
     })
 }
 
@@ -163,7 +175,7 @@
 }
 
 #[test]
-fn each_action_is_encoded_as_its_message() {
+fn each_scheduler_action_is_encoded() {
     let mut start = start_events();
     start[0]["ENLIST"]["info"]["classes"][0]["effect"] = json!("side_effect");
     let timed_out = json!({"OUTCOME": {"ref": "c:a", "status": 408, "server": "10.0.0.1:1"}});
@@ -181,7 +193,9 @@
     let actions = |frame: usize| actions_of(&replies[frame], 0);
     assert_eq!(actions(0)[0], json!({"OBSERVE": {"on": true}}));
     let timer = &actions(0)[1]["DEFER"];
-    let delay_ms = timer["wait_ms"].as_f64().expect("the delay is a number");
+    let delay_ms = timer["wait_ms"]
+        .as_f64()
+        .expect("the delay should be a number");
     assert!(delay_ms > 0.0);
     assert_eq!(*timer, json!({"ref": "wake", "wait_ms": delay_ms}));
     assert_eq!(actions(2), [json!({"ABORT": {"ref": "c:a"}})]);
@@ -189,7 +203,7 @@
     assert_eq!(actions(4), [cancellation]);
     let rejection = &actions(6)[0]["SHED"];
     let retry_after_ms = rejection["retry_after_ms"].as_f64();
-    let retry_after_ms = retry_after_ms.expect("Retry-After is a number");
+    let retry_after_ms = retry_after_ms.expect("Retry-After should be a number");
     assert_eq!(
         *rejection,
         json!({"ref": "c:c", "retry_after_ms": retry_after_ms})
@@ -197,7 +211,7 @@
 }
 
 #[test]
-fn events_of_unknown_requests_and_nodes_cause_no_action() {
+fn ignored_events_cause_no_action_except_timers() {
     let event_of_unknown_request = |name: &str| json!({ name: {"ref": "c:none"} });
     let events = vec![
         event_of_unknown_request("VANISHED"),
@@ -218,7 +232,7 @@
 }
 
 #[test]
-fn restart_within_a_batch_drops_pending_requests() {
+fn events_before_a_restart_in_the_same_batch_are_discarded() {
     let mut restart = vec![request_received("c:a", 900.0), json!({"POWER_OFF": {}})];
     restart.extend(start_events());
     let late_outcome = json!({"OUTCOME": {"ref": "c:a", "status": 502, "server": "10.0.0.1:1"}});
