--- a/crates/gateway/src/config/reload.rs
+++ b/crates/gateway/src/config/reload.rs
@@ -1,10 +1,10 @@
 //! Reloads the configuration while the gateway runs.
 
 use super::decode;
+use super::environment::parse_router_config;
 use super::error::ConfigError;
 use super::model::{Config, ConfigSource, Precedence};
 use super::operator::from_file;
-use super::platform::parse_router_config;
 
 impl Config {
     /// Loads the configuration again from the file that it was first loaded from.
--- a/crates/gateway/src/node_protocol/sftp/mod.rs
+++ b/crates/gateway/src/node_protocol/sftp/mod.rs
@@ -5,13 +5,13 @@
 //! may take effect as soon as the first byte of its OPEN is sent, because OPEN creates or truncates
 //! the file.
 //!
-//! [`SftpProtocol`] decodes the replies and keeps the state of the connection. `stage` declares the
-//! states and starts the next command of a request, `reply` decides from the reply what to do next,
-//! and `command_writer` encodes the commands.
+//! [`SftpProtocol`] decodes the replies and keeps the state of the connection. `connection_state`
+//! declares the states and starts the next command of a request, `reply` decides from the reply
+//! what to do next, and `command_writer` encodes the commands.
 
 mod command_writer;
+mod connection_state;
 mod protocol;
 mod reply;
-mod stage;
 
 pub use protocol::SftpProtocol;
--- a/crates/gateway/src/node_protocol/sftp/protocol.rs
+++ b/crates/gateway/src/node_protocol/sftp/protocol.rs
@@ -1,8 +1,8 @@
 //! Protocol state of one connection: starts requests and decodes replies.
 
 use super::command_writer::{CommandIds, CommandWriter};
+use super::connection_state::ConnectionState;
 use super::reply::RequestProgress;
-use super::stage::ConnectionState;
 use crate::node_protocol::{NodeProtocol, ProtocolError};
 use crate::sftp_packet::{decode_packet, DecodedPacket, Packet, PacketType, VERSION};
 use crate::storage_request::{AttemptResult, Operation, StorageRequest};
--- a/crates/gateway/src/node_protocol/sftp/reply.rs
+++ b/crates/gateway/src/node_protocol/sftp/reply.rs
@@ -2,7 +2,7 @@
 //! returns the result.
 
 use super::command_writer::{CommandWriter, ServerHandle};
-use super::stage::ConnectionState;
+use super::connection_state::ConnectionState;
 use crate::node_protocol::ProtocolError;
 use crate::sftp_packet::{Fields, PacketType, StatusCode};
 use crate::storage_request::{AttemptResult, ObjectEntry, Operation, ResponseBody};
--- a/crates/scheduler/src/collections/mod.rs
+++ b/crates/scheduler/src/collections/mod.rs
@@ -1,9 +1,9 @@
 //! Containers that contain no scheduling rules.
 
-mod deadline_queue;
-mod moving_fraction;
+mod moving_average_fraction;
 mod sliding_window;
+mod time_ordered_queue;
 
-pub use deadline_queue::TimeOrderedQueue;
-pub use moving_fraction::MovingAverageFraction;
+pub use moving_average_fraction::MovingAverageFraction;
 pub use sliding_window::SlidingWindow;
+pub use time_ordered_queue::TimeOrderedQueue;
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -5,27 +5,27 @@
 //! - `outlier_ejection`, `dispatch_pause`: when the node is avoided.
 //! - `slow_start`: how many units the node may be sent while it is warming up.
 //! - `latency_estimate`, `loss_rate`, `error_rate`: statistics of its responses.
-//! - `health`: these statistics and limits, updated by each completed attempt.
+//! - `statistics`: these statistics and limits, updated by each completed attempt.
 //! - `attempt_timeout`: when an attempt at the node times out.
 
 pub mod attempt_timeout;
 mod concurrency_limit;
 mod dispatch_pause;
 mod error_rate;
-mod health;
 pub mod latency_estimate;
 mod loss_rate;
 pub mod outlier_ejection;
 pub mod slow_start;
+mod statistics;
 
 pub use concurrency_limit::MAX_IN_FLIGHT;
-pub use health::AttemptMeasurement;
+pub use statistics::AttemptMeasurement;
 
 use crate::api::{Endpoint, EndpointStatus, Micros, SlowStart, Units};
 use concurrency_limit::ConcurrencyLimit;
-use health::NodeStatistics;
 use latency_estimate::LatencyEstimate;
 use slow_start::SlowStartUsage;
+use statistics::NodeStatistics;
 
 /// Maximum number of requests in flight at an ejected node: one trial attempt.
 const MAX_TRIALS_IN_FLIGHT: usize = 1;
