--- a/crates/scheduler/tests/characterization/main.rs
+++ b/crates/scheduler/tests/characterization/main.rs
@@ -8,10 +8,10 @@
 
 mod churn;
 mod cluster;
-mod driver;
 mod rng;
 mod scenarios;
 mod scheduler_adapter;
+mod simulation;
 mod summary;
 mod traffic;
 mod types;
@@ -25,7 +25,7 @@
 fn assert_matches_snapshot(name: &str, scenario: &Scenario) {
     let mut report = String::new();
     for seed in SEEDS {
-        report.push_str(&driver::run(scenario, seed).report(seed));
+        report.push_str(&simulation::run(scenario, seed).report(seed));
     }
     insta::assert_snapshot!(name, report);
 }
