--- a/crates/gateway/src/client_protocol/resp/parameters.rs
+++ b/crates/gateway/src/client_protocol/resp/parameters.rs
@@ -12,7 +12,7 @@
 /// Default size of a request.
 const DEFAULT_UNITS: Units = Units(1.0);
 /// Default number of gateways that receive requests for a volume.
-const DEFAULT_HOSTS: f64 = 1.0;
+const DEFAULT_HOST_COUNT: f64 = 1.0;
 
 /// The parsed parameters of a request. Missing parameters without a default are `None`. Parameters
 /// with unknown names are ignored.
@@ -30,7 +30,7 @@
     /// Size of the request.
     pub(super) units: Units,
     /// Number of gateways that receive requests for the volume.
-    pub(super) hosts: f64,
+    pub(super) host_count: f64,
 }
 
 /// The shard parameter of a request.
@@ -81,7 +81,7 @@
             volume: None,
             shard: None,
             units: DEFAULT_UNITS,
-            hosts: DEFAULT_HOSTS,
+            host_count: DEFAULT_HOST_COUNT,
         }
     }
 }
@@ -125,7 +125,9 @@
             }
             parameter::SHARD => self.shard = Some(parameter.shard()?),
             parameter::HOSTS => {
-                self.hosts = parameter.positive_number()?.clamp(1.0, schema.max_hosts);
+                self.host_count = parameter
+                    .positive_number()?
+                    .clamp(1.0, schema.max_host_count);
             }
             // Unknown names are ignored. So is `r`, which marks a client's retry: no decision
             // depends on it.
--- a/crates/gateway/src/client_protocol/resp/request.rs
+++ b/crates/gateway/src/client_protocol/resp/request.rs
@@ -74,7 +74,7 @@
         plan,
         units: parameters.units,
         shard: shard.assigned_shard(),
-        hosts: parameters.hosts,
+        host_count: parameters.host_count,
         client_timeout: timeout.capped_micros(class.max_timeout_ms),
         body: arguments.body.to_vec(),
         parameters: RequestParameters {
--- a/crates/gateway/src/client_protocol/resp/schema.rs
+++ b/crates/gateway/src/client_protocol/resp/schema.rs
@@ -22,7 +22,7 @@
     pub(super) max_units: Units,
     /// Maximum number of gateways that receive requests for a volume; larger values are reduced to
     /// it.
-    pub(super) max_hosts: f64,
+    pub(super) max_host_count: f64,
 }
 
 /// A request class.
@@ -51,7 +51,7 @@
             classes,
             plans: plans.collect(),
             max_units: max_units(&settings.storage),
-            max_hosts: f64::from(settings.gateway_count.max(1)),
+            max_host_count: f64::from(settings.gateway_count.max(1)),
         })
     }
 
--- a/crates/gateway/src/client_protocol/sftp/requests.rs
+++ b/crates/gateway/src/client_protocol/sftp/requests.rs
@@ -28,7 +28,7 @@
     /// Number of shards of each volume.
     shard_count: u64,
     /// Number of gateways that receive requests for a volume.
-    hosts: f64,
+    host_count: f64,
     /// Converts object sizes to units.
     unit_converter: UnitConverter,
     /// The next client request id. All clients share it, so that the ids are unique at the storage
@@ -96,7 +96,7 @@
             classes: OperationClasses::new(config, settings),
             plans: plans.collect(),
             shard_count: storage.shard_count.max(1),
-            hosts: f64::from(settings.gateway_count.max(1)),
+            host_count: f64::from(settings.gateway_count.max(1)),
             unit_converter: UnitConverter {
                 unit_bytes: config.unit_bytes,
                 mean: storage.mean_units.max(MIN_UNITS),
@@ -181,7 +181,7 @@
             plan: location.volume.plan,
             units,
             shard: Some(location.shard),
-            hosts: self.hosts,
+            host_count: self.host_count,
             client_timeout: class.timeout,
             body,
         }
@@ -199,9 +199,9 @@
         let volume = HexId(location.volume.id.0);
         let shard = location.shard.0;
         let Units(units) = units;
-        let hosts = self.hosts;
+        let host_count = self.host_count;
         let after_timeout =
-            format!(",{VOLUME}={volume},{UNITS}={units},{SHARD}={shard},{HOSTS}={hosts}");
+            format!(",{VOLUME}={volume},{UNITS}={units},{SHARD}={shard},{HOSTS}={host_count}");
         RequestParameters {
             before_timeout: before_timeout.into(),
             after_timeout: after_timeout.into(),
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -104,7 +104,7 @@
         key: Some(request.object),
         shard: request.shard,
         units: request.units,
-        host_count: request.hosts,
+        host_count: request.host_count,
         deadline,
     }
 }
--- a/crates/gateway/src/storage_request/request.rs
+++ b/crates/gateway/src/storage_request/request.rs
@@ -41,7 +41,7 @@
     /// Shard that stores the object; `None` for a new object, which any node can store.
     pub shard: Option<Shard>,
     /// Number of gateways through which requests of the volume arrive.
-    pub hosts: f64,
+    pub host_count: f64,
     /// How long the client waits for the response, in microseconds.
     pub client_timeout: Micros,
     /// Content of the object for a write, otherwise empty.
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -132,7 +132,7 @@
             plan: PlanIndex(0),
             units: Units(1.0),
             shard: shard.map(Shard),
-            hosts: 1.0,
+            host_count: 1.0,
             client_timeout: CLIENT_TIMEOUT,
             body: Vec::new(),
             parameters: Default::default(),
