--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -47,7 +47,7 @@
         let events = std::mem::take(&mut self.events);
         let mut actions = std::mem::take(&mut self.actions);
         self.scheduler.handle(now, &events, &mut actions);
-        // The request of a disconnected client must stay in the table until the scheduler has
+        // A request that needs no response any more must stay in the table until the scheduler has
         // handled the event.
         for event in events {
             if let Event::ResponseNotNeeded(id) = event {
--- a/crates/scheduler/src/dmclock/flow.rs
+++ b/crates/scheduler/src/dmclock/flow.rs
@@ -147,7 +147,8 @@
     }
 
     /// Returns the service that the tags do not count yet, but at least the request's units, and
-    /// marks it as counted. Rho is limited to the reserved rate.
+    /// marks it as counted. Rho counts no more than the reserved rate provides since the last
+    /// request was added, but at least the request's units, too.
     fn count_service(&mut self, units: Units, volume: &Volume, now: Seconds) -> ServiceCount {
         let units = units.max(Units::ZERO);
         let new_units = (volume.served_units() - self.counted_units).max(Units::ZERO);
--- a/crates/scheduler/src/dmclock/tags.rs
+++ b/crates/scheduler/src/dmclock/tags.rs
@@ -23,8 +23,9 @@
     /// Share tag: advances by delta divided by the weight. Compared with the share tags of other
     /// volumes.
     pub share: Seconds,
-    /// Nominal tag, which dmClock does not have: advances by delta divided by the provisioned rate.
-    /// It is ahead of the current time while the volume uses more than it is provisioned for.
+    /// Nominal tag, which dmClock does not have: advances by delta divided by the provisioned rate,
+    /// or by this host's part of that rate ([`Volume::nominal_tag_rate`]). It is ahead of the
+    /// current time while the volume uses more than it is provisioned for.
     pub nominal: Seconds,
 }
 
--- a/crates/scheduler/src/endpoints/polling.rs
+++ b/crates/scheduler/src/endpoints/polling.rs
@@ -2,10 +2,10 @@
 //! list.
 //!
 //! The discovery service handles polls one at a time, and also works on polls that have timed out.
-//! Hosts that poll for the same reason therefore spread their polls by a random jitter, and wait
-//! before they repeat a poll (backoff). Jitter and backoff both grow with the number of hosts that
-//! poll the same service, up to a maximum, because every change has to arrive within the time that
-//! the deployment allows. The settings limit the time between two polls (microseconds).
+//! Hosts that poll for the same reason therefore spread their polls by a pseudorandom jitter, and
+//! wait before they repeat a poll (backoff). Jitter and backoff both grow with the number of hosts
+//! that poll the same service, up to a maximum, because every change has to arrive within the time
+//! that the deployment allows. The settings limit the time between two polls (microseconds).
 
 use crate::api::{Micros, Settings};
 use crate::hash::{fibonacci_hash, hash_to_unit_interval};
@@ -89,7 +89,7 @@
         self.schedule(now + backoff, self.seed ^ now as u64, max_jitter);
     }
 
-    /// Schedules a poll at `earliest` plus a jitter derived from `jitter_seed`.
+    /// Schedules a poll at `earliest` plus a jitter computed from a hash of `jitter_seed`.
     fn schedule(&mut self, earliest: Micros, jitter_seed: u64, max_jitter: Micros) {
         let Some(other_hosts) = self.polling_hosts.checked_sub(1) else {
             self.next_poll_at = None;
--- a/crates/scheduler/src/node/slow_start.rs
+++ b/crates/scheduler/src/node/slow_start.rs
@@ -7,8 +7,8 @@
 //! of hosts, and the units that this host sent to the node within the last window. Service is in
 //! units, times are in microseconds.
 //!
-//! A quota can be smaller than a single request. A random number for each window therefore admits
-//! such a request in some of the windows, so that the quota is met on average.
+//! A quota can be smaller than a single request. A pseudorandom number for each window therefore
+//! admits such a request in some of the windows, so that the quota is met on average.
 
 use super::Node;
 use crate::api::{Micros, Settings, SlowStart, Units, UnitsPerSecond};
--- a/crates/scheduler/src/retry/idempotency.rs
+++ b/crates/scheduler/src/retry/idempotency.rs
@@ -1,8 +1,9 @@
 //! Decides at which nodes a request may be executed again without taking effect twice.
 //!
-//! The decision depends on the idempotency of the request's class, and on the first of its attempts
-//! that a node may have executed. Duplicates of a request with an idempotency key are recognized by
-//! the nodes of a scope, for a window (microseconds) after the dispatch of that attempt.
+//! The decision depends on the idempotency of the request's class, and on the attempt that
+//! completed first among those that a node may have executed. Duplicates of a request with an
+//! idempotency key are recognized by the nodes of a scope, for a window (microseconds) after the
+//! dispatch of that attempt.
 
 use crate::api::{DeduplicationScope, Idempotency, Micros, Outcome};
 use crate::endpoints::NodeTable;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -75,8 +75,8 @@
 }
 
 impl Scheduler {
-    /// Creates a scheduler that starts at `now`. `seed` is used in place of random numbers and
-    /// should differ between hosts.
+    /// Creates a scheduler that starts at `now`. `seed` is the seed of the hashes that replace
+    /// random numbers, and should differ between hosts.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Scheduler {
--- a/crates/scheduler/src/volume/mod.rs
+++ b/crates/scheduler/src/volume/mod.rs
@@ -14,7 +14,7 @@
 use token_bucket::TokenBucket;
 use usage::Usage;
 
-/// Lower bound of the provisioned rate, which is a divisor in dmClock's nominal tag.
+/// Lower bound of the rate at which the nominal tag advances, which is a divisor in that tag.
 const MIN_NOMINAL_TAG_RATE: UnitsPerSecond = UnitsPerSecond(1e-9);
 /// Lower bound of the number of hosts that receive a volume's requests.
 const MIN_HOST_COUNT: f64 = 1.0;
