--- a/crates/gateway/src/client_protocol/resp/schema.rs
+++ b/crates/gateway/src/client_protocol/resp/schema.rs
@@ -22,7 +22,7 @@
     pub(super) max_units: Units,
     /// Maximum number of gateways that receive requests for a volume; larger values are reduced to
     /// it.
-    pub(super) max_hosts: f64,
+    pub(super) max_host_count: f64,
 }
 
 /// A request class.
@@ -51,7 +51,7 @@
             classes,
             plans: plans.collect(),
             max_units: max_units(&settings.storage),
-            max_hosts: f64::from(settings.gateway_count.max(1)),
+            max_host_count: f64::from(settings.gateway_count.max(1)),
         })
     }
 
@@ -74,7 +74,8 @@
 }
 
 /// Returns the maximum size of one request. Without a maximum, a request with an excessive size
-/// would be charged to its volume, and the volume would not be served again for a long time.
+/// would move the tags of its volume far ahead, and the volume would not be served again for a long
+/// time.
 fn max_units(storage: &DomainSettings) -> Units {
     if storage.max_units > 0.0 {
         Units(storage.max_units)
--- a/crates/gateway/src/connections/node/pool.rs
+++ b/crates/gateway/src/connections/node/pool.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NodeAddress {
     /// The address to connect to.
-    pub(crate) address: SocketAddr,
+    pub(crate) socket_address: SocketAddr,
     /// The protocol that the node uses at this address.
     pub(crate) protocol: Protocol,
 }
@@ -40,7 +40,7 @@
 impl ConnectionPool {
     /// Creates an empty pool without an address.
     pub(super) fn new(settings: &DeploymentSettings) -> ConnectionPool {
-        let stated_ms = settings.permissions.conn_idle_ms;
+        let stated_ms = settings.features_and_limits.conn_idle_ms;
         let max_idle = if stated_ms > 0.0 {
             micros(stated_ms * IDLE_TIMEOUT_FRACTION)
         } else {
--- a/crates/gateway/src/dispatcher/scheduling.rs
+++ b/crates/gateway/src/dispatcher/scheduling.rs
@@ -24,7 +24,7 @@
 
     /// Returns whether events for the scheduler or commands for the event loop are pending.
     #[must_use]
-    pub fn has_work(&self) -> bool {
+    pub fn has_pending_events_or_commands(&self) -> bool {
         !self.events.is_empty() || !self.commands.is_empty()
     }
 
@@ -47,10 +47,10 @@
         let events = std::mem::take(&mut self.events);
         let mut actions = std::mem::take(&mut self.actions);
         self.scheduler.handle(now, &events, &mut actions);
-        // The request of a disconnected client must stay in the table until the scheduler has
+        // A request that needs no response any more must stay in the table until the scheduler has
         // handled the event.
         for event in events {
-            if let Event::ClientDisconnected(id) = event {
+            if let Event::ResponseNotNeeded(id) = event {
                 self.remove_if_finished(id, timers);
             }
         }
@@ -74,7 +74,11 @@
                 request,
                 retry_after,
             } => {
-                self.finish(request, Response::Rejected { retry_after }, timers);
+                self.respond_and_remove_if_finished(
+                    request,
+                    Response::Rejected { retry_after },
+                    timers,
+                );
             }
             Action::Fail(request) => self.fail(request, now, timers),
             Action::Cancel {
--- a/crates/gateway/tests/in_process/dispatcher/attempts.rs
+++ b/crates/gateway/tests/in_process/dispatcher/attempts.rs
@@ -11,7 +11,7 @@
 #[test]
 fn write_whose_connection_is_lost_is_rejected_unless_the_node_may_have_executed_it() {
     for (may_have_executed, expect_rejected) in [(false, true), (true, false)] {
-        let settings = settings_with(|settings| settings.permissions.max_attempts = 1);
+        let settings = settings_with(|settings| settings.features_and_limits.max_attempts = 1);
         let mut harness = Harness::new(&settings, &[in_service_record("n", 0)]);
         harness.submit(Operation::Write, Some(0));
         harness.run_turn();
@@ -44,9 +44,9 @@
     } = started[0];
     harness.record_may_have_executed(id);
     harness.advance(times_out_at - 1 - harness.now);
-    assert!(harness.dispatcher.is_awaiting(id));
+    assert!(harness.dispatcher.awaits_result_of(id));
     harness.advance(1);
-    assert!(!harness.dispatcher.is_awaiting(id));
+    assert!(!harness.dispatcher.awaits_result_of(id));
     let abandons_attempt =
         |command: &Command| matches!(command, Command::AbandonAttempt(attempt) if *attempt == id);
     assert_eq!(
--- a/crates/scheduler/src/dmclock/flow.rs
+++ b/crates/scheduler/src/dmclock/flow.rs
@@ -6,7 +6,7 @@
 
 use super::tags::{ServiceCount, Tags};
 use crate::api::{RequestId, Units, UnitsPerSecond};
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 use crate::time::Seconds;
 use crate::volume::Volume;
 use std::collections::VecDeque;
@@ -82,18 +82,18 @@
     /// Inserts a request and recomputes the tags of the requests behind it.
     pub fn insert(
         &mut self,
-        pending: &PendingRequest,
+        unfinished: &UnfinishedRequest,
         position: Position,
         volume: &Volume,
         share_tag_offset: Seconds,
         now: Seconds,
     ) {
         let added = QueuedRequest {
-            id: pending.request().id,
+            id: unfinished.request().id,
             tags: self.last_tags,
             queued_at: now,
-            priority_weight: pending.class().priority_weight,
-            service: self.count_service(pending.request().units, volume, now),
+            priority_weight: unfinished.class().priority_weight,
+            service: self.count_service(unfinished.request().units, volume, now),
         };
         let index = match position {
             Position::Front => 0,
@@ -139,14 +139,16 @@
         }
     }
 
-    /// Subtracts the units of an attempt that was not served. The tags counted them when the
-    /// request was queued, but they are not part of the volume's service.
+    /// Subtracts the units of an attempt that was not served from the service that the tags have
+    /// counted. They were counted when the request was queued, but are not part of the volume's
+    /// service.
     pub fn subtract_unserved(&mut self, units: Units) {
         self.counted_units -= units;
     }
 
     /// Returns the service that the tags do not count yet, but at least the request's units, and
-    /// marks it as counted. Rho is limited to the reserved rate.
+    /// marks it as counted. Rho counts no more than the reserved rate provides since the last
+    /// request was added, but at least the request's units, too.
     fn count_service(&mut self, units: Units, volume: &Volume, now: Seconds) -> ServiceCount {
         let units = units.max(Units::ZERO);
         let new_units = (volume.served_units() - self.counted_units).max(Units::ZERO);
--- a/crates/scheduler/src/retry/idempotency.rs
+++ b/crates/scheduler/src/retry/idempotency.rs
@@ -1,13 +1,14 @@
 //! Decides at which nodes a request may be executed again without taking effect twice.
 //!
-//! The decision depends on the idempotency of the request's class, and on the first of its attempts
-//! that a node may have executed. Duplicates of a request with an idempotency key are recognized by
-//! the nodes of a scope, for a window (microseconds) after the dispatch of that attempt.
+//! The decision depends on the idempotency of the request's class, and on the attempt that
+//! completed first among those that a node may have executed. Duplicates of a request with an
+//! idempotency key are recognized by the nodes of a scope, for a window (microseconds) after the
+//! dispatch of that attempt.
 
 use crate::api::{DeduplicationScope, Idempotency, Micros, Outcome};
 use crate::endpoints::NodeTable;
 use crate::node::Node;
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 
 /// Returns whether a node may have executed an attempt with this outcome, or may still be executing
 /// it.
@@ -36,29 +37,29 @@
 
 /// Returns whether the client may safely retry at any node. The window of an idempotency key is not
 /// considered, because it is not known when the client will retry.
-pub fn client_may_retry(pending: &PendingRequest) -> bool {
-    match pending.class().idempotency {
+pub fn client_may_retry(unfinished: &UnfinishedRequest) -> bool {
+    match unfinished.class().idempotency {
         Idempotency::Idempotent => true,
         Idempotency::WithKey {
             scope: DeduplicationScope::All,
             ..
         } => true,
-        Idempotency::WithKey { .. } | Idempotency::NonIdempotent => !pending.may_have_executed(),
+        Idempotency::WithKey { .. } | Idempotency::NonIdempotent => !unfinished.may_have_effect(),
     }
 }
 
 /// Returns whether a node may execute a request, given an earlier attempt that may have been
 /// executed.
 pub fn may_execute_at(
-    pending: &PendingRequest,
+    unfinished: &UnfinishedRequest,
     node: &Node,
     nodes: &NodeTable,
     now: Micros,
 ) -> bool {
-    let Some(first) = pending.first_maybe_executed() else {
+    let Some(first) = unfinished.first_possibly_executed() else {
         return true;
     };
-    match pending.class().idempotency {
+    match unfinished.class().idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
         Idempotency::WithKey { scope, window } => {
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -27,7 +27,7 @@
 use crate::request::key_ordering::KeySequences;
 use crate::request::latency_objective::LatencyObjectives;
 use crate::request::shedding::RejectionTimes;
-use crate::request::PendingRequest;
+use crate::request::UnfinishedRequest;
 use crate::retry::eligibility::RetryEligibility;
 use crate::retry::retry_budget::RetryBudgetUsage;
 use crate::time::Seconds;
@@ -54,13 +54,13 @@
     /// Plan, limit and usage of each volume.
     volumes: VolumeTable,
     /// Requests that have no final response yet, or still have attempts in flight.
-    requests: BTreeMap<RequestId, PendingRequest>,
+    requests: BTreeMap<RequestId, UnfinishedRequest>,
     /// Open requests that name no shard and for which no node is currently available.
     unroutable: BTreeSet<RequestId>,
     /// Times at which open requests are rejected (load shedding).
     rejections: RejectionTimes,
-    /// Latency objectives of requests closed without service; they apply again if the client
-    /// resends the request.
+    /// Latency objectives of requests that were closed before an attempt was known to be served;
+    /// they apply again if the client resends the request.
     objectives: LatencyObjectives,
     /// Order of the requests with the same key.
     sequences: KeySequences,
@@ -75,8 +75,8 @@
 }
 
 impl Scheduler {
-    /// Creates a scheduler that starts at `now`. `seed` is used in place of random numbers and
-    /// should differ between hosts.
+    /// Creates a scheduler that starts at `now`. `seed` is the seed of the hashes that replace
+    /// random numbers, and should differ between hosts.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Scheduler {
@@ -130,9 +130,10 @@
             Event::EndpointList(event, endpoints) => self.on_endpoint_list(*event, endpoints),
             Event::RequestReceived(request) => self.on_request(request),
             // Once the response has started, the client receives it whether or not it completes, so
-            // the request is closed. Whether it was served is not known yet.
-            Event::ResponseStarted(id) => self.close_unserved(*id),
-            Event::ClientDisconnected(id) => self.on_client_disconnected(*id),
+            // the request is closed. The attempt has not completed, so it is not known yet whether
+            // the request is served.
+            Event::ResponseStarted(id) => self.close_and_record_objective(*id),
+            Event::ResponseNotNeeded(id) => self.on_response_not_needed(*id),
             Event::AttemptCompleted(completed) => self.on_attempt_completed(completed),
             Event::TimerFired => {}
         }
--- a/crates/scheduler/tests/characterization/scheduler_adapter.rs
+++ b/crates/scheduler/tests/characterization/scheduler_adapter.rs
@@ -120,7 +120,7 @@
         Input::RequestReceived(client_request) => Event::RequestReceived(request(client_request)),
         Input::TimerFired => Event::TimerFired,
         Input::ResponseStarted(id) => Event::ResponseStarted(RequestId(*id)),
-        Input::ClientDisconnected(id) => Event::ClientDisconnected(RequestId(*id)),
+        Input::ClientDisconnected(id) => Event::ResponseNotNeeded(RequestId(*id)),
         Input::AttemptCompleted(attempt) => Event::AttemptCompleted(completed_attempt(attempt)),
     }
 }
