--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -12,7 +12,8 @@
     WithKey {
         /// Nodes that recognize duplicates of each other's requests.
         scope: DeduplicationScope,
-        /// Time after the first dispatch during which duplicates are dropped, in microseconds.
+        /// Time in microseconds after the dispatch of an attempt during which nodes drop duplicates
+        /// of it.
         window: Micros,
     },
     /// A second execution would take effect a second time.
@@ -36,8 +37,8 @@
     /// Latency objective: time in microseconds after its receipt within which a request should be
     /// served.
     pub latency_objective: Micros,
-    /// Priority of the class: the value of a request of mean size, relative to other classes.
-    /// Within a flow, requests with a higher weight come first.
+    /// Priority of the class. Within a flow, requests with a higher weight are dispatched first;
+    /// only the order of the weights matters.
     pub priority_weight: f64,
     /// Whether a request may be executed again.
     pub idempotency: Idempotency,
@@ -86,9 +87,8 @@
     /// Length in microseconds of the window within which the units dispatched to the node are
     /// limited.
     pub window: Micros,
-    /// Burst that nodes can handle, as the factor by which the units dispatched to a node in one
-    /// window may exceed the units provisioned for the window. The product is scaled to the node's
-    /// current capacity.
+    /// Burst that nodes can handle: the units dispatched to a node in one window may be this factor
+    /// times the units provisioned for the window, scaled to the node's current capacity.
     pub burst_factor: f64,
     /// Units that a node can serve within a window when its process starts, for all hosts together.
     pub initial_units_per_window: Units,
@@ -110,14 +110,14 @@
     /// Number of hosts that poll the same discovery service, this one included; 0 if the endpoint
     /// list is delivered without polls.
     pub discovery_clients: u32,
-    /// Maximum time between two polls of the list while there is no watch, in microseconds; 0 for
-    /// no maximum.
+    /// Maximum interval between polls of the list while there is no watch, in microseconds; 0 for
+    /// none. It limits only the jitter of a poll, to half of this interval.
     pub max_poll_interval: Micros,
     /// Slow start of nodes that are warming up.
     pub slow_start: SlowStart,
-    /// Time in microseconds for which the next ordered request of a key waits after an attempt with
-    /// that key ended while it may still be executing. Retries of the same request and requests of
-    /// other classes do not wait.
+    /// Time in microseconds for which the next ordered request of a key waits after an attempt of
+    /// that key timed out, was reset or was cancelled, because the node may still be executing the
+    /// attempt. Retries of the same request and requests of unordered classes do not wait.
     pub quiesce_period: Micros,
     /// Limit on retries; `None` if retries are not limited.
     pub retry_budget: Option<RetryBudget>,
--- a/crates/scheduler/src/collections/mod.rs
+++ b/crates/scheduler/src/collections/mod.rs
@@ -1,4 +1,4 @@
-//! Containers that contain no scheduling rules.
+//! Generic containers, without scheduling rules.
 
 mod moving_average_fraction;
 mod sliding_window;
--- a/crates/scheduler/src/dmclock/flow.rs
+++ b/crates/scheduler/src/dmclock/flow.rs
@@ -49,7 +49,7 @@
 }
 
 impl Flow {
-    /// Creates an empty flow whose tags count all service of the volume so far.
+    /// Creates an empty flow. Its tags will not count the service of the volume before now.
     pub fn new(served_units: Units, now: Seconds) -> Self {
         Flow {
             queue: VecDeque::new(),
@@ -146,9 +146,10 @@
         self.counted_units -= units;
     }
 
-    /// Returns the service that the tags do not count yet, but at least the request's units, and
-    /// marks it as counted. Rho counts no more than the reserved rate provides since the last
-    /// request was added, but at least the request's units, too.
+    /// Returns the service by which the tags of a request advance, and marks it as counted. Delta
+    /// is the service that the tags do not count yet. Rho is that service, but at most the units
+    /// that the reserved rate provides since the last request was added. Both are at least the
+    /// request's units.
     fn count_service(&mut self, units: Units, volume: &Volume, now: Seconds) -> ServiceCount {
         let units = units.max(Units::ZERO);
         let new_units = (volume.served_units() - self.counted_units).max(Units::ZERO);
--- a/crates/scheduler/src/dmclock/selection.rs
+++ b/crates/scheduler/src/dmclock/selection.rs
@@ -9,14 +9,15 @@
 //! 2. Weight-based phase: the request with the smallest share tag among the volumes within their
 //!    limits.
 //!
-//! A third phase handles late requests, which can no longer meet their latency objective. They have
-//! little value and are dispatched only to an idle node whose concurrency limit is at its maximum,
-//! earliest deadline first.
+//! A third phase handles late requests, which can no longer meet their latency objective. A late
+//! response is of little use, so they are dispatched only to an idle node whose concurrency limit
+//! is at its maximum, earliest deadline first.
 //!
-//! Each request has a value from 0 to 1, which is 1 for a request whose reservation tag is due.
-//! While the concurrency limit is below its maximum, a request of lower value gets a lower limit.
-//! So each host, without communication, sends a busy node fewer of the requests that are not
-//! covered by a reservation.
+//! In the first two phases, a request has a value from 0 to 1. It is 1 in the constraint-based
+//! phase; in the weight-based phase, the settings give it ([`Settings::provisioned_value`] or
+//! [`Settings::surplus_value`]). While the concurrency limit is below its maximum, a request of
+//! lower value gets a lower limit. So each host, without communication, sends a busy node fewer of
+//! the requests that are not covered by a reservation.
 
 use super::flow::QueuedRequest;
 use super::phase::Phase;
--- a/crates/scheduler/src/dmclock/tags.rs
+++ b/crates/scheduler/src/dmclock/tags.rs
@@ -3,8 +3,8 @@
 //! The tags are computed from the tags of the previous request in the flow, the service rho and
 //! delta since that request (in units), the rates of the volume (in units per second) and the time
 //! at which the request was queued. A tag advances by service divided by rate. It is never earlier
-//! than the time at which the request was queued, so that an idle volume does not accumulate
-//! service. Only the share tag may be earlier, by the volume's idle credit.
+//! than the time at which the request was queued, so that a volume gains no priority over others by
+//! having been idle. Only the share tag may be earlier, by the volume's idle credit.
 
 use crate::api::{Units, UnitsPerSecond};
 use crate::time::Seconds;
--- a/crates/scheduler/src/endpoints/polling.rs
+++ b/crates/scheduler/src/endpoints/polling.rs
@@ -4,8 +4,9 @@
 //! The discovery service handles polls one at a time, and also works on polls that have timed out.
 //! Hosts that poll for the same reason therefore spread their polls by a pseudorandom jitter, and
 //! wait before they repeat a poll (backoff). Jitter and backoff both grow with the number of hosts
-//! that poll the same service, up to a maximum, because every change has to arrive within the time
-//! that the deployment allows. The settings limit the time between two polls (microseconds).
+//! that poll the same service, up to a maximum. The maximum exists because every change has to
+//! arrive within the time that the deployment allows. If the settings have a maximum poll interval
+//! (microseconds), the jitter is also at most half of it.
 
 use crate::api::{Micros, Settings};
 use crate::hash::{fibonacci_hash, hash_to_unit_interval};
@@ -30,7 +31,8 @@
 pub struct EndpointPolling {
     /// Number of hosts that poll the same service, this one included; 0 if no polls are needed.
     polling_hosts: u32,
-    /// Maximum time between two polls without a watch, in microseconds; 0 for no maximum.
+    /// Maximum poll interval of the settings, in microseconds; 0 for none. It limits only the
+    /// jitter.
     max_poll_interval: Micros,
     /// Seed of the hash that replaces random numbers. Hosts should use different seeds.
     seed: u64,
@@ -52,8 +54,8 @@
         polling
     }
 
-    /// Records that a complete list or changes to it were received from any source. There is no
-    /// further poll until one fails or a watch ends.
+    /// Records that a complete list or changes to it were received from any source. No poll is
+    /// scheduled until a failed poll or a lost watch is recorded.
     pub fn record_update(&mut self) {
         self.next_poll_at = None;
     }
--- a/crates/scheduler/src/node/attempt_timeout.rs
+++ b/crates/scheduler/src/node/attempt_timeout.rs
@@ -53,7 +53,7 @@
     }
     let timeout = node
         .latency()
-        .mean_and_deviations(LOSS_TIMEOUT_DEVIATIONS)?;
+        .mean_plus_deviations(LOSS_TIMEOUT_DEVIATIONS)?;
     let max_timeout = Latency::from_micros(inputs.latency_objective) * MAX_LOSS_TIMEOUT_FRACTION;
     if timeout < max_timeout {
         Some(timeout * inputs.relative_latency.max(MIN_LOSS_TIMEOUT_SCALE))
--- a/crates/scheduler/src/node/concurrency_limit.rs
+++ b/crates/scheduler/src/node/concurrency_limit.rs
@@ -1,10 +1,11 @@
 //! Limits how many requests of this host may be in flight at a node at once.
 //!
-//! The limit follows AIMD, based on the latency and outcome of each completed attempt and the
-//! latency objective of its class (microseconds). It rises with fast responses and falls with slow
-//! responses and timeouts, because a slow response is a sign of a queue at the node. With a limit
-//! below one, dispatches are spaced out in time (pacing). Since the node's own queue is first in,
-//! first out, a low limit keeps requests at the host, where dmClock orders them.
+//! The limit follows additive increase, multiplicative decrease (AIMD), based on the latency and
+//! outcome of each completed attempt and the latency objective of the request's class
+//! (microseconds). It rises with fast responses and falls with slow responses and timeouts, because
+//! a slow response is a sign of a queue at the node. With a limit below one, dispatches are spaced
+//! out in time (pacing). Since the node's own queue is first in, first out, a low limit keeps
+//! requests at the host, where dmClock orders them.
 
 use super::AttemptMeasurement;
 use crate::api::{Micros, Outcome};
--- a/crates/scheduler/src/node/latency_estimate.rs
+++ b/crates/scheduler/src/node/latency_estimate.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns the mean plus `deviations` times the deviation, or `None` before the first sample.
-    pub fn mean_and_deviations(&self, deviations: f64) -> Option<Latency> {
+    pub fn mean_plus_deviations(&self, deviations: f64) -> Option<Latency> {
         Some(self.mean? + self.deviation * deviations)
     }
 
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -130,12 +130,13 @@
         self.statistics.loss_rate.is_high()
     }
 
-    /// Returns whether the node is an outlier: it is ejected, or its error rate is high.
+    /// Returns whether the node is ejected or its error rate is high.
     pub fn is_faulty(&self) -> bool {
         self.is_ejected() || self.statistics.error_rate.is_high()
     }
 
-    /// Returns whether the node is ejected and receives only trial attempts.
+    /// Returns whether the node is ejected. It then receives only trial attempts, unless the panic
+    /// threshold is exceeded, which the caller checks.
     pub fn is_ejected(&self) -> bool {
         self.statistics.ejection.is_ejected()
     }
--- a/crates/scheduler/src/node/outlier_ejection.rs
+++ b/crates/scheduler/src/node/outlier_ejection.rs
@@ -1,14 +1,14 @@
 //! Ejects nodes whose attempts end without a response. An ejected node receives only trial
 //! attempts.
 //!
-//! Attempts without a response are timeouts, failed connects and resets. The ejection ends when an
-//! attempt is served or the node's process restarts. A response that is an error or says that the
-//! node is overloaded neither counts as a failure nor ends the ejection: it shows that a process
-//! answers, but not that it serves requests. This module also determines the time between trial
-//! attempts, in microseconds.
+//! Attempts without a response are timeouts, failed connection attempts and resets. The ejection
+//! ends when an attempt is served or the node's process restarts. A response that is an error or
+//! says that the node is overloaded neither counts as a failure nor ends the ejection: it shows
+//! that a process responds, but not that it serves requests. This module also determines the time
+//! between trial attempts, in microseconds.
 //!
 //! If more nodes are ejected than not, the cause is probably not in the nodes, and none of them is
-//! treated as ejected (panic threshold).
+//! limited to trial attempts (panic threshold).
 
 use super::Node;
 use crate::api::Micros;
@@ -43,7 +43,8 @@
         self.failures_since_served = 0;
     }
 
-    /// Returns whether the node is ejected and receives only trial attempts.
+    /// Returns whether the node is ejected. It then receives only trial attempts, unless the panic
+    /// threshold is exceeded, which the caller checks.
     pub fn is_ejected(&self) -> bool {
         self.failures_since_served >= FAILURES_TO_EJECT
     }
--- a/crates/scheduler/src/node/slow_start.rs
+++ b/crates/scheduler/src/node/slow_start.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns the units dispatched within the last window.
-    fn within_window(&self, slow_start: &SlowStart, now: Micros) -> Units {
+    fn units_within_window(&self, slow_start: &SlowStart, now: Micros) -> Units {
         self.dispatched
             .within(slow_start.window, now)
             .copied()
@@ -91,8 +91,8 @@
 }
 
 impl SlowStartLimiter<'_> {
-    /// Returns whether a request of `units` may be dispatched, which may use `quota_part` of this
-    /// host's quota. `started_at` is the start time of the node's process.
+    /// Returns whether a request of `units` that may use `quota_part` of this host's quota may be
+    /// dispatched. `started_at` is the start time of the node's process.
     pub fn admits(&self, units: Units, quota_part: SlowStartQuotaPart, started_at: Micros) -> bool {
         let slow_start = &self.settings.slow_start;
         let capacity = capacity(slow_start, started_at, self.now);
@@ -101,7 +101,7 @@
         let dispatched = self
             .node
             .slow_start_usage()
-            .within_window(slow_start, self.now);
+            .units_within_window(slow_start, self.now);
         self.is_within_host_quota(units, host_quota, dispatched)
             && is_within_node_quota(units, node_quota, dispatched)
     }
--- a/crates/scheduler/src/node/statistics.rs
+++ b/crates/scheduler/src/node/statistics.rs
@@ -13,7 +13,7 @@
 use crate::api::{Micros, Outcome};
 use crate::time::Latency;
 
-/// What the statistics and limits of a node need to know about a completed attempt.
+/// Data of a completed attempt that updates the statistics and limits of a node.
 pub struct AttemptMeasurement {
     /// How the attempt ended.
     pub outcome: Outcome,
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,8 +1,9 @@
 //! Chooses the node for a new object.
 //!
-//! A request for a new object names no shard, so any node that may execute the request can take it.
-//! The choice depends on each node's faults and slow start, its latency (microseconds) and
-//! concurrency limit, and the units that this host has in flight at the node or queued for it.
+//! A request for a new object names no shard, so every node in service that may safely execute the
+//! request is a candidate. The choice depends on each node's faults and slow start, its latency
+//! (microseconds) and concurrency limit, and the units that this host has in flight at the node or
+//! queued for it.
 //! Nodes that are faulty or warming up are used only if there is no other. Among the others, the
 //! node with the shortest expected wait is chosen.
 
@@ -25,8 +26,9 @@
 struct PlacementCost {
     /// Whether the node is faulty or warming up.
     is_impaired: bool,
-    /// Expected time to serve the new request and all requests that this host has queued for the
-    /// node or in flight at it.
+    /// Measure of the expected wait: the node's latency times the units of the new request and of
+    /// all requests that this host has queued for the node or in flight at it, divided by the
+    /// concurrency limit. It is not a time and is only compared between nodes.
     expected_wait: Latency,
 }
 
--- a/crates/scheduler/src/request/key_ordering.rs
+++ b/crates/scheduler/src/request/key_ordering.rs
@@ -1,5 +1,5 @@
-//! Orders requests with the same key, in classes whose requests of one key must be executed in the
-//! order in which they were received.
+//! Ensures that requests of ordered classes that have the same key are executed one after another,
+//! in the order in which they were received.
 //!
 //! After an attempt that ended while the node may still be executing it, no other ordered request
 //! with its key is queued for dispatch until the quiesce period of the settings (microseconds) has
@@ -25,7 +25,8 @@
 pub struct KeySequences {
     /// Sequences, by key.
     sequences: BTreeMap<ObjectKey, KeySequence>,
-    /// Keys whose next request waits for the end of the quiesce period, ordered by that time.
+    /// Keys to check again at the end of their quiesce period, ordered by that time. A key without
+    /// requests is included, so that its sequence is removed then.
     quiescing: TimeOrderedQueue<ObjectKey>,
 }
 
@@ -38,8 +39,8 @@
         sequence.requests.len() == 1 && sequence.quiesced_until <= now
     }
 
-    /// Removes a finished request from the sequence of its key. Returns the first remaining request
-    /// if it may be queued now.
+    /// Removes a finished request from the sequence of its key. If it was the first, returns the
+    /// next request if that may be queued now.
     pub fn remove(&mut self, key: ObjectKey, id: RequestId, now: Micros) -> Option<RequestId> {
         let sequence = self.sequences.get_mut(&key)?;
         let was_first = sequence.requests.front() == Some(&id);
@@ -83,7 +84,7 @@
         first
     }
 
-    /// Returns the earliest end of a quiesce period that a request waits for.
+    /// Returns the earliest time at which a key has to be checked again.
     pub fn next_quiesced(&self) -> Option<Micros> {
         self.quiescing.next_time()
     }
--- a/crates/scheduler/src/request/latency_objective.rs
+++ b/crates/scheduler/src/request/latency_objective.rs
@@ -4,10 +4,9 @@
 //! request. Whether it can be met depends on the expected latency of the node. Times are in
 //! microseconds.
 //!
-//! A client that retries sends a new request. With a new objective, the retry would again compete
-//! as a request that is not late, so it keeps the objective of the earlier request if that was
-//! closed before an attempt was known to be served. Such repeats are recognized by volume, object
-//! and class.
+//! A client that retries sends a new request. With a new objective, the retry would no longer count
+//! as late, so it keeps the objective of the earlier request if that was closed before an attempt
+//! was known to be served. A repeated request (repeat) is recognized by volume, object and class.
 
 use super::UnfinishedRequest;
 use crate::api::{ClassIndex, Micros, ObjectKey, Request, RequestClass, VolumeId};
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -116,7 +116,7 @@
         for event in events {
             self.handle_event(event);
         }
-        self.reject_expired();
+        self.reject_or_fail_expired();
         self.dispatch_pending();
         self.poll_if_due();
         self.clean_up();
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -1,9 +1,9 @@
 //! Handles the end of attempts and gives each request exactly one final response.
 //!
 //! A request is closed when one of its attempts is served or its response has started, when an
-//! attempt fails and may not be retried, when the request is shed, or when it no longer needs a
-//! response. Each of these cases calls `close`. A closed request is removed once it has no attempt
-//! in flight.
+//! attempt fails and the request may not be retried, when the request is shed, or when it no longer
+//! needs a response. Each of these cases calls `close`. A closed request is removed once it has no
+//! attempt in flight.
 
 use super::Scheduler;
 use crate::api::{Action, CompletedAttempt, NodeId, Outcome, RequestId, Units};
@@ -18,7 +18,9 @@
 const MAX_REPORT_AGE_PERIODS: i64 = 2;
 
 impl Scheduler {
-    /// Records the outcome of an attempt, then closes, retries or rejects its request.
+    /// Records the outcome of an attempt, then closes the request or queues it for a retry. An open
+    /// request with other attempts in flight stays open; a closed request is removed after its last
+    /// attempt.
     pub(super) fn on_attempt_completed(&mut self, completed: &CompletedAttempt) {
         let id = completed.request;
         let outcome = completed.outcome;
@@ -39,7 +41,7 @@
         } else if completed.request_closed {
             self.close_and_record_objective(id);
         } else if needs_attempt {
-            self.retry_or_reject(id, attempt.node, outcome);
+            self.retry_or_close(id, attempt.node, outcome);
         } else {
             self.remove_if_finished(id);
         }
@@ -84,31 +86,31 @@
 
     /// Queues a request for another attempt if that is allowed and safe; otherwise gives it its
     /// final response.
-    fn retry_or_reject(&mut self, id: RequestId, failed_node: NodeId, outcome: Outcome) {
+    fn retry_or_close(&mut self, id: RequestId, failed_node: NodeId, outcome: Outcome) {
         let unfinished = &self.requests[&id];
         let retry = self.retry_eligibility();
         if retry.may_requeue(unfinished, failed_node, outcome) {
             self.enqueue(id, Position::Front);
         } else {
-            self.reject(id);
+            self.reject_or_fail(id);
         }
     }
 
-    /// Rejects the requests whose rejection time has passed.
-    pub(super) fn reject_expired(&mut self) {
+    /// Gives the requests whose rejection time has passed their final response.
+    pub(super) fn reject_or_fail_expired(&mut self) {
         while let Some(id) = self.rejections.pop_expired(self.now) {
             let Some(unfinished) = self.requests.get_mut(&id) else {
                 continue;
             };
             if !self.rejections.postpone(unfinished) {
-                self.reject(id);
+                self.reject_or_fail(id);
             }
         }
     }
 
     /// Gives an open request its final response: a rejection if the client can safely retry,
     /// otherwise a failure.
-    fn reject(&mut self, id: RequestId) {
+    fn reject_or_fail(&mut self, id: RequestId) {
         let Some(unfinished) = self.requests.get(&id) else {
             return;
         };
@@ -203,7 +205,7 @@
     }
 }
 
-/// Returns what the statistics of a node need to know about a completed attempt.
+/// Returns the data of a completed attempt that updates the statistics and limits of a node.
 fn measurement(
     unfinished: &UnfinishedRequest,
     attempt: Attempt,
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -11,8 +11,8 @@
 use crate::request::UnfinishedRequest;
 
 impl Scheduler {
-    /// Queues the requests whose quiesce period has ended and those for which a node is available
-    /// again, then dispatches requests from all queues.
+    /// Queues the next request of each key whose quiesce period has ended, and the requests for
+    /// which a node is available again. Then dispatches requests from all queues.
     pub(super) fn dispatch_pending(&mut self) {
         while let Some(key) = self.sequences.pop_quiesced(self.now) {
             let first = self.sequences.first_ready(key, self.now);
--- a/crates/scheduler/src/scheduler/intake.rs
+++ b/crates/scheduler/src/scheduler/intake.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Returns the shard that a request names, or the shard chosen for a new object. Returns `None`
-    /// if no node may execute the request.
+    /// Returns the shard that a request names, whether or not a node holds it. For a new object,
+    /// returns the chosen shard, or `None` if no node may execute the request.
     fn shard_of(&self, unfinished: &UnfinishedRequest) -> Option<Shard> {
         let named_shard = unfinished.request().shard;
         named_shard.or_else(|| self.placement().choose_shard(unfinished))
--- a/crates/scheduler/src/volume/mod.rs
+++ b/crates/scheduler/src/volume/mod.rs
@@ -138,8 +138,8 @@
         self.plan.provisioned_rate / self.host_count / shards as f64
     }
 
-    /// Returns whether the volume can be removed without losing state: its token bucket is full,
-    /// and it has had no request for `retention`.
+    /// Returns whether the volume can be removed without losing state: its token bucket is full or
+    /// it has no limit, and for `retention`, no request was received and no tokens were consumed.
     fn is_removable(&self, retention: Micros, now: Micros) -> bool {
         let capacity = self.plan.burst_capacity / self.host_count;
         self.has_tokens(capacity, now) && now - self.bucket.refilled_at() >= retention
--- a/crates/scheduler/src/volume/table.rs
+++ b/crates/scheduler/src/volume/table.rs
@@ -8,7 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-/// Time without requests after which a volume is removed, in microseconds.
+/// Time without received requests and consumed tokens after which a volume is removed, in
+/// microseconds.
 const VOLUME_RETENTION: Micros = 60_000_000;
 /// Number of cleanups within [`VOLUME_RETENTION`].
 const CLEANUPS_PER_RETENTION: i64 = 8;
@@ -57,8 +58,9 @@
         self.volumes.len()
     }
 
-    /// Removes the volumes that have no unfinished request, had no request for
-    /// [`VOLUME_RETENTION`], and have a full token bucket.
+    /// Removes the volumes that have no unfinished request, whose token bucket is full (or that
+    /// have no limit), and for which, for [`VOLUME_RETENTION`], no request was received and no
+    /// tokens were consumed.
     pub fn remove_idle(&mut self, in_use: &BTreeSet<VolumeId>, now: Micros) {
         self.volumes.retain(|id, volume| {
             in_use.contains(id) || !volume.is_removable(VOLUME_RETENTION, now)
--- a/crates/scheduler/src/volume/usage.rs
+++ b/crates/scheduler/src/volume/usage.rs
@@ -28,7 +28,8 @@
         self.served
     }
 
-    /// Records units that a response reports.
+    /// Records units served by an attempt of this host, and units of other hosts that its response
+    /// reports.
     pub fn record_served(&mut self, units: Units) {
         self.served_since_report += units;
         self.served += units;
--- a/crates/scheduler/tests/characterization/churn.rs
+++ b/crates/scheduler/tests/characterization/churn.rs
@@ -14,7 +14,7 @@
     pub mean_fault_interval: Micros,
     /// Faults, one of which is chosen each time.
     pub faults: &'static [NodeFault],
-    /// Fraction of the faults that affect all nodes in service, in a thousand.
+    /// Number of faults per thousand that affect all nodes in service.
     pub all_nodes_per_mille: u64,
 }
 
--- a/crates/scheduler/tests/characterization/cluster.rs
+++ b/crates/scheduler/tests/characterization/cluster.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Nodes at the start of a run, and the probabilities with which attempts at healthy nodes fail.
-/// Fields that end in `per_mille` are fractions in a thousand.
+/// Fields that end in `per_mille` are fractions, stated as a number per thousand.
 #[derive(Clone)]
 pub struct Cluster {
     /// Number of shards, each with one node at the start of the run.
--- a/crates/scheduler/tests/characterization/rng.rs
+++ b/crates/scheduler/tests/characterization/rng.rs
@@ -27,7 +27,7 @@
         start + (self.next_u64() % (end - start).max(1) as u64) as i64
     }
 
-    /// Returns true with a probability of `per_mille` in a thousand.
+    /// Returns true with a probability of `per_mille` divided by 1000.
     pub fn chance_per_mille(&mut self, per_mille: u64) -> bool {
         self.below(1000) < per_mille
     }
--- a/crates/scheduler/tests/characterization/scenarios.rs
+++ b/crates/scheduler/tests/characterization/scenarios.rs
@@ -40,7 +40,7 @@
     pub discovery: Discovery,
     /// Attempts end at multiples of this time, so that several end at the same time.
     pub completion_granularity: Micros,
-    /// Fraction of timers that fire late, in a thousand.
+    /// Number of timers per thousand that fire late.
     pub late_timers_per_mille: u64,
 }
 
--- a/crates/scheduler/tests/characterization/simulation.rs
+++ b/crates/scheduler/tests/characterization/simulation.rs
@@ -43,7 +43,7 @@
     FollowUp(FollowUp),
     /// The poll with this number completes.
     PollCompletes(u64),
-    /// The watch that the poll with this number opened ends, or the interval until the next poll.
+    /// The watch opened by the poll with this number ends, or the interval after that poll ends.
     WatchOrIntervalEnds(u64),
     /// The periodic timer fires.
     PeriodicTimer,
--- a/crates/scheduler/tests/characterization/traffic.rs
+++ b/crates/scheduler/tests/characterization/traffic.rs
@@ -10,7 +10,8 @@
 /// Shard that no node holds.
 const UNKNOWN_SHARD: u64 = 777;
 
-/// Requests that clients send. Fields that end in `per_mille` are fractions in a thousand.
+/// Requests that clients send. Fields that end in `per_mille` are fractions, stated as a number per
+/// thousand.
 #[derive(Clone)]
 pub struct Traffic {
     /// Number of requests, without the retries by clients.
--- a/crates/scheduler/tests/characterization/types.rs
+++ b/crates/scheduler/tests/characterization/types.rs
@@ -16,8 +16,8 @@
 pub enum Idempotency {
     /// The request can safely be executed again.
     Idempotent,
-    /// The request carries an idempotency key: the nodes of the scope drop duplicates for this time
-    /// after the first dispatch.
+    /// The request carries an idempotency key: the nodes of the scope drop duplicates of an attempt
+    /// for this time after its dispatch.
     WithKey(DedupScope, Micros),
     /// The request must not be executed twice.
     NonIdempotent,
@@ -82,7 +82,8 @@
     pub duration: Micros,
     /// Length of the window within which the units are limited.
     pub window: Micros,
-    /// Burst that a node can handle within a window, as a multiple of its capacity.
+    /// Factor by which the units dispatched in a window may exceed the units provisioned for it, at
+    /// full capacity.
     pub burst_factor: f64,
     /// Units that a node can serve within a window when its process starts.
     pub initial_units_per_window: f64,
@@ -103,11 +104,12 @@
     pub cancellation_allowed: bool,
     /// Number of hosts that poll the discovery service; 0 if endpoint lists arrive without polls.
     pub discovery_clients: u32,
-    /// Maximum time between two polls; 0 for no maximum.
+    /// Maximum interval between two polls, which limits only their jitter; 0 for none.
     pub max_poll_interval: Micros,
     /// Slow start of nodes that are warming up.
     pub slow_start: SlowStart,
-    /// Time for which an ordered key waits after an attempt that may still be executing.
+    /// Time for which the next ordered request of a key waits after an attempt that the node may
+    /// still be executing.
     pub quiesce_period: Micros,
     /// Limit on retries; `None` for no limit.
     pub retry_budget: Option<RetryBudget>,
--- a/crates/scheduler/tests/deadlines.rs
+++ b/crates/scheduler/tests/deadlines.rs
@@ -9,7 +9,7 @@
 use io_scheduler::{Action, Event, ObjectKey, Outcome};
 
 #[test]
-fn request_is_rejected_once_at_its_deadline() {
+fn request_is_rejected_at_its_deadline_and_not_again() {
     let mut harness = SchedulerHarness::new(default_settings(), 1);
     let request = harness.request(Some(0));
     assert_eq!(
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -60,7 +60,8 @@
 struct PollingHost {
     scheduler: Scheduler,
     pending: Option<PendingPoll>,
-    /// Time at which the host last got the endpoint list; `None` if it has lost its watch since.
+    /// Time at which the host last got the endpoint list. `None` before the first list, and from
+    /// the loss of a watch to the next list.
     updated_at: Option<Micros>,
 }
 
