--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,9 +5,9 @@
 //! decode it as [`DeploymentSettings`] and convert it with
 //! [`DeploymentSettings::to_scheduler_settings`].
 //!
-//! Only `types` and `values` know the keys and values of the settings object. `types` has the keys:
-//! where a key differs from the name of the field, `serde(rename)` states the key. `values` has the
-//! accepted values of the settings that have a fixed set of them.
+//! Only `types` and `values` contain the keys and values of the settings object. `types` has the
+//! keys: where a key differs from the name of the field, `serde(rename)` states the key. `values`
+//! has the accepted values of the settings that have a fixed set of them.
 
 #![warn(clippy::missing_docs_in_private_items)]
 
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -1,8 +1,8 @@
 //! The types that serde decodes the settings object into.
 //!
-//! An absent number decodes to 0, an absent flag to false, and an absent string or list is empty.
-//! Unknown keys are ignored. The comment on a field gives its unit, and notes if the gateway does
-//! not use it.
+//! An absent number decodes to 0, an absent flag to false, and an absent string or list is empty,
+//! unless the comment on the field or its type says otherwise. Unknown keys are ignored. The
+//! comment on a field gives its unit, and notes if the gateway does not use it.
 //!
 //! The decoder's error messages contain the names of these types, so renaming a type changes their
 //! text.
@@ -80,7 +80,7 @@
     pub ordered: bool,
     /// Time in milliseconds after which the client stops waiting for the response.
     pub deadline_ms: f64,
-    /// Whether a request may be executed twice.
+    /// Whether a request may be executed twice. Every class must set it.
     #[serde(rename = "effect")]
     pub idempotency: IdempotencySetting,
     /// The nodes that recognize the idempotency keys of each other's requests.
@@ -94,13 +94,14 @@
     pub late_value: f64,
     /// Name of the class.
     pub name: String,
-    /// Value of one request of mean size. It has no unit: only the ratios between classes matter.
+    /// Weight by which the queued requests of a volume at a shard are ordered, highest first. It
+    /// has no unit: only the order of the classes matters.
     #[serde(rename = "points")]
     pub priority_weight: f64,
 }
 
-/// Properties of the stored data and of the storage nodes. Units measure the size of a request, and
-/// with it the work that the request is for a node.
+/// Properties of the stored data and of the storage nodes. Units measure the size of a request
+/// and the work that it causes at a node.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 pub struct DomainSettings {
@@ -201,11 +202,12 @@
     #[serde(rename = "further_ratio")]
     pub retry_ratio: Option<f64>,
     /// Maximum interval in milliseconds between two polls of the endpoint list while there is no
-    /// watch; 0 for no maximum.
+    /// watch; 0 for none. It limits only the jitter of a poll, to half of this interval.
     #[serde(rename = "must_ask_in_ms")]
     pub max_poll_interval_ms: f64,
     /// Quiesce period in milliseconds: how long the next ordered request of an object key waits
-    /// after an attempt that may still be executing at its node.
+    /// after an attempt of that key timed out, was reset or was cancelled, because its node may
+    /// still be executing it.
     #[serde(rename = "order_settle_ms")]
     pub quiesce_period_ms: f64,
     /// Length of the retry budget's window in milliseconds; absent for no retry budget.
@@ -215,9 +217,9 @@
     /// still send it requests, in milliseconds.
     #[serde(rename = "stop_sending_within_ms")]
     pub drain_grace_ms: f64,
-    /// Burst that a node in slow start can handle, as the factor by which the units dispatched to
-    /// it in one window may exceed the units provisioned for the window. The product is scaled to
-    /// the node's current capacity.
+    /// Burst that a node in slow start can handle: the units dispatched to it in one window may be
+    /// this factor times the units provisioned for the window, scaled to the node's current
+    /// capacity.
     #[serde(rename = "tip_multiple")]
     pub slow_start_burst_factor: f64,
 }
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -1,4 +1,4 @@
-//! Settings that accept a fixed set of values. Only this module knows the values as they are
+//! Settings that accept a fixed set of values. Only this module contains the values as they are
 //! written in the settings object.
 //!
 //! An unknown value decodes to a variant that holds it, and
