--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -26,23 +26,23 @@
 /// An error that terminates the adapter.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// A line of standard input cannot be answered.
+    /// A line of standard input cannot be read or handled.
     #[error("line {line}: {source}")]
     Line {
         /// Number of the line.
         line: LineNumber,
-        /// Why the line cannot be answered.
+        /// Why the line cannot be read or handled.
         source: LineError,
     },
     /// The JSON of a reply cannot be encoded, or cannot be written to standard output.
-    #[error("cannot write the reply to standard output: {0}")]
+    #[error("cannot encode the reply or write it to standard output: {0}")]
     Encode(#[source] serde_json::Error),
     /// The line break after a reply cannot be written, or standard output cannot be flushed.
     #[error("cannot write the reply to standard output: {0}")]
     Write(#[source] io::Error),
 }
 
-/// Why a line cannot be answered.
+/// Why a line cannot be read or handled.
 #[derive(Debug, Error)]
 pub enum LineError {
     /// Standard input cannot be read.
--- a/crates/simulator-adapter/src/instance/encode.rs
+++ b/crates/simulator-adapter/src/instance/encode.rs
@@ -37,7 +37,7 @@
         Some(ActionMessage::Dispatch {
             request: request.clone(),
             node: self.nodes.name(node).clone(),
-            deadline_ms: milliseconds(times_out_at),
+            times_out_at_ms: milliseconds(times_out_at),
         })
     }
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! Adapter that runs the scheduler in the simulator.
+//! Adapter through which the simulator runs the scheduler.
 //!
 //! The simulator sends batches of events to standard input, one JSON object per line. The adapter
-//! answers each batch with one line of actions on standard output.
+//! replies to each batch with one line of actions on standard output.
 //!
 //! One process hosts any number of simulated gateways, called instances ([`registry`]). Each
 //! instance has its own scheduler and shares no state with the others ([`instance`]). [`wire`]
@@ -30,11 +30,11 @@
     }
 }
 
-/// Answers the lines of the input until its end or the first error.
+/// Handles the lines of the input and writes the replies, until the end or the first error.
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut registry = InstanceRegistry::default();
     for (index, line) in input.split(b'\n').enumerate() {
-        let reply = answer(&mut registry, line).map_err(|source| AdapterError::Line {
+        let reply = handle_line(&mut registry, line).map_err(|source| AdapterError::Line {
             line: LineNumber::of_index(index),
             source,
         })?;
@@ -46,7 +46,7 @@
 }
 
 /// Parses and handles the batch in a line. Returns the reply, or `None` for a blank line.
-fn answer(
+fn handle_line(
     registry: &mut InstanceRegistry,
     line: io::Result<Vec<u8>>,
 ) -> Result<Option<ActionBatch>, LineError> {
--- a/crates/simulator-adapter/src/wire/actions.rs
+++ b/crates/simulator-adapter/src/wire/actions.rs
@@ -40,7 +40,7 @@
         node: NodeName,
         /// Time at which the attempt times out.
         #[serde(rename = "try_until_ms")]
-        deadline_ms: f64,
+        times_out_at_ms: f64,
     },
     /// Reject the request: send the client its final response. The client may safely retry.
     #[serde(rename = "SHED")]
--- a/crates/simulator-adapter/src/wire/status.rs
+++ b/crates/simulator-adapter/src/wire/status.rs
@@ -10,7 +10,7 @@
 pub struct StatusCode(u32);
 
 impl StatusCode {
-    /// The node served the attempt. For a health check: the node is healthy.
+    /// The node served the attempt.
     pub const OK: StatusCode = StatusCode(200);
     /// The attempt timed out.
     pub const TIMED_OUT: StatusCode = StatusCode(408);
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the batch with the events of these instances only.
-    fn only_of(&self, instances: &[u64]) -> Batch {
+    fn restricted_to(&self, instances: &[u64]) -> Batch {
         let mut parts = self.parts.clone();
         parts.retain(|part| instances.contains(&part.instance));
         Batch { parts, ..*self }
@@ -282,7 +282,7 @@
     let replies_for = |instances: &[u64]| {
         let batches: Vec<Batch> = batches
             .iter()
-            .map(|batch| batch.only_of(instances))
+            .map(|batch| batch.restricted_to(instances))
             .collect();
         replies(&batches)
     };
