--- a/crates/scheduler/src/scheduler/admission.rs
+++ b/crates/scheduler/src/scheduler/admission.rs
@@ -1,9 +1,10 @@
 //! Checks the rules other than the dmClock order that decide whether a queued request may be
 //! dispatched now.
 //!
-//! A request is not admitted if the volume's token bucket is empty, if the retry rules forbid
-//! another attempt, or if the node is warming up and its slow-start quota is used up. Such a
-//! request stays in the queue; it is not rejected here.
+//! A first attempt is not admitted if the volume's token bucket holds too few units for the
+//! request, and a further attempt if the retry rules forbid it. No attempt is admitted if the node
+//! is warming up and its slow-start quota does not allow the request. A request that is not
+//! admitted stays in the queue; it is not rejected here.
 //!
 //! The concurrency limit and the pauses of the node are checked elsewhere (`dispatch`,
 //! `dmclock::selection`). Every queued request is open and before its deadline, because expired
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Returns whether the volume's token bucket holds enough units for the request.
+    /// Returns whether the volume's token bucket holds the units of the request, or the volume has
+    /// no limit.
     fn has_tokens(&self, unfinished: &UnfinishedRequest) -> bool {
         let request = unfinished.request();
         let volume = &self.scheduler.volumes[request.volume];
