--- a/crates/gateway/src/client_protocol/mod.rs
+++ b/crates/gateway/src/client_protocol/mod.rs
@@ -69,7 +69,7 @@
     /// completely in time. The command has not been executed.
     fn timeout_reply(&self) -> Vec<u8>;
 
-    /// Returns the time in microseconds that a connection may be idle after a command before it is
+    /// Returns the idle time, in microseconds, after which a connection that has sent a command is
     /// closed.
     fn idle_timeout(&self) -> Micros;
 
--- a/crates/gateway/src/client_protocol/resp/parameters.rs
+++ b/crates/gateway/src/client_protocol/resp/parameters.rs
@@ -129,8 +129,8 @@
                     .positive_number()?
                     .clamp(1.0, schema.max_host_count);
             }
-            // Unknown names are ignored. So is `r`, which marks a client's retry: no decision
-            // depends on it.
+            // Unknown names are ignored, and so is the known name `r`, which marks a client's
+            // retry: no decision depends on it.
             _ => {}
         }
         Ok(())
--- a/crates/gateway/src/client_protocol/sftp/commands.rs
+++ b/crates/gateway/src/client_protocol/sftp/commands.rs
@@ -105,7 +105,7 @@
     }
 
     /// OPENDIR: opens the root directory or a volume. The entries of the root directory are the
-    /// configured volumes; the objects of a volume are listed by the first READDIR.
+    /// configured volumes; the objects of a volume are listed by the first READDIR on the handle.
     fn open_directory(&mut self, request_id: RequestId, mut fields: Fields<'_>) -> CommandResult {
         let directory = match self.resolve_path(&mut fields)? {
             PathTarget::Object(_) => return Err(SftpError::NotDirectory),
--- a/crates/gateway/src/client_protocol/sftp/listing.rs
+++ b/crates/gateway/src/client_protocol/sftp/listing.rs
@@ -38,7 +38,7 @@
 
     /// Adds the response of one shard: directory entries from a file server, or the index object
     /// from a RESP2 node.
-    pub(super) fn add_shard(&mut self, body: ResponseBody) {
+    pub(super) fn add_response(&mut self, body: ResponseBody) {
         self.remaining_shards -= 1;
         match body {
             ResponseBody::Entries(objects) => {
--- a/crates/gateway/src/client_protocol/sftp/mod.rs
+++ b/crates/gateway/src/client_protocol/sftp/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Paths have the form `/VOLUME/OBJECT`. OPEN for reading fetches the whole object, and each READ
 //! returns part of it. Uploads are buffered, and CLOSE submits them as one write. If a client
-//! disconnects before CLOSE, no request is submitted. The first READDIR of a volume lists every
-//! shard; the reply is sent when all shards have responded.
+//! disconnects before CLOSE, no request is submitted. The first READDIR on the handle of a volume
+//! submits a listing to every shard; the reply is sent when all shards have responded.
 //!
 //! [`SftpProtocol`] decodes packets and keeps the commands whose requests are in flight
 //! (`pending`). Commands operate on the client's `session`: `commands` starts them, and `responses`
--- a/crates/gateway/src/client_protocol/sftp/pending.rs
+++ b/crates/gateway/src/client_protocol/sftp/pending.rs
@@ -12,7 +12,7 @@
     pub(super) operation: PendingOperation,
 }
 
-/// The operation that is complete once a command's requests have been responded to.
+/// The SFTP operation of a command, with the data needed to encode its reply.
 pub(super) enum PendingOperation {
     /// OPEN of an object for reading.
     Open(ObjectTarget),
@@ -25,6 +25,6 @@
         /// Size of the object in bytes.
         size: u64,
     },
-    /// READDIR of a volume.
+    /// The first READDIR on the handle of a volume.
     List(PendingListing),
 }
--- a/crates/gateway/src/client_protocol/sftp/requests.rs
+++ b/crates/gateway/src/client_protocol/sftp/requests.rs
@@ -31,8 +31,8 @@
     host_count: f64,
     /// Converts object sizes to units.
     unit_converter: UnitConverter,
-    /// The next client request id. All clients share it, so that the ids are unique at the storage
-    /// nodes.
+    /// The next client request id, from one counter for all clients, so that the ids are unique at
+    /// the storage nodes.
     next_request_id: Cell<u64>,
 }
 
--- a/crates/gateway/src/client_protocol/sftp/responses.rs
+++ b/crates/gateway/src/client_protocol/sftp/responses.rs
@@ -49,7 +49,7 @@
                 self.finish_upload(request_id, &target, size, &body)
             }
             PendingOperation::List(mut listing) => {
-                listing.add_shard(body);
+                listing.add_response(body);
                 if !listing.is_complete() {
                     let operation = PendingOperation::List(listing);
                     return CommandProgress::Pending(PendingCommand {
@@ -129,8 +129,8 @@
         Ok(encode_ok(request_id))
     }
 
-    /// Completes the first READDIR of a volume: replies with the first entries and keeps the
-    /// others for later READDIR commands on the handle.
+    /// Completes the first READDIR on the handle of a volume: replies with the first entries and
+    /// keeps the others for later READDIR commands on the handle.
     fn finish_listing(
         &mut self,
         request_id: RequestId,
--- a/crates/gateway/src/config/error.rs
+++ b/crates/gateway/src/config/error.rs
@@ -44,10 +44,11 @@
         /// The error about the value, which names the key.
         source: Box<ConfigError>,
     },
-    /// A required value is not set. An empty list and a number that is 0 count as not set.
+    /// A required value is not set. An empty list counts as not set, and so does a shard count
+    /// of 0.
     #[error("{key}: not set; expected {expected}")]
     Missing {
-        /// Path of the key, or the name of the environment variable.
+        /// Path of the key, the alternative keys, or the name of the environment variable.
         key: String,
         /// Description of the value that is required.
         expected: &'static str,
--- a/crates/gateway/src/config/operator.rs
+++ b/crates/gateway/src/config/operator.rs
@@ -67,14 +67,14 @@
     check_shared_sections(&file.settings, &file.limits, deadline_rule)?;
     if file.inventory.is_none() && file.discovery.is_none() {
         return Err(ConfigError::missing(
-            "inventory",
-            "inventory or discovery as the source of nodes",
+            "inventory, discovery",
+            "at least one of them, as the source of nodes",
         ));
     }
     if file.listen.is_none() && file.sftp.is_none() {
         return Err(ConfigError::missing(
-            "listen",
-            "listen or sftp, to accept clients",
+            "listen, sftp",
+            "at least one of them, to accept clients",
         ));
     }
     Ok(file)
--- a/crates/gateway/src/connections/client/accept.rs
+++ b/crates/gateway/src/connections/client/accept.rs
@@ -8,7 +8,7 @@
 use crate::connections::descriptors::is_out_of_descriptors;
 use crate::connections::listener::{Listener, ListenerProtocol};
 use crate::connections::socket::{Interest, Socket};
-use crate::context::{ConnectionKind, Context};
+use crate::context::{Context, DescriptorKind};
 use std::io;
 use std::net::TcpStream;
 use std::ops::ControlFlow;
@@ -23,8 +23,8 @@
 pub(crate) enum AcceptOutcome {
     /// The accept queue is empty, or the limits for this turn have been reached.
     Done,
-    /// A connection in the accept queue cannot be accepted, and there is no idle connection to
-    /// close for it. The caller pauses the other listeners; see
+    /// Accepting failed or the limit on client connections is reached, and no connection was
+    /// evicted. The caller pauses the other listeners; see
     /// [`Listeners::pause_all_except`](crate::connections::listener::Listeners::pause_all_except).
     Blocked,
 }
@@ -73,7 +73,7 @@
             _ => log::warn!("cannot accept a client connection: {error}"),
         }
         // The listener stays ready as long as a connection is in its accept queue. Evicting an idle
-        // connection frees a descriptor for it.
+        // connection frees a descriptor for the waiting connection.
         if is_out_of_descriptors(error) && self.evict_one(context) {
             return ControlFlow::Continue(());
         }
@@ -82,7 +82,7 @@
 
     /// Adds an accepted connection. Drops it if its socket cannot be set up.
     fn add(&mut self, stream: TcpStream, protocol: ListenerProtocol, context: &mut Context) {
-        let kind = ConnectionKind::Client;
+        let kind = DescriptorKind::Client;
         let Ok(socket) = Socket::register(stream, kind, Interest::Read, context) else {
             return;
         };
--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -5,14 +5,14 @@
 use super::eviction_queue::EvictionRank;
 use crate::connection_token::ConnectionToken;
 use crate::connections::socket::Interest;
-use crate::context::{ConnectionKind, Context};
+use crate::context::{Context, DescriptorKind};
 use io_scheduler::Micros;
 
 impl ClientConnections {
     /// Closes all connections that have been idle for at least `min_idle_time` microseconds.
     pub(crate) fn close_idle_for(&mut self, min_idle_time: Micros, context: &mut Context) {
         let idle: Vec<ConnectionToken> = context
-            .tokens_of(ConnectionKind::Client)
+            .tokens_of(DescriptorKind::Client)
             .filter(|token| self.is_idle_for(*token, min_idle_time, context.now))
             .collect();
         for token in idle {
@@ -84,7 +84,7 @@
         client
             .counted_partial_command_bytes
             .set(0, &mut self.partial_command_bytes);
-        for id in client.replies.into_open_requests() {
+        for id in client.replies.into_requests_of_pending_replies() {
             context.record_response_not_needed(id);
         }
     }
--- a/crates/gateway/src/connections/client/commands.rs
+++ b/crates/gateway/src/connections/client/commands.rs
@@ -133,7 +133,7 @@
     /// [`MAX_BACKLOG_FACTOR`] times their budget.
     ///
     /// The limits that stop parsing do not bound the replies to commands already in flight. This
-    /// check does, before the process runs out of memory.
+    /// check bounds them, so that the process does not run out of memory.
     fn has_excessive_backlog(&self, client: &ClientConnection, context: &Context) -> bool {
         let max_unsent_bytes = MAX_BACKLOG_FACTOR * context.config.memory_budget.unsent_reply_bytes;
         self.unsent_bytes > max_unsent_bytes && client.socket.unsent_bytes() > MAX_UNSENT_BYTES
--- a/crates/gateway/src/connections/client/events.rs
+++ b/crates/gateway/src/connections/client/events.rs
@@ -78,8 +78,8 @@
         return client.socket.discard_available(remaining_bytes);
     }
     if flags.intersects(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR) {
-        // There may be more buffered input before the end of the stream than one call reads. Report
-        // the disconnection now instead of after all of that input has been read.
+        // Unread input may precede the end of the stream. Report the disconnection without reading
+        // it.
         return Ok(StreamStatus::Ended);
     }
     if flags.contains(EventFlags::IN) {
--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -8,13 +8,14 @@
 impl ClientConnections {
     /// Evicts one connection without pending replies. Returns whether there is such a candidate.
     ///
-    /// A candidate with unread input stays open; see [`Self::evict`]. The message is logged before
-    /// this is known.
+    /// A candidate with unread input stays open; see [`Self::evict`].
     pub(super) fn evict_one(&mut self, context: &mut Context) -> bool {
         let Some(token) = self.eviction_queue.next_to_evict(context.now) else {
             return false;
         };
-        log::debug!("evicting an idle client connection to accept a new one");
+        log::debug!(
+            "accepting a client connection: evicting an idle one unless it has unread input"
+        );
         self.evict(token, context);
         true
     }
--- a/crates/gateway/src/connections/client/reply_queue.rs
+++ b/crates/gateway/src/connections/client/reply_queue.rs
@@ -106,7 +106,7 @@
 
     /// Returns the requests of all commands that wait for responses, in the order of the commands.
     /// Some of the requests may already have a response, if their command waits for others.
-    pub(super) fn into_open_requests(self) -> impl Iterator<Item = RequestId> {
+    pub(super) fn into_requests_of_pending_replies(self) -> impl Iterator<Item = RequestId> {
         self.pending
             .into_iter()
             .flat_map(|reply| match reply.content {
--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -5,7 +5,7 @@
 //! the connection, receives the updates and detects when the watch has ended or failed.
 
 use crate::connections::socket::{start_connecting, Interest, Socket, StreamStatus};
-use crate::context::{ConnectionKind, Context, MICROS_PER_MILLISECOND};
+use crate::context::{Context, DescriptorKind, MICROS_PER_MILLISECOND};
 use crate::discovery::{watch_request, WatchError, WatchParser};
 use crate::endpoint::EndpointListUpdate;
 use crate::timer_queue::{Timer, TimerQueue};
@@ -26,7 +26,7 @@
 /// Maximum number of bytes that are read from a watch in one turn of the event loop.
 const MAX_BYTES_PER_TURN: usize = 256 << 10;
 
-/// Why a watch has ended.
+/// Why a watch has ended or could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WatchFailure {
     /// Neither an update nor a heartbeat arrived in time.
@@ -81,7 +81,7 @@
     /// Starts to connect, and registers the connection with the poller.
     fn open(address: SocketAddr, context: &mut Context) -> io::Result<WatchConnection> {
         let stream = start_connecting(address)?;
-        let kind = ConnectionKind::Discovery;
+        let kind = DescriptorKind::Discovery;
         Ok(WatchConnection {
             socket: Socket::register(stream, kind, Interest::Connect, context)?,
             address,
@@ -127,8 +127,8 @@
     connection: Option<WatchConnection>,
     /// When [`Timer::DiscoveryWatch`] expires; `None` if it is not set.
     timer_expires_at: Option<Micros>,
-    /// When the current or last connection was opened.
-    opened_at: Micros,
+    /// When opening the current or last connection started.
+    connecting_started_at: Micros,
     /// Whether an update has arrived on the current connection.
     has_received_update: bool,
     /// The last received version of the endpoint list; 0 if none is known.
@@ -142,7 +142,7 @@
         DiscoveryWatch {
             connection: None,
             timer_expires_at: None,
-            opened_at: 0,
+            connecting_started_at: 0,
             has_received_update: false,
             list_version,
         }
@@ -163,7 +163,7 @@
         if self.connection.is_some() {
             return;
         }
-        self.opened_at = context.now;
+        self.connecting_started_at = context.now;
         match WatchConnection::open(address, context) {
             Ok(connection) => {
                 self.connection = Some(connection);
@@ -224,7 +224,7 @@
             let count = update.endpoints.len();
             let elapsed_ms = self.elapsed_ms(now);
             log::info!(
-                "discovery: received {count} endpoints {elapsed_ms} ms after opening the watch"
+                "discovery: received {count} endpoints {elapsed_ms} ms after connecting started"
             );
         }
         self.list_version = update.version;
@@ -236,10 +236,11 @@
         self.fail(&WatchFailure::TimedOut, context);
     }
 
-    /// Closes a watch that has failed or ended. The scheduler decides when to open another one.
+    /// Closes a watch that has ended, failed or could not be opened. The scheduler decides when to
+    /// open another one.
     pub(crate) fn fail(&mut self, failure: &WatchFailure, context: &mut Context) {
         log::info!(
-            "discovery: watch ended after {} ms: {failure}",
+            "discovery: watch failed or ended {} ms after connecting started: {failure}",
             self.elapsed_ms(context.now)
         );
         let event = if self.has_received_update {
@@ -267,6 +268,6 @@
 
     /// Returns the milliseconds since the current or last connection was opened.
     fn elapsed_ms(&self, now: Micros) -> Micros {
-        (now - self.opened_at) / MICROS_PER_MILLISECOND
+        (now - self.connecting_started_at) / MICROS_PER_MILLISECOND
     }
 }
--- a/crates/gateway/src/connections/listener.rs
+++ b/crates/gateway/src/connections/listener.rs
@@ -1,7 +1,7 @@
 //! Listening sockets for client connections.
 
 use crate::connection_token::ConnectionToken;
-use crate::context::{ConnectionKind, Context};
+use crate::context::{Context, DescriptorKind};
 use crate::timer_queue::Timer;
 use io_scheduler::Micros;
 use rustix::event::epoll::EventFlags;
@@ -81,7 +81,7 @@
         socket.set_nonblocking(true)?;
         let address = socket.local_addr()?;
         log::info!("listening for {} on {address}", protocol.name());
-        let token = context.register(&socket, ConnectionKind::Listener, EventFlags::IN)?;
+        let token = context.register(&socket, DescriptorKind::Listener, EventFlags::IN)?;
         self.listeners.push(Listener {
             token,
             socket,
@@ -98,8 +98,8 @@
     }
 
     /// Stops accepting for [`ACCEPT_PAUSE`] on all listeners except `handled`, the one that is
-    /// being handled. The poller reports that one in every turn as long as a connection is in its
-    /// accept queue.
+    /// being handled. The poller reports `handled` as long as a connection is in its accept queue,
+    /// so accepting on it is tried again in every turn.
     pub(crate) fn pause_all_except(&self, handled: ConnectionToken, context: &mut Context) {
         for listener in &self.listeners {
             if listener.token != handled {
--- a/crates/gateway/src/connections/node/attempts.rs
+++ b/crates/gateway/src/connections/node/attempts.rs
@@ -51,8 +51,8 @@
     /// first.
     ///
     /// Connections that are not reusable, or have been idle for too long for any request, are
-    /// closed. A connection that is still being established needs no check, because it has never
-    /// been idle at the node.
+    /// closed. A connection that is still being established is not checked: the node has not seen
+    /// it yet, so it cannot have closed it.
     fn take_idle(
         &mut self,
         node: NodeId,
--- a/crates/gateway/src/connections/node/events.rs
+++ b/crates/gateway/src/connections/node/events.rs
@@ -78,15 +78,16 @@
         context: &Context,
     ) -> Result<Option<AttemptResult>, ProtocolError> {
         let result = connection.decode_input();
-        let buffered = connection.protocol.counted_response_bytes();
-        let large_bytes = buffered.saturating_sub(UNCOUNTED_RESPONSE_BYTES);
+        let counted_bytes = connection.protocol.counted_response_bytes();
+        let large_bytes = counted_bytes.saturating_sub(UNCOUNTED_RESPONSE_BYTES);
         connection
             .counted_large_response_bytes
             .set(large_bytes, &mut self.large_response_bytes);
         if self.large_response_bytes > context.config.memory_budget.large_response_bytes {
             let node = connection.node.0;
             log::warn!(
-                "node {node}: rejecting a response of {buffered} bytes: memory budget exhausted"
+                "node {node}: rejecting a response of at least {counted_bytes} bytes: memory \
+                 budget for large responses exhausted"
             );
             return Err(ProtocolError::ReplyTooLong);
         }
--- a/crates/gateway/src/connections/node/idle_timeout.rs
+++ b/crates/gateway/src/connections/node/idle_timeout.rs
@@ -36,8 +36,8 @@
     estimate: Micros,
     /// Maximum of the estimate, from the settings.
     maximum: Micros,
-    /// The longest idle time after which a request still got a response. Reduced by each reset
-    /// after a shorter idle time, which contradicts it.
+    /// The longest idle time after which a request got a response, divided by
+    /// [`LONGEST_ANSWERED_DIVISOR`] at each reset after a shorter idle time.
     longest_answered_idle_time: Micros,
 }
 
--- a/crates/gateway/src/connections/node/open.rs
+++ b/crates/gateway/src/connections/node/open.rs
@@ -5,7 +5,7 @@
 use super::pool::NodeAddress;
 use crate::connections::descriptors::is_out_of_descriptors;
 use crate::connections::socket::{start_connecting, Interest, Socket};
-use crate::context::{ConnectionKind, Context};
+use crate::context::{Context, DescriptorKind};
 use deployment_settings::micros;
 use io_scheduler::{Micros, NodeId};
 use std::io;
@@ -46,7 +46,7 @@
         self.close_idle_if_at_limit(node, context);
         let address = self.address_for_new_connection(node)?;
         let stream = self.connect(address.socket_address, context)?;
-        let kind = ConnectionKind::Node;
+        let kind = DescriptorKind::Node;
         let socket = Socket::register(stream, kind, Interest::Connect, context)?;
         self.count += 1;
         if let Some(pool) = self.pools.get_mut(&node) {
--- a/crates/gateway/src/connections/socket.rs
+++ b/crates/gateway/src/connections/socket.rs
@@ -2,7 +2,7 @@
 
 use super::nonblocking::{read_chunk, ReadOutcome};
 use crate::connection_token::ConnectionToken;
-use crate::context::{ConnectionKind, Context, Poller};
+use crate::context::{Context, DescriptorKind, Poller};
 use rustix::event::epoll::EventFlags;
 use rustix::fd::OwnedFd;
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
@@ -89,7 +89,7 @@
     /// setting `TCP_NODELAY`.
     pub(crate) fn register(
         stream: TcpStream,
-        kind: ConnectionKind,
+        kind: DescriptorKind,
         interest: Interest,
         context: &mut Context,
     ) -> io::Result<Socket> {
--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -1,9 +1,9 @@
 //! State that all parts of the event loop share: the configuration, the clock, the poller, the
 //! timers and the dispatcher.
 //!
-//! `Context` is passed to the components that own connections. It knows a connection only by its
-//! token and its kind; the connections themselves are owned by [`crate::connections`]. This module
-//! therefore imports neither them nor the event loop.
+//! `Context` is passed to the components that own connections. It stores only the token and
+//! the kind of each descriptor; the connections themselves are owned by [`crate::connections`].
+//! This module therefore imports neither them nor the event loop.
 
 mod clock;
 mod poller;
@@ -25,9 +25,9 @@
 use slab::Slab;
 use std::io;
 
-/// What a registered descriptor is used for. This determines which component handles its events.
+/// Use of a registered descriptor. It determines which component handles its events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ConnectionKind {
+pub(crate) enum DescriptorKind {
     /// A socket that accepts client connections.
     Listener,
     /// A client's connection.
@@ -50,12 +50,12 @@
     /// The clock that [`Context::now`] is read from.
     clock: Clock,
     /// Time of the current turn, in microseconds since the Unix epoch. It is read once per turn, so
-    /// that everything in a turn happens at the same time.
+    /// that all components use the same time within a turn.
     pub(crate) now: Micros,
     /// Reports which descriptors are ready.
     pub(crate) poller: Poller,
-    /// The kind of each open connection, by token.
-    connections: Slab<ConnectionKind>,
+    /// The kind of each registered descriptor, by token.
+    descriptor_kinds: Slab<DescriptorKind>,
     /// Owns the unfinished requests, the nodes and the scheduler.
     pub(crate) dispatcher: Dispatcher,
     /// All pending timers.
@@ -76,7 +76,7 @@
             now: clock.now(),
             clock,
             poller: Poller::new()?,
-            connections: Slab::default(),
+            descriptor_kinds: Slab::default(),
             dispatcher,
             timers: TimerQueue::default(),
             shutdown: Shutdown::default(),
@@ -103,35 +103,35 @@
     pub(crate) fn register(
         &mut self,
         descriptor: impl AsFd,
-        kind: ConnectionKind,
+        kind: DescriptorKind,
         events: EventFlags,
     ) -> io::Result<ConnectionToken> {
-        let token = self.connections.reserve();
+        let token = self.descriptor_kinds.reserve();
         if let Err(error) = self.poller.register(descriptor, token, events) {
-            self.connections.free(token);
+            self.descriptor_kinds.free(token);
             return Err(error);
         }
-        self.connections.put(token, kind);
+        self.descriptor_kinds.put(token, kind);
         Ok(token)
     }
 
-    /// Frees the token of a closed connection. Events that were already reported for it are ignored
+    /// Frees the token of a closed descriptor. Events that were already reported for it are ignored
     /// from then on.
     pub(crate) fn free(&mut self, token: ConnectionToken) {
-        self.connections.free(token);
+        self.descriptor_kinds.free(token);
     }
 
-    /// Returns the kind of a connection; `None` if it was closed.
-    pub(crate) fn connection_kind(&self, token: ConnectionToken) -> Option<ConnectionKind> {
-        self.connections.get(token).copied()
+    /// Returns the kind of a descriptor; `None` if it was closed.
+    pub(crate) fn descriptor_kind(&self, token: ConnectionToken) -> Option<DescriptorKind> {
+        self.descriptor_kinds.get(token).copied()
     }
 
-    /// Returns the tokens of all open connections of a kind, in the order of their slots.
+    /// Returns the tokens of all open descriptors of a kind, in the order of their slots.
     pub(crate) fn tokens_of(
         &self,
-        kind: ConnectionKind,
+        kind: DescriptorKind,
     ) -> impl Iterator<Item = ConnectionToken> + '_ {
-        self.connections
+        self.descriptor_kinds
             .iter()
             .filter(move |(_, entry)| **entry == kind)
             .map(|(token, _)| token)
--- a/crates/gateway/src/context/poller.rs
+++ b/crates/gateway/src/context/poller.rs
@@ -27,7 +27,8 @@
         Ok(Poller { epoll })
     }
 
-    /// Registers a descriptor. The given `events` are reported until the descriptor is closed.
+    /// Registers a descriptor. The given `events` are reported until [`Self::modify`] changes them
+    /// or the descriptor is closed.
     pub(super) fn register(
         &self,
         descriptor: impl AsFd,
--- a/crates/gateway/src/context/shutdown.rs
+++ b/crates/gateway/src/context/shutdown.rs
@@ -22,8 +22,8 @@
     is_requested: bool,
     /// Whether the grace period is over.
     is_closing_clients: bool,
-    /// Since when no client connection and no request has been open after the grace period; `None`
-    /// if one is.
+    /// Time since which the gateway has been idle, that is, without client connections and open
+    /// requests; `None` while it is not idle or the grace period lasts.
     idle_since: Option<Micros>,
 }
 
--- a/crates/gateway/src/dispatcher/node_registry.rs
+++ b/crates/gateway/src/dispatcher/node_registry.rs
@@ -1,8 +1,8 @@
 //! The storage nodes of the endpoint list: their ids, their state and their write deadlines.
 //!
-//! A node that goes out of service gets a write deadline, from which on the gateway must not start
-//! to write an attempt to the node. The deadline is shortly before the end of the drain grace,
-//! which begins with the first endpoint list that shows the node out of service.
+//! A node that goes out of service gets a write deadline: the gateway must not start to write an
+//! attempt to the node at or after this time. The deadline is shortly before the end of the drain
+//! grace, which begins with the first endpoint list that shows the node out of service.
 
 use super::node_state::NodeState;
 use crate::endpoint::EndpointRecord;
--- a/crates/gateway/src/dispatcher/node_state.rs
+++ b/crates/gateway/src/dispatcher/node_state.rs
@@ -2,7 +2,7 @@
 
 use io_scheduler::{EndpointStatus, Micros, Shard, Units};
 
-/// State of a storage node as the dispatcher and the console see it.
+/// State of a storage node in the dispatcher; the console prints it.
 #[derive(Clone, Debug)]
 pub struct NodeState {
     /// Name in the endpoint list.
@@ -15,8 +15,8 @@
     pub served_units: Units,
     /// Attempts in flight at the node.
     pub attempts_in_flight: usize,
-    /// From this time on, the gateway must not start to write an attempt to the node. `None` while
-    /// the node is in service.
+    /// The gateway must not start to write an attempt to the node at or after this time. `None`
+    /// while the node is in service.
     write_deadline: Option<Micros>,
 }
 
--- a/crates/gateway/src/dispatcher/state.rs
+++ b/crates/gateway/src/dispatcher/state.rs
@@ -55,7 +55,8 @@
         })
     }
 
-    /// Returns the counters of recently active volumes, by volume.
+    /// Returns the counters of volumes, by volume. Those of the volumes with the fewest requests
+    /// are removed when the table is full.
     #[must_use]
     pub fn volume_counters(&self) -> &BTreeMap<VolumeId, VolumeCounters> {
         self.volume_counters.by_volume()
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -1,8 +1,8 @@
-//! Accepts, rejects or answers new requests.
+//! Accepts new requests, rejects them, or responds that they are invalid.
 //!
-//! A request with the client request id of an unfinished request is an error of the client and is
-//! answered as invalid. A request that would exceed the memory budget is rejected with Retry-After.
-//! All others are passed to the scheduler.
+//! A request with the client request id of an unfinished request is an error of the client; the
+//! response is that it is invalid. A request that would exceed the memory budget is rejected with
+//! Retry-After. All others are passed to the scheduler.
 
 use super::command::Command;
 use super::state::Dispatcher;
@@ -13,8 +13,8 @@
 use io_scheduler::{Event, Micros, Request, RequestId};
 
 /// Time reserved for delivering the final response before the client times out, in microseconds. It
-/// is longer than `OVERDUE_GRACE`, so that the dispatcher also sends its own response to an overdue
-/// request before the client times out.
+/// is longer than `OVERDUE_GRACE`, so that the response to an overdue request, which the dispatcher
+/// sends after that grace, still reaches the client in time.
 const RESPONSE_DELIVERY_MARGIN: Micros = 6_000;
 /// The delivery margin is at most the client's timeout divided by this, so that a short timeout
 /// leaves most of its time to the attempts. For timeouts below 12 ms (`OVERDUE_GRACE` times this),
--- a/crates/gateway/src/dispatcher/unfinished_request.rs
+++ b/crates/gateway/src/dispatcher/unfinished_request.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 /// How long after the deadline of a request the dispatcher itself fails it, if the scheduler has
-/// not completed it, in microseconds. The scheduler's timers expire at the deadline, so the event
-/// loop may run this late before the dispatcher takes over. It must be shorter than
+/// not completed it, in microseconds. This leaves the event loop time to handle the scheduler's
+/// timer, which expires at the deadline. It must be shorter than
 /// `RESPONSE_DELIVERY_MARGIN` in `submit`, so that the response still reaches the client in time.
 const OVERDUE_GRACE: Micros = 3_000;
 
--- a/crates/gateway/src/dispatcher/volume_counters.rs
+++ b/crates/gateway/src/dispatcher/volume_counters.rs
@@ -27,7 +27,7 @@
     pub attempts: u64,
 }
 
-/// The counters of recently active volumes. When a request for a new volume is received while the
+/// The counters of volumes. When a request for a volume without counters is received while the
 /// table is full, the volumes with at most the median number of requests are removed.
 #[derive(Debug, Default)]
 pub(super) struct VolumeCounterTable {
--- a/crates/gateway/src/event_loop/console_input.rs
+++ b/crates/gateway/src/event_loop/console_input.rs
@@ -5,7 +5,7 @@
 
 use crate::connection_token::ConnectionToken;
 use crate::connections::nonblocking::{read_chunk, ReadOutcome};
-use crate::context::{ConnectionKind, Context};
+use crate::context::{Context, DescriptorKind};
 use rustix::event::epoll::EventFlags;
 use std::io;
 use std::os::unix::net::UnixStream;
@@ -33,7 +33,7 @@
     pub(super) fn open(context: &mut Context) -> io::Result<ConsoleInput> {
         let (stream, writer) = UnixStream::pair()?;
         stream.set_nonblocking(true)?;
-        let token = context.register(&stream, ConnectionKind::Console, EventFlags::IN)?;
+        let token = context.register(&stream, DescriptorKind::Console, EventFlags::IN)?;
         std::thread::Builder::new()
             .name("console".into())
             .spawn(move || copy_standard_input(writer))?;
--- a/crates/gateway/src/event_loop/events.rs
+++ b/crates/gateway/src/event_loop/events.rs
@@ -7,7 +7,7 @@
 use crate::connections::client::AcceptOutcome;
 use crate::connections::discovery_watch::WatchOutcome;
 use crate::connections::node::AttemptSpec;
-use crate::context::ConnectionKind;
+use crate::context::DescriptorKind;
 use crate::dispatcher::Command;
 use crate::timer_queue::Timer;
 use rustix::event::epoll::EventFlags;
@@ -17,16 +17,16 @@
     /// connection was closed earlier in the turn.
     pub(super) fn handle_ready(&mut self, token: ConnectionToken, flags: EventFlags) {
         let context = &mut self.context;
-        match context.connection_kind(token) {
+        match context.descriptor_kind(token) {
             None => {}
-            Some(ConnectionKind::Listener) => self.handle_listener_ready(token),
-            Some(ConnectionKind::Client) => {
+            Some(DescriptorKind::Listener) => self.handle_listener_ready(token),
+            Some(DescriptorKind::Client) => {
                 self.client_connections.handle_ready(token, flags, context);
             }
-            Some(ConnectionKind::Node) => self.node_connections.handle_ready(token, context),
-            Some(ConnectionKind::Discovery) => self.handle_watch_ready(),
-            Some(ConnectionKind::Signal) => self.handle_signal(token),
-            Some(ConnectionKind::Console) => self.handle_console_ready(),
+            Some(DescriptorKind::Node) => self.node_connections.handle_ready(token, context),
+            Some(DescriptorKind::Discovery) => self.handle_watch_ready(),
+            Some(DescriptorKind::Signal) => self.handle_signal(token),
+            Some(DescriptorKind::Console) => self.handle_console_ready(),
         }
     }
 
@@ -82,16 +82,16 @@
     /// Handles the timeout of a client or node connection.
     fn handle_connection_timer(&mut self, token: ConnectionToken) {
         let context = &mut self.context;
-        match context.connection_kind(token) {
-            Some(ConnectionKind::Client) => self.client_connections.handle_timeout(token, context),
-            Some(ConnectionKind::Node) => self.node_connections.handle_timeout(token, context),
+        match context.descriptor_kind(token) {
+            Some(DescriptorKind::Client) => self.client_connections.handle_timeout(token, context),
+            Some(DescriptorKind::Node) => self.node_connections.handle_timeout(token, context),
             // Connections of the other kinds set no `Timer::Connection`; a closed one needs no
             // timeout.
             Some(
-                ConnectionKind::Listener
-                | ConnectionKind::Discovery
-                | ConnectionKind::Signal
-                | ConnectionKind::Console,
+                DescriptorKind::Listener
+                | DescriptorKind::Discovery
+                | DescriptorKind::Signal
+                | DescriptorKind::Console,
             )
             | None => {}
         }
--- a/crates/gateway/src/event_loop/mod.rs
+++ b/crates/gateway/src/event_loop/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop: a single thread that never blocks.
+//! The event loop: a single thread that performs no blocking network I/O.
 //!
 //! Each turn handles the connections that are ready, then the timers that have expired. It then
 //! calls the scheduler once with all events that resulted, runs the commands that follow from the
--- a/crates/gateway/src/event_loop/signals.rs
+++ b/crates/gateway/src/event_loop/signals.rs
@@ -1,7 +1,7 @@
 //! Signal handling. Signal handlers write to pipes, which the event loop reads.
 
 use crate::connection_token::ConnectionToken;
-use crate::context::{ConnectionKind, Context};
+use crate::context::{Context, DescriptorKind};
 use rustix::event::epoll::EventFlags;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::ffi::c_int;
@@ -56,7 +56,7 @@
         for signal in signals {
             signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
         }
-        let token = context.register(&stream, ConnectionKind::Signal, EventFlags::IN)?;
+        let token = context.register(&stream, DescriptorKind::Signal, EventFlags::IN)?;
         self.pipes.push(SignalPipe {
             token,
             stream,
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -23,7 +23,7 @@
     /// Serve with the configuration file that `ROUTER_CONFIG` names.
     ServeFromEnvironment,
     /// Serve with an operator's configuration file and open the console.
-    ServeOperator(PathBuf),
+    ServeWithOperatorFile(PathBuf),
     /// Check an operator's configuration file and its inventory, then exit.
     Check(PathBuf),
     /// Print [`USAGE`].
@@ -37,7 +37,7 @@
         match arguments.as_slice() {
             [] => Some(CliCommand::ServeFromEnvironment),
             ["--help" | "-h"] => Some(CliCommand::Help),
-            ["--config", file] => Some(CliCommand::ServeOperator(file.into())),
+            ["--config", file] => Some(CliCommand::ServeWithOperatorFile(file.into())),
             ["--config", file, "--check"] | ["--check", "--config", file] => {
                 Some(CliCommand::Check(file.into()))
             }
@@ -69,7 +69,7 @@
             Ok(())
         }
         CliCommand::ServeFromEnvironment => serve_from_environment(),
-        CliCommand::ServeOperator(file) => serve_operator(&file),
+        CliCommand::ServeWithOperatorFile(file) => serve_with_operator_file(&file),
         CliCommand::Check(file) => check(&file),
     }
 }
@@ -82,7 +82,7 @@
 }
 
 /// Serves with an operator's configuration file and a console, until the gateway has shut down.
-fn serve_operator(file: &Path) -> Result<(), GatewayError> {
+fn serve_with_operator_file(file: &Path) -> Result<(), GatewayError> {
     let mut gateway = create_gateway(config::from_file(file)?)?;
     gateway.open_console()?;
     gateway.run()?;
--- a/crates/gateway/src/memory_budget.rs
+++ b/crates/gateway/src/memory_budget.rs
@@ -14,8 +14,8 @@
 /// the allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryBudget {
-    /// Total bytes of the bodies of unfinished requests. A request that would exceed it is
-    /// rejected.
+    /// Total bytes of the bodies of unfinished requests. A request that would make the total exceed
+    /// this limit is rejected.
     pub request_body_bytes: usize,
     /// Total bytes of encoded replies that have not been written to clients yet. Above this limit,
     /// each client gets one reply at a time; above twice this limit, clients that read too slowly
@@ -26,8 +26,8 @@
     pub partial_command_bytes: usize,
     /// Total bytes of the uploads and objects that SFTP clients have open.
     pub sftp_file_bytes: usize,
-    /// Total bytes of large responses that are being received from nodes. An attempt whose response
-    /// exceeds it fails.
+    /// Total bytes of large responses that are being received from nodes. An attempt fails if its
+    /// response makes the total exceed this limit.
     pub large_response_bytes: usize,
     /// Largest value that is accepted from a node, in bytes. Nodes may send larger values than the
     /// 64 KiB that their specification allows.
--- a/crates/gateway/src/node_protocol/mod.rs
+++ b/crates/gateway/src/node_protocol/mod.rs
@@ -1,7 +1,7 @@
 //! Protocols for storage nodes. They encode requests and decode replies.
 //!
 //! An implementation holds the protocol state of one connection and does no I/O: it appends to an
-//! output buffer and consumes an input buffer, both owned by the event loop.
+//! output buffer and consumes an input buffer, both owned by the connection.
 
 mod error;
 pub mod resp;
--- a/crates/gateway/src/node_protocol/sftp/reply.rs
+++ b/crates/gateway/src/node_protocol/sftp/reply.rs
@@ -20,7 +20,7 @@
 }
 
 impl RequestProgress {
-    /// Returns the completion of a served request.
+    /// Returns `Completed` with the result of a served request.
     fn served(body: ResponseBody) -> RequestProgress {
         RequestProgress::Completed(AttemptResult {
             body: Some(body),
@@ -28,7 +28,7 @@
         })
     }
 
-    /// Returns the completion of a failed request.
+    /// Returns `Completed` with the result of a failed request.
     fn failed() -> RequestProgress {
         RequestProgress::Completed(AttemptResult::without_body(Outcome::Error))
     }
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Handles a STATUS reply, which either ends the state or fails the request. `code` is
-    /// `None` if [`StatusCode`] does not define it.
+    /// Handles a STATUS reply, which continues, completes or fails the request. `code` is `None` if
+    /// [`StatusCode`] does not define it.
     fn handle_status(
         self,
         code: Option<StatusCode>,
@@ -111,9 +111,9 @@
     }
 }
 
-/// Returns the completion of a request whose path does not exist. A volume without a directory has
-/// no objects yet, so its listing is empty. A write creates its file, so this status means that the
-/// write has failed.
+/// Returns `Completed` with the result of a request whose path does not exist. A volume without a
+/// directory has no objects yet, so its listing is empty. A write creates its file, so this status
+/// means that the write has failed.
 fn no_such_file(operation: Operation) -> RequestProgress {
     match operation {
         Operation::List => RequestProgress::served(ResponseBody::Entries(Vec::new())),
--- a/crates/gateway/src/timer_queue.rs
+++ b/crates/gateway/src/timer_queue.rs
@@ -19,8 +19,8 @@
     DiscoveryWatch,
     /// Close idle client connections during a graceful shutdown, first when its grace period ends.
     Shutdown,
-    /// Accept connections again after a pause, which follows if a connection could not be accepted
-    /// and no idle connection could be closed for it.
+    /// Resume accepting on the listeners that were paused because a connection could not be
+    /// accepted.
     ResumeAccepting,
 }
 
--- a/crates/gateway/tests/gateway_process/harness/cluster.rs
+++ b/crates/gateway/tests/gateway_process/harness/cluster.rs
@@ -24,7 +24,7 @@
 
 /// A read that the gateway has forwarded to node A.
 ///
-/// The gateway sends one request at a time to a node that it has not measured yet: further requests
+/// The gateway sends one request at a time to a node that has not responded yet: further requests
 /// for node A wait until the node has responded to this one.
 pub struct ForwardedRead {
     /// The client's connection to the gateway.
@@ -126,7 +126,7 @@
         [self.node_a.in_service_entry(), self.node_b.draining_entry()]
     }
 
-    /// Waits until the gateway has logged a snapshot or a delta with two endpoints.
+    /// Waits until the gateway has logged that the first update on a watch has two endpoints.
     #[track_caller]
     pub fn wait_for_update_of_two_endpoints(&mut self) {
         self.gateway.wait_for_log(log_lines::RECEIVED_TWO_ENDPOINTS);
--- a/crates/gateway/tests/gateway_process/harness/config.rs
+++ b/crates/gateway/tests/gateway_process/harness/config.rs
@@ -6,8 +6,8 @@
 /// The deployment settings of all tests; a test replaces single values.
 pub const SETTINGS: &str = include_str!("../../settings.json");
 
-/// The configuration file of a gateway on the platform. It contains the cached endpoint list, which
-/// the gateway uses until discovery has sent one.
+/// The file that `ROUTER_CONFIG` names (platform configuration). It contains the cached endpoint
+/// list, which the gateway uses until discovery has sent one.
 pub fn platform_config(discovery: SocketAddr, cached_entries: &[String]) -> String {
     let cached_list = encode_update(1, UpdateKind::Snapshot, cached_entries);
     format!(
--- a/crates/gateway/tests/gateway_process/harness/log_lines.rs
+++ b/crates/gateway/tests/gateway_process/harness/log_lines.rs
@@ -4,9 +4,9 @@
 pub const LISTENING_FOR_RESP: &str = "listening for RESP2 on";
 /// The gateway accepts SFTP clients; the address ends the line.
 pub const LISTENING_FOR_SFTP: &str = "listening for SFTP on";
-/// The gateway received a snapshot or a delta with two endpoints.
+/// The first update on a watch has two endpoints. Later updates on that watch are not logged.
 pub const RECEIVED_TWO_ENDPOINTS: &str = "discovery: received 2 endpoints";
-/// The gateway received a snapshot or a delta with one endpoint.
+/// The first update on a watch has one endpoint.
 pub const RECEIVED_ONE_ENDPOINT: &str = "discovery: received 1 endpoints";
 /// The connection to discovery was refused.
 pub const CONNECTION_REFUSED: &str = "refused";
--- a/crates/gateway/tests/gateway_process/harness/requests.rs
+++ b/crates/gateway/tests/gateway_process/harness/requests.rs
@@ -34,8 +34,8 @@
     ))
 }
 
-/// A read from shard 0 of a different object than that of [`encode_read_request`], so that it
-/// does not keep the latency objective of that read, as a client's retry of it would.
+/// A read from shard 0 of a different object than that of [`encode_read_request`]. A read of the
+/// same object would count as a client's retry and keep the latency objective of the earlier read.
 pub fn encode_read_request_for_another_object(id: &str) -> String {
     encode_read_request(id).replace("7f3a9c21e0b4d655", "7f3a9c21e0b4d657")
 }
@@ -48,7 +48,7 @@
     ))
 }
 
-/// A node's successful response with a value, without cost and load report.
+/// A node's successful response with a value, without a usage report and a load report.
 pub fn encode_value_response(value: &str) -> String {
     format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len())
 }
--- a/crates/gateway/tests/gateway_process/races/idle_close.rs
+++ b/crates/gateway/tests/gateway_process/races/idle_close.rs
@@ -44,10 +44,10 @@
     new_client.expect_pong();
 }
 
-/// Some clients send one request and keep their connection open. They may hold up to a third of all
-/// descriptors, so the gateway limits the connections that have sent a request to a quarter. If
-/// there are more, it closes the first one that becomes idle, directly after its response and while
-/// the other clients wait for theirs.
+/// Some clients send one request and keep their connection open. Without a limit they would hold up
+/// to a third of all descriptors; the gateway allows a quarter to connections that have sent a
+/// request. If there are more, it closes the first one that becomes idle, directly after its
+/// response and while the other clients wait for theirs.
 #[test]
 fn idle_connection_is_closed_before_clients_hold_all_descriptors() {
     let mut cluster =
--- a/crates/gateway/tests/gateway_process/scenario_runner/deployment.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/deployment.rs
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Writes the inventory again, in which this node has been in service only since now.
+    /// Writes the inventory again with the current time as the start time of this node.
     pub fn mark_node_restarted(&mut self, name: &str) {
         self.restarted_node = Some(name.to_owned());
         self.write_inventory();
--- a/crates/gateway/tests/gateway_process/scenario_runner/masking.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/masking.rs
@@ -1,6 +1,7 @@
-//! Replaces values that differ between runs: times, and request ids that the gateway generates.
+//! Replaces times and generated request ids, which differ between runs, and the ids of volumes 0xa0
+//! to 0xaf.
 
-/// Replaces the varying words of a message by placeholders.
+/// Replaces these words of a message by placeholders; see the [module](self).
 pub fn mask_varying_words(message: &str) -> String {
     let words: Vec<String> = message.split(' ').map(mask_word).collect();
     match words.as_slice() {
--- a/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
@@ -3,14 +3,15 @@
 //!
 //! Each line is one statement. Empty lines and lines that begin with `#` are ignored.
 //!
-//! - `node NAME SHARD [sftp]`: declares a fake node, which listens from now on. It uses RESP2, or
-//!   SFTP if given.
+//! - `node NAME SHARD [sftp]`: declares a fake node, which listens from now on. It uses SFTP if the
+//!   word `sftp` is given, otherwise RESP2.
 //! - `start platform [DESCRIPTORS]`: starts the gateway with the platform's configuration
 //!   (`ROUTER_CONFIG`), the address of the discovery service (`ROUTER_DISCOVERY`) and at most
 //!   DESCRIPTORS file descriptors.
 //! - `start operator [DESCRIPTORS]`: starts it with an operator's configuration (`--config`), which
 //!   names an inventory instead of a discovery service, and an SFTP listener.
-//! - `mark_restarted NODE`: writes the inventory again, in which NODE has just started.
+//! - `mark_restarted NODE`: writes the inventory again with the current time as the start time of
+//!   NODE.
 //! - `connect PEER`: connects a client, which sends nothing.
 //! - `send PEER WORDS`: sends a message as the peer. If there is no peer of this name, a client is
 //!   connected first.
--- a/crates/gateway/tests/gateway_process/scenario_runner/sending.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/sending.rs
@@ -95,7 +95,8 @@
     }
 }
 
-/// Encodes a RESP2 response with a value and a cost of 4 units, or a line without any encoding.
+/// Encodes a RESP2 response with a value and a usage report (`cost=4`), or a line without any
+/// encoding.
 fn encode_node_response(words: &[&str]) -> Vec<u8> {
     let (kind, rest) = words.split_first().expect("the response should have words");
     let text = rest.join(" ");
--- a/crates/gateway/tests/in_process/dispatcher/harness.rs
+++ b/crates/gateway/tests/in_process/dispatcher/harness.rs
@@ -30,7 +30,7 @@
 const WRITE_CLASS: ClassIndex = ClassIndex(1);
 /// Time at which each test starts, in microseconds.
 const START_TIME: Micros = 1_000_000 * MS;
-/// Seed of the scheduler's random number generator.
+/// Seed of the hashes that the scheduler uses in place of random numbers.
 const SCHEDULER_SEED: u64 = 7;
 
 /// Identifies a request that was submitted.
@@ -115,8 +115,8 @@
         harness
     }
 
-    /// Returns a request with a new object and a new client request id. Calls without a submitted
-    /// request in between return the same ones.
+    /// Returns a request with a new object and a new client request id. The object and the id
+    /// change only when a request is submitted.
     pub fn new_request(&self, operation: Operation, shard: Option<u64>) -> StorageRequest {
         StorageRequest {
             operation,
--- a/crates/gateway/tests/in_process/dispatcher/random_load.rs
+++ b/crates/gateway/tests/in_process/dispatcher/random_load.rs
@@ -15,7 +15,7 @@
 
 /// Generates the load, and records what is needed to check the guarantees of the dispatcher.
 struct RandomLoad {
-    /// Seed of `random`, which the messages of failed assertions contain.
+    /// Seed of `random`; printed by failed assertions.
     seed: u64,
     /// Generator of all random choices.
     random: RandomNumbers,
--- a/crates/gateway/tests/in_process/idle_timeout.rs
+++ b/crates/gateway/tests/in_process/idle_timeout.rs
@@ -11,8 +11,8 @@
 /// A node may drop idle connections before the idle timeout of the settings. The gateway must not
 /// reuse a connection that was idle for longer than the estimate, or than half of it for a
 /// non-idempotent request. Resets after a sufficient idle time lower the estimate, and responses
-/// after a long idle time raise it again. A single reset after a shorter idle time than theirs is
-/// ignored, because it has another cause.
+/// after a long idle time raise it again. A single reset after a shorter idle time than that of an
+/// answered request is ignored, because it has another cause.
 #[test]
 fn resets_lower_and_responses_raise_the_idle_timeout_estimate() {
     let mut estimate = IdleTimeoutEstimate::new(MAX_IDLE_TIMEOUT);
