--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -35,15 +35,16 @@
     }
 
     /// Closes idle connections that have sent a request, starting with the one idle for longest,
-    /// until their number is within its limit. Some clients send a single request and never close
-    /// the connection; without the limit they would use up the descriptors for new connections.
+    /// until the number of open connections that have sent a request is within its limit. Some
+    /// clients send a single request and never close the connection; without the limit they would
+    /// use up the descriptors for new connections.
     pub(crate) fn close_excess_requesting_clients(&mut self, context: &mut Context) {
         while self.requesting_clients > self.limits.requesting_clients {
             let Some(token) = self.eviction_queue.longest_idle_requesting_client() else {
                 return;
             };
             log::debug!(
-                "closing an idle client connection: too many connections have sent requests"
+                "closing an idle client connection: too many open connections have sent a request"
             );
             self.close_idle(token, context);
         }
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -98,7 +98,7 @@
             number: id.number,
             node: attempt.node,
             outcome: result.outcome,
-            request_closed: !self.awaits_response(id.request),
+            response_not_needed: !self.awaits_response(id.request),
             elapsed: now - attempt.dispatched_at,
             remote_units: result.remote_units,
             utilization: result.utilization,
--- a/crates/gateway/src/dispatcher/node_registry.rs
+++ b/crates/gateway/src/dispatcher/node_registry.rs
@@ -1,18 +1,19 @@
 //! The storage nodes of the endpoint list: their ids, their state and their write deadlines.
 //!
 //! A node that goes out of service gets a write deadline, from which on the gateway must not start
-//! to write an attempt to the node. The deadline is shortly before the end of the drain grace,
-//! which begins with the first endpoint list that shows the node out of service.
+//! to write an attempt to the node. The deadline is shortly before the end of the drain grace
+//! period, in which the gateway may still send requests to the node. The period starts with the
+//! first endpoint list that shows the node out of service.
 
 use super::node_state::NodeState;
 use crate::endpoint::EndpointRecord;
 use io_scheduler::{Endpoint, EndpointListEvent, EndpointStatus, Micros, NodeId, Units, Zone};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The write deadline of a draining node is this long before the end of its drain grace, in
-/// microseconds, because an attempt that is written later reaches the node too late.
+/// The write deadline of a draining node is this long before the end of its drain grace period,
+/// in microseconds, because an attempt that is written later reaches the node too late.
 const DRAIN_SAFETY_MARGIN: Micros = 30_000;
-/// The safety margin is at most the drain grace divided by this.
+/// The safety margin is at most the drain grace period divided by this.
 const SAFETY_MARGIN_DIVISOR: Micros = 2;
 
 /// The listed nodes, and removed nodes with attempts in flight.
@@ -26,8 +27,8 @@
     next_id: u64,
     /// Zone names; the position of a name is the number of the zone.
     zones: Vec<String>,
-    /// How long after an endpoint list first shows a node out of service the gateway may still send
-    /// it requests, in microseconds.
+    /// Length of the drain grace period in microseconds: how long after an endpoint list first
+    /// shows a node out of service the gateway may still send it requests.
     drain_grace: Micros,
 }
 
--- a/crates/gateway/src/dispatcher/state.rs
+++ b/crates/gateway/src/dispatcher/state.rs
@@ -61,7 +61,8 @@
         self.volume_counters.by_volume()
     }
 
-    /// Returns the numbers of entries in the tables of the scheduler, which must stay bounded.
+    /// Returns the numbers of nodes, volumes and shards in the state of the scheduler. Tests check
+    /// that this state does not grow without bound.
     #[must_use]
     pub fn state_sizes(&self) -> StateSizes {
         self.scheduler.state_sizes()
--- a/crates/gateway/tests/gateway_process/harness/log_lines.rs
+++ b/crates/gateway/tests/gateway_process/harness/log_lines.rs
@@ -1,8 +1,8 @@
 //! Substrings of the gateway's log lines that tests wait for.
 
-/// The gateway accepts RESP2 clients; the address ends the line.
+/// The gateway accepts RESP2 clients. The rest of the line is the listening address.
 pub const LISTENING_FOR_RESP: &str = "listening for RESP2 on";
-/// The gateway accepts SFTP clients; the address ends the line.
+/// The gateway accepts SFTP clients. The rest of the line is the listening address.
 pub const LISTENING_FOR_SFTP: &str = "listening for SFTP on";
 /// The gateway received a snapshot or a delta with two endpoints.
 pub const RECEIVED_TWO_ENDPOINTS: &str = "discovery: received 2 endpoints";
@@ -16,5 +16,6 @@
 pub const SHUTDOWN_REQUESTED: &str = "shutdown requested";
 /// The graceful shutdown is complete.
 pub const SHUTDOWN_COMPLETE: &str = "shutdown complete";
-/// The gateway closes an idle client connection because too many connections have sent requests.
+/// The gateway closes an idle client connection, because the number of open connections that have
+/// sent a request exceeds its limit.
 pub const EXCESS_CONNECTION_CLOSED: &str = "closing an idle client connection: too many";
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -104,7 +104,7 @@
     pub outcome: Outcome,
     /// Whether the request no longer needs a response: it has its final response, or its client has
     /// disconnected.
-    pub request_closed: bool,
+    pub response_not_needed: bool,
     /// Time since the dispatch, in microseconds.
     pub elapsed: Micros,
     /// Units that the node served for requests of the volume from other hosts since the node's
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -36,7 +36,7 @@
     /// Latency objective: time in microseconds after its receipt within which a request should be
     /// served.
     pub latency_objective: Micros,
-    /// Priority of the class: the value of a request of mean size, relative to other classes.
+    /// Priority of the class: the importance of a request of mean size, relative to other classes.
     /// Within a flow, requests with a higher weight come first.
     pub priority_weight: f64,
     /// Whether a request may be executed again.
@@ -58,7 +58,8 @@
     pub limit: UnitsPerSecond,
     /// Capacity of the token bucket that enforces the limit.
     pub burst_capacity: Units,
-    /// Rate that the volume is provisioned for. Use beyond it is surplus.
+    /// Rate that the volume is provisioned for. Requests beyond it that are not covered by the
+    /// reservation are surplus requests, which have the value [`Settings::surplus_value`].
     pub provisioned_rate: UnitsPerSecond,
 }
 
--- a/crates/scheduler/src/dmclock/flow.rs
+++ b/crates/scheduler/src/dmclock/flow.rs
@@ -142,7 +142,7 @@
     /// Subtracts the units of an attempt that was not served from the service that the tags have
     /// counted. They were counted when the request was queued, but are not part of the volume's
     /// service.
-    pub fn subtract_unserved(&mut self, units: Units) {
+    pub fn subtract_from_counted_units(&mut self, units: Units) {
         self.counted_units -= units;
     }
 
--- a/crates/scheduler/src/dmclock/selection.rs
+++ b/crates/scheduler/src/dmclock/selection.rs
@@ -9,11 +9,20 @@
 //! 2. Weight-based phase: the request with the smallest share tag among the volumes within their
 //!    limits.
 //!
-//! A third phase handles late requests, which can no longer meet their latency objective. They have
-//! little value and are dispatched only to an idle node whose concurrency limit is at its maximum,
-//! earliest deadline first.
+//! A third phase handles late requests, which can no longer meet their latency objective. They
+//! are of little use to the client and are dispatched only to an idle node whose concurrency limit
+//! is at its maximum, earliest deadline first.
+//!
+//! In the first two phases, each request has a value from 0 to 1. It states how much the units of
+//! the request are worth compared with reserved units, and depends on the phase and on the volume's
+//! usage:
+//!
+//! - A request that is selected by its reservation tag has the value 1.
+//! - Another request has the value `provisioned_value` of the settings while its volume uses no
+//!   more than its provisioned rate.
+//! - Beyond the provisioned rate, the request is a surplus request and has the value
+//!   `surplus_value` of the settings.
 //!
-//! Each request has a value from 0 to 1, which is 1 for a request whose reservation tag is due.
 //! While the concurrency limit is below its maximum, a request of lower value gets a lower limit.
 //! So each host, without communication, sends a busy node fewer of the requests that are not
 //! covered by a reservation.
@@ -30,8 +39,8 @@
 /// Value of a request that is selected by its reservation tag: its concurrency limit is not
 /// lowered.
 const RESERVED_VALUE: f64 = 1.0;
-/// A volume exceeds its provisioned rate if its nominal tag is ahead of the current time by more
-/// than this.
+/// A volume exceeds its provisioned rate if the nominal tag of the request at the head of its flow
+/// is ahead of the current time by more than this.
 const SURPLUS_THRESHOLD: Seconds = Seconds(1.0);
 
 /// The request to dispatch next.
@@ -148,13 +157,13 @@
     }
 
     /// Returns whether the volume uses more than its provisioned rate.
-    fn is_surplus(&self, head: &QueuedRequest) -> bool {
+    fn exceeds_provisioned_rate(&self, head: &QueuedRequest) -> bool {
         head.tags.nominal > self.tag_time + SURPLUS_THRESHOLD
     }
 
     /// Returns the value, from 0 to 1, of a request in the weight-based phase.
     fn value(&self, head: &QueuedRequest) -> f64 {
-        if self.is_surplus(head) {
+        if self.exceeds_provisioned_rate(head) {
             self.settings.surplus_value
         } else {
             self.settings.provisioned_value
@@ -163,7 +172,7 @@
 
     /// Returns the part of this host's slow-start quota that a request may use.
     fn quota_part(&self, volume: VolumeId, head: &QueuedRequest) -> SlowStartQuotaPart {
-        if self.is_surplus(head) && !self.has_due_reservation(volume, head) {
+        if self.exceeds_provisioned_rate(head) && !self.has_due_reservation(volume, head) {
             SlowStartQuotaPart::Surplus
         } else {
             SlowStartQuotaPart::Full
--- a/crates/scheduler/src/dmclock/shard_queue.rs
+++ b/crates/scheduler/src/dmclock/shard_queue.rs
@@ -97,9 +97,9 @@
 
     /// Subtracts the units of an attempt that was not served from the service that the volume's
     /// tags have counted.
-    pub fn subtract_unserved(&mut self, volume: VolumeId, units: Units) {
+    pub fn subtract_from_counted_units(&mut self, volume: VolumeId, units: Units) {
         if let Some(flow) = self.flows.get_mut(&volume) {
-            flow.subtract_unserved(units);
+            flow.subtract_from_counted_units(units);
         }
     }
 
@@ -125,8 +125,8 @@
         self.late.iter()
     }
 
-    /// Returns this host's part of the provisioned rates, per shard, summed over the volumes that
-    /// have a flow in this queue.
+    /// Returns the sum, over the volumes with a flow in this queue, of the volume's provisioned
+    /// rate divided by the number of its hosts and by the number of its shards.
     pub fn provisioned_rate_of_host(&self, volumes: &VolumeTable) -> UnitsPerSecond {
         self.flows
             .keys()
--- a/crates/scheduler/src/dmclock/shard_queues.rs
+++ b/crates/scheduler/src/dmclock/shard_queues.rs
@@ -51,8 +51,8 @@
         self.queues.len()
     }
 
-    /// Removes the idle flows of removed volumes, then the queues without flows and requests whose
-    /// shard is held by no node.
+    /// Removes the idle flows of removed volumes. Then removes each queue that has neither flows
+    /// nor requests, if no node holds its shard.
     pub fn remove_idle(&mut self, volumes: &VolumeTable, has_node: impl Fn(Shard) -> bool) {
         for queue in self.queues.values_mut() {
             queue.remove_idle_flows(volumes);
--- a/crates/scheduler/src/dmclock/tags.rs
+++ b/crates/scheduler/src/dmclock/tags.rs
@@ -5,6 +5,10 @@
 //! at which the request was queued. A tag advances by service divided by rate. It is never earlier
 //! than the time at which the request was queued, so that an idle volume does not accumulate
 //! service. Only the share tag may be earlier, by the volume's idle credit.
+//!
+//! Besides the tags of dmClock, a request has a nominal tag, which advances at the provisioned rate
+//! of the volume. If it is ahead of the current time, the volume uses more than it is provisioned
+//! for.
 
 use crate::api::{Units, UnitsPerSecond};
 use crate::time::Seconds;
--- a/crates/scheduler/src/endpoints/node_table.rs
+++ b/crates/scheduler/src/endpoints/node_table.rs
@@ -1,9 +1,9 @@
 //! Nodes in the endpoint list, and the node that serves each shard.
 //!
 //! The table is updated from complete endpoint lists and changes to them. If several nodes in
-//! service hold the same shard, the node that started last serves it. New nodes get new ids, so a
-//! removed node is dropped as soon as it has no attempts in flight; otherwise the table would grow
-//! without bound.
+//! service hold the same shard, the node that started last serves it. A removed node is dropped as
+//! soon as it has no attempts in flight. New nodes get new ids, so without this the table would
+//! grow without bound.
 
 use crate::api::{Endpoint, EndpointListEvent, NodeId, Shard};
 use crate::node::Node;
--- a/crates/scheduler/src/node/concurrency_limit.rs
+++ b/crates/scheduler/src/node/concurrency_limit.rs
@@ -1,10 +1,14 @@
 //! Limits how many requests of this host may be in flight at a node at once.
 //!
-//! The limit follows AIMD, based on the latency and outcome of each completed attempt and the
-//! latency objective of its class (microseconds). It rises with fast responses and falls with slow
-//! responses and timeouts, because a slow response is a sign of a queue at the node. With a limit
-//! below one, dispatches are spaced out in time (pacing). Since the node's own queue is first in,
-//! first out, a low limit keeps requests at the host, where dmClock orders them.
+//! The limit follows AIMD. Its inputs are the latency and outcome of each completed attempt and the
+//! latency objective of its class; all times are in microseconds. The limit rises with fast
+//! responses and falls with slow responses and timeouts, because a slow response is a sign of a
+//! queue at the node. With a limit below one, dispatches are spaced out in time (pacing). A low
+//! limit keeps requests at the host, where dmClock orders them; the node's own queue is first in,
+//! first out.
+//!
+//! The limit is lowered further for requests of low value. `dmclock::selection` explains the value
+//! of a request.
 
 use super::AttemptMeasurement;
 use crate::api::{Micros, Outcome};
@@ -60,8 +64,8 @@
         self.limit
     }
 
-    /// Returns the limit, capped at one. A result below one is approximately the fraction of time
-    /// during which pacing lets one request be in flight at the node.
+    /// Returns the limit, capped at one. With pacing, a result below one is approximately
+    /// the fraction of time in which a request is in flight at the node.
     pub fn limit_capped_at_one(&self) -> f64 {
         self.limit.min(PACING_THRESHOLD)
     }
@@ -73,10 +77,10 @@
 
     /// Returns whether one more request may be dispatched while `in_flight` requests are in flight.
     ///
-    /// `value` is the value of the request, from 0 to 1; it is 1 if the request is covered by a
-    /// reservation. While the limit is below its maximum, a lower value reduces it further. So each
-    /// host, without communication, sends a busy node fewer of the requests that are not covered by
-    /// a reservation.
+    /// `value` is the value of the request (`dmclock::selection`), from 0 to 1; it is 1 if the
+    /// request is covered by a reservation. While the limit is below its maximum, a lower value
+    /// reduces it further. So each host, without communication, sends a busy node fewer of the
+    /// requests that are not covered by a reservation.
     pub fn has_capacity(&self, in_flight: usize, value: f64, now: Micros) -> bool {
         let limit = self.limit_for_value(value);
         has_slot(limit, in_flight) && self.pacing_delay_is_over(limit, now)
--- a/crates/scheduler/src/node/latency_estimate.rs
+++ b/crates/scheduler/src/node/latency_estimate.rs
@@ -1,9 +1,10 @@
 //! Estimates how long a node takes to serve a request.
 //!
-//! The samples are the latencies of served attempts in microseconds, divided by the relative
-//! latency expected for the size of each request. The result is the latency expected for a request
-//! of mean size that is dispatched to the node now. Without recent samples, the expected latency
-//! decays, so that a node that was slow is tried again.
+//! The relative latency of a request is the latency expected for its size, as a multiple of the
+//! latency expected for a request of mean size. The samples are the latencies of served attempts in
+//! microseconds, each divided by the relative latency of its request. The result is the latency
+//! expected for a request of mean size that is dispatched to the node now. Without recent samples,
+//! the expected latency decays, so that a node that was slow is tried again.
 
 use crate::api::{Micros, Units};
 use crate::time::Latency;
@@ -23,7 +24,7 @@
 /// Lower bound of the mean request size, which is a divisor in [`relative_latency`].
 const MIN_MEAN_UNITS: Units = Units(1e-9);
 
-/// Returns the expected latency of a request, as a multiple of that of a request of mean size.
+/// Returns the relative latency of a request of `units`.
 pub fn relative_latency(units: Units, mean_units: Units) -> f64 {
     let size_dependent = (units * SIZE_DEPENDENT_FRACTION).ratio_to(mean_units.max(MIN_MEAN_UNITS));
     1.0 - SIZE_DEPENDENT_FRACTION + size_dependent
--- a/crates/scheduler/src/node/slow_start.rs
+++ b/crates/scheduler/src/node/slow_start.rs
@@ -7,6 +7,9 @@
 //! of hosts, and the units that this host sent to the node within the last window. Service is in
 //! units, times are in microseconds.
 //!
+//! Surplus requests and late requests may use only a part of the quota. A surplus request is beyond
+//! its volume's provisioned rate and not covered by a reservation (`dmclock::selection`).
+//!
 //! A quota can be smaller than a single request. A pseudorandom number for each window therefore
 //! admits such a request in some of the windows, so that the quota is met on average.
 
@@ -83,16 +86,17 @@
     pub seed: u64,
     /// The node that is warming up.
     pub node: &'a Node,
-    /// This host's part of the provisioned rates, per shard, summed over the volumes that have a
-    /// flow at the node's shard. A flow exists until its volume is removed.
+    /// Sum, over the volumes with a flow at the node's shard, of the volume's provisioned rate
+    /// divided by the number of its hosts and by the number of its shards. A flow exists until its
+    /// volume is removed.
     pub provisioned_rate_of_host: UnitsPerSecond,
     /// The current time, in microseconds.
     pub now: Micros,
 }
 
 impl SlowStartLimiter<'_> {
-    /// Returns whether a request of `units` may be dispatched, which may use `quota_part` of this
-    /// host's quota. `started_at` is the start time of the node's process.
+    /// Returns whether a request of `units` may be dispatched if it may use only `quota_part` of
+    /// this host's quota. `started_at` is the start time of the node's process.
     pub fn admits(&self, units: Units, quota_part: SlowStartQuotaPart, started_at: Micros) -> bool {
         let slow_start = &self.settings.slow_start;
         let capacity = capacity(slow_start, started_at, self.now);
--- a/crates/scheduler/src/request/key_ordering.rs
+++ b/crates/scheduler/src/request/key_ordering.rs
@@ -1,10 +1,10 @@
 //! Orders requests with the same key, in classes whose requests of one key must be executed in the
 //! order in which they were received.
 //!
-//! After an attempt that ended while the node may still be executing it, no other ordered request
-//! with its key is queued for dispatch until the quiesce period of the settings (microseconds) has
-//! ended. Otherwise the next request could overtake the attempt at the node. A retry of the same
-//! request does not wait for the end of that period.
+//! An attempt can end, for example with a timeout, while the node may still be executing it. The
+//! quiesce period of its key then starts. It lasts for the time in the settings (microseconds), and
+//! until it has ended, no other ordered request with the key is queued for dispatch. Otherwise the
+//! next request could overtake the attempt at the node. A retry of the same request does not wait.
 
 use crate::api::{Micros, ObjectKey, RequestId};
 use crate::collections::TimeOrderedQueue;
--- a/crates/scheduler/src/request/unfinished.rs
+++ b/crates/scheduler/src/request/unfinished.rs
@@ -19,7 +19,8 @@
     request: Request,
     /// Class of the request.
     class: RequestClass,
-    /// Expected latency for the request's size, as a multiple of that of a request of mean size.
+    /// Expected latency for the request's size, as a multiple of that of a request of mean size
+    /// (`node::latency_estimate`).
     relative_latency: f64,
     /// End of the latency objective; not later than the deadline.
     objective_ends_at: Micros,
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -59,11 +59,11 @@
     unroutable: BTreeSet<RequestId>,
     /// Times at which open requests are rejected (load shedding).
     rejections: RejectionTimes,
-    /// Latency objectives of requests that were closed before an attempt was known to be served;
-    /// they apply again if the client resends the request.
+    /// Latency objectives of requests that were closed before an attempt was known to be served. If
+    /// the client resends such a request, it keeps its objective.
     objectives: LatencyObjectives,
     /// Order of the requests with the same key.
-    sequences: KeySequences,
+    key_sequences: KeySequences,
     /// The retry budget and its usage.
     retry_budget: RetryBudgetUsage,
     /// Schedule of polls for the endpoint list.
@@ -91,7 +91,7 @@
             unroutable: BTreeSet::new(),
             rejections: RejectionTimes::default(),
             objectives: LatencyObjectives::default(),
-            sequences: KeySequences::default(),
+            key_sequences: KeySequences::default(),
             retry_budget: RetryBudgetUsage::new(settings.retry_budget.clone()),
             polling: EndpointPolling::new(&settings, seed, now),
             timer_at: None,
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -36,7 +36,7 @@
         self.record_completed_attempt(attempt, completed);
         if outcome == Outcome::Served {
             self.close(id);
-        } else if completed.request_closed {
+        } else if completed.response_not_needed {
             self.close_and_record_objective(id);
         } else if needs_attempt {
             self.retry_or_reject(id, attempt.node, outcome);
@@ -45,13 +45,14 @@
         }
     }
 
-    /// Starts the quiesce period of the request's key, if the key has ordered requests. The class
-    /// of this request may be unordered.
+    /// Starts the quiesce period of the request's key, if the key has ordered requests
+    /// (`request::key_ordering`). This also applies to a request of an unordered class, because
+    /// ordered requests may have the same key.
     fn quiesce_key(&mut self, id: RequestId) {
         let key = self.requests[&id].request().key;
         if let Some(key) = key {
             let until = self.now + self.settings.quiesce_period;
-            self.sequences.quiesce(key, until);
+            self.key_sequences.quiesce(key, until);
         }
     }
 
@@ -78,7 +79,7 @@
             return;
         }
         if let Some(queue) = self.queues.get_mut(node.endpoint().shard) {
-            queue.subtract_unserved(request.volume, request.units);
+            queue.subtract_from_counted_units(request.volume, request.units);
         }
     }
 
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Rejects the requests whose rejection time has passed.
+    /// Rejects the requests whose rejection time has passed. The rejection of a request that a node
+    /// may have executed is first postponed to its deadline.
     pub(super) fn reject_expired(&mut self) {
         while let Some(id) = self.rejections.pop_expired(self.now) {
             let Some(unfinished) = self.requests.get_mut(&id) else {
@@ -154,8 +156,8 @@
         }
     }
 
-    /// Closes a request none of whose attempts is known to have been served. If it was open,
-    /// records its latency objective, which applies again if the client resends the request.
+    /// Closes a request without an attempt that is known to have been served. If it was open,
+    /// records its latency objective, so that a resend by the client keeps the same objective.
     pub(super) fn close_and_record_objective(&mut self, id: RequestId) {
         let Some(unfinished) = self.requests.get(&id) else {
             return;
@@ -197,7 +199,7 @@
         let key = unfinished.ordering_key();
         self.requests.remove(&id);
         if let Some(key) = key {
-            let next = self.sequences.remove(key, id, self.now);
+            let next = self.key_sequences.remove(key, id, self.now);
             self.enqueue_first_of_key(next);
         }
     }
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -14,8 +14,8 @@
     /// Queues the requests whose quiesce period has ended and those for which a node is available
     /// again, then dispatches requests from all queues.
     pub(super) fn dispatch_pending(&mut self) {
-        while let Some(key) = self.sequences.pop_quiesced(self.now) {
-            let first = self.sequences.first_ready(key, self.now);
+        while let Some(key) = self.key_sequences.pop_quiesced(self.now) {
+            let first = self.key_sequences.first_ready(key, self.now);
             self.enqueue_first_of_key(first);
         }
         for id in std::mem::take(&mut self.unroutable) {
--- a/crates/scheduler/src/scheduler/intake.rs
+++ b/crates/scheduler/src/scheduler/intake.rs
@@ -35,7 +35,7 @@
         self.rejections.add(&unfinished);
         self.requests.insert(request.id, unfinished);
         let may_be_queued = match key {
-            Some(key) => self.sequences.add(key, request.id, self.now),
+            Some(key) => self.key_sequences.add(key, request.id, self.now),
             None => true,
         };
         if may_be_queued {
--- a/crates/scheduler/src/scheduler/wakeup.rs
+++ b/crates/scheduler/src/scheduler/wakeup.rs
@@ -34,7 +34,7 @@
             self.next_routing_check(),
             self.polling.next_poll_at(),
             self.rejections.next(),
-            self.sequences.next_quiesced(),
+            self.key_sequences.next_quiesced(),
         ];
         times.into_iter().flatten().min()
     }
--- a/crates/scheduler/src/volume/mod.rs
+++ b/crates/scheduler/src/volume/mod.rs
@@ -1,7 +1,9 @@
 //! Volumes: their plans, limits and usage.
 //!
-//! A [`Volume`] combines the rates of its plan, a [`token_bucket`] that enforces its limit, and the
-//! [`usage`] of its service over all hosts and nodes. Rates are in units per second.
+//! A [`Volume`] combines the rates of its plan, a [`token_bucket`] that enforces its limit, and
+//! its [`usage`]: the service that it received from all nodes through all hosts. `dmclock::tags`
+//! explains the nominal tag, which tells whether a volume exceeds its provisioned rate. Rates
+//! are in units per second.
 
 mod table;
 mod token_bucket;
@@ -14,7 +16,8 @@
 use token_bucket::TokenBucket;
 use usage::Usage;
 
-/// Lower bound of the rate at which the nominal tag advances, which is a divisor in that tag.
+/// Lower bound of the rate by which service is divided in the nominal tag; prevents a division by
+/// zero.
 const MIN_NOMINAL_TAG_RATE: UnitsPerSecond = UnitsPerSecond(1e-9);
 /// Lower bound of the number of hosts that receive a volume's requests.
 const MIN_HOST_COUNT: f64 = 1.0;
@@ -33,7 +36,7 @@
     receives_remote_usage: bool,
     /// Token bucket that enforces the limit.
     bucket: TokenBucket,
-    /// Service of the volume over all nodes and hosts.
+    /// Service that the volume received from all nodes through all hosts.
     usage: Usage,
 }
 
@@ -54,8 +57,8 @@
 
     /// Records a received request: the number of hosts that it states, and its shard if a node in
     /// service holds it. The token bucket is refilled up to now with the plan of this request and
-    /// the previous number of hosts. For everything else, the plan of the volume's first request
-    /// applies.
+    /// the previous number of hosts. Only the refill uses the plan of this request; the stored
+    /// plan, which is that of the volume's first request, is not replaced.
     pub fn record_request(
         &mut self,
         plan: &VolumePlan,
@@ -73,8 +76,8 @@
         &self.plan
     }
 
-    /// Returns the idle credit (dmClock's sigma): the service by which the share tag of a volume
-    /// that was idle may be behind the current time.
+    /// Returns the idle credit (dmClock's sigma): how far, in units, the share tag of a volume that
+    /// was idle may be behind the current time.
     pub fn idle_credit(&self) -> Units {
         self.idle_credit
     }
@@ -98,8 +101,8 @@
     }
 
     /// Records the service that a completed attempt reports. `units` were served by the attempt
-    /// itself. A usage report is ignored if there is no previous one, or if that is older than
-    /// `max_report_age`.
+    /// itself. If the attempt brings a usage report (`utilization`), the report counts only if
+    /// there is a previous one that is at most `max_report_age` old.
     pub fn record_usage(
         &mut self,
         units: Units,
--- a/crates/scheduler/src/volume/usage.rs
+++ b/crates/scheduler/src/volume/usage.rs
@@ -1,10 +1,11 @@
-//! Service of a volume over all nodes and hosts, from which dmClock's rho and delta are computed.
+//! Service that a volume received from all nodes through all hosts, from which dmClock's rho and
+//! delta are computed.
 //!
 //! There are three sources: the units served by this host's attempts, the units that responses
 //! report for other hosts, and usage reports, which state the service at all nodes in a past
 //! period. Units from responses are counted at once; a usage report adds only the units beyond
-//! those. Because usage reports arrive late, a report that shows fewer units than the responses is
-//! offset against the next report.
+//! those. Usage reports arrive late. If a report shows fewer units than the responses, the
+//! difference is subtracted from the next report.
 
 use crate::api::{Micros, Units, UnitsPerSecond};
 
@@ -16,7 +17,7 @@
     /// Units from responses since the last usage report.
     served_since_report: Units,
     /// Zero, or the negative number of units by which usage reports have fallen short of the units
-    /// from responses; offset against the next report.
+    /// from responses; added to the next report.
     report_balance: Units,
     /// Time at which the last usage report was received.
     reported_at: Option<Micros>,
@@ -28,7 +29,8 @@
         self.served
     }
 
-    /// Records units that a response reports.
+    /// Records units that were served by an attempt of this host or that its response reports for
+    /// other hosts.
     pub fn record_served(&mut self, units: Units) {
         self.served_since_report += units;
         self.served += units;
--- a/crates/scheduler/tests/characterization/scenarios.rs
+++ b/crates/scheduler/tests/characterization/scenarios.rs
@@ -170,16 +170,16 @@
         host_counts: &[1.0],
         key_count: 40,
         with_key_per_mille: 300,
-        new_objects_per_mille: 250,
+        without_shard_per_mille: 250,
         unit_sizes: &[1.0, 2.0, 2.0, 3.0],
         min_client_timeout: 300 * MILLISECOND,
         max_client_timeout: 3 * SECOND,
-        edge_cases_per_mille: 20,
+        invalid_or_extreme_per_mille: 20,
         plan_changes_per_mille: 0,
         client_retries_per_mille: 300,
         disconnects_per_mille: 60,
-        early_responses_per_mille: 50,
-        final_failures_per_mille: 10,
+        response_before_end_per_mille: 50,
+        closed_after_failure_per_mille: 10,
         pause: 0,
     }
 }
@@ -205,7 +205,8 @@
     scenario
 }
 
-/// Reservations and weights at two overloaded nodes that report the units of other hosts.
+/// Plans with reservations and weights. Two nodes are overloaded, and their responses report the
+/// units served for other hosts.
 pub fn reservations() -> Scenario {
     let mut scenario = baseline();
     scenario.deployment.plans = vec![
@@ -227,7 +228,7 @@
     scenario
 }
 
-/// One of four hosts, the only one that is simulated, and nodes that restart often and warm up.
+/// Nodes that restart often and warm up. Only one of four hosts is simulated.
 pub fn slow_start() -> Scenario {
     let mut scenario = baseline();
     scenario.deployment.host_count = 4;
@@ -294,7 +295,7 @@
     scenario.churn.mean_membership_interval = 4 * SECOND;
     scenario.traffic.with_key_per_mille = 800;
     scenario.traffic.key_count = 12;
-    scenario.traffic.new_objects_per_mille = 100;
+    scenario.traffic.without_shard_per_mille = 100;
     scenario.traffic.disconnects_per_mille = 250;
     scenario.completion_granularity = MILLISECOND;
     scenario.churn.faults = ALL_FAULTS;
@@ -353,7 +354,7 @@
     scenario.churn.mean_membership_interval = 800 * MILLISECOND;
     scenario.churn.mean_fault_interval = 1_500 * MILLISECOND;
     scenario.churn.faults = ALL_FAULTS;
-    scenario.traffic.new_objects_per_mille = 400;
+    scenario.traffic.without_shard_per_mille = 400;
     scenario
 }
 
@@ -440,7 +441,7 @@
     scenario.cluster.shard_count = 30;
     scenario.churn.mean_fault_interval = 400 * MILLISECOND;
     scenario.churn.all_nodes_per_mille = 0;
-    scenario.traffic.new_objects_per_mille = 500;
+    scenario.traffic.without_shard_per_mille = 500;
     scenario.completion_granularity = 4 * MILLISECOND;
     scenario
 }
@@ -458,14 +459,14 @@
     ];
     scenario.deployment.slow_start.duration = 300 * MILLISECOND;
     scenario.churn.mean_membership_interval = 700 * MILLISECOND;
-    scenario.traffic.new_objects_per_mille = 700;
+    scenario.traffic.without_shard_per_mille = 700;
     scenario.traffic.with_key_per_mille = 500;
     scenario.traffic.disconnects_per_mille = 150;
     scenario
 }
 
-/// Plans with neither limit nor reservation, with a limit, and with a reservation. All other values
-/// are zero, except the weight of the last plan.
+/// Three plans: one without limit and reservation, one with a limit, and one with a reservation.
+/// All other values are zero, except the weight of the last plan.
 fn plans_with_zero_values() -> Vec<Plan> {
     vec![
         Plan::default(),
@@ -557,8 +558,8 @@
     scenario
 }
 
-/// Nodes that are slow even without a fault: their mean latency when idle is 14 ms, more than a
-/// quarter of each latency objective, the threshold above which a response is slow.
+/// Nodes that are slow even without a fault: their mean latency when idle is 14 ms. A response is
+/// slow above a quarter of the latency objective, which is less than 14 ms for each class.
 pub fn always_slow_nodes() -> Scenario {
     let mut scenario = baseline();
     scenario.deployment.classes = vec![
@@ -600,7 +601,7 @@
     scenario.cluster.zone_count = 3;
     scenario.churn.mean_membership_interval = 250 * MILLISECOND;
     scenario.churn.faults = ALL_FAULTS;
-    scenario.traffic.new_objects_per_mille = 500;
+    scenario.traffic.without_shard_per_mille = 500;
     scenario.completion_granularity = 3 * MILLISECOND;
     scenario.traffic.mean_burst_interval = 30 * MILLISECOND;
     scenario.churn.mean_fault_interval = SECOND;
--- a/crates/scheduler/tests/characterization/scheduler_adapter.rs
+++ b/crates/scheduler/tests/characterization/scheduler_adapter.rs
@@ -178,7 +178,7 @@
             AttemptOutcome::Cancelled => Outcome::Cancelled,
             AttemptOutcome::NotDispatched => Outcome::NotDispatched,
         },
-        request_closed: completion.request_closed,
+        response_not_needed: completion.response_not_needed,
         elapsed: completion.elapsed,
         remote_units: Units(completion.remote_units),
         utilization: completion.utilization,
--- a/crates/scheduler/tests/characterization/simulation.rs
+++ b/crates/scheduler/tests/characterization/simulation.rs
@@ -369,7 +369,7 @@
         if served
             || self
                 .rng
-                .chance_per_mille(self.scenario.traffic.final_failures_per_mille)
+                .chance_per_mille(self.scenario.traffic.closed_after_failure_per_mille)
         {
             self.close_request(request);
         }
@@ -380,7 +380,7 @@
             number,
             node: attempt.node,
             outcome,
-            request_closed: !self.clients[&request].is_open && !reports_as_open,
+            response_not_needed: !self.clients[&request].is_open && !reports_as_open,
             elapsed: self.now - attempt.dispatched_at,
             remote_units: self.remote_units(outcome),
             utilization: self.utilization(outcome),
@@ -497,7 +497,7 @@
         if gets_response
             && self
                 .rng
-                .chance_per_mille(scenario.traffic.early_responses_per_mille)
+                .chance_per_mille(scenario.traffic.response_before_end_per_mille)
         {
             self.schedule(
                 after * 2 / 3,
--- a/crates/scheduler/tests/characterization/traffic.rs
+++ b/crates/scheduler/tests/characterization/traffic.rs
@@ -27,8 +27,8 @@
     pub key_count: u64,
     /// Fraction of requests that name an object key.
     pub with_key_per_mille: u64,
-    /// Fraction of requests for new objects.
-    pub new_objects_per_mille: u64,
+    /// Fraction of requests that name no shard, as requests for new objects do.
+    pub without_shard_per_mille: u64,
     /// Sizes of requests in units; each is equally likely.
     pub unit_sizes: &'static [f64],
     /// Minimum time from a request to its deadline.
@@ -37,7 +37,7 @@
     pub max_client_timeout: Micros,
     /// Fraction of requests with an invalid index, an unknown shard, or an extreme size or
     /// deadline.
-    pub edge_cases_per_mille: u64,
+    pub invalid_or_extreme_per_mille: u64,
     /// Fraction of requests with a randomly chosen plan and number of hosts instead of the
     /// volume's.
     pub plan_changes_per_mille: u64,
@@ -46,9 +46,10 @@
     /// Fraction of requests whose client disconnects before the deadline.
     pub disconnects_per_mille: u64,
     /// Fraction of served or reset attempts whose response starts before the attempt ends.
-    pub early_responses_per_mille: u64,
-    /// Fraction of the attempts that are not served, but after which the client no longer waits.
-    pub final_failures_per_mille: u64,
+    pub response_before_end_per_mille: u64,
+    /// Fraction of the unserved attempts after which the request is closed, so that its client no
+    /// longer waits.
+    pub closed_after_failure_per_mille: u64,
     /// Time without requests after each third of the requests.
     pub pause: Micros,
 }
@@ -79,7 +80,7 @@
         } else {
             self.default_host_count(volume)
         };
-        let is_new = rng.chance_per_mille(self.new_objects_per_mille);
+        let lacks_shard = rng.chance_per_mille(self.without_shard_per_mille);
         let has_object_key = rng.chance_per_mille(self.with_key_per_mille);
         let key = rng.below(self.key_count);
         let shard = if has_object_key {
@@ -93,13 +94,13 @@
             plan: plan as usize,
             class: rng.below(class_count as u64) as usize,
             key: has_object_key.then_some(key),
-            shard: (!is_new).then_some(shard),
+            shard: (!lacks_shard).then_some(shard),
             units: rng.choose(self.unit_sizes),
             host_count,
             deadline: now + rng.in_range(self.min_client_timeout, self.max_client_timeout),
         };
-        if rng.chance_per_mille(self.edge_cases_per_mille) {
-            return edge_case(request, now, rng);
+        if rng.chance_per_mille(self.invalid_or_extreme_per_mille) {
+            return with_invalid_or_extreme_value(request, now, rng);
         }
         request
     }
@@ -111,7 +112,11 @@
 }
 
 /// Replaces one value of the request by an invalid or extreme one.
-fn edge_case(request: ClientRequest, now: Micros, rng: &mut Rng) -> ClientRequest {
+fn with_invalid_or_extreme_value(
+    request: ClientRequest,
+    now: Micros,
+    rng: &mut Rng,
+) -> ClientRequest {
     match rng.below(10) {
         0 => ClientRequest {
             class: UNKNOWN_CLASS,
--- a/crates/scheduler/tests/characterization/types.rs
+++ b/crates/scheduler/tests/characterization/types.rs
@@ -222,7 +222,7 @@
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
     /// Whether the request already has its final response.
-    pub request_closed: bool,
+    pub response_not_needed: bool,
     /// Time from the dispatch to the end of the attempt.
     pub elapsed: Micros,
     /// Units that the node served for the volume through other hosts.
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -96,7 +96,7 @@
         number,
         node: NodeId(node),
         outcome,
-        request_closed: outcome == Outcome::Served,
+        response_not_needed: outcome == Outcome::Served,
         elapsed,
         remote_units: Units(0.0),
         utilization: None,
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -211,8 +211,8 @@
     /// Length of the retry budget's window in milliseconds; absent for no retry budget.
     #[serde(rename = "resend_span_ms")]
     pub retry_window_ms: Option<f64>,
-    /// How long after an endpoint list first shows a node as draining or removed the gateway may
-    /// still send it requests, in milliseconds.
+    /// Drain grace period in milliseconds: how long after an endpoint list first shows a node as
+    /// draining or removed the gateway may still send it requests.
     #[serde(rename = "stop_sending_within_ms")]
     pub drain_grace_ms: f64,
     /// Burst that a node in slow start can handle, as the factor by which the units dispatched to
--- a/crates/simulator-adapter/src/instance/decode.rs
+++ b/crates/simulator-adapter/src/instance/decode.rs
@@ -137,7 +137,7 @@
             return Ok(None);
         };
         self.requests.end_attempt(request);
-        if message.request_closed {
+        if message.response_not_needed {
             self.requests.close(request);
         }
         Ok(Some(CompletedAttempt {
@@ -145,7 +145,7 @@
             number: message.attempt,
             node,
             outcome,
-            request_closed: message.request_closed,
+            response_not_needed: message.response_not_needed,
             elapsed: micros(message.elapsed_ms),
             remote_units: Units(message.remote_units),
             utilization: message.utilization(),
--- a/crates/simulator-adapter/src/wire/attempt.rs
+++ b/crates/simulator-adapter/src/wire/attempt.rs
@@ -18,9 +18,9 @@
     pub request: RequestName,
     /// Status code with which the attempt ended.
     pub status: StatusCode,
-    /// Whether the client has the final response, so that the request is closed.
+    /// Whether the request no longer needs a response, because the client has the final response.
     #[serde(default, rename = "complete")]
-    pub request_closed: bool,
+    pub response_not_needed: bool,
     /// The node that the attempt was dispatched to.
     #[serde(rename = "server")]
     pub node: NodeName,
