--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -62,7 +62,7 @@
                 return self.drop_connection(client, context);
             }
             client.start_lingering(context.now);
-            self.uncount_requesting_client(&mut client);
+            self.remove_from_requesting_clients(&mut client);
         }
         client.socket.consume_all();
         let registered = client.socket.set_interest(Interest::Read, &context.poller);
@@ -79,7 +79,7 @@
         context.free(client.token());
         client.timer.cancel(&mut context.timers);
         self.count -= 1;
-        self.uncount_requesting_client(&mut client);
+        self.remove_from_requesting_clients(&mut client);
         client.counted_unsent_bytes.set(0, &mut self.unsent_bytes);
         client
             .counted_partial_command_bytes
@@ -91,7 +91,7 @@
 
     /// Stops counting a connection among those that have sent a request. Lowers its eviction rank,
     /// which records whether it is counted.
-    fn uncount_requesting_client(&mut self, client: &mut ClientConnection) {
+    fn remove_from_requesting_clients(&mut self, client: &mut ClientConnection) {
         if client.eviction_rank == EvictionRank::SentRequest {
             client.eviction_rank = EvictionRank::SentCommand;
             self.requesting_clients -= 1;
--- a/crates/gateway/src/dispatcher/unfinished_request.rs
+++ b/crates/gateway/src/dispatcher/unfinished_request.rs
@@ -25,7 +25,7 @@
     pub(super) dispatched_at: Micros,
     /// When it times out.
     pub(super) times_out_at: Micros,
-    /// Whether so many bytes of the request were written that the node may have executed it. The
+    /// Whether the node may have executed the request, judged by the number of bytes written. The
     /// threshold is the return value of [`crate::node_protocol::NodeProtocol::encode_request`]; up
     /// to that many bytes, the node cannot have executed the request.
     pub(super) may_have_executed: bool,
--- a/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/mod.rs
@@ -37,8 +37,8 @@
 //! - `console` sends a line to the gateway's console.
 //! - `gateway` receives the signal `HUP` or `TERM`.
 //!
-//! The runner never sleeps: threads read the sockets and pass on complete messages. The result is a
-//! transcript of all messages, which the test compares with a stored snapshot.
+//! The runner never sleeps: threads read the sockets and send complete messages to channels. The
+//! result is a transcript of all messages, which the test compares with a stored snapshot.
 
 mod connections;
 mod deployment;
--- a/lint/check_terms.py
+++ b/lint/check_terms.py
@@ -89,7 +89,7 @@
 
 
 def occurs_at(form, words, start):
-    """Whether the words of `form` stand in `words` from index `start` on."""
+    """Whether the words of `form` occur in `words` from index `start` on."""
     if len(form) == 1:
         return matches(form[0], words[start])
     candidate = words[start : start + len(form)]
