--- a/crates/gateway/src/connections/client/events.rs
+++ b/crates/gateway/src/connections/client/events.rs
@@ -78,8 +78,8 @@
         return client.socket.discard_available(remaining_bytes);
     }
     if flags.intersects(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR) {
-        // Unread input may precede the end of the stream. Report the disconnection without reading
-        // it.
+        // More unread input than one call reads may precede the end of the stream. Report the
+        // disconnection without reading it.
         return Ok(StreamStatus::Ended);
     }
     if flags.contains(EventFlags::IN) {
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -13,8 +13,8 @@
 use io_scheduler::{Event, Micros, Request, RequestId};
 
 /// Time reserved for delivering the final response before the client times out, in microseconds. It
-/// is longer than `OVERDUE_GRACE`, so that the response to an overdue request, which the dispatcher
-/// sends after that grace, still reaches the client in time.
+/// is longer than `OVERDUE_GRACE`, so that the response to an overdue request, sent by
+/// `fail_overdue`, still reaches the client in time.
 const RESPONSE_DELIVERY_MARGIN: Micros = 6_000;
 /// The delivery margin is at most the client's timeout divided by this, so that a short timeout
 /// leaves most of its time to the attempts. For timeouts below 12 ms (`OVERDUE_GRACE` times this),
--- a/crates/gateway/tests/gateway_process/harness/connection.rs
+++ b/crates/gateway/tests/gateway_process/harness/connection.rs
@@ -75,7 +75,7 @@
         let _ = self.stream.write_all(bytes.as_ref());
     }
 
-    /// As a client: sends `PING`, which the gateway answers without a node.
+    /// As a client: sends `PING`, to which the gateway replies without a node.
     pub fn send_ping(&mut self) {
         self.send(encode_command("PING"));
     }
@@ -140,7 +140,7 @@
         assert_eq!(self.receive_value(), value);
     }
 
-    /// As a client: checks that the next value is the answer to `PING`.
+    /// As a client: checks that the next value is the reply to `PING`.
     #[track_caller]
     pub fn expect_pong(&mut self) {
         self.expect_value("+PONG");
--- a/crates/gateway/tests/gateway_process/harness/gateway.rs
+++ b/crates/gateway/tests/gateway_process/harness/gateway.rs
@@ -98,7 +98,7 @@
         client
     }
 
-    /// Connects a client that has received an answer and has no request in flight.
+    /// Connects a client that has received a reply to `PING` and has no request in flight.
     pub fn connect_idle_client(&self) -> Connection {
         let mut client = self.connect();
         client.send_ping();
@@ -134,7 +134,7 @@
     }
 
     /// Waits until the gateway has processed all input that was ready on its sockets before the
-    /// call: a new client sends a `PING` and waits for the answer.
+    /// call: a new client sends a `PING` and waits for the reply.
     pub fn wait_until_input_is_processed(&self) {
         let mut client = self.connect_and_send_in_one_turn(encode_command("PING"));
         client.receive_value();
--- a/crates/gateway/tests/gateway_process/harness/requests.rs
+++ b/crates/gateway/tests/gateway_process/harness/requests.rs
@@ -48,7 +48,7 @@
     ))
 }
 
-/// A node's successful response with a value, without a usage report and a load report.
+/// A node's successful response with a value and null for the usage report and the load report.
 pub fn encode_value_response(value: &str) -> String {
     format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len())
 }
--- a/crates/gateway/tests/gateway_process/scenario_runner/masking.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/masking.rs
@@ -2,7 +2,7 @@
 //! to 0xaf.
 
 /// Replaces these words of a message by placeholders; see the [module](self).
-pub fn mask_varying_words(message: &str) -> String {
+pub fn mask_message(message: &str) -> String {
     let words: Vec<String> = message.split(' ').map(mask_word).collect();
     match words.as_slice() {
         [status, _retry_after] if status == "-BUSY" => "-BUSY MS".to_owned(),
--- a/crates/gateway/tests/gateway_process/scenario_runner/peer.rs
+++ b/crates/gateway/tests/gateway_process/scenario_runner/peer.rs
@@ -3,7 +3,7 @@
 
 use super::connections::{ConnectionEvent, ConnectionEventKind, Connections};
 use super::error::ScenarioError;
-use super::masking::mask_varying_words;
+use super::masking::mask_message;
 use super::message::{Message, Protocol};
 use crate::harness::connection::ConnectionEnd;
 use std::collections::VecDeque;
@@ -149,7 +149,7 @@
                             request_id,
                         });
                     }
-                    return Ok(mask_varying_words(&message.text));
+                    return Ok(mask_message(&message.text));
                 }
                 ConnectionEventKind::Ended(_) if self.role == Role::Client => {
                     return Err(ScenarioError::ConnectionClosed)
