--- a/crates/gateway/src/connections/client/closing.rs
+++ b/crates/gateway/src/connections/client/closing.rs
@@ -5,14 +5,14 @@
 use super::eviction_queue::EvictionRank;
 use crate::connection_token::ConnectionToken;
 use crate::connections::socket::Interest;
-use crate::context::{ConnectionKind, Context};
+use crate::context::{Context, DescriptorKind};
 use io_scheduler::Micros;
 
 impl ClientConnections {
     /// Closes all connections that have been idle for at least `min_idle_time` microseconds.
     pub(crate) fn close_idle_for(&mut self, min_idle_time: Micros, context: &mut Context) {
         let idle: Vec<ConnectionToken> = context
-            .tokens_of(ConnectionKind::Client)
+            .tokens_of(DescriptorKind::Client)
             .filter(|token| self.is_idle_for(*token, min_idle_time, context.now))
             .collect();
         for token in idle {
@@ -62,7 +62,7 @@
                 return self.drop_connection(client, context);
             }
             client.start_lingering(context.now);
-            self.uncount_requesting_client(&mut client);
+            self.remove_from_requesting_clients(&mut client);
         }
         client.socket.consume_all();
         let registered = client.socket.set_interest(Interest::Read, &context.poller);
@@ -79,19 +79,19 @@
         context.free(client.token());
         client.timer.cancel(&mut context.timers);
         self.count -= 1;
-        self.uncount_requesting_client(&mut client);
+        self.remove_from_requesting_clients(&mut client);
         client.counted_unsent_bytes.set(0, &mut self.unsent_bytes);
         client
             .counted_partial_command_bytes
             .set(0, &mut self.partial_command_bytes);
-        for id in client.replies.into_open_requests() {
+        for id in client.replies.into_requests_of_pending_replies() {
             context.record_response_not_needed(id);
         }
     }
 
     /// Stops counting a connection among those that have sent a request. Lowers its eviction rank,
     /// which records whether it is counted.
-    fn uncount_requesting_client(&mut self, client: &mut ClientConnection) {
+    fn remove_from_requesting_clients(&mut self, client: &mut ClientConnection) {
         if client.eviction_rank == EvictionRank::SentRequest {
             client.eviction_rank = EvictionRank::SentCommand;
             self.requesting_clients -= 1;
--- a/crates/gateway/src/connections/client/eviction.rs
+++ b/crates/gateway/src/connections/client/eviction.rs
@@ -8,13 +8,14 @@
 impl ClientConnections {
     /// Evicts one connection without pending replies. Returns whether there is such a candidate.
     ///
-    /// A candidate with unread input stays open; see [`Self::evict`]. The message is logged before
-    /// this is known.
+    /// A candidate with unread input stays open; see [`Self::evict`].
     pub(super) fn evict_one(&mut self, context: &mut Context) -> bool {
         let Some(token) = self.eviction_queue.next_to_evict(context.now) else {
             return false;
         };
-        log::debug!("evicting an idle client connection to accept a new one");
+        log::debug!(
+            "accepting a client connection: evicting an idle one unless it has unread input"
+        );
         self.evict(token, context);
         true
     }
@@ -35,15 +36,16 @@
     }
 
     /// Closes idle connections that have sent a request, starting with the one idle for longest,
-    /// until their number is within its limit. Some clients send a single request and never close
-    /// the connection; without the limit they would use up the descriptors for new connections.
+    /// until the number of open connections that have sent a request is within its limit. Some
+    /// clients send a single request and never close the connection; without the limit they would
+    /// use up the descriptors for new connections.
     pub(crate) fn close_excess_requesting_clients(&mut self, context: &mut Context) {
         while self.requesting_clients > self.limits.requesting_clients {
             let Some(token) = self.eviction_queue.longest_idle_requesting_client() else {
                 return;
             };
             log::debug!(
-                "closing an idle client connection: too many connections have sent requests"
+                "closing an idle client connection: too many open connections have sent a request"
             );
             self.close_idle(token, context);
         }
--- a/crates/gateway/src/dispatcher/state.rs
+++ b/crates/gateway/src/dispatcher/state.rs
@@ -55,13 +55,15 @@
         })
     }
 
-    /// Returns the counters of recently active volumes, by volume.
+    /// Returns the counters of volumes, by volume. Those of the volumes with the fewest requests
+    /// are removed when the table is full.
     #[must_use]
     pub fn volume_counters(&self) -> &BTreeMap<VolumeId, VolumeCounters> {
         self.volume_counters.by_volume()
     }
 
-    /// Returns the numbers of entries in the tables of the scheduler, which must stay bounded.
+    /// Returns the numbers of nodes, volumes and shards in the state of the scheduler. Tests check
+    /// that this state does not grow without bound.
     #[must_use]
     pub fn state_sizes(&self) -> StateSizes {
         self.scheduler.state_sizes()
--- a/crates/gateway/src/dispatcher/unfinished_request.rs
+++ b/crates/gateway/src/dispatcher/unfinished_request.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 /// How long after the deadline of a request the dispatcher itself fails it, if the scheduler has
-/// not completed it, in microseconds. The scheduler's timers expire at the deadline, so the event
-/// loop may run this late before the dispatcher takes over. It must be shorter than
+/// not completed it, in microseconds. This leaves the event loop time to handle the scheduler's
+/// timer, which expires at the deadline. It must be shorter than
 /// `RESPONSE_DELIVERY_MARGIN` in `submit`, so that the response still reaches the client in time.
 const OVERDUE_GRACE: Micros = 3_000;
 
@@ -25,7 +25,7 @@
     pub(super) dispatched_at: Micros,
     /// When it times out.
     pub(super) times_out_at: Micros,
-    /// Whether so many bytes of the request were written that the node may have executed it. The
+    /// Whether the node may have executed the request, judged by the number of bytes written. The
     /// threshold is the return value of [`crate::node_protocol::NodeProtocol::encode_request`]; up
     /// to that many bytes, the node cannot have executed the request.
     pub(super) may_have_executed: bool,
--- a/crates/gateway/tests/gateway_process/harness/log_lines.rs
+++ b/crates/gateway/tests/gateway_process/harness/log_lines.rs
@@ -1,12 +1,12 @@
 //! Substrings of the gateway's log lines that tests wait for.
 
-/// The gateway accepts RESP2 clients; the address ends the line.
+/// The gateway accepts RESP2 clients. The rest of the line is the listening address.
 pub const LISTENING_FOR_RESP: &str = "listening for RESP2 on";
-/// The gateway accepts SFTP clients; the address ends the line.
+/// The gateway accepts SFTP clients. The rest of the line is the listening address.
 pub const LISTENING_FOR_SFTP: &str = "listening for SFTP on";
-/// The gateway received a snapshot or a delta with two endpoints.
+/// The first update on a watch has two endpoints. Later updates on that watch are not logged.
 pub const RECEIVED_TWO_ENDPOINTS: &str = "discovery: received 2 endpoints";
-/// The gateway received a snapshot or a delta with one endpoint.
+/// The first update on a watch has one endpoint.
 pub const RECEIVED_ONE_ENDPOINT: &str = "discovery: received 1 endpoints";
 /// The connection to discovery was refused.
 pub const CONNECTION_REFUSED: &str = "refused";
@@ -16,5 +16,6 @@
 pub const SHUTDOWN_REQUESTED: &str = "shutdown requested";
 /// The graceful shutdown is complete.
 pub const SHUTDOWN_COMPLETE: &str = "shutdown complete";
-/// The gateway closes an idle client connection because too many connections have sent requests.
+/// The gateway closes an idle client connection, because the number of open connections that have
+/// sent a request exceeds its limit.
 pub const EXCESS_CONNECTION_CLOSED: &str = "closing an idle client connection: too many";
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -59,7 +59,8 @@
     pub limit: UnitsPerSecond,
     /// Capacity of the token bucket that enforces the limit.
     pub burst_capacity: Units,
-    /// Rate that the volume is provisioned for. Use beyond it is surplus.
+    /// Rate that the volume is provisioned for. Requests beyond it that are not covered by the
+    /// reservation are surplus requests, which have the value [`Settings::surplus_value`].
     pub provisioned_rate: UnitsPerSecond,
 }
 
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -38,7 +38,7 @@
         self.record_completed_attempt(attempt, completed);
         if outcome == Outcome::Served {
             self.close(id);
-        } else if completed.request_closed {
+        } else if completed.response_not_needed {
             self.close_and_record_objective(id);
         } else if needs_attempt {
             self.retry_or_close(id, attempt.node, outcome);
@@ -47,13 +47,14 @@
         }
     }
 
-    /// Starts the quiesce period of the request's key, if the key has ordered requests. The class
-    /// of this request may be unordered.
+    /// Starts the quiesce period of the request's key, if the key has ordered requests
+    /// (`request::key_ordering`). This also applies to a request of an unordered class, because
+    /// ordered requests may have the same key.
     fn quiesce_key(&mut self, id: RequestId) {
         let key = self.requests[&id].request().key;
         if let Some(key) = key {
             let until = self.now + self.settings.quiesce_period;
-            self.sequences.quiesce(key, until);
+            self.key_sequences.quiesce(key, until);
         }
     }
 
@@ -80,7 +81,7 @@
             return;
         }
         if let Some(queue) = self.queues.get_mut(node.endpoint().shard) {
-            queue.subtract_unserved(request.volume, request.units);
+            queue.subtract_from_counted_units(request.volume, request.units);
         }
     }
 
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Gives the requests whose rejection time has passed their final response.
+    /// Gives the requests whose rejection time has passed their final response. For a request that
+    /// a node may have executed, that time is first postponed to its deadline.
     pub(super) fn reject_or_fail_expired(&mut self) {
         while let Some(id) = self.rejections.pop_expired(self.now) {
             let Some(unfinished) = self.requests.get_mut(&id) else {
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Closes a request none of whose attempts is known to have been served. If it was open,
-    /// records its latency objective, which applies again if the client resends the request.
+    /// Closes a request without an attempt that is known to have been served. If it was open,
+    /// records its latency objective, so that a resend by the client keeps the same objective.
     pub(super) fn close_and_record_objective(&mut self, id: RequestId) {
         let Some(unfinished) = self.requests.get(&id) else {
             return;
@@ -199,7 +201,7 @@
         let key = unfinished.ordering_key();
         self.requests.remove(&id);
         if let Some(key) = key {
-            let next = self.sequences.remove(key, id, self.now);
+            let next = self.key_sequences.remove(key, id, self.now);
             self.enqueue_first_of_key(next);
         }
     }
