--- a/crates/scheduler/src/node/slow_start.rs
+++ b/crates/scheduler/src/node/slow_start.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the units dispatched within the last window.
-    fn within_window(&self, slow_start: &SlowStart, now: Micros) -> Units {
+    fn units_within_window(&self, slow_start: &SlowStart, now: Micros) -> Units {
         self.dispatched
             .within(slow_start.window, now)
             .copied()
@@ -105,7 +105,7 @@
         let dispatched = self
             .node
             .slow_start_usage()
-            .within_window(slow_start, self.now);
+            .units_within_window(slow_start, self.now);
         self.is_within_host_quota(units, host_quota, dispatched)
             && is_within_node_quota(units, node_quota, dispatched)
     }
