--- a/crates/scheduler/src/dmclock/selection.rs
+++ b/crates/scheduler/src/dmclock/selection.rs
@@ -24,8 +24,8 @@
 //!   `surplus_value` of the settings.
 //!
 //! While the concurrency limit is below its maximum, a request of lower value gets a lower limit.
-//! So each host, without communication, sends a busy node fewer of the requests that are not
-//! covered by a reservation.
+//! Thus all hosts send a busy node fewer of the requests that no reservation covers, without
+//! coordination.
 
 use super::flow::QueuedRequest;
 use super::phase::Phase;
@@ -108,7 +108,7 @@
             .queue
             .heads()
             .filter(|(volume, head)| self.limit_tag_is_due(*volume, head))
-            .filter(|(_, head)| self.node.has_capacity(self.value(head), self.now))
+            .filter(|(_, head)| self.node.has_capacity(self.request_value(head), self.now))
             .filter(|(volume, head)| {
                 let quota_part = self.quota_part(*volume, head);
                 self.admission.admits(head.id, quota_part)
@@ -162,7 +162,7 @@
     }
 
     /// Returns the value, from 0 to 1, of a request in the weight-based phase.
-    fn value(&self, head: &QueuedRequest) -> f64 {
+    fn request_value(&self, head: &QueuedRequest) -> f64 {
         if self.exceeds_provisioned_rate(head) {
             self.settings.surplus_value
         } else {
--- a/crates/scheduler/src/dmclock/shard_queue.rs
+++ b/crates/scheduler/src/dmclock/shard_queue.rs
@@ -112,12 +112,12 @@
 
     /// Returns, for each flow, the requests from its head up to the first one that does not meet
     /// `condition`.
-    pub fn leading_requests(&self, condition: impl Fn(RequestId) -> bool) -> Vec<RequestId> {
-        let mut leading = Vec::new();
+    pub fn requests_at_heads_while(&self, condition: impl Fn(RequestId) -> bool) -> Vec<RequestId> {
+        let mut requests = Vec::new();
         for flow in self.flows.values() {
-            leading.extend(flow.requests().take_while(|id| condition(*id)));
+            requests.extend(flow.requests().take_while(|id| condition(*id)));
         }
-        leading
+        requests
     }
 
     /// Returns the late requests, earliest deadline first.
--- a/crates/scheduler/src/endpoints/polling.rs
+++ b/crates/scheduler/src/endpoints/polling.rs
@@ -1,5 +1,6 @@
-//! Decides when to poll the discovery service for the endpoint list. A poll opens a watch on the
-//! list.
+//! Decides when to poll the discovery service for the endpoint list. A poll is a request that opens
+//! a watch: its response starts with the list, then stays open and carries each change. After
+//! an update, no poll is due until a poll fails or the watch is lost.
 //!
 //! The discovery service handles polls one at a time, and also works on polls that have timed out.
 //! Hosts that poll for the same reason therefore spread their polls by a pseudorandom jitter, and
--- a/crates/scheduler/src/node/concurrency_limit.rs
+++ b/crates/scheduler/src/node/concurrency_limit.rs
@@ -7,8 +7,9 @@
 //! dispatches are spaced out in time (pacing). Since the node's own queue is first in, first out, a
 //! low limit keeps requests at the host, where dmClock orders them.
 //!
-//! The limit is lowered further for requests of low value. `dmclock::selection` explains the value
-//! of a request.
+//! The limit is lowered further for requests of low value. The value of a request, from 0 to 1,
+//! states how much its units are worth compared with reserved units; `dmclock::selection` explains
+//! it.
 
 use super::AttemptMeasurement;
 use crate::api::{Micros, Outcome};
@@ -18,7 +19,8 @@
 pub const MAX_IN_FLIGHT: usize = 5;
 /// [`MAX_IN_FLIGHT`] as a fractional limit.
 const MAX_CONCURRENCY_LIMIT: f64 = MAX_IN_FLIGHT as f64;
-/// Minimum concurrency limit: one request per ten pacing intervals.
+/// Minimum concurrency limit: with pacing, a request is in flight for at most about a tenth of the
+/// time.
 const MIN_CONCURRENCY_LIMIT: f64 = 0.1;
 /// Initial limit. If all hosts started at the maximum, they would overload the node's queue.
 const INITIAL_CONCURRENCY_LIMIT: f64 = 1.0;
@@ -40,9 +42,9 @@
     limit: f64,
     /// Time at which the limit was last decreased.
     decreased_at: Micros,
-    /// Elapsed time of the last attempt that was served, ended with an error or timed out; at most
-    /// the latency objective. Paced dispatches are delayed by a multiple of it.
-    pacing_interval: Latency,
+    /// Unit of the pacing delay: the duration of the last attempt that was served, ended with an
+    /// error or timed out, but at most its latency objective.
+    last_attempt_duration: Latency,
     /// Time at which that attempt ended.
     pacing_started_at: Micros,
 }
@@ -52,7 +54,7 @@
         ConcurrencyLimit {
             limit: INITIAL_CONCURRENCY_LIMIT,
             decreased_at: 0,
-            pacing_interval: Latency::ZERO,
+            last_attempt_duration: Latency::ZERO,
             pacing_started_at: 0,
         }
     }
@@ -64,8 +66,8 @@
         self.limit
     }
 
-    /// Returns the limit, capped at one. With pacing, a result below one is approximately
-    /// the fraction of time in which a request is in flight at the node.
+    /// Returns the limit, capped at one. A result below one is approximately the fraction of time
+    /// for which pacing allows a request to be in flight at the node.
     pub fn limit_capped_at_one(&self) -> f64 {
         self.limit.min(PACING_THRESHOLD)
     }
@@ -77,18 +79,18 @@
 
     /// Returns whether one more request may be dispatched while `in_flight` requests are in flight.
     ///
-    /// `value` is the value of the request (`dmclock::selection`), from 0 to 1; it is 1 if the
-    /// request is covered by a reservation. While the limit is below its maximum, a lower value
-    /// reduces it further. So each host, without communication, sends a busy node fewer of the
-    /// requests that are not covered by a reservation.
-    pub fn has_capacity(&self, in_flight: usize, value: f64, now: Micros) -> bool {
-        let limit = self.limit_for_value(value);
+    /// `request_value` is the value of the request; it is 1 if the request is covered by a
+    /// reservation. While the limit is below its maximum, a lower value reduces it further. Thus
+    /// all hosts send a busy node fewer of the requests that no reservation covers, without
+    /// coordination.
+    pub fn has_capacity(&self, in_flight: usize, request_value: f64, now: Micros) -> bool {
+        let limit = self.limit_for_value(request_value);
         has_slot(limit, in_flight) && self.pacing_delay_is_over(limit, now)
     }
 
-    /// Returns the limit that applies to a request of this value, from 0 to 1.
-    fn limit_for_value(&self, value: f64) -> f64 {
-        let scale = value + (1.0 - value) * self.limit / MAX_CONCURRENCY_LIMIT;
+    /// Returns the limit that applies to a request of this value.
+    fn limit_for_value(&self, request_value: f64) -> f64 {
+        let scale = request_value + (1.0 - request_value) * self.limit / MAX_CONCURRENCY_LIMIT;
         self.limit * scale
     }
 
@@ -100,7 +102,7 @@
     /// Returns the time by which the next dispatch is delayed after an attempt has ended; zero for
     /// a limit of one or more.
     fn pacing_delay(&self, limit: f64) -> Latency {
-        self.pacing_interval * (PACING_THRESHOLD / limit - 1.0).max(0.0)
+        self.last_attempt_duration * (PACING_THRESHOLD / limit - 1.0).max(0.0)
     }
 
     /// Adjusts the limit and restarts the pacing delay after an attempt.
@@ -116,8 +118,8 @@
             | Outcome::Cancelled
             | Outcome::NotDispatched => return,
         }
-        let interval = measurement.elapsed.min(measurement.latency_objective);
-        self.pacing_interval = Latency::from_micros(interval);
+        let duration = measurement.elapsed.min(measurement.latency_objective);
+        self.last_attempt_duration = Latency::from_micros(duration);
         self.pacing_started_at = now;
     }
 
--- a/crates/scheduler/src/node/latency_estimate.rs
+++ b/crates/scheduler/src/node/latency_estimate.rs
@@ -11,8 +11,7 @@
 
 /// Weight of a new sample in the moving averages of mean and deviation.
 const LATENCY_GAIN: f64 = 0.1;
-/// Distance from the mean that the first sample adds to the moving average of the deviation, as a
-/// fraction of that sample.
+/// The first sample has no mean to differ from: its deviation is assumed to be this fraction of it.
 const FIRST_SAMPLE_DEVIATION_FRACTION: f64 = 0.5;
 /// Time in microseconds without a served attempt after which the expected latency is halved.
 const LATENCY_HALF_LIFE: f64 = 250_000.0;
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -169,11 +169,12 @@
         self.in_flight >= MAX_TRIALS_IN_FLIGHT
     }
 
-    /// Returns whether the concurrency limit allows one more request of this value, from 0 to 1.
-    pub fn has_capacity(&self, value: f64, now: Micros) -> bool {
+    /// Returns whether the concurrency limit allows one more request of this value
+    /// (`dmclock::selection`), from 0 to 1.
+    pub fn has_capacity(&self, request_value: f64, now: Micros) -> bool {
         self.statistics
             .limit
-            .has_capacity(self.in_flight, value, now)
+            .has_capacity(self.in_flight, request_value, now)
     }
 
     /// Returns whether nothing is in flight and the concurrency limit is at its maximum.
--- a/crates/scheduler/src/node/outlier_ejection.rs
+++ b/crates/scheduler/src/node/outlier_ejection.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Returns whether more nodes are ejected than not.
+/// Returns whether the panic threshold is exceeded: more of the nodes are ejected than not.
 pub fn exceeds_panic_threshold<'a>(nodes: impl Iterator<Item = &'a Node>) -> bool {
     let mut ejected = 0;
     let mut not_ejected = 0;
--- a/crates/scheduler/src/request/key_ordering.rs
+++ b/crates/scheduler/src/request/key_ordering.rs
@@ -25,8 +25,8 @@
 pub struct KeySequences {
     /// Sequences, by key.
     sequences: BTreeMap<ObjectKey, KeySequence>,
-    /// Keys to check again at the end of their quiesce period, ordered by that time. A key without
-    /// requests is included, so that its sequence is removed then.
+    /// Keys to check again at the end of their quiesce period, ordered by that time. Keys without
+    /// requests are included: their sequences are removed at that time.
     quiescing: TimeOrderedQueue<ObjectKey>,
 }
 
@@ -39,8 +39,8 @@
         sequence.requests.len() == 1 && sequence.quiesced_until <= now
     }
 
-    /// Removes a finished request from the sequence of its key. If it was the first, returns the
-    /// next request if that may be queued now.
+    /// Removes a finished request from the sequence of its key. Returns the next request if the
+    /// removed one was the first and the next one may be queued now.
     pub fn remove(&mut self, key: ObjectKey, id: RequestId, now: Micros) -> Option<RequestId> {
         let sequence = self.sequences.get_mut(&key)?;
         let was_first = sequence.requests.front() == Some(&id);
@@ -63,9 +63,9 @@
         }
     }
 
-    /// Removes and returns a key that was added to `quiescing` with an end of the quiesce period
-    /// that has passed. The period may have been extended since, so the caller must check it again
-    /// ([`Self::first_ready`]).
+    /// Removes and returns a key of `quiescing` whose recorded end of the quiesce period has
+    /// passed. The period may have been extended since it was recorded, so the caller must check it
+    /// again ([`Self::first_ready`]).
     pub fn pop_quiesced(&mut self, now: Micros) -> Option<ObjectKey> {
         self.quiescing.pop_expired(now)
     }
@@ -85,7 +85,7 @@
     }
 
     /// Returns the earliest time at which a key has to be checked again.
-    pub fn next_quiesced(&self) -> Option<Micros> {
+    pub fn next_check_at(&self) -> Option<Micros> {
         self.quiescing.next_time()
     }
 }
--- a/crates/scheduler/src/request/latency_objective.rs
+++ b/crates/scheduler/src/request/latency_objective.rs
@@ -5,8 +5,8 @@
 //! microseconds.
 //!
 //! A client that retries sends a new request. With a new objective, the retry would no longer count
-//! as late, so it keeps the objective of the earlier request if that was closed before an attempt
-//! was known to be served. A repeated request (repeat) is recognized by volume, object and class.
+//! as late, so it keeps the objective of the earlier request if that was closed without a known
+//! served attempt. A repeated request (repeat) is recognized by volume, object and class.
 
 use super::UnfinishedRequest;
 use crate::api::{ClassIndex, Micros, ObjectKey, Request, RequestClass, VolumeId};
@@ -41,8 +41,7 @@
     }
 }
 
-/// Ends of the latency objectives of requests that were closed before an attempt was known to be
-/// served.
+/// Ends of the latency objectives of requests that were closed without a known served attempt.
 #[derive(Default)]
 pub struct LatencyObjectives {
     /// End of the objective of each request, by the fields that its repeat has in common with it.
@@ -65,8 +64,8 @@
         self.objective_ends.remove(&RepeatKey::of(request)?)
     }
 
-    /// Records the objective of a request that is closed before an attempt is known to be served,
-    /// in case its client sends the request again.
+    /// Records the objective of a request that is closed without a known served attempt, in case
+    /// its client sends the request again.
     pub fn record_for_repeat(&mut self, unfinished: &UnfinishedRequest, now: Micros) {
         let Some(key) = RepeatKey::of(unfinished.request()) else {
             return;
--- a/crates/scheduler/src/retry/retry_budget.rs
+++ b/crates/scheduler/src/retry/retry_budget.rs
@@ -6,9 +6,9 @@
 use crate::api::{Micros, RetryBudget};
 use crate::collections::SlidingWindow;
 
-/// Time in microseconds by which the window for requests is shorter than the one for retries. A
-/// retry that is exactly one window old still counts, and a request of the same age no longer does;
-/// both make the budget stricter.
+/// Time in microseconds by which the window for requests is shorter than the one for retries. At
+/// the age of exactly one window, a retry still counts and a request no longer does; both
+/// make the budget stricter.
 const REQUEST_WINDOW_MARGIN: Micros = 1;
 
 /// The retry budget and its usage.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -59,14 +59,14 @@
     unroutable: BTreeSet<RequestId>,
     /// Times at which open requests are rejected (load shedding).
     rejections: RejectionTimes,
-    /// Latency objectives of requests that were closed before an attempt was known to be served. If
-    /// the client resends such a request, it keeps its objective.
+    /// Latency objectives of requests that were closed without a known served attempt. If the
+    /// client resends such a request, it keeps its objective.
     objectives: LatencyObjectives,
     /// Order of the requests with the same key.
     key_sequences: KeySequences,
     /// The retry budget and its usage.
     retry_budget: RetryBudgetUsage,
-    /// Schedule of polls for the endpoint list.
+    /// Schedule of polls for the endpoint list; each poll opens a watch.
     polling: EndpointPolling,
     /// Time of the earliest timer that was requested and has not fired yet.
     timer_at: Option<Micros>,
@@ -129,9 +129,9 @@
         match event {
             Event::EndpointList(event, endpoints) => self.on_endpoint_list(*event, endpoints),
             Event::RequestReceived(request) => self.on_request(request),
-            // Once the response has started, the client receives it whether or not it completes, so
-            // the request is closed. The attempt has not completed, so it is not known yet whether
-            // the request is served.
+            // Part of the response may have reached the client, so no other response can be sent
+            // and the request is closed. The attempt has not completed, so it is not known yet
+            // whether the request is served.
             Event::ResponseStarted(id) => self.close_and_record_objective(*id),
             Event::ResponseNotNeeded(id) => self.on_response_not_needed(*id),
             Event::AttemptCompleted(completed) => self.on_attempt_completed(completed),
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Opens a watch on the endpoint list if a poll is due.
+    /// Polls the endpoint list if a poll is due: requests that a watch on it is opened.
     fn poll_if_due(&mut self) {
         if self.polling.start_poll_if_due(self.now) {
             self.actions.push(Action::OpenWatch);
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Returns whether a node receives only trial attempts: it is ejected, and at most half of the
-    /// nodes in service are ejected.
+    /// Returns whether a node receives only trial attempts: it is ejected, and the panic threshold
+    /// is not exceeded, as at most half of the nodes in service are ejected.
     fn is_limited_to_trials(&self, node: &Node) -> bool {
         node.is_ejected() && !exceeds_panic_threshold(self.nodes.in_service())
     }
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Moves requests that can no longer meet their latency objective from the head of their flow
-    /// to the late requests.
+    /// Moves requests that can no longer meet their latency objective from the heads of the flows
+    /// in a shard's queue, one per volume, to its late requests.
     fn move_late_requests(&mut self, shard: Shard) {
         let Some(node) = self.nodes.node_of(shard) else {
             return;
@@ -78,7 +78,7 @@
         let Some(queue) = self.queues.get_mut(shard) else {
             return;
         };
-        let late = queue.leading_requests(|id| {
+        let late = queue.requests_at_heads_while(|id| {
             let unfinished = &self.requests[&id];
             misses_objective(unfinished, expected_latency, self.now)
         });
--- a/crates/scheduler/src/scheduler/wakeup.rs
+++ b/crates/scheduler/src/scheduler/wakeup.rs
@@ -34,7 +34,7 @@
             self.next_routing_check(),
             self.polling.next_poll_at(),
             self.rejections.next(),
-            self.key_sequences.next_quiesced(),
+            self.key_sequences.next_check_at(),
         ];
         times.into_iter().flatten().min()
     }
