--- a/crates/gateway/src/connections/discovery_watch.rs
+++ b/crates/gateway/src/connections/discovery_watch.rs
@@ -55,7 +55,7 @@
     is_request_queued: bool,
 }
 
-/// What was received from the discovery service in one turn.
+/// What was received from the discovery service in one turn of the event loop.
 #[must_use]
 pub(crate) struct WatchOutcome {
     /// The complete updates, in the order of their arrival. The caller applies them even if
--- a/crates/gateway/src/connections/node/attempts.rs
+++ b/crates/gateway/src/connections/node/attempts.rs
@@ -12,8 +12,8 @@
 impl NodeConnections {
     /// Starts an attempt on an idle connection, or on a new one if no idle one is suitable.
     pub(crate) fn start_attempt(&mut self, attempt: AttemptSpec, context: &mut Context) {
-        // Skip the attempt if it was aborted earlier in this turn, for example because the client
-        // has disconnected.
+        // Skip the attempt if it was aborted earlier in this turn of the event loop, for example
+        // because the client has disconnected.
         if !context.dispatcher.awaits_result_of(attempt.id) {
             return;
         }
--- a/crates/gateway/src/context/mod.rs
+++ b/crates/gateway/src/context/mod.rs
@@ -49,8 +49,8 @@
     pub(crate) config: Config,
     /// The clock that [`Context::now`] is read from.
     clock: Clock,
-    /// Time of the current turn, in microseconds since the Unix epoch. It is read once per turn, so
-    /// that all components use the same time within a turn.
+    /// Time of the current turn of the event loop, in microseconds since the Unix epoch. It is read
+    /// once per turn, so that all components use the same time within a turn.
     pub(crate) now: Micros,
     /// Reports which descriptors are ready.
     pub(crate) poller: Poller,
--- a/crates/gateway/src/context/slab.rs
+++ b/crates/gateway/src/context/slab.rs
@@ -1,6 +1,6 @@
 //! A table of values indexed by connection token. A token is not reused until the 32-bit generation
-//! of its slot wraps: if a connection was closed earlier in the same turn, an event for it finds no
-//! value, even if another connection has taken its slot.
+//! of its slot wraps: if a connection was closed earlier in the same turn of the event loop, an
+//! event for it finds no value, even if another connection has taken its slot.
 
 use crate::connection_token::ConnectionToken;
 
--- a/crates/gateway/src/dispatcher/state.rs
+++ b/crates/gateway/src/dispatcher/state.rs
@@ -55,8 +55,8 @@
         })
     }
 
-    /// Returns the counters of volumes, by volume. Those of the volumes with the fewest requests
-    /// are removed when the table is full.
+    /// Returns the counters, by volume. Volumes with few requests may be missing: the dispatcher
+    /// removes their counters when a request for another volume is received and the table is full.
     #[must_use]
     pub fn volume_counters(&self) -> &BTreeMap<VolumeId, VolumeCounters> {
         self.volume_counters.by_volume()
--- a/crates/gateway/src/dispatcher/submit.rs
+++ b/crates/gateway/src/dispatcher/submit.rs
@@ -24,8 +24,8 @@
 
 impl Dispatcher {
     /// Accepts a request, rejects it, or responds that it is invalid. In each case, the final
-    /// response is a [`Command::Respond`] in this turn or a later one, unless the client
-    /// disconnects first.
+    /// response is a [`Command::Respond`] in this turn of the event loop or a later one, unless the
+    /// client disconnects first.
     pub fn submit(
         &mut self,
         request: StorageRequest,
--- a/crates/gateway/src/event_loop/console_input.rs
+++ b/crates/gateway/src/event_loop/console_input.rs
@@ -49,8 +49,8 @@
         self.token
     }
 
-    /// Reads the available input and returns the complete lines. Lines that are read in the same
-    /// call as the end of the input are discarded.
+    /// Reads the available input and returns the complete lines. If the end of the input is among
+    /// it, returns an error, and the lines before the end are lost.
     pub(super) fn read_lines(&mut self) -> Result<Vec<String>, InputClosed> {
         self.read_available()?;
         Ok(self.take_lines())
@@ -83,7 +83,7 @@
     }
 }
 
-/// Copies standard input to the pipe until it ends. Runs on its own thread.
+/// Copies standard input to the pipe until standard input ends. Runs on its own thread.
 fn copy_standard_input(mut writer: UnixStream) {
     // An error means that standard input failed or that the event loop has ended. The thread ends
     // in both cases.
--- a/crates/gateway/src/logger.rs
+++ b/crates/gateway/src/logger.rs
@@ -35,8 +35,8 @@
 
 /// Installs the logger with the given level. Later calls only change the level.
 pub fn install(level: LevelFilter) {
-    // `set_boxed_logger` fails if a logger is already installed. That logger stays, and its lines
-    // still count the seconds since it was installed.
+    // `set_boxed_logger` fails if a logger is already installed. That logger stays, and its
+    // start time does not change.
     let _ = log::set_boxed_logger(Box::new(Logger {
         started_at: Instant::now(),
     }));
--- a/crates/gateway/src/node_protocol/resp/usage_report.rs
+++ b/crates/gateway/src/node_protocol/resp/usage_report.rs
@@ -1,11 +1,16 @@
-//! Usage reports, in which a node reports how much service the volume of a request has received.
+//! Usage reports: the part of a node's reply that states how much service the volume that the
+//! request belongs to has received.
+//!
+//! A report has up to two values: the volume's utilization and its remote units. The scheduler
+//! counts them separately, and calls only the utilization a usage report (its `volume::usage`).
 
 use crate::resp_wire_names::usage_report::{REMOTE_UNITS, UTILIZATION};
 use crate::storage_request::{AttemptResult, ResponseBody};
 use io_scheduler::{Outcome, Units};
 
-/// Maximum accepted utilization in percent. A larger value cannot be a measurement; if it were
-/// accepted, the tags of the volume would be far ahead of the current time for a long time.
+/// Maximum accepted utilization in percent. A larger value cannot be a measurement. If it were
+/// accepted, it would move the tags of the volume far ahead of the current time, and the volume's
+/// requests would have to wait until the time has caught up.
 const MAX_UTILIZATION_PERCENT: f64 = 10_000.0;
 /// Maximum accepted number of remote units in one reply. Larger values are ignored for the same
 /// reason.
@@ -16,9 +21,11 @@
 /// A usage report. On the wire it looks like `used=37,cost=4`.
 #[derive(Default)]
 pub(super) struct UsageReport {
-    /// See [`AttemptResult::utilization`].
+    /// Fraction of the volume's provisioned rate that was served; see
+    /// [`AttemptResult::utilization`].
     utilization: Option<f64>,
-    /// See [`AttemptResult::remote_units`].
+    /// Units that the node served for the volume through other gateways; see
+    /// [`AttemptResult::remote_units`].
     remote_units: Units,
 }
 
--- a/crates/gateway/tests/gateway_process/harness/cluster.rs
+++ b/crates/gateway/tests/gateway_process/harness/cluster.rs
@@ -16,7 +16,8 @@
     pub node_b: FakeStorageNode,
     /// The discovery service that the gateway was configured with at its start.
     pub discovery: FakeDiscovery,
-    /// The open watch. The initial snapshot, on the first watch, has index 2.
+    /// The watch that is open now. The snapshot at the start of the first watch has index 2, so
+    /// the first delta has index 3.
     pub watch: Connection,
     /// The gateway under test.
     pub gateway: Gateway,
@@ -24,8 +25,8 @@
 
 /// A read that the gateway has forwarded to node A.
 ///
-/// The gateway sends one request at a time to a node that has not responded yet: further requests
-/// for node A wait until the node has responded to this one.
+/// The initial concurrency limit of a node is one request: until node A has responded to this read,
+/// further requests for it wait at the gateway.
 pub struct ForwardedRead {
     /// The client's connection to the gateway.
     pub client: Connection,
@@ -126,7 +127,8 @@
         [self.node_a.in_service_entry(), self.node_b.draining_entry()]
     }
 
-    /// Waits until the gateway has logged that the first update on a watch has two endpoints.
+    /// Waits until the gateway has logged that it received two endpoints. It logs this only for the
+    /// first update on each watch.
     #[track_caller]
     pub fn wait_for_update_of_two_endpoints(&mut self) {
         self.gateway.wait_for_log(log_lines::RECEIVED_TWO_ENDPOINTS);
@@ -162,7 +164,7 @@
         } = read;
         let mut writer = self
             .gateway
-            .connect_and_send_in_one_turn(encode_write_request("w1"));
+            .connect_and_send_while_paused(encode_write_request("w1"));
         self.gateway.wait_until_input_is_processed();
         node.respond("read");
         reader.expect_value("read");
--- a/crates/gateway/tests/gateway_process/harness/gateway.rs
+++ b/crates/gateway/tests/gateway_process/harness/gateway.rs
@@ -83,7 +83,7 @@
     /// Connects a client and sends bytes while the gateway is paused, so that the connection and
     /// the bytes are ready in the same turn of its event loop. A gateway that is shutting down
     /// waits only briefly for a new connection and for its first bytes.
-    pub fn connect_and_send_in_one_turn(&self, bytes: impl AsRef<[u8]>) -> Connection {
+    pub fn connect_and_send_while_paused(&self, bytes: impl AsRef<[u8]>) -> Connection {
         self.pause();
         let client = self.connect_and_send(bytes);
         self.resume();
@@ -136,7 +136,7 @@
     /// Waits until the gateway has processed all input that was ready on its sockets before the
     /// call: a new client sends a `PING` and waits for the reply.
     pub fn wait_until_input_is_processed(&self) {
-        let mut client = self.connect_and_send_in_one_turn(encode_command("PING"));
+        let mut client = self.connect_and_send_while_paused(encode_command("PING"));
         client.receive_value();
     }
 
--- a/crates/gateway/tests/gateway_process/races/client_close.rs
+++ b/crates/gateway/tests/gateway_process/races/client_close.rs
@@ -123,7 +123,7 @@
     let mut read = cluster.start_read("a1");
     let waiting_client = cluster
         .gateway
-        .connect_and_send_in_one_turn(encode_read_request("a2"));
+        .connect_and_send_while_paused(encode_read_request("a2"));
     cluster.gateway.wait_until_input_is_processed();
     cluster.send_delta(3, &[cluster.node_a.draining_entry()]);
 
@@ -134,7 +134,7 @@
 
     let mut next_client = cluster
         .gateway
-        .connect_and_send_in_one_turn(encode_read_request("a3"));
+        .connect_and_send_while_paused(encode_read_request("a3"));
     let mut successor_connection = successor.accept();
     serve_request(&mut successor_connection, &mut next_client, "a3", "three");
     read.complete("one");
--- a/crates/gateway/tests/gateway_process/races/idle_close.rs
+++ b/crates/gateway/tests/gateway_process/races/idle_close.rs
@@ -44,12 +44,12 @@
     new_client.expect_pong();
 }
 
-/// Some clients send one request and keep their connection open. Without a limit they would hold up
-/// to a third of all descriptors; the gateway allows a quarter to connections that have sent a
-/// request. If there are more, it closes the first one that becomes idle, directly after its
-/// response and while the other clients wait for theirs.
+/// Some clients send one request and keep their connection open. The gateway allows such
+/// connections a quarter of all descriptors (here 16 of the 24 that clients may use), so that some
+/// remain for new connections. Above the quarter, it must close a connection as soon as it is
+/// idle: here directly after its response, while the other clients still wait for theirs.
 #[test]
-fn idle_connection_is_closed_before_clients_hold_all_descriptors() {
+fn excess_connection_is_closed_when_it_becomes_idle() {
     let mut cluster =
         TestCluster::start_with(|config| with_debug_log(&with_64_descriptors(config)));
     let mut clients: Vec<Connection> = (0..17)
--- a/crates/gateway/tests/gateway_process/races/reload.rs
+++ b/crates/gateway/tests/gateway_process/races/reload.rs
@@ -81,7 +81,7 @@
     // Node B is still in service.
     let mut writer = cluster
         .gateway
-        .connect_and_send_in_one_turn(encode_write_request("w1"));
+        .connect_and_send_while_paused(encode_write_request("w1"));
     let mut node_b = cluster.node_b.accept();
     serve_request(&mut node_b, &mut writer, "w1", "written");
     read.complete("one");
--- a/crates/gateway/tests/gateway_process/races/shutdown.rs
+++ b/crates/gateway/tests/gateway_process/races/shutdown.rs
@@ -25,7 +25,7 @@
     cluster.gateway.request_shutdown_and_wait_for_idle_close();
     let mut second_client = cluster
         .gateway
-        .connect_and_send_in_one_turn(encode_read_request("a2"));
+        .connect_and_send_while_paused(encode_read_request("a2"));
     cluster.gateway.wait_until_input_is_processed();
 
     read.complete_and_expect_client_close("one");
@@ -104,7 +104,7 @@
     idle_client.send_after_close(encode_read_request("a2"));
     let mut third_client = cluster
         .gateway
-        .connect_and_send_in_one_turn(encode_read_request("a3"));
+        .connect_and_send_while_paused(encode_read_request("a3"));
     cluster.gateway.wait_until_input_is_processed();
 
     read.complete("one");
