--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -39,9 +39,9 @@
     Snapshot,
     /// The entries that changed.
     Delta,
-    /// A poll of the list failed.
+    /// A poll of the list failed (`endpoints::polling`): no update was received on its watch.
     PollFailed,
-    /// The watch was closed, timed out, or must be reopened.
+    /// The watch was closed or timed out after an update, or must be reopened.
     WatchLost,
 }
 
@@ -108,7 +108,7 @@
     /// Time since the dispatch, in microseconds.
     pub elapsed: Micros,
     /// Units that the node served for requests of the volume from other hosts since the node's
-    /// previous response to this host; 0 if the node does not report them.
+    /// previous response to this host (`volume::usage`); 0 if the node does not report them.
     pub remote_units: Units,
     /// Usage report, if the response carries one: the volume's service at all nodes in a past
     /// period, as a fraction of its provisioned rate.
