--- a/crates/gateway/src/connections/descriptors.rs
+++ b/crates/gateway/src/connections/descriptors.rs
@@ -7,8 +7,8 @@
 /// files, pipes, the poller and the discovery watch.
 const RESERVED_DESCRIPTORS: usize = 24;
 /// Client connections that have sent a request may use at most the number of descriptors divided by
-/// this. Clients are expected to hold up to a third of the descriptors; the limit is a quarter, so
-/// that descriptors remain for new connections.
+/// this. Such connections are expected to use up to a third of all descriptors; the limit is a
+/// quarter, so that descriptors remain for new connections.
 const DESCRIPTORS_PER_REQUESTING_CLIENT: usize = 4;
 /// Percentage of the unreserved descriptors that connections to nodes may use.
 const NODE_CONNECTION_PERCENT: usize = 40;
